--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from brackenlane.budgets.division import Want, divide  # noqa: E402
-from brackenlane.budgets.grants import Held, Rule, spendable  # noqa: E402
+from brackenlane.budgets.leases import Held, Rule, spendable  # noqa: E402
 from brackenlane.lab.budget_model import Model  # noqa: E402
 from brackenlane.lab.model import explore  # noqa: E402
 
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -18,11 +18,11 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from brackenlane.lab import site  # noqa: E402
-from brackenlane.lab.fleet import invariants, script  # noqa: E402
-from brackenlane.lab.fleet.clients import served  # noqa: E402
-from brackenlane.lab.fleet.record import Event, Record  # noqa: E402
-from brackenlane.lab.fleet.scenario import Outcome, Scenario, median  # noqa: E402
-from brackenlane.lab.fleet.virtual import Fleet, Store, peak  # noqa: E402
+from brackenlane.lab.cluster import invariants, script  # noqa: E402
+from brackenlane.lab.cluster.clients import served  # noqa: E402
+from brackenlane.lab.cluster.record import Event, Record  # noqa: E402
+from brackenlane.lab.cluster.scenario import Outcome, Scenario, median  # noqa: E402
+from brackenlane.lab.cluster.virtual import Fleet, Store, peak  # noqa: E402
 
 LANDED = "f8edb49"  # the last version before this subsystem
 ASKS, LOADS, COMMANDS = 100.0, 20.0, 600.0  # a second, of the stand-in store
@@ -143,7 +143,7 @@
 
 def script_capacity(count: int) -> Any:
     """What the doormans are told of the store."""
-    from brackenlane.coldstart.pace import Capacity
+    from brackenlane.coldstart.pacing import Capacity
 
     return Capacity(count, ASKS, LOADS)
 
--- a/benchmarks/customers.py
+++ b/benchmarks/customers.py
@@ -18,8 +18,8 @@
 sys.path.insert(0, str(ROOT))
 
 from brackenlane.lab.bounds import at_least, at_most, conclude  # noqa: E402
-from brackenlane.lab.virtual.comparison import Result, compare  # noqa: E402
-from brackenlane.lab.virtual.drawn_sites import drawn  # noqa: E402
+from brackenlane.lab.simulation.comparison import Result, compare  # noqa: E402
+from brackenlane.lab.simulation.drawn_sites import drawn  # noqa: E402
 
 DAYS, QUICK_DAYS = 140, 12
 LOSS = 0.10  # of the worth asked for: a day that loses more against the plain policy is named
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -28,10 +28,10 @@
 from brackenlane.discovery.merge import Merge  # noqa: E402
 from brackenlane.discovery.records import Definition, Order, Origin, Policy, Target, Watch, box_id  # noqa: E402
 from brackenlane.lab.bounds import at_least, at_most, conclude  # noqa: E402
-from brackenlane.lab.boxes import Behaviour, Seen, serve  # noqa: E402
+from brackenlane.lab.cache_servers import Behaviour, Seen, serve  # noqa: E402
 from brackenlane.lab.site import checkout, free_ports  # noqa: E402
-from brackenlane.lab.standins.box import Box  # noqa: E402
-from brackenlane.lab.standins.dns import DnsServer, Fault  # noqa: E402
+from brackenlane.lab.stand_ins.cache_server import Box  # noqa: E402
+from brackenlane.lab.stand_ins.dns import DnsServer, Fault  # noqa: E402
 
 BOUNDS = {
     "drain_worst_ms": at_most(500.0),  # from the drain to the last answer that names the box
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -11,28 +11,28 @@
 from dns.name import Name
 
 from brackenlane import console
-from brackenlane.coldstart.pace import Capacity
+from brackenlane.coldstart.pacing import Capacity
 from brackenlane.coldstart.phases import Event, Phases
-from brackenlane.coldstart.reading import NOWHERE
+from brackenlane.coldstart.stream_position import NOWHERE
 from brackenlane.config import ConfigError, Endpoint, read_endpoint
-from brackenlane.core.core import Core
-from brackenlane.discovery import lastlist
-from brackenlane.discovery.cache import Lifetimes
-from brackenlane.discovery.feed import Feed
+from brackenlane.core.engine import Core
+from brackenlane.discovery import snapshot
+from brackenlane.discovery.dns_cache import Lifetimes
+from brackenlane.discovery.dns_source import Feed
 from brackenlane.discovery.merge import Merge
 from brackenlane.discovery.records import Definition, Memory, Origin, Policy, Watch
 from brackenlane.discovery.resolver import Resolver
-from brackenlane.discovery.roster import Roster
+from brackenlane.discovery.registry import Roster
 from brackenlane.dns.names import read_zone
 from brackenlane.dns.server import Responder, Server
 from brackenlane.limits import Limits
-from brackenlane.net.board import Board
-from brackenlane.net.clients import Door
-from brackenlane.net.depots import Depots
-from brackenlane.service import listen, serve_until_told
+from brackenlane.net.poller import Board
+from brackenlane.net.http_front import Door
+from brackenlane.net.connection_pool import Depots
+from brackenlane.lifecycle import listen, serve_until_told
 from brackenlane.settings.appliance import ApplianceFile, ColdStarts, load_appliance
-from brackenlane.store.shared import Shared
-from frostsail.interface import Role, Settings, Verdict
+from brackenlane.store.replica import Shared
+from brackenlane.routing.interface import Role, Settings, Verdict
 
 log = logging.getLogger(__name__)
 
@@ -95,7 +95,7 @@
     )
 
 
-def start_merge(config: Appliance, roster: Roster, kept: lastlist.Kept | None, phases: Phases) -> bool:
+def start_merge(config: Appliance, roster: Roster, kept: snapshot.Kept | None, phases: Phases) -> bool:
     """What is known before anybody is asked: the last list's orders and boxes, then the file's own.
 
     False: the last list is too old to be trusted before the store is asked; its orders hold all the same.
@@ -115,7 +115,7 @@
     return trusted
 
 
-def recall(roster: Roster, phases: Phases, kept: lastlist.Kept) -> None:
+def recall(roster: Roster, phases: Phases, kept: snapshot.Kept) -> None:
     """Serve from a last list."""
     now = time.time()
     roster.apply(roster.merge.recall(kept.memory, kept.saved, now))
@@ -124,7 +124,7 @@
 
 
 async def unheard(
-    config: Appliance, roster: Roster, phases: Phases, old: lastlist.Kept | None, limits: Limits
+    config: Appliance, roster: Roster, phases: Phases, old: snapshot.Kept | None, limits: Limits
 ) -> None:
     """What is done while the store has not been heard since our start; old: a last list not trusted yet."""
     await trio.sleep(limits.unknown_purges)
@@ -166,7 +166,7 @@
         nursery.start_soon(core.run)
         nursery.start_soon(board.run)
         phases = Phases(time.time())
-        kept = lastlist.load(config.last_list) if config.last_list else None
+        kept = snapshot.load(config.last_list) if config.last_list else None
         trusted = start_merge(config, roster, kept, phases)
         if config.resolvers:
             resolver = Resolver(
@@ -211,7 +211,7 @@
         else:
             phases.step(Event.READ, time.time())  # nobody else knows more
         keeper = (
-            lastlist.Keeper(roster, config.last_list, limits.last_list, shared) if config.last_list else None
+            snapshot.Keeper(roster, config.last_list, limits.last_list, shared) if config.last_list else None
         )
         if keeper:
             nursery.start_soon(keeper.run)
--- a/brackenlane/cli/main.py
+++ b/brackenlane/cli/main.py
@@ -114,8 +114,8 @@
     """Start doormans as processes, make the system break under them as SCRIPT says, and check invariants."""
     import trio
 
-    from brackenlane.lab.fleet import report, scenario
-    from brackenlane.lab.fleet.script import load
+    from brackenlane.lab.cluster import report, scenario
+    from brackenlane.lab.cluster.script import load
 
     told = load(script)
     if doormans:
@@ -134,7 +134,7 @@
     """A stand-in of the shared store at 127.0.0.1, to try things with; it keeps nothing over its end."""
     import trio
 
-    from brackenlane.lab.standins.redis import Redis
+    from brackenlane.lab.stand_ins.redis import Redis
 
     async def serve() -> None:
         async with trio.open_nursery() as nursery:
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -13,7 +13,7 @@
 from brackenlane.discovery.records import fixed
 from brackenlane.discovery.query import Kind
 from brackenlane.discovery.resolver import LookUpFailed, Resolver
-from brackenlane.discovery.roster import Roster
+from brackenlane.discovery.registry import Roster
 from brackenlane.limits import Limits
 
 if TYPE_CHECKING:
@@ -24,12 +24,12 @@
     """Ask for every SRV entry and host name once, past the cache; nothing of a running doorman is touched."""
     from brackenlane.appliance import start_merge
     from brackenlane.coldstart.phases import Phases
-    from brackenlane.discovery import lastlist
+    from brackenlane.discovery import snapshot
 
     logging.getLogger("brackenlane").setLevel(logging.ERROR)
     answers: list[dict[str, Any]] = []
     roster = Roster(Merge(site.policy, site.watches), lambda _: None, lambda *_: None)
-    start_merge(site, roster, lastlist.load(site.last_list) if site.last_list else None, Phases(time.time()))
+    start_merge(site, roster, snapshot.load(site.last_list) if site.last_list else None, Phases(time.time()))
     async with trio.open_nursery() as nursery:
         resolver = Resolver(
             site.resolvers, nursery, budget=limits.look_up, lifetimes=site.lifetimes, most=limits.look_ups
--- a/brackenlane/config.py
+++ b/brackenlane/config.py
@@ -9,9 +9,9 @@
 
 import orjson
 
-from frostsail import settings_codec
-from frostsail.checked_json import SettingsError
-from frostsail.interface import Role, Settings
+from brackenlane.routing import settings_codec
+from brackenlane.routing.checked_json import SettingsError
+from brackenlane.routing.interface import Role, Settings
 
 Endpoint = tuple[str, int]
 
--- a/brackenlane/console.py
+++ b/brackenlane/console.py
@@ -13,10 +13,10 @@
 
 from brackenlane.admission.figures import WORDS, Figures
 from brackenlane.coldstart.phases import Phase, Phases
-from brackenlane.discovery.roster import Roster
+from brackenlane.discovery.registry import Roster
 from brackenlane.limits import Limits
-from brackenlane.store.shared import Shared
-from frostsail.interface import Verdict
+from brackenlane.store.replica import Shared
+from brackenlane.routing.interface import Verdict
 
 HELP = """boxes               list the boxes with state and health; boxes -v: who names them, and why
 why BOX             why a box stands as it does, and what each source says of it
--- a/brackenlane/core/core.py
+++ b/brackenlane/core/engine.py
@@ -18,13 +18,13 @@
 import trio
 
 from brackenlane.core.response_cache import ResponseCache, Copy
-from brackenlane.core.fleet import Fleet
+from brackenlane.core.membership_view import Fleet
 from brackenlane.core.requests import Answer, Ask, Attempt, Ending, Reply
 from brackenlane.core.timers import Timers
 from brackenlane.limits import Limits
-from frostsail import Router
-from frostsail.cold import Tokens
-from frostsail.interface import (
+from brackenlane.routing import Router
+from brackenlane.routing.slow_start import Tokens
+from brackenlane.routing.interface import (
     Action,
     Cancel,
     Event,
--- a/brackenlane/core/fleet.py
+++ b/brackenlane/core/membership_view.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable
 
-from frostsail.interface import (
+from brackenlane.routing.interface import (
     Arrival,
     Fetch,
     ListKind,
--- a/brackenlane/core/requests.py
+++ b/brackenlane/core/requests.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackenlane.core.fleet import Fleet
+from brackenlane.core.membership_view import Fleet
 from brackenlane.core.timers import Timer
-from frostsail import Router
-from frostsail.interface import (
+from brackenlane.routing import Router
+from brackenlane.routing.interface import (
     Arrival,
     Effect,
     Fetch,
--- a/brackenlane/core/response_cache.py
+++ b/brackenlane/core/response_cache.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from frostsail.interface import Arrival, Purged, RequestClass, Settings
+from brackenlane.routing.interface import Arrival, Purged, RequestClass, Settings
 
 
 @dataclass(slots=True, frozen=True)
--- a/brackenlane/discovery/feed.py
+++ b/brackenlane/discovery/dns_source.py
@@ -9,12 +9,12 @@
 
 import trio
 
-from brackenlane.coldstart.pace import early, jittered, place
+from brackenlane.coldstart.pacing import early, jittered, place
 from brackenlane.discovery.query import Kind
 from brackenlane.discovery.resolver import Found, LookUpFailed, Resolver
-from brackenlane.discovery.roster import Roster
+from brackenlane.discovery.registry import Roster
 from brackenlane.limits import Limits
-from brackenlane.net.dial import connect
+from brackenlane.net.connector import connect
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/discovery/roster.py
+++ b/brackenlane/discovery/registry.py
@@ -11,7 +11,7 @@
 from brackenlane.config import Endpoint
 from brackenlane.discovery.merge import Merge
 from brackenlane.discovery.records import Change, Definition, Order, Origin
-from frostsail.interface import Event, ListKind, Membership, Purged, Role
+from brackenlane.routing.interface import Event, ListKind, Membership, Purged, Role
 
 Follow = Callable[[dict[str, Endpoint], set[str], bool], None]
 ID = re.compile(r"[0-9a-z-]{1,63}")
--- a/brackenlane/discovery/lastlist.py
+++ b/brackenlane/discovery/snapshot.py
@@ -18,9 +18,9 @@
 import orjson
 import trio
 
-from brackenlane.coldstart.reading import NOWHERE, read_place
+from brackenlane.coldstart.stream_position import NOWHERE, read_place
 from brackenlane.discovery.records import Memory
-from brackenlane.discovery.roster import Roster, box_json, order_json, read_box, read_order
+from brackenlane.discovery.registry import Roster, box_json, order_json, read_box, read_order
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/dns/server.py
+++ b/brackenlane/dns/server.py
@@ -21,11 +21,11 @@
 import trio
 
 from brackenlane.config import Endpoint
-from brackenlane.core.core import Core
+from brackenlane.core.engine import Core
 from brackenlane.core.requests import Ask, Ending
 from brackenlane.dns import names
 from brackenlane.limits import Limits
-from frostsail.interface import Arrival
+from brackenlane.routing.interface import Arrival
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/lab/budget_model.py
+++ b/brackenlane/lab/budget_model.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, replace
 
-from brackenlane.budgets import grants
-from brackenlane.budgets.grants import Entry, Grant, Held, Rule
+from brackenlane.budgets import leases
+from brackenlane.budgets.leases import Entry, Grant, Held, Rule
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
         """Never is more spent than the whole, at this moment or just before the next."""
         alive = [*enumerate(m.held for m in world.members), *world.ghosts]
         return all(
-            sum(grants.spendable(held, self.clock(n, at)) for n, held in alive) <= self.rule.whole
+            sum(leases.spendable(held, self.clock(n, at)) for n, held in alive) <= self.rule.whole
             for at in (world.at, world.at + 0.999)
         )
 
@@ -92,11 +92,11 @@
                 if member.held.number > mine.confirmed:
                     yield (
                         f"the store hears that {n} goes by {member.held.number}",
-                        replace(world, entries=_put(entries, name, grants.confirm(mine, member.held.number))),
+                        replace(world, entries=_put(entries, name, leases.confirm(mine, member.held.number))),
                     )
             if f := member.flight:
                 asked = self.clock(n, world.at) if self.fault == "expiry from the answer" else f.asked
-                held = grants.hold(self.rule, member.held, f.grant, f.left, asked)
+                held = leases.hold(self.rule, member.held, f.grant, f.left, asked)
                 yield (
                     f"{n} takes in {f.grant.amount}",
                     self._with(world, n, replace(member, held=held, flight=None)),
@@ -123,7 +123,7 @@
         run = 1e9 if self.fault == "no wait after a loss" else float(world.at - world.run)
         if self.fault == "giving before confirmation":
             entries = {who: replace(entry, before=None) for who, entry in entries.items()}
-        return grants.renew(self.rule, entries, name, wanted, world.at, run)
+        return leases.renew(self.rule, entries, name, wanted, world.at, run)
 
     @staticmethod
     def _with(world: World, n: int, member: Member) -> World:
--- a/brackenlane/lab/boxes.py
+++ b/brackenlane/lab/cache_servers.py
@@ -19,7 +19,7 @@
 import trio
 
 from brackenlane.core.timers import Timers
-from brackenlane.net.board import READ, WRITE, Board
+from brackenlane.net.poller import READ, WRITE, Board
 from brackenlane.lab.sockets import receive
 
 
@@ -165,7 +165,7 @@
 
 def main(words: list[str]) -> None:
     """Serve until standard input ends, then print what was seen as one JSON line."""
-    parser = argparse.ArgumentParser(prog="python -m brackenlane.lab.boxes", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m brackenlane.lab.cache_servers", description=__doc__)
     parser.add_argument("ports", type=int, nargs="+")
     parser.add_argument("--delay", type=float, default=0.02, help="mean seconds to an answer")
     parser.add_argument("--seed", type=int, default=1)
--- a/brackenlane/lab/fleet/clients.py
+++ b/brackenlane/lab/cluster/clients.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from brackenlane.lab.fleet.record import Record
+from brackenlane.lab.cluster.record import Record
 
 CLASSES = (("video-parts", 0.4, 2.0, 0.5), ("sheet-pages", 0.5, 1.0, 0.3), ("sheet-submit", 0.1, 3.0, 0.8))
 TTL = 2.0  # seconds that a client waits
--- a/brackenlane/lab/fleet/clocked.py
+++ b/brackenlane/lab/cluster/clock_preload.py
@@ -1,4 +1,4 @@
-"""A router whose wall clock is off: `python -m brackenlane.lab.fleet.clocked SECONDS RATE WORDS...`.
+"""A router whose wall clock is off: `python -m brackenlane.lab.cluster.clock_preload SECONDS RATE WORDS...`.
 
 The machine's clock is left alone: `time.time` of this one process is.
 """
--- a/brackenlane/lab/fleet/invariants.py
+++ b/brackenlane/lab/cluster/invariants.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable
 
-from brackenlane.lab.fleet.record import Event, Record
+from brackenlane.lab.cluster.record import Event, Record
 
 DRAIN = 0.5  # seconds after the news within which a box may still be sent something new
 PURGE = 1.0  # after which no older copy is served
--- a/brackenlane/lab/fleet/on_shared_clock.py
+++ b/brackenlane/lab/cluster/on_shared_clock.py
@@ -15,7 +15,7 @@
 
 import trio
 
-from brackenlane.lab.fleet.shared_clock import IdleReport, ProcessTime, SharedClock, VirtualClock
+from brackenlane.lab.cluster.shared_clock import IdleReport, ProcessTime, SharedClock, VirtualClock
 
 
 async def _be_woken(wake: int) -> None:
--- a/brackenlane/lab/fleet/report.py
+++ b/brackenlane/lab/cluster/report.py
@@ -4,8 +4,8 @@
 
 from pathlib import Path
 
-from brackenlane.lab.fleet.record import Record
-from brackenlane.lab.fleet.scenario import Outcome
+from brackenlane.lab.cluster.record import Record
+from brackenlane.lab.cluster.scenario import Outcome
 
 ROWS = (
     ("doormans", "routers", ""),
--- a/brackenlane/lab/fleet/routers.py
+++ b/brackenlane/lab/cluster/routers.py
@@ -15,9 +15,9 @@
 
 import trio
 
-from brackenlane.lab.fleet.ports import reserve_port
-from brackenlane.lab.fleet.record import Record
-from brackenlane.lab.fleet.time_coordinator import Process
+from brackenlane.lab.cluster.ports import reserve_port
+from brackenlane.lab.cluster.record import Record
+from brackenlane.lab.cluster.time_coordinator import Process
 
 PORTS = iter(range(20_000, 25_000))  # below the kernel's own; those behind are the tests'
 CLASSES = """
@@ -176,7 +176,7 @@
         if self.virtual:
             return self.virtual.launch(self.record.unix - self.record.begun, self.clock or (0.0, 1.0))
         if self.clock:
-            return ["-m", "brackenlane.lab.fleet.clocked", *map(str, self.clock)]
+            return ["-m", "brackenlane.lab.cluster.clock_preload", *map(str, self.clock)]
         return ["-m", "brackenlane"]
 
     def signal(self, number: signal.Signals, kind: str) -> None:
--- a/brackenlane/lab/fleet/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -16,17 +16,17 @@
 import orjson
 import trio
 
-from brackenlane.discovery import lastlist
-from brackenlane.lab.fleet import invariants
-from brackenlane.lab.fleet.boxes import FleetBox, Strength
-from brackenlane.lab.fleet.clients import Clients, served
-from brackenlane.lab.fleet.links import Link
-from brackenlane.lab.fleet.record import Record
-from brackenlane.lab.fleet.routers import RouterProcess, owner
-from brackenlane.lab.fleet.script import Script, Step
-from brackenlane.lab.fleet.time_coordinator import TimeCoordinator
+from brackenlane.discovery import snapshot
+from brackenlane.lab.cluster import invariants
+from brackenlane.lab.cluster.cache_servers import FleetBox, Strength
+from brackenlane.lab.cluster.clients import Clients, served
+from brackenlane.lab.cluster.links import Link
+from brackenlane.lab.cluster.record import Record
+from brackenlane.lab.cluster.routers import RouterProcess, owner
+from brackenlane.lab.cluster.script import Script, Step
+from brackenlane.lab.cluster.time_coordinator import TimeCoordinator
 from brackenlane.lab.site import ROOT
-from brackenlane.lab.standins.redis import Capacity, Redis
+from brackenlane.lab.stand_ins.redis import Capacity, Redis
 
 STORE_WORDS = re.compile(
     rb'"id":"(?P<box>[0-9a-z-]+)","drained":(?P<drained>true|false)'
@@ -386,7 +386,7 @@
         ports = [box["port"] for box in raw["others"]]
         for box, port in zip(raw["others"], ports[1:] + ports[:1], strict=True):
             box["port"] = port
-    path.write_bytes(lastlist.sign(orjson.dumps(raw)))
+    path.write_bytes(snapshot.sign(orjson.dumps(raw)))
 
 
 def play_in_virtual_time(script: Script, seed: int, folder: Path) -> Outcome:
--- a/brackenlane/lab/fleet/time_coordinator.py
+++ b/brackenlane/lab/cluster/time_coordinator.py
@@ -18,7 +18,7 @@
 import trio
 from trio.testing import wait_all_tasks_blocked
 
-from brackenlane.lab.fleet.shared_clock import ProcessTime, SharedClock, VirtualClock
+from brackenlane.lab.cluster.shared_clock import ProcessTime, SharedClock, VirtualClock
 
 STEP = 0.004  # virtual seconds that time advances by at least, so that deadlines come in batches
 LOOK = 0.001  # real seconds between two looks at processes that still run
@@ -52,7 +52,7 @@
         """
         self.shared.mark_running(self.slot)
         clock = (self.shared.path, self.slot, self.wake, begun, *skew)
-        return ["-m", "brackenlane.lab.fleet.on_shared_clock", *map(str, clock)]
+        return ["-m", "brackenlane.lab.cluster.on_shared_clock", *map(str, clock)]
 
     def state(self) -> str:
         """Its state by the kernel; ENDED once it has ended with all its threads, or was never started."""
--- a/brackenlane/lab/fleet/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from brackenlane.coldstart.pace import Capacity, Pace
+from brackenlane.coldstart.pacing import Capacity, Pace
 
 
 @dataclass
--- a/brackenlane/lab/load.py
+++ b/brackenlane/lab/load.py
@@ -21,7 +21,7 @@
 import trio
 
 from brackenlane.core.timers import Timer, Timers
-from brackenlane.net.board import READ, WRITE, Board
+from brackenlane.net.poller import READ, WRITE, Board
 from brackenlane.lab.sockets import receive
 
 HEAD = re.compile(rb"HTTP/1\.1 (\d\d\d) [^\r]*\r\n(.*?)\r\n\r\n", re.DOTALL)
--- a/brackenlane/lab/virtual/clients.py
+++ b/brackenlane/lab/simulation/clients.py
@@ -6,12 +6,12 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from brackenlane.lab.virtual.record import Ending, Operation, Request
-from brackenlane.lab.virtual.workload import FirstTry
-from frostsail.interface import Arrival, Effect, Note, Scope
+from brackenlane.lab.simulation.record import Ending, Operation, Request
+from brackenlane.lab.simulation.workload import FirstTry
+from brackenlane.routing.interface import Arrival, Effect, Note, Scope
 
 if TYPE_CHECKING:
-    from brackenlane.lab.virtual.world import World
+    from brackenlane.lab.simulation.world import World
 
 LEAST_TRY = 0.05  # seconds left, below which no client tries again
 
--- a/brackenlane/lab/virtual/comparison.py
+++ b/brackenlane/lab/simulation/comparison.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brackenlane.lab.virtual.invariants import violations
-from brackenlane.lab.virtual.plain import PlainPolicy
-from brackenlane.lab.virtual.record import Ending
-from brackenlane.lab.virtual.site import Site
-from brackenlane.lab.virtual.world import PolicyFactory, World, play
-from brackenlane.lab.virtual.worth import worth
-from frostsail import Router
-from frostsail.interface import State
+from brackenlane.lab.simulation.invariants import violations
+from brackenlane.lab.simulation.plain_policy import PlainPolicy
+from brackenlane.lab.simulation.record import Ending
+from brackenlane.lab.simulation.site import Site
+from brackenlane.lab.simulation.world import PolicyFactory, World, play
+from brackenlane.lab.simulation.value import worth
+from brackenlane.routing import Router
+from brackenlane.routing.interface import State
 
 
 @dataclass(slots=True, frozen=True)
--- a/brackenlane/lab/virtual/drawn_sites.py
+++ b/brackenlane/lab/simulation/drawn_sites.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from random import Random
 
-from brackenlane.lab.virtual.site import (
+from brackenlane.lab.simulation.site import (
     ClassLoad,
     Location,
     Site,
@@ -14,7 +14,7 @@
     TroubleKind,
     Weights,
 )
-from frostsail.interface import ColdStart, Effect, RequestClass, Scope, Siblings
+from brackenlane.routing.interface import ColdStart, Effect, RequestClass, Scope, Siblings
 
 REQUESTS = 1000  # of one day, about
 SHORTEST, LONGEST = 4.0, 16.0  # seconds of one day
--- a/brackenlane/lab/virtual/edge.py
+++ b/brackenlane/lab/simulation/edge.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from brackenlane.lab.virtual.memory import RankedMemory, StoredCopy
-from brackenlane.lab.virtual.servers import (
+from brackenlane.lab.simulation.memory import RankedMemory, StoredCopy
+from brackenlane.lab.simulation.servers import (
     Ask,
     Fetch,
     Reply,
@@ -15,8 +15,8 @@
     fetch_work,
     oldest_allowed,
 )
-from brackenlane.lab.virtual.streams import Failure, Stream, held, relay
-from frostsail.interface import Note
+from brackenlane.lab.simulation.streams import Failure, Stream, held, relay
+from brackenlane.routing.interface import Note
 
 RENEW_FROM = 0.8  # of its fresh time, from which a copy may be renewed behind
 LEAST_NEWER = 1e-6  # seconds by which a renewed copy is newer than the one before
--- a/brackenlane/lab/virtual/troubles.py
+++ b/brackenlane/lab/simulation/faults.py
@@ -6,13 +6,13 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from brackenlane.lab.virtual.servers import Health, Server
-from brackenlane.lab.virtual.site import Trouble, TroubleKind
-from brackenlane.lab.virtual.workload import GROUPS
-from frostsail.interface import State
+from brackenlane.lab.simulation.servers import Health, Server
+from brackenlane.lab.simulation.site import Trouble, TroubleKind
+from brackenlane.lab.simulation.workload import GROUPS
+from brackenlane.routing.interface import State
 
 if TYPE_CHECKING:
-    from brackenlane.lab.virtual.world import World
+    from brackenlane.lab.simulation.world import World
 
 DRAIN_SECONDS = 3.0  # that a server drains before it is gone
 
--- a/brackenlane/lab/virtual/invariants.py
+++ b/brackenlane/lab/simulation/invariants.py
@@ -6,9 +6,9 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable
 
-from brackenlane.lab.virtual.record import Ended, Ending, Record, Request, Sent
-from brackenlane.lab.virtual.site import ORIGIN, Site
-from frostsail.interface import Effect, Scope, Siblings, State, Verdict
+from brackenlane.lab.simulation.record import Ended, Ending, Record, Request, Sent
+from brackenlane.lab.simulation.site import ORIGIN, Site
+from brackenlane.routing.interface import Effect, Scope, Siblings, State, Verdict
 
 SLACK = 1e-5  # seconds, of the clock
 TOLD_SHARE = 2 / 3  # of the work that pushed a cold server over, from routers told of its start
--- a/brackenlane/lab/virtual/links.py
+++ b/brackenlane/lab/simulation/links.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Callable, Sequence
 
-from brackenlane.lab.virtual.clock import EventQueue, ScheduledCall
+from brackenlane.lab.simulation.clock import EventQueue, ScheduledCall
 
 FASTEST = 5.0  # times a client's pace, above which no transfer runs
 NOTHING = 1e-9  # transfer-seconds left that count as none: rounding
--- a/brackenlane/lab/virtual/plain.py
+++ b/brackenlane/lab/simulation/plain_policy.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from frostsail.hashing import score
-from frostsail.interface import (
+from brackenlane.routing.rendezvous_hash import score
+from brackenlane.routing.interface import (
     Action,
     Arrival,
     Effect,
@@ -30,7 +30,7 @@
     Wake,
     Withdrawn,
 )
-from frostsail.purges import Purges
+from brackenlane.routing.purges import Purges
 
 ATTEMPTS = 2
 
--- a/brackenlane/lab/virtual/record.py
+++ b/brackenlane/lab/simulation/record.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from frostsail.interface import Note, RequestClass, State, Verdict
+from brackenlane.routing.interface import Note, RequestClass, State, Verdict
 
 
 class Ending(Enum):
--- a/brackenlane/lab/virtual/reports.py
+++ b/brackenlane/lab/simulation/reports.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from brackenlane.lab.virtual.world import World
+    from brackenlane.lab.simulation.world import World
 
 REFRESH = 0.3  # seconds
 NOISE = 0.1  # of a value, at most
--- a/brackenlane/lab/virtual/routers.py
+++ b/brackenlane/lab/simulation/routers.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from brackenlane.lab.virtual.clock import ScheduledCall
-from brackenlane.lab.virtual.edge import EdgeCache
-from brackenlane.lab.virtual.record import Answered, Ended, Ending, Request, Sent
-from brackenlane.lab.virtual.servers import Ask, Reply, Server, oldest_allowed
-from brackenlane.lab.virtual.site import Tells
-from brackenlane.lab.virtual.streams import Failure, Stream, relay
-from frostsail.interface import (
+from brackenlane.lab.simulation.clock import ScheduledCall
+from brackenlane.lab.simulation.edge import EdgeCache
+from brackenlane.lab.simulation.record import Answered, Ended, Ending, Request, Sent
+from brackenlane.lab.simulation.servers import Ask, Reply, Server, oldest_allowed
+from brackenlane.lab.simulation.site import Tells
+from brackenlane.lab.simulation.streams import Failure, Stream, relay
+from brackenlane.routing.interface import (
     Action,
     Arrival,
     Cancel,
@@ -29,7 +29,7 @@
 )
 
 if TYPE_CHECKING:
-    from brackenlane.lab.virtual.world import Policy, World
+    from brackenlane.lab.simulation.world import Policy, World
 
 SLACK = 1e-6  # of the clock
 # How an attempt ends that failed so, and the note that a cache gives.
--- a/brackenlane/lab/virtual/streams.py
+++ b/brackenlane/lab/simulation/streams.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Sequence
 from enum import Enum
 
-from brackenlane.lab.virtual.clock import EventQueue
-from brackenlane.lab.virtual.links import FairLink, Transfer
+from brackenlane.lab.simulation.clock import EventQueue
+from brackenlane.lab.simulation.links import FairLink, Transfer
 
 
 class Failure(Enum):
--- a/brackenlane/lab/virtual/worth.py
+++ b/brackenlane/lab/simulation/value.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brackenlane.lab.virtual.record import Operation, Record
+from brackenlane.lab.simulation.record import Operation, Record
 
 
 def earned(operation: Operation) -> float:
--- a/brackenlane/lab/virtual/workload.py
+++ b/brackenlane/lab/simulation/workload.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from brackenlane.lab.virtual.site import ClassLoad, Site, TroubleKind
-from frostsail.interface import RequestClass
+from brackenlane.lab.simulation.site import ClassLoad, Site, TroubleKind
+from brackenlane.routing.interface import RequestClass
 
 GROUPS = 32
 LEAST_WORK = 0.002  # transfer-seconds
--- a/brackenlane/lab/virtual/world.py
+++ b/brackenlane/lab/simulation/world.py
@@ -7,22 +7,22 @@
 from functools import partial
 from typing import Protocol
 
-from brackenlane.lab.virtual.clients import Clients
-from brackenlane.lab.virtual.clock import EventQueue
-from brackenlane.lab.virtual.cold import ColdBudget
-from brackenlane.lab.virtual.edge import EdgeCache
-from brackenlane.lab.virtual.links import FairLink
-from brackenlane.lab.virtual.memory import StoredCopy
-from brackenlane.lab.virtual.record import Executed, FellOver, Listed, PurgeTold, Record
-from brackenlane.lab.virtual.reports import Reports
-from brackenlane.lab.virtual.routers import RouterHost
-from brackenlane.lab.virtual.servers import Ask, Origin, Parent, Server
-from brackenlane.lab.virtual.site import ORIGIN, Site
-from brackenlane.lab.virtual.streams import Failure, Stream, relay
-from brackenlane.lab.virtual.troubles import begin_troubles
-from brackenlane.lab.virtual.workload import Wanted, Workload
-from frostsail.hashing import score
-from frostsail.interface import (
+from brackenlane.lab.simulation.clients import Clients
+from brackenlane.lab.simulation.clock import EventQueue
+from brackenlane.lab.simulation.slow_start import ColdBudget
+from brackenlane.lab.simulation.edge import EdgeCache
+from brackenlane.lab.simulation.links import FairLink
+from brackenlane.lab.simulation.memory import StoredCopy
+from brackenlane.lab.simulation.record import Executed, FellOver, Listed, PurgeTold, Record
+from brackenlane.lab.simulation.reports import Reports
+from brackenlane.lab.simulation.routers import RouterHost
+from brackenlane.lab.simulation.servers import Ask, Origin, Parent, Server
+from brackenlane.lab.simulation.site import ORIGIN, Site
+from brackenlane.lab.simulation.streams import Failure, Stream, relay
+from brackenlane.lab.simulation.faults import begin_troubles
+from brackenlane.lab.simulation.workload import Wanted, Workload
+from brackenlane.routing.rendezvous_hash import score
+from brackenlane.routing.interface import (
     Action,
     Event,
     ListKind,
--- a/brackenlane/lab/site.py
+++ b/brackenlane/lab/site.py
@@ -181,7 +181,7 @@
     ports = free_ports(count + 1)
     seen: dict[str, Any] = {}
     process = pinned(
-        [sys.executable, "-m", "brackenlane.lab.boxes", *map(str, ports), "--delay", str(delay)],
+        [sys.executable, "-m", "brackenlane.lab.cache_servers", *map(str, ports), "--delay", str(delay)],
         cores,
         cwd=ROOT,
         stdin=subprocess.PIPE,
--- a/brackenlane/lab/standins/box.py
+++ b/brackenlane/lab/stand_ins/cache_server.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from brackenlane.lab.standins.cache_commands import Asked, CommandReader, Dropped, Pinged
+from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Dropped, Pinged
 
 Reply = bytes | None
 
--- a/brackenlane/lab/standins/redis.py
+++ b/brackenlane/lab/stand_ins/redis.py
@@ -19,7 +19,7 @@
 import orjson
 import trio
 
-from brackenlane.lab.standins.box import Door
+from brackenlane.lab.stand_ins.cache_server import Door
 
 Seen = Callable[..., None]
 
--- a/brackenlane/net/boxwire.py
+++ b/brackenlane/net/cache_codec.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from brackenlane.limits import Limits
-from frostsail.interface import Arrival, Fetch, Note, Verdict
-from frostsail.load_report import read_load_report
+from brackenlane.routing.interface import Arrival, Fetch, Note, Verdict
+from brackenlane.routing.load_report import read_load_report
 
 VERDICTS = {
     "data": Verdict.OK,
--- a/brackenlane/net/link.py
+++ b/brackenlane/net/cache_connection.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 
 from brackenlane.core.requests import Attempt, Reply
-from brackenlane.core.fleet import Fleet
+from brackenlane.core.membership_view import Fleet
 from brackenlane.core.timers import Timer
 from brackenlane.limits import Limits
-from brackenlane.net import boxwire
-from brackenlane.net.board import READ, WRITE, Board
-from frostsail.interface import Verdict
+from brackenlane.net import cache_codec
+from brackenlane.net.poller import READ, WRITE, Board
+from brackenlane.routing.interface import Verdict
 
 log = logging.getLogger(__name__)
 
@@ -106,7 +106,7 @@
         self._reading = False
         self._begun = 0.0  # since when an answer has been coming in, 0: none is
         self._fleet, self._limits, self._may_probe = fleet, limits, may_probe
-        self._parser = boxwire.Parser(limits)
+        self._parser = cache_codec.Parser(limits)
         self._heard = time.time()  # when bytes came last, or the first of what is open was written
         self._stuck = 0.0  # since when it takes no byte
         self._asked = False  # whether it lives
@@ -168,7 +168,7 @@
         if not self.open:
             return
         self._remember(slot.id, answered=False)
-        self._out.appendleft(boxwire.encode_drop(slot.id))
+        self._out.appendleft(cache_codec.encode_drop(slot.id))
         self._flush()
 
     def _remember(self, wire_id: str, answered: bool) -> None:
@@ -226,7 +226,7 @@
             self.close()
         else:
             self._asked = True
-            self._out.appendleft(boxwire.encode_ping())
+            self._out.appendleft(cache_codec.encode_ping())
             self._flush()
 
     def _ready(self, events: int) -> None:
@@ -305,7 +305,7 @@
             slot.settle(NEVER_SENT)
             return b""
         ask = attempt.ask
-        return boxwire.encode_get(
+        return cache_codec.encode_get(
             ask.wire_id,
             ask.arrival,
             attempt.fetch,
@@ -333,7 +333,7 @@
             for answer in self._parser.feed(data):
                 whole = True
                 self._answer(answer)
-        except boxwire.WireError as fault:
+        except cache_codec.WireError as fault:
             log.warning("a box that can't be read: %s", fault)
             self.close()
         finally:
@@ -343,7 +343,7 @@
         elif not self._begun:
             self._begun = self._heard
 
-    def _answer(self, answer: boxwire.BoxAnswer) -> None:
+    def _answer(self, answer: cache_codec.BoxAnswer) -> None:
         slot = self._waiting.get(answer.id)
         if slot is None or not slot.attempt.written:
             if self._past.get(answer.id):
--- a/brackenlane/net/listing.py
+++ b/brackenlane/net/change_log_codec.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from brackenlane.config import Endpoint, Site, read_endpoint
-from frostsail.interface import ListKind, Member, Membership, Purged, Role, State
+from brackenlane.routing.interface import ListKind, Member, Membership, Purged, Role, State
 
 STATES = (State.SERVING, State.DRAINING, State.GONE)
 WORDS = {"in_service": State.SERVING, "terminating": State.DRAINING, "terminated": State.GONE}
--- a/brackenlane/net/depots.py
+++ b/brackenlane/net/connection_pool.py
@@ -9,13 +9,13 @@
 
 from brackenlane.config import Endpoint
 from brackenlane.core.requests import Attempt, Reply
-from brackenlane.core.fleet import Fleet
+from brackenlane.core.membership_view import Fleet
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
-from brackenlane.net.board import Board
-from brackenlane.net.dial import Dial
-from brackenlane.net.link import NEVER_SENT, ConnectionQuota, Link, Report, Slot, Tried
-from frostsail.interface import Settings, Verdict
+from brackenlane.net.poller import Board
+from brackenlane.net.connector import Dial
+from brackenlane.net.cache_connection import NEVER_SENT, ConnectionQuota, Link, Report, Slot, Tried
+from brackenlane.routing.interface import Settings, Verdict
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/net/dial.py
+++ b/brackenlane/net/connector.py
@@ -12,7 +12,7 @@
 
 from brackenlane.config import Endpoint
 from brackenlane.core.timers import Timer, Timers
-from brackenlane.net.board import WRITE, Board
+from brackenlane.net.poller import WRITE, Board
 
 
 log = logging.getLogger(__name__)
--- a/brackenlane/ops/door.py
+++ b/brackenlane/ops/admin_api.py
@@ -14,11 +14,11 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from brackenlane.core.counts import CONTENT_TYPE
+from brackenlane.core.metrics import CONTENT_TYPE
 from brackenlane.core.timers import Timers
 from brackenlane.limits import Limits
-from brackenlane.net.board import READ, WRITE, Board
-from brackenlane.net.http import Headers, Reading, Requests, encode_answer
+from brackenlane.net.poller import READ, WRITE, Board
+from brackenlane.net.http_codec import Headers, Reading, Requests, encode_answer
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/ops/operators.py
+++ b/brackenlane/ops/admin_service.py
@@ -10,15 +10,15 @@
 from functools import partial
 
 from brackenlane.core.claims import Claim
-from brackenlane.core.core import Core
-from brackenlane.core.counts import Gauges, expose
+from brackenlane.core.engine import Core
+from brackenlane.core.metrics import Gauges, expose
 from brackenlane.limits import Limits
-from brackenlane.net.clients import Door
-from brackenlane.ops.ledger import Ledger, LedgerError
+from brackenlane.net.http_front import Door
+from brackenlane.ops.handover_log import Ledger, LedgerError
 from brackenlane.ops.maintenance import Maintenance, Reply
-from brackenlane.ops.records import Kind, Record
-from brackenlane.ops.succession import Stand, stand
-from frostsail.interface import Event, Member, Membership, Role
+from brackenlane.ops.handover_records import Kind, Record
+from brackenlane.ops.handover_state import Stand, stand
+from brackenlane.routing.interface import Event, Member, Membership, Role
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/ops/ledger.py
+++ b/brackenlane/ops/handover_log.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from brackenlane.limits import Limits
-from brackenlane.ops.records import Book, Kind, Reader, Record, encode
+from brackenlane.ops.handover_records import Book, Kind, Reader, Record, encode
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/ops/maintenance.py
+++ b/brackenlane/ops/maintenance.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from enum import Enum
 
-from frostsail.interface import ListKind, Member, Membership, State
+from brackenlane.routing.interface import ListKind, Member, Membership, State
 
 
 class Reply(Enum):
--- a/frostsail/__init__.py
+++ b/brackenlane/routing/__init__.py
@@ -1,5 +1,5 @@
 """Decisions of a gateway in front of caches of large objects behind thin links."""
 
-from frostsail.brain import Router
+from brackenlane.routing.router import Router
 
 __all__ = ["Router"]
--- a/frostsail/attempts.py
+++ b/brackenlane/routing/attempts.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from frostsail.interface import Arrival, Effect, Member, RequestClass, Scope
-from frostsail.servers import Server
+from brackenlane.routing.interface import Arrival, Effect, Member, RequestClass, Scope
+from brackenlane.routing.servers import Server
 
 HEADROOM = 0.7  # of the time left that an attempt may need by its cache's crowd
 
--- a/frostsail/fills.py
+++ b/brackenlane/routing/fill_estimate.py
@@ -11,8 +11,8 @@
 import random
 from collections.abc import Iterable
 
-from frostsail.interface import Note, Notes, Outcome, Verdict
-from frostsail.servers import PRIOR_MISS_SHARE, Server
+from brackenlane.routing.interface import Note, Notes, Outcome, Verdict
+from brackenlane.routing.servers import PRIOR_MISS_SHARE, Server
 
 HIT_SHARE_FIELD = "x0"  # of a load report: the cache's recent share of hits (FamilyInfo.ReportX0)
 PACES = 32  # that a learned pace is a mean over, about
--- a/frostsail/load_report.py
+++ b/brackenlane/routing/load_report.py
@@ -8,7 +8,7 @@
 
 import math
 
-from frostsail.checked_json import NOT_NEGATIVE
+from brackenlane.routing.checked_json import NOT_NEGATIVE
 
 NAMES = frozenset(("inflight", "queue", "util", "latency_ms", "qps", "eps", "x0", "x1"))
 
--- a/frostsail/brain.py
+++ b/brackenlane/routing/router.py
@@ -1,4 +1,4 @@
-"""All decisions of one gateway: events in, actions out (types: frostsail/interface.py).
+"""All decisions of one gateway: events in, actions out (types: brackenlane.routing/interface.py).
 
 Ordinary path: the edge cache by weighted rendezvous hash of the object, widened for hot ones; the source by
 a draw from a geometric ladder of origin and hub parents. All else is an exception and says what it guards.
@@ -11,12 +11,12 @@
 from dataclasses import replace
 from itertools import chain
 
-from frostsail.attempts import HEADROOM, Attempt, Request, Route
-from frostsail.bounded_load import below_bound_first
-from frostsail.cold_budget import ColdBudget
-from frostsail.fills import FillEstimate
-from frostsail.hashing import HashOrders
-from frostsail.interface import (
+from brackenlane.routing.attempts import HEADROOM, Attempt, Request, Route
+from brackenlane.routing.bounded_load import below_bound_first
+from brackenlane.routing.slow_start_budget import ColdBudget
+from brackenlane.routing.fill_estimate import FillEstimate
+from brackenlane.routing.rendezvous_hash import HashOrders
+from brackenlane.routing.interface import (
     Action,
     Arrival,
     Cancel,
@@ -42,14 +42,14 @@
     Wake,
     Withdrawn,
 )
-from frostsail.ladder import FEW, GeometricLadder
-from frostsail.popularity import Popularity
-from frostsail.purges import Purges
-from frostsail.servers import EJECT_AT, PROMPT, OutlierEjection, Server
-from frostsail.sizes import Sizes
-from frostsail.topology import Topology
-from frostsail.upstream import Upstream
-from frostsail.waits import WaitEstimate
+from brackenlane.routing.fill_source import FEW, GeometricLadder
+from brackenlane.routing.popularity import Popularity
+from brackenlane.routing.purges import Purges
+from brackenlane.routing.servers import EJECT_AT, PROMPT, OutlierEjection, Server
+from brackenlane.routing.sizes import Sizes
+from brackenlane.routing.topology import Topology
+from brackenlane.routing.origin_throttle import Upstream
+from brackenlane.routing.latency import WaitEstimate
 
 WIDEST = 3  # caches that a hot object is spread over, at most
 HOT = 1 / 8  # of a cache's link, wanted by one object: spread it over one cache more
--- a/frostsail/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -8,8 +8,8 @@
 
 from dataclasses import replace
 
-from frostsail import interface as i
-from frostsail.checked_json import (
+from brackenlane.routing import interface as i
+from brackenlane.routing.checked_json import (
     ABOVE_ZERO,
     NOT_NEGATIVE,
     Bounds,
--- a/frostsail/drill.py
+++ b/brackenlane/routing/simulator.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import TextIO
 
-from frostsail import interface as i
-from frostsail.brain import Router
-from frostsail.load_report import read_load_report
-from frostsail.settings_codec import kind_roles, read_settings
+from brackenlane.routing import interface as i
+from brackenlane.routing.router import Router
+from brackenlane.routing.load_report import read_load_report
+from brackenlane.routing.settings_codec import kind_roles, read_settings
 
 VERDICTS = {
     "0": i.Verdict.OK,
@@ -236,7 +236,7 @@
     try:
         run(sys.stdin, sys.stdout)
     except WireError as fault:
-        print(f"frostsail.drill: {fault}", file=sys.stderr)
+        print(f"brackenlane.routing.simulator: {fault}", file=sys.stderr)
         return 1
     return 0
 
--- a/frostsail/cold_budget.py
+++ b/brackenlane/routing/slow_start_budget.py
@@ -1,19 +1,19 @@
 """One gateway's part of what servers bear that started lately.
 
 Pure. Times are Unix seconds, work is in transfer-seconds. The rule itself and how a budget is shared among
-gateways: frostsail/cold.py.
+gateways: brackenlane.routing/cold.py.
 """
 
 from __future__ import annotations
 
 import math
 
-from frostsail.cold import ability, burst, joined, rota
-from frostsail.hashing import HashOrders
-from frostsail.interface import Role, Settings
-from frostsail.servers import Server
-from frostsail.sizes import Sizes
-from frostsail.topology import Topology
+from brackenlane.routing.slow_start import ability, burst, joined, rota
+from brackenlane.routing.rendezvous_hash import HashOrders
+from brackenlane.routing.interface import Role, Settings
+from brackenlane.routing.servers import Server
+from brackenlane.routing.sizes import Sizes
+from brackenlane.routing.topology import Topology
 
 
 class ColdBudget:
--- a/frostsail/topology.py
+++ b/brackenlane/routing/topology.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from frostsail.interface import Member, Settings
+from brackenlane.routing.interface import Member, Settings
 
 
 class Topology:
--- a/brackenlane/settings/appliance.py
+++ b/brackenlane/settings/appliance.py
@@ -15,7 +15,7 @@
 
 from brackenlane.config import ConfigError
 from brackenlane.discovery.records import fixed
-from frostsail.interface import ColdStart, Effect, RequestClass, Scope, Settings
+from brackenlane.routing.interface import ColdStart, Effect, RequestClass, Scope, Settings
 
 
 def _endpoint(text: str) -> str:
@@ -76,7 +76,7 @@
 
 
 class Module(Record):
-    """What the decision module is told (`frostsail.interface.Settings`)."""
+    """What the decision module is told (`brackenlane.routing.interface.Settings`)."""
 
     location: Zone
     locations: Annotated[list[Zone], Field(min_length=1, max_length=1000)]
--- a/brackenlane/store/resp.py
+++ b/brackenlane/store/connection.py
@@ -8,7 +8,7 @@
 import trio
 
 from brackenlane.config import Endpoint
-from brackenlane.net.dial import connect
+from brackenlane.net.connector import connect
 
 
 class StoreAway(Exception):
--- a/brackenlane/store/shared.py
+++ b/brackenlane/store/replica.py
@@ -19,15 +19,15 @@
 import orjson
 import trio
 
-from brackenlane.coldstart.pace import Capacity, Pace
+from brackenlane.coldstart.pacing import Capacity, Pace
 from brackenlane.coldstart.phases import Event, Phase, Phases
-from brackenlane.coldstart.reading import NOWHERE, before, continues, lacking, read_place
+from brackenlane.coldstart.stream_position import NOWHERE, before, continues, lacking, read_place
 from brackenlane.config import Endpoint
 from brackenlane.core.claims import Claim
 from brackenlane.discovery.records import Definition, Order, Origin
-from brackenlane.discovery.roster import Roster, box_json, order_json, read_box, read_order
+from brackenlane.discovery.registry import Roster, box_json, order_json, read_box, read_order
 from brackenlane.limits import Limits
-from brackenlane.store.resp import Connection, StoreAway, StoreError
+from brackenlane.store.connection import Connection, StoreAway, StoreError
 
 log = logging.getLogger(__name__)
 
--- a/tests/rig.py
+++ b/tests/router_harness.py
@@ -5,8 +5,8 @@
 import itertools
 from typing import Any, TypeVar
 
-from frostsail import Router
-from frostsail.interface import (
+from brackenlane.routing import Router
+from brackenlane.routing.interface import (
     Action,
     Arrival,
     ColdStart,
--- a/tests/slow_program.py
+++ b/tests/slow_program.py
@@ -7,8 +7,8 @@
 import time
 
 from brackenlane.__main__ import main
-from frostsail import Router
-from frostsail.interface import Action, Event
+from brackenlane.routing import Router
+from brackenlane.routing.interface import Action, Event
 
 COST = float(os.environ["SLOW_MS"]) / 1000
 handle = Router.handle
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -20,11 +20,11 @@
 import trio
 
 from brackenlane.lab import site
-from brackenlane.lab.fleet.ports import reserve_port
-from brackenlane.lab.standins.box import Box, Door, Reply, data
-from brackenlane.lab.standins.cache_commands import Asked
-from brackenlane.lab.standins.dns import DnsServer
-from brackenlane.lab.standins.redis import Redis
+from brackenlane.lab.cluster.ports import reserve_port
+from brackenlane.lab.stand_ins.cache_server import Box, Door, Reply, data
+from brackenlane.lab.stand_ins.cache_commands import Asked
+from brackenlane.lab.stand_ins.dns import DnsServer
+from brackenlane.lab.stand_ins.redis import Redis
 
 __all__ = ["Asked", "Box", "Redis", "Reply", "data"]
 
--- a/tests/test_ops.py
+++ b/tests/test_admin_api.py
@@ -10,9 +10,9 @@
 import pytest
 import trio
 
-from brackenlane.core.counts import Counts, Gauges, expose
+from brackenlane.core.metrics import Counts, Gauges, expose
 from brackenlane.ops.maintenance import Maintenance, Reply
-from frostsail.interface import ListKind, Member, Membership, State
+from brackenlane.routing.interface import ListKind, Member, Membership, State
 from tests.stand_ins import Asked, Box, Log, data, free_port, platform, record, with_trio
 from tests.stand_ins import Reply as BoxReply
 
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -17,7 +17,7 @@
 import trio
 
 from brackenlane.dns.server import pack
-from brackenlane.lab.standins.dns import DnsServer
+from brackenlane.lab.stand_ins.dns import DnsServer
 from tests.stand_ins import ROOT, Box, Program, Redis, appliance, data, with_trio
 
 OBJECT = "7f3a9c21e0b4d655"
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from frostsail.bounded_load import below_bound_first
-from frostsail.interface import Arrival, Fetch, Member, Role
-from tests.rig import Rig, every
+from brackenlane.routing.bounded_load import below_bound_first
+from brackenlane.routing.interface import Arrival, Fetch, Member, Role
+from tests.router_harness import Rig, every
 
 EDGES = [Member(f"edge-{n}", "depot") for n in range(3)]
 FLEET = [
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from brackenlane.budgets.division import Want, divide, settled
-from brackenlane.budgets.grants import Entry, Grant, Held, Rule, committed, confirm, hold, renew, spendable
+from brackenlane.budgets.leases import Entry, Grant, Held, Rule, committed, confirm, hold, renew, spendable
 from brackenlane.lab.budget_model import Model
 from brackenlane.lab.model import explore
 
--- a/tests/test_cache_commands.py
+++ b/tests/test_cache_commands.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from brackenlane.lab.standins.cache_commands import Asked, CommandReader, Dropped, Pinged
+from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Dropped, Pinged
 
 LINES = b"PING alive\r\nGET a1 queue=video,miss=o 3\r\nx\r\n\r\nGET a2 - 0\r\n\r\nDROP a1\r\n"
 COMMANDS = [
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -9,19 +9,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenlane.coldstart.pace import LONGEST, Capacity, Pace, early, jittered, place
+from brackenlane.coldstart.pacing import LONGEST, Capacity, Pace, early, jittered, place
 from brackenlane.coldstart.phases import Event, Phase, Phases
-from brackenlane.coldstart.reading import NOWHERE, before, continues, lacking, read_place
-from brackenlane.discovery import lastlist
+from brackenlane.coldstart.stream_position import NOWHERE, before, continues, lacking, read_place
+from brackenlane.discovery import snapshot
 from brackenlane.discovery.merge import Merge
 from brackenlane.discovery.records import Memory, Order, Policy
-from brackenlane.discovery.roster import Roster
-from brackenlane.lab.fleet.virtual import Fleet, Store, peak
+from brackenlane.discovery.registry import Roster
+from brackenlane.lab.cluster.virtual import Fleet, Store, peak
 from brackenlane.limits import Limits
-from brackenlane.store.shared import Shared
-from frostsail.cold import MARGIN, ability, rota
-from frostsail.interface import ColdStart, Fetch, Member, Note, Purged, Role
-from tests.rig import Rig, every
+from brackenlane.store.replica import Shared
+from brackenlane.routing.slow_start import MARGIN, ability, rota
+from brackenlane.routing.interface import ColdStart, Fetch, Member, Note, Purged, Role
+from tests.router_harness import Rig, every
 
 CAPACITY = Capacity(1000, asks=500.0, loads=20.0)
 
@@ -242,8 +242,8 @@
     shared.recall({("clip", -1): now - 3.0, ("", 7): now - 11.0, ("old", -1): now - 13.0})
     found = {(e.obj, e.group): e.age for e in events if isinstance(e, Purged)}
     assert found == {("clip", -1): pytest.approx(3.0, abs=0.2), ("", 7): pytest.approx(11.0, abs=0.2)}
-    kept = lastlist.Kept(Memory(), now, "5-1", True, tuple((*key, at) for key, at in shared.purges.items()))
-    assert lastlist.parse(lastlist.dump(kept)) == kept and len(kept.purges) == 2
+    kept = snapshot.Kept(Memory(), now, "5-1", True, tuple((*key, at) for key, at in shared.purges.items()))
+    assert snapshot.parse(snapshot.dump(kept)) == kept and len(kept.purges) == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -9,11 +9,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from frostsail import brain
-from frostsail.concurrency import DECREASE, USED, ConcurrencyLimit
-from frostsail.interface import Fetch, Refuse, Verdict
-from tests.rig import Rig, members, only
-from tests.test_customers import PACE, Branch
+from brackenlane.routing import router as router_module
+from brackenlane.routing.concurrency_limit import DECREASE, USED, ConcurrencyLimit
+from brackenlane.routing.interface import Fetch, Refuse, Verdict
+from tests.router_harness import Rig, members, only
+from tests.test_portal_settings import PACE, Branch
 
 WIDTH, PAUSE = 4.0, 1.0
 IN_TIME, LATE = False, True
@@ -74,7 +74,9 @@
 @pytest.mark.parametrize("assumed", [1 / 2, 1.0, 2.0, 4.0])
 def test_a_width_assumed_wrong_costs_a_branch_little(monkeypatch: pytest.MonkeyPatch, assumed: float) -> None:
     """With half of the widths assumed, over half of the requests were refused for good, before idle links."""
-    monkeypatch.setattr(brain, "UNTOLD", {role: assumed * width for role, width in brain.UNTOLD.items()})
+    monkeypatch.setattr(
+        router_module, "UNTOLD", {role: assumed * width for role, width in router_module.UNTOLD.items()}
+    )
     branch = Branch(weights_told=False)
     in_hand: dict[str, list[float]] = {}
 
--- a/tests/test_less_room.py
+++ b/tests/test_connection_limits.py
@@ -11,8 +11,8 @@
 import trio
 
 from tests.stand_ins import Asked, Box, Reply, data, free_port, platform, with_trio
-from tests.test_ops import figures
-from tests.test_replacing import READ, read_answer
+from tests.test_admin_api import figures
+from tests.test_handover import READ, read_answer
 
 EDGE, ORIGIN = "s-00000001", "s-00000009"
 SOCKETS = 192  # of which two fifths are for clients
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,10 +8,10 @@
 import pytest
 import trio
 
-from brackenlane.core.core import Core
+from brackenlane.core.engine import Core
 from brackenlane.core.requests import Answer, Ask, Attempt, Ending, Reply
 from brackenlane.limits import Limits
-from frostsail.interface import (
+from brackenlane.routing.interface import (
     Action,
     Arrival,
     Effect,
@@ -23,7 +23,7 @@
     RequestClass,
     Verdict,
 )
-from tests.rig import VIDEO, members, settings
+from tests.router_harness import VIDEO, members, settings
 from tests.stand_ins import with_trio
 
 SUBMIT = RequestClass("submit", aim=0.8, give_up=3.0, effect=Effect.UNSAFE, uncached=True)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,9 +11,9 @@
 import pytest
 import trio
 
-from brackenlane.discovery import lastlist
+from brackenlane.discovery import snapshot
 from brackenlane.discovery.records import Definition, Memory, Order, box_id
-from brackenlane.lab.standins.dns import DnsServer, Fault
+from brackenlane.lab.stand_ins.dns import DnsServer, Fault
 from tests.stand_ins import ROOT, Asked, Box, Program, Reply, appliance, data, with_trio
 from tests.test_appliance import OBJECT, console, query, texts
 
@@ -316,16 +316,16 @@
 
 def test_last_list_cut(tmp_path: Path) -> None:
     """A last list reads back as it was; cut or changed at any byte it is refused, never half believed."""
-    kept = lastlist.Kept(MEMORY, 7.0, "17-3", True, (("clip", -1, 5.0),))
-    whole = lastlist.dump(kept)
-    assert lastlist.parse(whole) == kept
+    kept = snapshot.Kept(MEMORY, 7.0, "17-3", True, (("clip", -1, 5.0),))
+    whole = snapshot.dump(kept)
+    assert snapshot.parse(whole) == kept
     for place in range(len(whole)):
         for damaged in (whole[:place], whole[:place] + bytes([whole[place] ^ 1]) + whole[place + 1 :]):
             try:
-                found = lastlist.parse(damaged)
+                found = snapshot.parse(damaged)
             except ValueError:
                 continue
             assert found == kept, (place, damaged)
     path = tmp_path / "last.json"
-    lastlist.save(path, whole)
-    assert lastlist.load(path) == kept and lastlist.load(tmp_path / "none.json") is None
+    snapshot.save(path, whole)
+    assert snapshot.load(path) == kept and snapshot.load(tmp_path / "none.json") is None
--- a/tests/test_customers_property.py
+++ b/tests/test_drawn_sites.py
@@ -1,7 +1,7 @@
 """Whole sites drawn inside and outside all known ranges: rules hold, worth is a plain policy's at least.
 
 The policy under test is the decision module; the plain one hashes each copy to a cache, fills from the own
-hub's parent and tries once more (`brackenlane/lab/virtual/plain.py`). Both play the same day.
+hub's parent and tries once more (`brackenlane/lab/simulation/plain_policy.py`). Both play the same day.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 import pytest
 
-from brackenlane.lab.virtual.comparison import Result, compare
-from brackenlane.lab.virtual.drawn_sites import drawn
-from brackenlane.lab.virtual.plain import PlainPolicy
-from frostsail.interface import (
+from brackenlane.lab.simulation.comparison import Result, compare
+from brackenlane.lab.simulation.drawn_sites import drawn
+from brackenlane.lab.simulation.plain_policy import PlainPolicy
+from brackenlane.routing.interface import (
     Action,
     Arrival,
     Refuse,
--- a/tests/test_fills.py
+++ b/tests/test_fill_estimate.py
@@ -9,13 +9,23 @@
 import pytest
 
 from brackenlane.limits import Limits
-from brackenlane.net.boxwire import Parser
-from frostsail.attempts import Request
-from frostsail.waits import CALM_MEMORY
-from frostsail.fills import FillEstimate
-from frostsail.interface import Arrival, ColdStart, Fetch, Member, Note, Notes, Outcome, Role, Verdict
-from frostsail.servers import Server
-from tests.rig import VIDEO, Rig, every, members
+from brackenlane.net.cache_codec import Parser
+from brackenlane.routing.attempts import Request
+from brackenlane.routing.latency import CALM_MEMORY
+from brackenlane.routing.fill_estimate import FillEstimate
+from brackenlane.routing.interface import (
+    Arrival,
+    ColdStart,
+    Fetch,
+    Member,
+    Note,
+    Notes,
+    Outcome,
+    Role,
+    Verdict,
+)
+from brackenlane.routing.servers import Server
+from tests.router_harness import VIDEO, Rig, every, members
 
 PARENTS = ("parent-0", "parent-1")
 
--- a/tests/test_ladder.py
+++ b/tests/test_fill_source.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from frostsail.interface import Fetch, Member, Note, Refuse, Role, SetTimer, State, Verdict, Wake
-from tests.rig import Rig, every, members, only
+from brackenlane.routing.interface import Fetch, Member, Note, Refuse, Role, SetTimer, State, Verdict, Wake
+from tests.router_harness import Rig, every, members, only
 
 DRAWS = 4000
 
@@ -184,7 +184,7 @@
 
 def test_nothing_adds_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """On a long day of new objects and replaced boxes, neither is remembered for good."""
-    monkeypatch.setattr("frostsail.brain.KEPT", 50)
+    monkeypatch.setattr("brackenlane.routing.router.KEPT", 50)
     rig = Rig()
     for n in range(200):
         new = [Member(f"new-{n}", "depot", weight=8.0), Member(f"new-{n - 1}", "depot", state=State.GONE)]
--- a/tests/test_replacing.py
+++ b/tests/test_handover.py
@@ -15,11 +15,11 @@
 from hypothesis import strategies as st
 
 from brackenlane.limits import Limits
-from brackenlane.ops.ledger import Ledger, LedgerError
-from brackenlane.ops.records import Book, Kind, Reader, Record, encode
-from brackenlane.ops.succession import Stand, stand
+from brackenlane.ops.handover_log import Ledger, LedgerError
+from brackenlane.ops.handover_records import Book, Kind, Reader, Record, encode
+from brackenlane.ops.handover_state import Stand, stand
 from tests.stand_ins import Asked, Box, Program, Reply, data, free_port, platform, with_trio
-from tests.test_ops import call
+from tests.test_admin_api import call
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
 READ = (
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_cluster.py
@@ -13,10 +13,10 @@
 import trio
 
 from brackenlane.config import ConfigError
-from brackenlane.lab.fleet import invariants, links, ports, report, routers, script
-from brackenlane.lab.fleet.record import Event, Record, load
-from brackenlane.lab.fleet.scenario import Outcome, play_in_virtual_time
-from brackenlane.lab.fleet.time_coordinator import TimeCoordinator
+from brackenlane.lab.cluster import invariants, links, ports, report, routers, script
+from brackenlane.lab.cluster.record import Event, Record, load
+from brackenlane.lab.cluster.scenario import Outcome, play_in_virtual_time
+from brackenlane.lab.cluster.time_coordinator import TimeCoordinator
 
 HOT = f"{random.Random(0).getrandbits(64):016x}"  # the object that is asked for most
 HEAD = 'name = "t"\ndoormans = 8\nboxes = 3\nparents = 1\nobjects = 40\n'
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+import re
 from pathlib import Path
 
 import pytest
@@ -10,11 +11,12 @@
 ROOT = Path(__file__).parents[1]
 # Each room may import those of the rows above its own, and itself; rooms of one row don't know each other.
 ROWS = (
+    ("routing",),
     ("limits", "config", "placement", "coldstart", "budgets", "observe"),
     ("core", "admission"),
     ("net",),
     ("discovery", "dns", "ops"),
-    ("store", "settings", "service"),
+    ("store", "settings", "lifecycle"),
     ("appliance", "console", "lab"),
     ("cli",),
     ("__main__",),
@@ -68,21 +70,19 @@
         and not (f.parent.name == "cli" and line.startswith("    "))
     ]
     assert not found  # the shell's command of the laboratory loads it when it is called
-    assert not [
-        f
-        for f in (ROOT / "frostsail").glob("*.py")
-        if "import brackenlane" in f.read_text() or "from brackenlane" in f.read_text()
-    ]
+    decisions = list((ROOT / "brackenlane" / "routing").glob("*.py"))
+    assert len(decisions) > 15
+    assert not [f for f in decisions if re.search(r"(import|from) brackenlane(?!\.routing\b)", f.read_text())]
 
 
 @pytest.mark.parametrize(
     "line",
     [
-        "from brackenlane.net.board import Board",
-        "import brackenlane.ops.door",
+        "from brackenlane.net.poller import Board",
+        "import brackenlane.ops.admin_api",
         "def f():\n    from brackenlane import net",
     ],
 )
 def test_an_arrow_up_is_found(line: str) -> None:
     """The check finds what it is there for."""
-    assert upward("brackenlane.core.core", line)
+    assert upward("brackenlane.core.engine", line)
--- a/tests/test_upstream.py
+++ b/tests/test_origin_throttle.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from frostsail.interface import (
+from brackenlane.routing.interface import (
     Action,
     Cancel,
     Fail,
@@ -23,8 +23,8 @@
     Verdict,
     Wake,
 )
-from frostsail.upstream import LEAST, MENDS, Upstream
-from tests.rig import Rig, only
+from brackenlane.routing.origin_throttle import LEAST, MENDS, Upstream
+from tests.router_harness import Rig, only
 
 GATEWAYS, RATE = 60, 100.0  # requests a second over all
 SLOW = 0.6 * RATE  # what the origin does a second once it falls behind
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,7 +10,7 @@
 import trio
 
 from brackenlane.limits import Limits
-from brackenlane.net.http import BadRequest, Requests, read_plain
+from brackenlane.net.http_codec import BadRequest, Requests, read_plain
 from tests.stand_ins import Asked, Box, Log, Program, data, platform, record, with_trio
 from tests.test_platform import EDGE, ORIGIN, SMUGGLED
 
--- a/tests/test_strain.py
+++ b/tests/test_overload_decisions.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from frostsail.interface import (
+from brackenlane.routing.interface import (
     Cancel,
     Effect,
     Fetch,
@@ -22,7 +22,7 @@
     Verdict,
     Wake,
 )
-from tests.rig import TILES, VIDEO, Rig, every, members, only
+from tests.router_harness import TILES, VIDEO, Rig, every, members, only
 
 
 def test_a_crowd_spills_over_and_is_then_refused_at_once() -> None:
--- a/tests/test_customers.py
+++ b/tests/test_portal_settings.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from frostsail import Router
-from frostsail.interface import (
+from brackenlane.routing import Router
+from brackenlane.routing.interface import (
     Action,
     Arrival,
     ColdStart,
@@ -34,7 +34,7 @@
     Verdict,
     Wake,
 )
-from tests.rig import Rig
+from tests.router_harness import Rig
 
 PAGE = RequestClass("page", aim=0.3, give_up=3.0, aim_stretch=2.0, late_worth=0.2, fresh=12.0)
 VIDEO = RequestClass("video", aim=0.6, give_up=6.0, aim_stretch=1.6, worth=2.0, in_parts=True)
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -20,16 +20,16 @@
 import trio
 
 from brackenlane.config import read_settings
-from brackenlane.core.core import Core
+from brackenlane.core.engine import Core
 from brackenlane.core.requests import Ask, Attempt, Reply
 from brackenlane.limits import Limits
-from brackenlane.net.board import Board
-from brackenlane.net.boxwire import BoxAnswer, Parser, encode_get
-from brackenlane.net.clients import Door
-from brackenlane.net.http import Requests
-from brackenlane.net.listing import read_frame, read_known
+from brackenlane.net.poller import Board
+from brackenlane.net.cache_codec import BoxAnswer, Parser, encode_get
+from brackenlane.net.http_front import Door
+from brackenlane.net.http_codec import Requests
+from brackenlane.net.change_log_codec import read_frame, read_known
 from brackenlane.net.request_codec import read_ask
-from frostsail.interface import Action, Arrival, Event, Fetch, Membership, Note, Outcome, Verdict
+from brackenlane.routing.interface import Action, Arrival, Event, Fetch, Membership, Note, Outcome, Verdict
 from tests.stand_ins import (
     SETTINGS,
     Asked,
--- a/tests/test_purge_wave.py
+++ b/tests/test_purge_wave.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from brackenlane.lab.virtual import invariants
-from brackenlane.lab.virtual.record import Record
-from brackenlane.lab.virtual.servers import Ask
-from brackenlane.lab.virtual.site import ClassLoad, Location, Site, Tells, Trouble, TroubleKind
-from brackenlane.lab.virtual.streams import Stream
-from brackenlane.lab.virtual.world import START, PolicyFactory, World
-from brackenlane.lab.virtual.worth import worth
-from frostsail import Router
-from frostsail.interface import Action, Event, Fetch
-from tests.test_virtual_caches import KEYED, PAGE, VIDEO
+from brackenlane.lab.simulation import invariants
+from brackenlane.lab.simulation.record import Record
+from brackenlane.lab.simulation.servers import Ask
+from brackenlane.lab.simulation.site import ClassLoad, Location, Site, Tells, Trouble, TroubleKind
+from brackenlane.lab.simulation.streams import Stream
+from brackenlane.lab.simulation.world import START, PolicyFactory, World
+from brackenlane.lab.simulation.value import worth
+from brackenlane.routing import Router
+from brackenlane.routing.interface import Action, Event, Fetch
+from tests.test_simulated_caches import KEYED, PAGE, VIDEO
 
 PURGE_AT, WATCHED = 5.0, 6.0  # seconds after the day's start; seconds in which older copies are dropped
 AGAIN = 2.0  # times that a copy is fetched from the origin in these, on average, at most: by each parent
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,10 +16,10 @@
 import pytest
 import trio
 
-from brackenlane.core.core import Core
+from brackenlane.core.engine import Core
 from brackenlane.core.requests import Ask, Attempt, Reply
 from brackenlane.limits import Limits
-from frostsail.interface import (
+from brackenlane.routing.interface import (
     Arrival,
     Effect,
     ListKind,
--- a/tests/test_endings.py
+++ b/tests/test_request_lifecycle.py
@@ -22,17 +22,17 @@
 import pytest
 import trio
 
-from brackenlane.core.core import Core
+from brackenlane.core.engine import Core
 from brackenlane.core.requests import Ask, Attempt
 from brackenlane.core.requests import Reply as Reply_
-from brackenlane.core.fleet import Fleet
+from brackenlane.core.membership_view import Fleet
 from brackenlane.limits import Limits
-from brackenlane.net.board import Board
-from brackenlane.net.client import Waits
-from brackenlane.net.clients import Door
-from brackenlane.net.link import ConnectionQuota, Link, Slot
+from brackenlane.net.poller import Board
+from brackenlane.net.client_connection import Waits
+from brackenlane.net.http_front import Door
+from brackenlane.net.cache_connection import ConnectionQuota, Link, Slot
 from brackenlane.observe.throttle import Throttle
-from frostsail.interface import Arrival, Fetch, ListKind, Member, Membership, RequestClass, Settings
+from brackenlane.routing.interface import Arrival, Fetch, ListKind, Member, Membership, RequestClass, Settings
 from tests.stand_ins import (
     SETTINGS,
     Asked,
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 
 from brackenlane.config import Endpoint
-from brackenlane.discovery.cache import Cache, Lifetimes
+from brackenlane.discovery.dns_cache import Cache, Lifetimes
 from brackenlane.discovery.merge import Merge
 from brackenlane.discovery.records import Policy, Target, Watch
 from brackenlane.discovery.query import Kind, Question, Reply, Says, put, read
 from brackenlane.discovery.resolver import LookUpFailed, Resolver
 from brackenlane.discovery.upstreams import Patience, Upstreams
-from brackenlane.lab.standins.dns import DnsServer, Fault
+from brackenlane.lab.stand_ins.dns import DnsServer, Fault
 from tests.stand_ins import free_port, with_trio
 
 SRV = "_cache._tcp.branch.test"
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -9,8 +9,8 @@
 import trio
 
 from brackenlane.core.response_cache import ResponseCache, Copy
-from frostsail.interface import Arrival, Purged
-from tests.rig import TILES, VIDEO, settings
+from brackenlane.routing.interface import Arrival, Purged
+from tests.router_harness import TILES, VIDEO, settings
 from tests.stand_ins import Log, platform, with_trio
 from tests.test_platform import fleet
 
--- a/tests/test_interface.py
+++ b/tests/test_routing_settings.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from frostsail.interface import ColdStart, RequestClass
-from tests.rig import VIDEO, settings
+from brackenlane.routing.interface import ColdStart, RequestClass
+from tests.router_harness import VIDEO, settings
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from frostsail.interface import (
+from brackenlane.routing.interface import (
     Effect,
     Fail,
     Fetch,
@@ -22,7 +22,7 @@
     Verdict,
     Wake,
 )
-from tests.rig import VIDEO, Rig, every, members, only
+from tests.router_harness import VIDEO, Rig, every, members, only
 
 
 def test_every_request_gets_one_final_answer_by_its_deadline() -> None:
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -17,9 +17,9 @@
 
 from brackenlane.config import ConfigError, parse
 from brackenlane.limits import Limits
-from frostsail.brain import Router
-from frostsail.checked_json import LONGEST_VALUE, SettingsError
-from frostsail.interface import (
+from brackenlane.routing.router import Router
+from brackenlane.routing.checked_json import LONGEST_VALUE, SettingsError
+from brackenlane.routing.interface import (
     Action,
     Arrival,
     ColdStart,
@@ -41,8 +41,8 @@
     Wake,
     Withdrawn,
 )
-from frostsail.settings_codec import kind_roles, read_settings
-from tests.rig import every, only
+from brackenlane.routing.settings_codec import kind_roles, read_settings
+from tests.router_harness import every, only
 
 Json = dict[str, Any]
 Path = tuple[str | int, ...]
--- a/tests/test_fleet.py
+++ b/tests/test_shared_budgets.py
@@ -14,11 +14,11 @@
 from brackenlane.config import Site
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
-from brackenlane.net import changelog
-from brackenlane.net.changelog import ChangeLog
-from brackenlane.net.depots import Depots
-from frostsail.interface import Fetch, ListKind, Member, Note, Outcome, RequestClass, Role, Verdict
-from tests.rig import VIDEO, Rig, every, members, settings
+from brackenlane.net import change_log
+from brackenlane.net.change_log import ChangeLog
+from brackenlane.net.connection_pool import Depots
+from brackenlane.routing.interface import Fetch, ListKind, Member, Note, Outcome, RequestClass, Role, Verdict
+from tests.router_harness import VIDEO, Rig, every, members, settings
 
 
 class Clock(Timers):
@@ -77,7 +77,7 @@
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All lose it at one moment; none may leave it for 2 s, by when it counts as told."""
-    monkeypatch.setattr(changelog, "Dial", NoDial)
+    monkeypatch.setattr(change_log, "Dial", NoDial)
     monkeypatch.setattr(NoDial, "tries", [])
     limits = Limits()
     boxes: Any = None
--- a/tests/test_virtual_caches.py
+++ b/tests/test_simulated_caches.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from brackenlane.lab.virtual import invariants
-from brackenlane.lab.virtual.plain import PlainPolicy, PlainRequest
-from brackenlane.lab.virtual.record import Operation, Record
-from brackenlane.lab.virtual.site import (
+from brackenlane.lab.simulation import invariants
+from brackenlane.lab.simulation.plain_policy import PlainPolicy, PlainRequest
+from brackenlane.lab.simulation.record import Operation, Record
+from brackenlane.lab.simulation.site import (
     ClassLoad,
     Location,
     Site,
@@ -19,9 +19,9 @@
     TroubleKind,
     Weights,
 )
-from brackenlane.lab.virtual.world import PolicyFactory, World, play
-from brackenlane.lab.virtual.worth import earned, worth
-from frostsail.interface import (
+from brackenlane.lab.simulation.world import PolicyFactory, World, play
+from brackenlane.lab.simulation.value import earned, worth
+from brackenlane.routing.interface import (
     Action,
     Arrival,
     ColdStart,
--- a/tests/test_virtual_parts.py
+++ b/tests/test_simulation_parts.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from brackenlane.lab.virtual.clock import EventQueue
-from brackenlane.lab.virtual.links import FairLink, Transfer
-from brackenlane.lab.virtual.memory import RankedMemory, StoredCopy
+from brackenlane.lab.simulation.clock import EventQueue
+from brackenlane.lab.simulation.links import FairLink, Transfer
+from brackenlane.lab.simulation.memory import RankedMemory, StoredCopy
 
 
 def test_a_full_link_is_divided_evenly() -> None:
--- a/tests/test_drill.py
+++ b/tests/test_simulator.py
@@ -48,7 +48,7 @@
 
 def talk(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "frostsail.drill"],
+        [sys.executable, "-m", "brackenlane.routing.simulator"],
         input=text,
         capture_output=True,
         text=True,
@@ -113,10 +113,10 @@
 
 
 def test_a_failed_decision_becomes_the_wires_exception(monkeypatch: pytest.MonkeyPatch) -> None:
-    from frostsail import drill
-    from frostsail.interface import Withdrawn
+    from brackenlane.routing import simulator
+    from brackenlane.routing.interface import Withdrawn
 
-    host = drill.Host()
+    host = simulator.Host()
     host.read("LAUNCH", {"I": "1", "InitSeed": "7", "Config": json.dumps(CONFIG)}, [])
 
     def broken(*_: object) -> None:
--- a/tests/test_silence.py
+++ b/tests/test_unresponsive_caches.py
@@ -7,8 +7,8 @@
 import pytest
 
 from brackenlane.limits import Limits
-from frostsail.interface import Fetch, ListKind, RequestClass, State, Verdict
-from tests.rig import Rig, members, only, settings
+from brackenlane.routing.interface import Fetch, ListKind, RequestClass, State, Verdict
+from tests.router_harness import Rig, members, only, settings
 
 
 def test_all_caches_silent_at_once_are_passed_by_and_come_back_cold() -> None:
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -11,18 +11,18 @@
 import pytest
 import trio
 
-from brackenlane.lab.fleet import time_coordinator
-from brackenlane.lab.fleet.scenario import Scenario, play_in_virtual_time
-from brackenlane.lab.fleet.script import Script, Step, read
-from brackenlane.lab.fleet.time_coordinator import NeverIdle, NoDeadline, Process, TimeCoordinator
+from brackenlane.lab.cluster import time_coordinator
+from brackenlane.lab.cluster.scenario import Scenario, play_in_virtual_time
+from brackenlane.lab.cluster.script import Script, Step, read
+from brackenlane.lab.cluster.time_coordinator import NeverIdle, NoDeadline, Process, TimeCoordinator
 
 # A process that is busy, waits for another thread, and then says what time it is, again and again.
 WORKER = """
 import sys, time
 from pathlib import Path
 import trio
-from brackenlane.lab.fleet.on_shared_clock import keep_time
-from brackenlane.lab.fleet.shared_clock import ProcessTime, SharedClock
+from brackenlane.lab.cluster.on_shared_clock import keep_time
+from brackenlane.lab.cluster.shared_clock import ProcessTime, SharedClock
 
 shared = SharedClock(Path(sys.argv[1]))
 keep_time(shared, 0, int(sys.argv[2]))
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from frostsail import settings_codec
-from frostsail.cold import MARGIN, Tokens
-from frostsail.interface import Effect, Fetch, Member, Note, Outcome, RequestClass, Role, Verdict
-from tests.rig import TILES, VIDEO, Rig, every, only
+from brackenlane.routing import settings_codec
+from brackenlane.routing.slow_start import MARGIN, Tokens
+from brackenlane.routing.interface import Effect, Fetch, Member, Note, Outcome, RequestClass, Role, Verdict
+from tests.router_harness import TILES, VIDEO, Rig, every, only
 from tests.stand_ins import SETTINGS
 
 SUBMIT = RequestClass("submit", aim=0.8, give_up=3.0, worth=3.0, effect=Effect.UNSAFE, uncached=True)
