--- /dev/null
+++ b/tests/test_outside_names.py
@@ -0,0 +1,113 @@
+"""Names that operators and the platform use stay as they are, whatever modules and classes are called."""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+from pathlib import Path
+
+import click
+import pytest
+from pydantic import BaseModel
+
+from brackenlane.cli.main import cli
+from brackenlane.console import HELP
+from brackenlane.core.counts import Counts, Gauges, expose
+from brackenlane.settings import appliance
+
+ROOT = Path(__file__).parent.parent
+ENDS_WITHIN = 30.0  # seconds, on a busy machine too
+
+
+def test_metric_names() -> None:
+    """The operators' dashboards go by these."""
+    counts = Counts(["pages"])
+    counts.ended("pages", 200)
+    assert expose(counts, Gauges(14, 9, 1)).decode().splitlines() == [
+        "# TYPE gw_ok counter",
+        'gw_ok{kind="pages"} 1',
+        "# TYPE gw_shed counter",
+        'gw_shed{kind="pages"} 0',
+        "# TYPE gw_errors counter",
+        'gw_errors{kind="pages"} 0',
+        "# TYPE gw_tries counter",
+        'gw_tries{kind="pages"} 0',
+        "# TYPE gw_active gauge",
+        "gw_active 14",
+        "# TYPE gw_pool_size gauge",
+        "gw_pool_size 9",
+        "# TYPE gw_pool_ejected gauge",
+        "gw_pool_ejected 1",
+    ]
+
+
+@pytest.mark.parametrize(
+    ("settings", "fault"),
+    [
+        ({"GW_CONFIG": ""}, "brackenlane: GW_CONFIG: names no file\n"),
+        ({"GW_CONFIG": "absent.json"}, "brackenlane: GW_CONFIG: absent.json: No such file or directory\n"),
+        (
+            {"GW_CONFIG": str(ROOT / "example/config.json"), "GW_OPS": "here"},
+            "brackenlane: ops: 'here' is no address and port\n",
+        ),
+    ],
+)
+def test_environment_names(settings: dict[str, str], fault: str) -> None:
+    """The platform sets the program up by these."""
+    words = [sys.executable, "-m", "brackenlane"]
+    ended = subprocess.run(
+        words,
+        cwd=ROOT,
+        env={**os.environ, **settings},
+        capture_output=True,
+        text=True,
+        timeout=ENDS_WITHIN,  # it would serve for good where it does not know a name
+    )
+    assert (ended.returncode, ended.stderr) == (2, fault)
+
+
+def test_command_names() -> None:
+    """Those of the shell and those of the console."""
+    lab = cli.commands["lab"]
+    assert isinstance(lab, click.Group)
+    assert sorted(cli.commands) == ["appliance", "check", "completion", "console", "discover", "lab"]
+    assert sorted(lab.commands) == ["fleet", "store"]
+    assert {option for command in lab.commands.values() for p in command.params for option in p.opts} == {
+        *("script", "--doormans", "--seed", "--out", "--port"),
+    }
+    words = [line.split()[0] for line in HELP.splitlines()]
+    assert " ".join(words) == "boxes why drain restore purge purge start load help quit"
+
+
+@pytest.mark.parametrize(
+    ("table", "keys"),
+    [
+        (
+            appliance.ApplianceFile,
+            "name http dns zone console resolver redis settings class box discover discovery coldstart",
+        ),
+        (
+            appliance.Module,
+            "location locations gateway gateways mate hub_of seats link_kb_per_s pace_kb_per_s edge_cold "
+            "parent_cold tick answer_slack connect_timeout purge_done max_attempts max_hold_off weights_told "
+            "may_cancel may_probe second_copies direct joins",
+        ),
+        (
+            appliance.Class,
+            "name aim give_up aim_stretch worth late_worth effect scope repeat_window fresh grace "
+            "stale_worth in_parts uncached",
+        ),
+        (appliance.Cold, "share ramp factor span"),
+        (appliance.BoxRecord, "id host port zone role weight"),
+        (appliance.Discover, "srv zone role weight_scale enough"),
+        (
+            appliance.Discovery,
+            "grace most_gone confirm settle remembered warm floor ceiling negative stale last_list",
+        ),
+        (appliance.ColdStarts, "doormans asks loads look_ups trust patience ready"),
+    ],
+)
+def test_appliance_file_keys(table: type[BaseModel], keys: str) -> None:
+    """The operators' files go by these."""
+    assert " ".join(field.alias or name for name, field in table.model_fields.items()) == keys
--- /dev/null
+++ b/tests/test_stored_forms.py
@@ -0,0 +1,235 @@
+"""What is stored outside the program stays as it is, whatever its modules and classes are called.
+
+The samples in tests/data were written by the program's own code at 5cb6090, with its clock at SAVED; that of
+version 1 by the code before 35ab276.
+"""
+
+from __future__ import annotations
+
+import os
+import re
+import shutil
+from pathlib import Path
+from typing import Any
+
+import orjson
+import pytest
+import trio
+
+from brackenlane.__main__ import _ledger
+from brackenlane.coldstart.pace import Capacity
+from brackenlane.coldstart.reading import NOWHERE
+from brackenlane.config import load as load_config
+from brackenlane.core.claims import Claim
+from brackenlane.discovery import lastlist
+from brackenlane.discovery.merge import Merge
+from brackenlane.discovery.records import Definition, Memory, Order, Policy
+from brackenlane.discovery.roster import Roster
+from brackenlane.lab.standins.redis import Redis
+from brackenlane.limits import Limits
+from brackenlane.ops.ledger import Ledger
+from brackenlane.ops.records import Book, Kind, Reader, Record, encode
+from brackenlane.store.shared import Shared
+from frostsail.interface import Role
+from tests.stand_ins import with_trio
+
+DATA = Path(__file__).parent / "data"
+ROOT = Path(__file__).parent.parent
+AGES = 1e9  # seconds for which a purge counts, so that those of the sample still do
+
+EDGE = Definition("e-1", "192.0.2.7", 7001, "north", Role.EDGE, 2.5, 0)
+PARENT = Definition("p-1", "parent.branch.example", 7002, "south", Role.PARENT, 1.0, 10)
+ORIGIN = Definition("o-1", "2001:db8::9", 443, "south", Role.ORIGIN, 8.0, 0)
+DRAIN = Order(True, 1_700_000_000.25, "the console of door-a")
+RESTORE = Order(False, 1_700_000_100.5, "the console of door-b")
+
+SAVED = 1_700_000_200.75
+KEPT = lastlist.Kept(
+    Memory(
+        (EDGE, PARENT),
+        {"_cache._tcp.branch.example": (ORIGIN,), "_empty._tcp.branch.example": ()},
+        {"parent.branch.example": "192.0.2.8"},
+        {"e-1": DRAIN, "p-1": RESTORE},
+    ),
+    saved=SAVED,
+    place="1700000000123-4",
+    left=True,
+    purges=(("clip", -1, 1_700_000_150.5), ("", 7, 1_700_000_160.0)),
+)
+
+RECORDS = (
+    Record(Kind.BORN, ("0a1b2c3d",)),
+    Record(Kind.SERVES, ("0a1b2c3d",)),
+    Record(Kind.BORN, ("4e5f6071",)),
+    Record(Kind.ENTER, ("s-00000001", "1700000000.25")),
+    Record(Kind.ENTER, ("s-00000002", "1700000001.5")),
+    Record(Kind.EXIT, ("s-00000002", "1700000002.75")),
+    Record(Kind.CLAIM, ("txn-1", "0a1b2c3d")),
+    Record(Kind.CLAIM, ("txn-2", "4e5f6071")),
+    Record(Kind.RELEASE, ("txn-2",)),
+)
+
+
+class RecordingRedis(Redis):
+    """The stand-in store, and the commands that came, in their order."""
+
+    def __init__(self, keys: dict[str, Any] | None = None) -> None:
+        super().__init__()
+        self.came: list[list[str]] = []
+        self.keys.update(keys or {})
+
+    async def _turn(
+        self, command: list[str], queue: list[list[str]] | None
+    ) -> tuple[bytes, list[list[str]] | None]:
+        self.came.append([re.sub(r":loads:\d+$", ":loads:BUCKET", word) for word in command])
+        return await super()._turn(command, queue)
+
+
+def shared_at(redis: Redis, place: str = NOWHERE) -> tuple[Shared, Merge]:
+    """A view of the store in redis, from a place in its log on."""
+    merge = Merge(Policy())
+    roster = Roster(merge, lambda _: None, lambda *_: None)
+    endpoint = ("127.0.0.1", redis.port)
+    return Shared(
+        endpoint, "branch.example", "door-a", roster, AGES, Limits(), Capacity(2), place=place
+    ), merge
+
+
+async def follow_until_current(redis: Redis, shared: Shared, own: list[Definition]) -> None:
+    """Run until the store is read whole and news are waited for."""
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(shared.run, own)
+        await redis.seen.wait()
+        nursery.cancel_scope.cancel()
+
+
+async def write_store(redis: RecordingRedis) -> None:
+    """One of each form that the program writes to the store."""
+    shared, _ = shared_at(redis)
+    await follow_until_current(redis, shared, [EDGE])
+    assert await shared.change(PARENT)
+    assert await shared.order("e-1", DRAIN) and await shared.order("p-1", RESTORE)
+    assert await shared.purge("clip", -1, 1_700_000_150.5) and await shared.purge("", 7, 1_700_000_160.0)
+    assert await shared.claim("txn-1") is Claim.OURS and await shared.claim("txn-2") is Claim.OURS
+    await shared.release("txn-2")
+
+
+def stored_keys() -> dict[str, Any]:
+    """The store's sample, as the stand-in holds it: entries of a stream by their two numbers."""
+    keys: dict[str, Any] = orjson.loads((DATA / "store-keys.json").read_bytes())
+    return {
+        key: [((int(at[0]), int(at[1])), fields) for at, fields in value]
+        if isinstance(value, list)
+        else value
+        for key, value in keys.items()
+    }
+
+
+def without_places(keys: dict[str, Any]) -> dict[str, Any]:
+    """The store's content but for what its clock made."""
+    return {
+        re.sub(r":loads:\d+$", ":loads:BUCKET", key): [fields for _, fields in value]
+        if isinstance(value, list)
+        else value
+        for key, value in keys.items()
+    }
+
+
+@with_trio
+async def test_store_gets_the_same_commands_and_keys() -> None:
+    """Keys, fields, options and JSON of every command are those of the sample."""
+    async with trio.open_nursery() as nursery:
+        redis = await RecordingRedis().open(nursery)
+        await write_store(redis)
+        nursery.cancel_scope.cancel()
+    assert redis.came == orjson.loads((DATA / "store-commands.json").read_bytes())
+    assert without_places(redis.keys) == without_places(stored_keys())
+
+
+@pytest.mark.parametrize(("place", "others"), [(NOWHERE, {EDGE, PARENT}), ("1700000200750-0", {PARENT})])
+def test_store_is_read_to_the_same_state(place: str, others: set[Definition]) -> None:
+    """A whole load, and a place behind the first entry of the log, give boxes, orders and purges."""
+    keys = stored_keys()
+    keys["brackenlane:branch.example:pace"] = '{"asks": 5, "loads": 3.5}'  # the operator's to write
+
+    @with_trio
+    async def read() -> None:
+        async with trio.open_nursery() as nursery:
+            redis = await RecordingRedis(keys).open(nursery)
+            shared, merge = shared_at(redis, place)
+            await follow_until_current(redis, shared, [EDGE])
+            assert not any(command[0] == "SET" for command in redis.came)  # the file is there already
+            assert await shared.claim("txn-1") is Claim.TAKEN
+            assert await shared.claim("txn-2") is Claim.OURS
+            nursery.cancel_scope.cancel()
+        memory = merge.memory()
+        assert set(memory.others) == others and not memory.listed
+        assert memory.orders == {"e-1": DRAIN, "p-1": RESTORE}
+        assert shared.place == "1700000200750-5"
+        told_at = pytest.approx(SAVED, abs=5.0)  # by the store's clock, less the time of an answer
+        assert shared.purges == {("clip", -1): told_at, ("", 7): told_at}
+        assert (shared.pace.capacity.asks, shared.pace.capacity.loads) == (5.0, 3.5)
+
+    read()
+
+
+@pytest.mark.parametrize(
+    ("sample", "kept"),
+    [
+        ("last-list-2.json", KEPT),
+        ("last-list-1.json", lastlist.Kept(KEPT.memory, SAVED)),  # knew neither place nor leaving nor purges
+    ],
+)
+def test_last_list_is_read_to_the_same_state(sample: str, kept: lastlist.Kept, tmp_path: Path) -> None:
+    """Boxes, lists, addresses, orders, place and purges, of each version."""
+    path = Path(shutil.copy(DATA / sample, tmp_path))  # a copy, since one that can't be read is moved
+    assert lastlist.load(path) == kept
+
+
+def test_last_list_is_written_the_same(tmp_path: Path) -> None:
+    """Byte for byte, under a version and a checksum, and nothing beside it."""
+    lastlist.save(tmp_path / "last-list.json", lastlist.dump(KEPT))
+    assert (tmp_path / "last-list.json").read_bytes() == (DATA / "last-list-2.json").read_bytes()
+    assert os.listdir(tmp_path) == ["last-list.json"]
+
+
+def test_damaged_last_list_is_set_aside(tmp_path: Path) -> None:
+    """Its name is the operator's to find."""
+    (tmp_path / "last-list.json").write_bytes(b"{}")
+    assert lastlist.load(tmp_path / "last-list.json") is None
+    assert os.listdir(tmp_path) == ["last-list.json.damaged"]
+
+
+def test_ledger_records_are_read_and_written_the_same() -> None:
+    """Every kind of record, and what they add up to."""
+    data = (DATA / "ledger").read_bytes()
+    reader, book = Reader(Limits().ledger_line), Book(Limits().claims)
+    assert tuple(reader.feed(data)) == RECORDS and reader.spoilt == 0
+    assert {record.kind for record in RECORDS} == set(Kind)
+    assert b"".join(map(encode, RECORDS)) == data
+    for record in RECORDS:
+        book.take(record)
+    assert book.serving == {"0a1b2c3d": True, "4e5f6071": False}
+    assert book.out == {"s-00000001": 1_700_000_000.25}
+    assert book.submits == {"txn-1": "0a1b2c3d"}
+    assert b"".join(map(encode, book.summary())) == (DATA / "ledger-rewritten").read_bytes()
+
+
+@pytest.mark.parametrize("sample", ["ledger", "ledger-rewritten"])
+def test_next_process_takes_the_ledger_over(
+    sample: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The folder by the address that is listened at, the files in it, and what outlives its processes."""
+    config = load_config(str(ROOT / "example/config.json"))
+    folder = tmp_path / "brackenlane.{}.{}".format(*config.listen)
+    folder.mkdir()
+    shutil.copy(DATA / sample, folder / "ledger")
+    (folder / "life.0a1b2c3d").touch()  # its process has ended: nobody holds its lock
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    ledger = _ledger(config, Limits())
+    assert isinstance(ledger, Ledger)
+    assert ledger.book.serving == {ledger.me: False}
+    assert ledger.book.out == {"s-00000001": 1_700_000_000.25}
+    assert ledger.book.submits == {"txn-1": "0a1b2c3d"}
+    assert set(os.listdir(folder)) == {"ledger", "starting", f"life.{ledger.me}"}
+    ledger.close()
