--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -13,20 +13,20 @@
 import trio
 
 from brackenlane.config import Config, ConfigError, load
-from brackenlane.core.response_cache import ResponseCache
 from brackenlane.core.engine import Core
 from brackenlane.core.metrics import Counts
+from brackenlane.core.response_cache import ResponseCache
+from brackenlane.lifecycle import Early, Signals, listen_plain, serve_until_told
 from brackenlane.limits import Limits
-from brackenlane.net.poller import Board
 from brackenlane.net.change_log import ChangeLog
-from brackenlane.net.http_front import Door
-from brackenlane.net.connection_pool import Depots
 from brackenlane.net.change_log_codec import ListError, read_known
+from brackenlane.net.connection_pool import Depots
+from brackenlane.net.http_front import Door
+from brackenlane.net.poller import Board
+from brackenlane.observe.throttle import Throttle
 from brackenlane.ops.admin_api import OpsDoor
-from brackenlane.ops.handover_log import Ledger, LedgerError
 from brackenlane.ops.admin_service import Operators
-from brackenlane.lifecycle import Early, Signals, listen_plain, serve_until_told
-from brackenlane.observe.throttle import Throttle
+from brackenlane.ops.handover_log import Ledger, LedgerError
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/admission/controller.py
+++ b/brackenlane/admission/controller.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-from brackenlane.routing.interface import Effect, RequestClass
+from brackenlane.routing.settings import Effect, RequestClass
 
 T = TypeVar("T")
 
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -21,18 +21,20 @@
 from brackenlane.discovery.dns_source import Feed
 from brackenlane.discovery.merge import Merge
 from brackenlane.discovery.records import Definition, Memory, Origin, Policy, Watch
-from brackenlane.discovery.resolver import Resolver
 from brackenlane.discovery.registry import Roster
+from brackenlane.discovery.resolver import Resolver
 from brackenlane.dns.names import read_zone
 from brackenlane.dns.server import Responder, Server
+from brackenlane.lifecycle import listen, serve_until_told
 from brackenlane.limits import Limits
-from brackenlane.net.poller import Board
-from brackenlane.net.http_front import Door
 from brackenlane.net.connection_pool import Depots
-from brackenlane.lifecycle import listen, serve_until_told
+from brackenlane.net.http_front import Door
+from brackenlane.net.poller import Board
+from brackenlane.routing.events import Verdict
+from brackenlane.routing.members import Role
+from brackenlane.routing.settings import Settings
 from brackenlane.settings.appliance import ApplianceFile, ColdStarts, load_appliance
 from brackenlane.store.replica import Shared
-from brackenlane.routing.interface import Role, Settings, Verdict
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -10,10 +10,10 @@
 import trio
 
 from brackenlane.discovery.merge import Merge
-from brackenlane.discovery.records import fixed
 from brackenlane.discovery.query import Kind
-from brackenlane.discovery.resolver import LookUpFailed, Resolver
+from brackenlane.discovery.records import fixed
 from brackenlane.discovery.registry import Roster
+from brackenlane.discovery.resolver import LookUpFailed, Resolver
 from brackenlane.limits import Limits
 
 if TYPE_CHECKING:
--- a/brackenlane/config.py
+++ b/brackenlane/config.py
@@ -11,7 +11,8 @@
 
 from brackenlane.routing import settings_codec
 from brackenlane.routing.checked_json import SettingsError
-from brackenlane.routing.interface import Role, Settings
+from brackenlane.routing.members import Role
+from brackenlane.routing.settings import Settings
 
 Endpoint = tuple[str, int]
 
--- a/brackenlane/console.py
+++ b/brackenlane/console.py
@@ -15,8 +15,8 @@
 from brackenlane.coldstart.phases import Phase, Phases
 from brackenlane.discovery.registry import Roster
 from brackenlane.limits import Limits
+from brackenlane.routing.events import Verdict
 from brackenlane.store.replica import Shared
-from brackenlane.routing.interface import Verdict
 
 HELP = """boxes               list the boxes with state and health; boxes -v: who names them, and why
 why BOX             why a box stands as it does, and what each source says of it
--- a/brackenlane/core/engine.py
+++ b/brackenlane/core/engine.py
@@ -17,31 +17,26 @@
 
 import trio
 
-from brackenlane.core.response_cache import ResponseCache, Copy
 from brackenlane.core.membership_view import Fleet
 from brackenlane.core.requests import Answer, Ask, Attempt, Ending, Reply
+from brackenlane.core.response_cache import Copy, ResponseCache
 from brackenlane.core.timers import Timers
 from brackenlane.limits import Limits
 from brackenlane.routing import Router
-from brackenlane.routing.slow_start import Tokens
-from brackenlane.routing.interface import (
-    Action,
-    Cancel,
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer
+from brackenlane.routing.events import (
     Event,
-    Fail,
-    Fetch,
     ListKind,
     Membership,
     Note,
     Outcome,
     Purged,
-    Refuse,
-    SetTimer,
-    Settings,
     Verdict,
     Wake,
     Withdrawn,
 )
+from brackenlane.routing.settings import Settings
+from brackenlane.routing.slow_start import Tokens
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/core/membership_view.py
+++ b/brackenlane/core/membership_view.py
@@ -5,17 +5,10 @@
 import math
 from collections.abc import Callable
 
-from brackenlane.routing.interface import (
-    Arrival,
-    Fetch,
-    ListKind,
-    Member,
-    Membership,
-    Purged,
-    RequestClass,
-    Settings,
-    State,
-)
+from brackenlane.routing.actions import Fetch
+from brackenlane.routing.events import Arrival, ListKind, Membership, Purged
+from brackenlane.routing.members import Member, State
+from brackenlane.routing.settings import RequestClass, Settings
 
 
 class Fleet:
--- a/brackenlane/core/requests.py
+++ b/brackenlane/core/requests.py
@@ -12,14 +12,9 @@
 from brackenlane.core.membership_view import Fleet
 from brackenlane.core.timers import Timer
 from brackenlane.routing import Router
-from brackenlane.routing.interface import (
-    Arrival,
-    Effect,
-    Fetch,
-    Note,
-    RequestClass,
-    Verdict,
-)
+from brackenlane.routing.actions import Fetch
+from brackenlane.routing.events import Arrival, Note, Verdict
+from brackenlane.routing.settings import Effect, RequestClass
 
 
 class Ending(Enum):
--- a/brackenlane/core/response_cache.py
+++ b/brackenlane/core/response_cache.py
@@ -5,7 +5,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from brackenlane.routing.interface import Arrival, Purged, RequestClass, Settings
+from brackenlane.routing.events import Arrival, Purged
+from brackenlane.routing.settings import RequestClass, Settings
 
 
 @dataclass(slots=True, frozen=True)
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -11,8 +11,8 @@
 
 from brackenlane.coldstart.pacing import early, jittered, place
 from brackenlane.discovery.query import Kind
-from brackenlane.discovery.resolver import Found, LookUpFailed, Resolver
 from brackenlane.discovery.registry import Roster
+from brackenlane.discovery.resolver import Found, LookUpFailed, Resolver
 from brackenlane.limits import Limits
 from brackenlane.net.connector import connect
 
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -10,8 +10,8 @@
 from dataclasses import replace
 
 from brackenlane.config import Endpoint
-
 from brackenlane.discovery.records import (
+    NEVER,
     Box,
     Change,
     Definition,
@@ -19,7 +19,6 @@
     Held,
     Listed,
     Memory,
-    NEVER,
     Order,
     Origin,
     Place,
--- a/brackenlane/discovery/records.py
+++ b/brackenlane/discovery/records.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 
 from brackenlane.config import Endpoint
-from brackenlane.routing.interface import Member, Role, State
+from brackenlane.routing.members import Member, Role, State
 
 NEVER = float("-inf")
 
--- a/brackenlane/discovery/registry.py
+++ b/brackenlane/discovery/registry.py
@@ -11,7 +11,8 @@
 from brackenlane.config import Endpoint
 from brackenlane.discovery.merge import Merge
 from brackenlane.discovery.records import Change, Definition, Order, Origin
-from brackenlane.routing.interface import Event, ListKind, Membership, Purged, Role
+from brackenlane.routing.events import Event, ListKind, Membership, Purged
+from brackenlane.routing.members import Role
 
 Follow = Callable[[dict[str, Endpoint], set[str], bool], None]
 ID = re.compile(r"[0-9a-z-]{1,63}")
--- a/brackenlane/discovery/resolver.py
+++ b/brackenlane/discovery/resolver.py
@@ -15,8 +15,8 @@
 
 from brackenlane.config import Endpoint
 from brackenlane.discovery.dns_cache import Cache, Kept, Lifetimes
-from brackenlane.discovery.records import Target
 from brackenlane.discovery.query import CHAIN, Kind, Question, Reply, Says, Sent, put, read
+from brackenlane.discovery.records import Target
 from brackenlane.discovery.upstreams import Patience, Upstream, Upstreams
 from brackenlane.net.connector import connect, family_of
 
--- a/brackenlane/dns/server.py
+++ b/brackenlane/dns/server.py
@@ -25,7 +25,7 @@
 from brackenlane.core.requests import Ask, Ending
 from brackenlane.dns import names
 from brackenlane.limits import Limits
-from brackenlane.routing.interface import Arrival
+from brackenlane.routing.events import Arrival
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/lab/cache_servers.py
+++ b/brackenlane/lab/cache_servers.py
@@ -19,8 +19,8 @@
 import trio
 
 from brackenlane.core.timers import Timers
-from brackenlane.net.poller import READ, WRITE, Board
 from brackenlane.lab.sockets import receive
+from brackenlane.net.poller import READ, WRITE, Board
 
 
 @dataclass
--- a/brackenlane/lab/cluster/cache_servers.py
+++ b/brackenlane/lab/cluster/cache_servers.py
@@ -16,8 +16,8 @@
 import trio
 
 from brackenlane.lab.cluster.record import Record
-from brackenlane.lab.stand_ins.cache_server import Door
 from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Pinged
+from brackenlane.lab.stand_ins.cache_server import Door
 
 FILL = 0.02  # seconds that a fill takes besides its transfer
 FACTOR = 3.0  # times its ability, beyond which, with the slack of chance, a cold box falls
--- a/brackenlane/lab/load.py
+++ b/brackenlane/lab/load.py
@@ -21,8 +21,8 @@
 import trio
 
 from brackenlane.core.timers import Timer, Timers
-from brackenlane.net.poller import READ, WRITE, Board
 from brackenlane.lab.sockets import receive
+from brackenlane.net.poller import READ, WRITE, Board
 
 HEAD = re.compile(rb"HTTP/1\.1 (\d\d\d) [^\r]*\r\n(.*?)\r\n\r\n", re.DOTALL)
 LENGTH = re.compile(rb"[Cc]ontent-[Ll]ength: (\d+)")
--- a/brackenlane/lab/queueing.py
+++ b/brackenlane/lab/queueing.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from brackenlane.admission.controller import Admission
-from brackenlane.routing.interface import Effect, RequestClass
+from brackenlane.routing.settings import Effect, RequestClass
 
 CLASSES = (
     RequestClass("video-parts", aim=0.5, give_up=6.0, worth=2.0),
--- a/brackenlane/lab/races.py
+++ b/brackenlane/lab/races.py
@@ -24,8 +24,8 @@
 import trio
 
 from brackenlane.lab import site
-from brackenlane.lab.stand_ins.cache_server import Box, Door, data
 from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Pinged
+from brackenlane.lab.stand_ins.cache_server import Box, Door, data
 
 SLACK = 0.05  # seconds: the protocol's on sockets
 LEFT = 0.1  # after a client has left, no attempt
--- a/brackenlane/lab/simulation/clients.py
+++ b/brackenlane/lab/simulation/clients.py
@@ -8,7 +8,8 @@
 
 from brackenlane.lab.simulation.record import Ending, Operation, Request
 from brackenlane.lab.simulation.workload import FirstTry
-from brackenlane.routing.interface import Arrival, Effect, Note, Scope
+from brackenlane.routing.events import Arrival, Note
+from brackenlane.routing.settings import Effect, Scope
 
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import World
--- a/brackenlane/lab/simulation/comparison.py
+++ b/brackenlane/lab/simulation/comparison.py
@@ -9,10 +9,10 @@
 from brackenlane.lab.simulation.plain_policy import PlainPolicy
 from brackenlane.lab.simulation.record import Ending
 from brackenlane.lab.simulation.site import Site
-from brackenlane.lab.simulation.world import PolicyFactory, World, play
 from brackenlane.lab.simulation.value import worth
+from brackenlane.lab.simulation.world import PolicyFactory, World, play
 from brackenlane.routing import Router
-from brackenlane.routing.interface import State
+from brackenlane.routing.members import State
 
 
 @dataclass(slots=True, frozen=True)
--- a/brackenlane/lab/simulation/drawn_sites.py
+++ b/brackenlane/lab/simulation/drawn_sites.py
@@ -14,7 +14,7 @@
     TroubleKind,
     Weights,
 )
-from brackenlane.routing.interface import ColdStart, Effect, RequestClass, Scope, Siblings
+from brackenlane.routing.settings import ColdStart, Effect, RequestClass, Scope, Siblings
 
 REQUESTS = 1000  # of one day, about
 SHORTEST, LONGEST = 4.0, 16.0  # seconds of one day
--- a/brackenlane/lab/simulation/edge.py
+++ b/brackenlane/lab/simulation/edge.py
@@ -16,7 +16,7 @@
     oldest_allowed,
 )
 from brackenlane.lab.simulation.streams import Failure, Stream, held, relay
-from brackenlane.routing.interface import Note
+from brackenlane.routing.events import Note
 
 RENEW_FROM = 0.8  # of its fresh time, from which a copy may be renewed behind
 LEAST_NEWER = 1e-6  # seconds by which a renewed copy is newer than the one before
--- a/brackenlane/lab/simulation/faults.py
+++ b/brackenlane/lab/simulation/faults.py
@@ -9,7 +9,7 @@
 from brackenlane.lab.simulation.servers import Health, Server
 from brackenlane.lab.simulation.site import Trouble, TroubleKind
 from brackenlane.lab.simulation.workload import GROUPS
-from brackenlane.routing.interface import State
+from brackenlane.routing.members import State
 
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import World
--- a/brackenlane/lab/simulation/invariants.py
+++ b/brackenlane/lab/simulation/invariants.py
@@ -8,7 +8,9 @@
 
 from brackenlane.lab.simulation.record import Ended, Ending, Record, Request, Sent
 from brackenlane.lab.simulation.site import ORIGIN, Site
-from brackenlane.routing.interface import Effect, Scope, Siblings, State, Verdict
+from brackenlane.routing.events import Verdict
+from brackenlane.routing.members import State
+from brackenlane.routing.settings import Effect, Scope, Siblings
 
 SLACK = 1e-5  # seconds, of the clock
 TOLD_SHARE = 2 / 3  # of the work that pushed a cold server over, from routers told of its start
--- a/brackenlane/lab/simulation/plain_policy.py
+++ b/brackenlane/lab/simulation/plain_policy.py
@@ -4,33 +4,23 @@
 
 from dataclasses import dataclass, field
 
-from brackenlane.routing.rendezvous_hash import score
-from brackenlane.routing.interface import (
-    Action,
+from brackenlane.routing.actions import Action, Fail, Fetch, Refuse, SetTimer, Subscribe
+from brackenlane.routing.events import (
     Arrival,
-    Effect,
     Event,
-    Fail,
-    Fetch,
     ListKind,
-    Member,
     Membership,
     Outcome,
     Purged,
-    Refuse,
-    RequestClass,
-    Role,
-    Scope,
-    SetTimer,
-    Settings,
     Started,
-    State,
-    Subscribe,
     Verdict,
     Wake,
     Withdrawn,
 )
+from brackenlane.routing.members import Member, Role, State
 from brackenlane.routing.purges import Purges
+from brackenlane.routing.rendezvous_hash import score
+from brackenlane.routing.settings import Effect, RequestClass, Scope, Settings
 
 ATTEMPTS = 2
 
--- a/brackenlane/lab/simulation/record.py
+++ b/brackenlane/lab/simulation/record.py
@@ -5,7 +5,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackenlane.routing.interface import Note, RequestClass, State, Verdict
+from brackenlane.routing.events import Note, Verdict
+from brackenlane.routing.members import State
+from brackenlane.routing.settings import RequestClass
 
 
 class Ending(Enum):
--- a/brackenlane/lab/simulation/routers.py
+++ b/brackenlane/lab/simulation/routers.py
@@ -11,22 +11,8 @@
 from brackenlane.lab.simulation.servers import Ask, Reply, Server, oldest_allowed
 from brackenlane.lab.simulation.site import Tells
 from brackenlane.lab.simulation.streams import Failure, Stream, relay
-from brackenlane.routing.interface import (
-    Action,
-    Arrival,
-    Cancel,
-    Event,
-    Fail,
-    Fetch,
-    Note,
-    Outcome,
-    Refuse,
-    SetTimer,
-    Started,
-    Verdict,
-    Wake,
-    Withdrawn,
-)
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer
+from brackenlane.routing.events import Arrival, Event, Note, Outcome, Started, Verdict, Wake, Withdrawn
 
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import Policy, World
--- a/brackenlane/lab/simulation/servers.py
+++ b/brackenlane/lab/simulation/servers.py
@@ -11,12 +11,13 @@
 from typing import Protocol
 
 from brackenlane.lab.simulation.clock import EventQueue
-from brackenlane.lab.simulation.slow_start import ColdBudget
 from brackenlane.lab.simulation.links import FairLink
 from brackenlane.lab.simulation.memory import RankedMemory, StoredCopy
 from brackenlane.lab.simulation.site import Site
+from brackenlane.lab.simulation.slow_start import ColdBudget
 from brackenlane.lab.simulation.streams import Failure, Stream
-from brackenlane.routing.interface import Note, RequestClass
+from brackenlane.routing.events import Note
+from brackenlane.routing.settings import RequestClass
 
 QUICK_ERROR = 0.003  # seconds until a server that fails a request says so
 WARMING_STEP = 0.5  # seconds between two steps of a cold server's width
--- a/brackenlane/lab/simulation/site.py
+++ b/brackenlane/lab/simulation/site.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from functools import cached_property
 
-from brackenlane.routing.interface import ColdStart, Notes, RequestClass, Settings, Siblings
+from brackenlane.routing.settings import ColdStart, Notes, RequestClass, Settings, Siblings
 
 ORIGIN = "origin"
 USUAL_LOAD = 0.6  # for which the origin is sized
--- a/brackenlane/lab/simulation/slow_start.py
+++ b/brackenlane/lab/simulation/slow_start.py
@@ -5,7 +5,7 @@
 import math
 from collections import deque
 
-from brackenlane.routing.interface import ColdStart
+from brackenlane.routing.settings import ColdStart
 
 CHANCE = 2.0  # roots of the budget, in mean requests, and as many requests, that are put down to chance
 
--- a/brackenlane/lab/simulation/workload.py
+++ b/brackenlane/lab/simulation/workload.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from brackenlane.lab.simulation.site import ClassLoad, Site, TroubleKind
-from brackenlane.routing.interface import RequestClass
+from brackenlane.routing.settings import RequestClass
 
 GROUPS = 32
 LEAST_WORK = 0.002  # transfer-seconds
--- a/brackenlane/lab/simulation/world.py
+++ b/brackenlane/lab/simulation/world.py
@@ -9,8 +9,8 @@
 
 from brackenlane.lab.simulation.clients import Clients
 from brackenlane.lab.simulation.clock import EventQueue
-from brackenlane.lab.simulation.slow_start import ColdBudget
 from brackenlane.lab.simulation.edge import EdgeCache
+from brackenlane.lab.simulation.faults import begin_troubles
 from brackenlane.lab.simulation.links import FairLink
 from brackenlane.lab.simulation.memory import StoredCopy
 from brackenlane.lab.simulation.record import Executed, FellOver, Listed, PurgeTold, Record
@@ -18,22 +18,14 @@
 from brackenlane.lab.simulation.routers import RouterHost
 from brackenlane.lab.simulation.servers import Ask, Origin, Parent, Server
 from brackenlane.lab.simulation.site import ORIGIN, Site
+from brackenlane.lab.simulation.slow_start import ColdBudget
 from brackenlane.lab.simulation.streams import Failure, Stream, relay
-from brackenlane.lab.simulation.faults import begin_troubles
 from brackenlane.lab.simulation.workload import Wanted, Workload
+from brackenlane.routing.actions import Action
+from brackenlane.routing.events import Event, ListKind, Membership, Purged
+from brackenlane.routing.members import Member, Role, State
 from brackenlane.routing.rendezvous_hash import score
-from brackenlane.routing.interface import (
-    Action,
-    Event,
-    ListKind,
-    Member,
-    Membership,
-    Purged,
-    RequestClass,
-    Role,
-    Settings,
-    State,
-)
+from brackenlane.routing.settings import RequestClass, Settings
 
 START = 1000.0  # the clock at the start of a day; started_at 0 means long ago
 LAST = 60.0  # seconds after the last arrival until all has ended, also a long streamed answer
--- a/brackenlane/lifecycle.py
+++ b/brackenlane/lifecycle.py
@@ -14,9 +14,9 @@
 import trio
 
 from brackenlane.config import ConfigError, Endpoint
-from brackenlane.net.poller import Board
-from brackenlane.net.http_front import Door
 from brackenlane.net.connector import family_of
+from brackenlane.net.http_front import Door
+from brackenlane.net.poller import Board
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/limits.py
+++ b/brackenlane/limits.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from brackenlane.routing.interface import Settings
+from brackenlane.routing.settings import Settings
 
 
 @dataclass(frozen=True, slots=True)
--- a/brackenlane/net/cache_codec.py
+++ b/brackenlane/net/cache_codec.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass
 
 from brackenlane.limits import Limits
-from brackenlane.routing.interface import Arrival, Fetch, Note, Verdict
+from brackenlane.routing.actions import Fetch
+from brackenlane.routing.events import Arrival, Note, Verdict
 from brackenlane.routing.load_report import read_load_report
 
 VERDICTS = {
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -8,13 +8,13 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
-from brackenlane.core.requests import Attempt, Reply
 from brackenlane.core.membership_view import Fleet
+from brackenlane.core.requests import Attempt, Reply
 from brackenlane.core.timers import Timer
 from brackenlane.limits import Limits
 from brackenlane.net import cache_codec
 from brackenlane.net.poller import READ, WRITE, Board
-from brackenlane.routing.interface import Verdict
+from brackenlane.routing.events import Verdict
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -11,11 +11,12 @@
 from brackenlane.config import Endpoint, Site
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
-from brackenlane.net.poller import Board
+from brackenlane.net.change_log_codec import Change, FrameReader, ListError, read_frame
 from brackenlane.net.connection_pool import Depots
 from brackenlane.net.connector import Dial
-from brackenlane.net.change_log_codec import Change, FrameReader, ListError, read_frame
-from brackenlane.routing.interface import Event, ListKind, Membership, State
+from brackenlane.net.poller import Board
+from brackenlane.routing.events import Event, ListKind, Membership
+from brackenlane.routing.members import State
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/net/change_log_codec.py
+++ b/brackenlane/net/change_log_codec.py
@@ -9,7 +9,8 @@
 from typing import Any
 
 from brackenlane.config import Endpoint, Site, read_endpoint
-from brackenlane.routing.interface import ListKind, Member, Membership, Purged, Role, State
+from brackenlane.routing.events import ListKind, Membership, Purged
+from brackenlane.routing.members import Member, Role, State
 
 STATES = (State.SERVING, State.DRAINING, State.GONE)
 WORDS = {"in_service": State.SERVING, "terminating": State.DRAINING, "terminated": State.GONE}
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -11,8 +11,8 @@
 
 from brackenlane.admission.figures import Reason
 from brackenlane.core.requests import Ask
-from brackenlane.net.poller import READ, WRITE
 from brackenlane.net.http_codec import CONTINUE, BadRequest, Reading, Requests, encode_answer, read_plain
+from brackenlane.net.poller import READ, WRITE
 from brackenlane.net.request_codec import Worded, lane_of
 
 if TYPE_CHECKING:
--- a/brackenlane/net/connection_pool.py
+++ b/brackenlane/net/connection_pool.py
@@ -8,14 +8,15 @@
 from collections import deque
 
 from brackenlane.config import Endpoint
-from brackenlane.core.requests import Attempt, Reply
 from brackenlane.core.membership_view import Fleet
+from brackenlane.core.requests import Attempt, Reply
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
-from brackenlane.net.poller import Board
-from brackenlane.net.connector import Dial
 from brackenlane.net.cache_connection import NEVER_SENT, ConnectionQuota, Link, Report, Slot, Tried
-from brackenlane.routing.interface import Settings, Verdict
+from brackenlane.net.connector import Dial
+from brackenlane.net.poller import Board
+from brackenlane.routing.events import Verdict
+from brackenlane.routing.settings import Settings
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/net/connector.py
+++ b/brackenlane/net/connector.py
@@ -14,7 +14,6 @@
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.net.poller import WRITE, Board
 
-
 log = logging.getLogger(__name__)
 
 
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -20,12 +20,12 @@
 from brackenlane.admission.figures import Figures, Reason
 from brackenlane.core.claims import Claim, Claims
 from brackenlane.core.engine import Core
-from brackenlane.core.requests import Answer, Ask, Ending
 from brackenlane.core.metrics import Counts
+from brackenlane.core.requests import Answer, Ask, Ending
 from brackenlane.limits import Limits
-from brackenlane.net.poller import READ, Board
 from brackenlane.net.client_connection import Client, Waits
 from brackenlane.net.http_codec import BadRequest, Reading, encode_answer
+from brackenlane.net.poller import READ, Board
 from brackenlane.net.request_codec import HEALTHY, TARGET, Worded, lane_of, read_ask, word_answer
 
 log = logging.getLogger(__name__)
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -9,7 +9,8 @@
 from brackenlane.core.requests import Answer, Ask, Ending
 from brackenlane.limits import Limits
 from brackenlane.net.http_codec import BadRequest, Headers, Reading
-from brackenlane.routing.interface import Arrival, RequestClass
+from brackenlane.routing.events import Arrival
+from brackenlane.routing.settings import RequestClass
 
 TARGET = re.compile(r"/api/v2/([^/?#]{1,64})/([0-9a-f]{16})/n-(0|[1-9]\d{0,8})", re.ASCII)
 TXN = re.compile(r"[0-9a-fA-F]{16}")
--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -17,8 +17,8 @@
 from brackenlane.core.metrics import CONTENT_TYPE
 from brackenlane.core.timers import Timers
 from brackenlane.limits import Limits
-from brackenlane.net.poller import READ, WRITE, Board
 from brackenlane.net.http_codec import Headers, Reading, Requests, encode_answer
+from brackenlane.net.poller import READ, WRITE, Board
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/ops/admin_service.py
+++ b/brackenlane/ops/admin_service.py
@@ -15,10 +15,11 @@
 from brackenlane.limits import Limits
 from brackenlane.net.http_front import Door
 from brackenlane.ops.handover_log import Ledger, LedgerError
-from brackenlane.ops.maintenance import Maintenance, Reply
 from brackenlane.ops.handover_records import Kind, Record
 from brackenlane.ops.handover_state import Stand, stand
-from brackenlane.routing.interface import Event, Member, Membership, Role
+from brackenlane.ops.maintenance import Maintenance, Reply
+from brackenlane.routing.events import Event, Membership
+from brackenlane.routing.members import Member, Role
 
 log = logging.getLogger(__name__)
 
--- a/brackenlane/ops/maintenance.py
+++ b/brackenlane/ops/maintenance.py
@@ -10,7 +10,8 @@
 from dataclasses import replace
 from enum import Enum
 
-from brackenlane.routing.interface import ListKind, Member, Membership, State
+from brackenlane.routing.events import ListKind, Membership
+from brackenlane.routing.members import Member, State
 
 
 class Reply(Enum):
--- a/brackenlane/placement/model.py
+++ b/brackenlane/placement/model.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackenlane.routing.interface import ColdStart
+from brackenlane.routing.settings import ColdStart
 
 
 @dataclass(frozen=True, slots=True)
--- a/brackenlane/routing/attempts.py
+++ b/brackenlane/routing/attempts.py
@@ -5,8 +5,10 @@
 
 from __future__ import annotations
 
-from brackenlane.routing.interface import Arrival, Effect, Member, RequestClass, Scope
+from brackenlane.routing.events import Arrival
+from brackenlane.routing.members import Member
 from brackenlane.routing.servers import Server
+from brackenlane.routing.settings import Effect, RequestClass, Scope
 
 HEADROOM = 0.7  # of the time left that an attempt may need by its cache's crowd
 
--- /dev/null
+++ b/brackenlane/routing/events.py
@@ -0,0 +1,136 @@
+"""What a Router is told: membership, requests, results of attempts, timers, purges. Times are in seconds."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from brackenlane.routing.members import Member
+
+
+class ListKind(Enum):
+    """What a membership event brings."""
+
+    CHANGES = "changes"
+    FULL = "full"
+    REMEMBERED = "remembered"
+    REFUSED = "refused"
+
+
+class Verdict(Enum):
+    """How an attempt ended."""
+
+    OK = "ok"
+    ERROR = "error"
+    FULL = "full"
+    TIMEOUT = "timeout"
+    UNREACHABLE = "unreachable"
+    BROKEN = "broken"
+    CANCELLED = "cancelled"
+    NEVER_SENT = "never sent"
+    MISS = "miss"
+
+    @property
+    def never_ran(self) -> bool:
+        """Whether this outcome proves that nothing ran."""
+        return self in (Verdict.FULL, Verdict.UNREACHABLE, Verdict.NEVER_SENT, Verdict.MISS)
+
+
+class Note(Enum):
+    """How an answer came about, where the cache tells."""
+
+    UNTOLD = 0
+    HIT = 1
+    FILLED = 2
+    FILLED_BY_ORIGIN = 3
+    JOINED = 4
+    STALE = 5
+    SOURCE_REFUSED = 6
+    SOURCE_FAILED = 7
+    SOURCE_LACKS = 8
+    NO_PLACE = 9
+    ORIGIN_FAILED = 10
+
+
+class Event:
+    """Anything that a Router is told."""
+
+    __slots__ = ()
+
+
+@dataclass(slots=True, frozen=True)
+class Membership(Event):
+    """A list of servers, whole or in part."""
+
+    kind: ListKind
+    members: tuple[Member, ...] = ()
+
+
+@dataclass(slots=True, frozen=True)
+class Arrival(Event):
+    """A client's request; it is owed one final answer within time_left."""
+
+    request: str
+    time_left: float
+    cls: str
+    obj: str = ""
+    part: int = 0
+    group: int = -1
+    size_kb: float = 0.0
+    is_write: bool = False
+    is_retry: bool = False
+    has_key: bool = True  # by which caches drop repeats; needed in keyed classes alone
+
+    @property
+    def copy(self) -> str:
+        """What a copy is kept of: one part of an object."""
+        return f"{self.obj}/{self.part}"
+
+
+@dataclass(slots=True, frozen=True)
+class Outcome(Event):
+    """How one attempt ended; final is set when the request is over."""
+
+    request: str
+    attempt: int
+    server: str
+    verdict: Verdict
+    wait: float = 0.0
+    final: bool = False
+    note: Note = Note.UNTOLD
+    first_byte: float = 0.0  # until the origin gave out what was fetched there for it, where that is seen
+    report: tuple[tuple[str, float], ...] = ()
+    size_kb: float = 0.0  # of what came, where it is seen; the wire of the simulator does not show it
+
+
+@dataclass(slots=True, frozen=True)
+class Started(Event):
+    """The answer of an attempt has begun to stream; it now belongs to the client."""
+
+    request: str
+    attempt: int
+    server: str
+    wait: float = 0.0
+
+
+@dataclass(slots=True, frozen=True)
+class Withdrawn(Event):
+    """The client left; nothing more is owed."""
+
+    request: str
+
+
+@dataclass(slots=True, frozen=True)
+class Wake(Event):
+    """A timer has come due."""
+
+    token: int
+
+
+@dataclass(slots=True, frozen=True)
+class Purged(Event):
+    """An object, or without one a whole group, was purged age seconds ago."""
+
+    obj: str = ""
+    group: int = -1
+    age: float = 0.0
--- a/brackenlane/routing/fill_estimate.py
+++ b/brackenlane/routing/fill_estimate.py
@@ -11,8 +11,9 @@
 import random
 from collections.abc import Iterable
 
-from brackenlane.routing.interface import Note, Notes, Outcome, Verdict
+from brackenlane.routing.events import Note, Outcome, Verdict
 from brackenlane.routing.servers import PRIOR_MISS_SHARE, Server
+from brackenlane.routing.settings import Notes
 
 HIT_SHARE_FIELD = "x0"  # of a load report: the cache's recent share of hits (FamilyInfo.ReportX0)
 PACES = 32  # that a learned pace is a mean over, about
--- a/brackenlane/routing/origin_throttle.py
+++ b/brackenlane/routing/origin_throttle.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from brackenlane.routing.interface import Note, Outcome, Verdict
+from brackenlane.routing.events import Note, Outcome, Verdict
 
 MENDS = 8.0  # seconds in which the part grows back to the whole; a source that is out is tried as often
 MENDED = 1 / 4  # of what is held back, let go by an answer in time: one late now and then costs nothing
--- a/brackenlane/routing/purges.py
+++ b/brackenlane/routing/purges.py
@@ -8,7 +8,8 @@
 
 import math
 
-from brackenlane.routing.interface import Arrival, Purged, RequestClass
+from brackenlane.routing.events import Arrival, Purged
+from brackenlane.routing.settings import RequestClass
 
 LEAST_AGE = 1e-6  # seconds; an age of 0 would mean that any copy will do
 PRUNE_EVERY = 64  # purges held between two looks for those that no longer matter
--- a/brackenlane/routing/rendezvous_hash.py
+++ b/brackenlane/routing/rendezvous_hash.py
@@ -10,7 +10,7 @@
 from hashlib import blake2b
 from typing import Protocol, TypeVar
 
-from brackenlane.routing.interface import Member
+from brackenlane.routing.members import Member
 
 DIGEST_BYTES = 8
 LEAST_WEIGHT = 1e-9  # a server whose weight is 0 comes last, and divides nothing by zero
--- a/brackenlane/routing/router.py
+++ b/brackenlane/routing/router.py
@@ -11,45 +11,35 @@
 from dataclasses import replace
 from itertools import chain
 
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer, Subscribe
 from brackenlane.routing.attempts import HEADROOM, Attempt, Request, Route
 from brackenlane.routing.bounded_load import below_bound_first
-from brackenlane.routing.slow_start_budget import ColdBudget
-from brackenlane.routing.fill_estimate import FillEstimate
-from brackenlane.routing.rendezvous_hash import HashOrders
-from brackenlane.routing.interface import (
-    Action,
+from brackenlane.routing.events import (
     Arrival,
-    Cancel,
-    Effect,
     Event,
-    Fail,
-    Fetch,
     ListKind,
-    Member,
     Membership,
     Note,
     Outcome,
     Purged,
-    Refuse,
-    Role,
-    Scope,
-    SetTimer,
-    Settings,
     Started,
-    State,
-    Subscribe,
     Verdict,
     Wake,
     Withdrawn,
 )
+from brackenlane.routing.fill_estimate import FillEstimate
 from brackenlane.routing.fill_source import FEW, GeometricLadder
+from brackenlane.routing.latency import WaitEstimate
+from brackenlane.routing.members import Member, Role, State
+from brackenlane.routing.origin_throttle import Upstream
 from brackenlane.routing.popularity import Popularity
 from brackenlane.routing.purges import Purges
+from brackenlane.routing.rendezvous_hash import HashOrders
 from brackenlane.routing.servers import EJECT_AT, PROMPT, OutlierEjection, Server
+from brackenlane.routing.settings import Effect, Scope, Settings
 from brackenlane.routing.sizes import Sizes
+from brackenlane.routing.slow_start_budget import ColdBudget
 from brackenlane.routing.topology import Topology
-from brackenlane.routing.origin_throttle import Upstream
-from brackenlane.routing.latency import WaitEstimate
 
 WIDEST = 3  # caches that a hot object is spread over, at most
 HOT = 1 / 8  # of a cache's link, wanted by one object: spread it over one cache more
--- a/brackenlane/routing/servers.py
+++ b/brackenlane/routing/servers.py
@@ -9,9 +9,9 @@
 import random
 from collections.abc import Sequence
 
-from brackenlane.routing.slow_start import Tokens
 from brackenlane.routing.concurrency_limit import ConcurrencyLimit
-from brackenlane.routing.interface import Member, Role
+from brackenlane.routing.members import Member, Role
+from brackenlane.routing.slow_start import Tokens
 
 EJECT_AT = 2.0  # failure score above the mean of its peers that ejects a server
 EJECT_ALONE_AT = 4.0  # the same for a server that has no peer
--- a/brackenlane/routing/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -8,7 +8,6 @@
 
 from dataclasses import replace
 
-from brackenlane.routing import interface as i
 from brackenlane.routing.checked_json import (
     ABOVE_ZERO,
     NOT_NEGATIVE,
@@ -22,11 +21,13 @@
     read_whole,
     repeats,
 )
+from brackenlane.routing.members import Role
+from brackenlane.routing.settings import ColdStart, Effect, Notes, RequestClass, Scope, Settings, Siblings
 
-EFFECTS = {"retryable": i.Effect.SAFE, "dedup": i.Effect.KEYED, "fragile": i.Effect.UNSAFE}
-SCOPES = {scope.value: scope for scope in i.Scope}
-SIBLINGS = {"silent": i.Siblings.NONE, "location": i.Siblings.LOCATION, "any": i.Siblings.ANY}
-NOTES = {notes.value: notes for notes in i.Notes}
+EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
+SCOPES = {scope.value: scope for scope in Scope}
+SIBLINGS = {"silent": Siblings.NONE, "location": Siblings.LOCATION, "any": Siblings.ANY}
+NOTES = {notes.value: notes for notes in Notes}
 REPORT_WAYS = {word: word for word in ("piggyback", "pull", "silent")}
 WEIGHTS_TOLD = {"silent": False, "nominal": True, "rough": True, "live": True}
 MUST_ASK = {"push": False, "ask": True}
@@ -45,7 +46,7 @@
 LEAST_PACE = 1e-3  # KB a second, where a pace is told
 
 
-def read_settings(raw: object) -> i.Settings:
+def read_settings(raw: object) -> Settings:
     """The settings of one instance, from its parsed JSON object."""
     root = Section(raw, ROOT)
     family, limits, rules = root.section("FamilyInfo"), root.section("Limits"), root.section("Guarantees")
@@ -54,7 +55,7 @@
     kind_roles(raw)  # checked here, so that no caller can miss a fault in them
     edge_cold, parent_cold = _read_cold_starts(rules, family)
     gateways = root.whole("NInstances", 1, COUNT)
-    return i.Settings(
+    return Settings(
         location=_read_location(root, locations),
         locations=locations,
         classes=_read_classes(root, family),
@@ -93,14 +94,14 @@
     return Section(raw, ROOT).names("Skus")
 
 
-def kind_roles(raw: object) -> dict[str, i.Role]:
+def kind_roles(raw: object) -> dict[str, Role]:
     """Which machine kinds are parents and the origin; all others are edge caches."""
     kinds, family = kind_names(raw), Section(raw, ROOT).section("FamilyInfo")
     parent = _read_kind(family, "SecondTierKind", len(kinds))
     origin = _read_kind(family, "StoreKind", len(kinds))
     if origin == parent != NO_KIND:
         raise SettingsError(family.path_of("StoreKind"), "is the kind of the parents as well", origin)
-    roles = {parent: i.Role.PARENT, origin: i.Role.ORIGIN}
+    roles = {parent: Role.PARENT, origin: Role.ORIGIN}
     return {kinds[place]: role for place, role in roles.items() if place != NO_KIND}
 
 
@@ -161,20 +162,20 @@
     return longest if limits.flag("RetryAfter") else 0.0
 
 
-def _read_cold_starts(rules: Section, family: Section) -> tuple[i.ColdStart, i.ColdStart]:
+def _read_cold_starts(rules: Section, family: Section) -> tuple[ColdStart, ColdStart]:
     """The rules for caches and for parents that started lately; a parent's are the cache's where not told."""
     edge_ramp = rules.number("RampTimeS", 0.0)
     parent_ramp = family.number("UpperColdS", edge_ramp)
     if not _has_parents(family):
         parent_ramp = 0.0
     span = rules.number("OverloadForS", 1.0, _cold_bounds(max(edge_ramp, parent_ramp), ABOVE_ZERO)) or 1.0
-    edge = i.ColdStart(
+    edge = ColdStart(
         rules.number("ColdFrom", 1.0, _cold_bounds(edge_ramp, SHARE)) or 1.0,
         edge_ramp,
         rules.number("OverloadFactor", 1.0, _cold_bounds(edge_ramp, ABOVE_ZERO)) or 1.0,
         span,
     )
-    parent = i.ColdStart(
+    parent = ColdStart(
         family.number("ParentStartsAt", edge.share, _cold_bounds(parent_ramp, SHARE)) or 1.0,
         parent_ramp,
         family.number("ParentFallMultiple", edge.factor, _cold_bounds(parent_ramp, ABOVE_ZERO)) or 1.0,
@@ -205,10 +206,10 @@
         self._in_parts = family.items_for_each("ClassParts", read_flag, count, owner)
         self._uncached = family.items_for_each("Uncached", read_flag, count, owner)
 
-    def read(self, raw: Section, place: int) -> i.RequestClass:
+    def read(self, raw: Section, place: int) -> RequestClass:
         """The class at a place."""
         give_up = raw.number("GiveUpS", bounds=SPAN)
-        return i.RequestClass(
+        return RequestClass(
             name=raw.text("Name"),
             # An answer after the deadline reaches nobody, so an aim beyond it is the deadline.
             aim=min(raw.number("TargetS", bounds=AIM), give_up),
@@ -227,7 +228,7 @@
         )
 
 
-def _read_classes(root: Section, family: Section) -> tuple[i.RequestClass, ...]:
+def _read_classes(root: Section, family: Section) -> tuple[RequestClass, ...]:
     """The classes of requests, with what the family's lists tell of them."""
     path = root.path_of("Classes")
     root.required("Classes")
--- a/brackenlane/routing/simulator.py
+++ b/brackenlane/routing/simulator.py
@@ -7,28 +7,42 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import TextIO
 
-from brackenlane.routing import interface as i
-from brackenlane.routing.router import Router
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer, Subscribe
+from brackenlane.routing.events import (
+    Arrival,
+    Event,
+    ListKind,
+    Membership,
+    Note,
+    Outcome,
+    Purged,
+    Started,
+    Verdict,
+    Wake,
+    Withdrawn,
+)
 from brackenlane.routing.load_report import read_load_report
+from brackenlane.routing.members import Member, Role, State
+from brackenlane.routing.router import Router
 from brackenlane.routing.settings_codec import kind_roles, read_settings
 
 VERDICTS = {
-    "0": i.Verdict.OK,
-    "255": i.Verdict.ERROR,
-    "254": i.Verdict.FULL,
-    "253": i.Verdict.TIMEOUT,
-    "252": i.Verdict.UNREACHABLE,
-    "251": i.Verdict.BROKEN,
-    "250": i.Verdict.CANCELLED,
-    "249": i.Verdict.NEVER_SENT,
-    "1": i.Verdict.MISS,
+    "0": Verdict.OK,
+    "255": Verdict.ERROR,
+    "254": Verdict.FULL,
+    "253": Verdict.TIMEOUT,
+    "252": Verdict.UNREACHABLE,
+    "251": Verdict.BROKEN,
+    "250": Verdict.CANCELLED,
+    "249": Verdict.NEVER_SENT,
+    "1": Verdict.MISS,
 }
-STATES = {"SERVING": i.State.SERVING, "DRAINING": i.State.DRAINING, "DELETED": i.State.GONE}
+STATES = {"SERVING": State.SERVING, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 LISTS = {
-    "changes": i.ListKind.CHANGES,
-    "all": i.ListKind.FULL,
-    "remembered": i.ListKind.REMEMBERED,
-    "refused": i.ListKind.REFUSED,
+    "changes": ListKind.CHANGES,
+    "all": ListKind.FULL,
+    "remembered": ListKind.REMEMBERED,
+    "refused": ListKind.REFUSED,
 }
 TEXT_FIELDS = (" Config=", " What=")
 USAGE_SEPARATOR = ","
@@ -66,12 +80,12 @@
         raise ValueError("Config: nested too deeply") from None
 
 
-def read_member(f: Fields, roles: dict[str, i.Role]) -> i.Member:
+def read_member(f: Fields, roles: dict[str, Role]) -> Member:
     """One entry of a list."""
-    return i.Member(
+    return Member(
         f["Cache"],
         f.get("Campus", ""),
-        roles.get(f.get("GenerationHw", ""), i.Role.EDGE),
+        roles.get(f.get("GenerationHw", ""), Role.EDGE),
         int(f.get("Cell", 0)),
         STATES[f.get("Availability", "SERVING")],
         float(f.get("CapacityHint", 1.0)),
@@ -79,14 +93,14 @@
     )
 
 
-def _read_note(f: Fields) -> i.Note:
+def _read_note(f: Fields) -> Note:
     """The note of an outcome; one that is not known counts as none."""
     code = int(f.get("Note", 0))
-    return i.Note(code) if code in i.Note._value2member_map_ else i.Note.UNTOLD
+    return Note(code) if code in Note._value2member_map_ else Note.UNTOLD
 
 
-READERS: dict[str, Callable[[Fields], i.Event]] = {
-    "INCOMING": lambda f: i.Arrival(
+READERS: dict[str, Callable[[Fields], Event]] = {
+    "INCOMING": lambda f: Arrival(
         f["MsgId"],
         float(f["TimeLeftS"]),
         f.get("Band", ""),
@@ -97,7 +111,7 @@
         f.get("IsWrite") == "1",
         f.get("IsRetry") == "1",
     ),
-    "RESULT": lambda f: i.Outcome(
+    "RESULT": lambda f: Outcome(
         f["MsgId"],
         int(f["SeqNo"]),
         f.get("Cache", ""),
@@ -108,36 +122,36 @@
         float(f.get("TtfbS", 0.0)),
         read_load_report(f.get("Usage", ""), USAGE_SEPARATOR),
     ),
-    "FIRST": lambda f: i.Started(
+    "FIRST": lambda f: Started(
         f["MsgId"], int(f["SeqNo"]), f.get("Cache", ""), float(f.get("WaitTimeS", 0.0))
     ),
-    "WITHDRAWN": lambda f: i.Withdrawn(f["MsgId"]),
-    "WAKE": lambda f: i.Wake(int(f["Handle"])),
-    "OUTDATED": lambda f: i.Purged(
+    "WITHDRAWN": lambda f: Withdrawn(f["MsgId"]),
+    "WAKE": lambda f: Wake(int(f["Handle"])),
+    "OUTDATED": lambda f: Purged(
         "" if f.get("File", "0") == "0" else f["File"], int(f.get("Tag", -1)), float(f.get("OldnessS", 0.0))
     ),
 }
 
 
-def write_action(instance: str, action: i.Action) -> str:
+def write_action(instance: str, action: Action) -> str:
     """The wire's line for one action."""
     match action:
-        case i.Fetch():
+        case Fetch():
             mode = MODE_JOIN * action.join + MODE_HELD * action.held_only + MODE_RENEW * action.renew
             return (
                 f"FETCH_THROUGH I={instance} MsgId={action.request} Cache={action.server} "
                 f"PatienceS={action.timeout:.6f} Supplier={action.source} TierRank={action.keep} "
                 f"OldnessS={action.max_age:.6f} Mode={mode}"
             )
-        case i.Refuse():
+        case Refuse():
             return f"BUSY I={instance} MsgId={action.request} HoldOffS={action.hold_off:.6f}"
-        case i.Fail():
+        case Fail():
             return f"FINISH_ERROR I={instance} MsgId={action.request}"
-        case i.Cancel():
+        case Cancel():
             return f"WITHDRAW I={instance} MsgId={action.request} SeqNo={action.attempt}"
-        case i.SetTimer():
+        case SetTimer():
             return f"SET_TIMER I={instance} Handle={action.token} AtS={action.at:.6f}"
-        case i.Subscribe():
+        case Subscribe():
             return f"FOLLOW I={instance} Active=1"
     raise TypeError(f"no wire line for {type(action).__name__}")
 
@@ -147,9 +161,9 @@
 
     def __init__(self) -> None:
         self.routers: dict[str, Router] = {}
-        self.roles: dict[str, dict[str, i.Role]] = {}
+        self.roles: dict[str, dict[str, Role]] = {}
 
-    def read(self, name: str, f: Fields, members: list[Fields]) -> i.Event | None:
+    def read(self, name: str, f: Fields, members: list[Fields]) -> Event | None:
         """The event that one message stands for; None for what needs no decision."""
         instance = f["I"]
         if name == "LAUNCH":
@@ -164,12 +178,12 @@
             if int(f.get("Members", len(members))) != len(members):
                 raise ValueError(f"{f['Members']} entries announced, {len(members)} follow")
             roles = self.roles[instance]
-            return i.Membership(LISTS[f["Kind"]], tuple(read_member(m, roles) for m in members))
+            return Membership(LISTS[f["Kind"]], tuple(read_member(m, roles) for m in members))
         elif name in READERS:
             return READERS[name](f)
         return None
 
-    def decide(self, instance: str, event: i.Event, now: float) -> list[str]:
+    def decide(self, instance: str, event: Event, now: float) -> list[str]:
         """The lines that answer one event; a failure in a decision is the wire's to report."""
         try:
             return [write_action(instance, action) for action in self.routers[instance].handle(event, now)]
--- a/brackenlane/routing/sizes.py
+++ b/brackenlane/routing/sizes.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-from brackenlane.routing.interface import RequestClass
+from brackenlane.routing.settings import RequestClass
 
 PRIOR = 4.0  # answers that the first guess of a mean counts as
 
--- a/brackenlane/routing/slow_start.py
+++ b/brackenlane/routing/slow_start.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from zlib import crc32
 
-from brackenlane.routing.interface import ColdStart
+from brackenlane.routing.settings import ColdStart
 
 MARGIN = 0.85  # part of a cold budget that is used: weights and sizes are known roughly
 
--- a/brackenlane/routing/slow_start_budget.py
+++ b/brackenlane/routing/slow_start_budget.py
@@ -8,11 +8,12 @@
 
 import math
 
-from brackenlane.routing.slow_start import ability, burst, joined, rota
+from brackenlane.routing.members import Role
 from brackenlane.routing.rendezvous_hash import HashOrders
-from brackenlane.routing.interface import Role, Settings
 from brackenlane.routing.servers import Server
+from brackenlane.routing.settings import Settings
 from brackenlane.routing.sizes import Sizes
+from brackenlane.routing.slow_start import ability, burst, joined, rota
 from brackenlane.routing.topology import Topology
 
 
--- a/brackenlane/routing/topology.py
+++ b/brackenlane/routing/topology.py
@@ -5,7 +5,8 @@
 
 from __future__ import annotations
 
-from brackenlane.routing.interface import Member, Settings
+from brackenlane.routing.members import Member
+from brackenlane.routing.settings import Settings
 
 
 class Topology:
--- a/brackenlane/settings/appliance.py
+++ b/brackenlane/settings/appliance.py
@@ -15,7 +15,7 @@
 
 from brackenlane.config import ConfigError
 from brackenlane.discovery.records import fixed
-from brackenlane.routing.interface import ColdStart, Effect, RequestClass, Scope, Settings
+from brackenlane.routing.settings import ColdStart, Effect, RequestClass, Scope, Settings
 
 
 def _endpoint(text: str) -> str:
--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -19,8 +19,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from brackenlane.lab.stand_ins.cache_server import Box, data  # noqa: E402
 from brackenlane.lab.stand_ins.cache_commands import Asked  # noqa: E402
+from brackenlane.lab.stand_ins.cache_server import Box, data  # noqa: E402
 from brackenlane.lab.stand_ins.dns import DnsServer  # noqa: E402
 
 Endpoint = tuple[str, int]
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -6,21 +6,10 @@
 from typing import Any, TypeVar
 
 from brackenlane.routing import Router
-from brackenlane.routing.interface import (
-    Action,
-    Arrival,
-    ColdStart,
-    Fetch,
-    ListKind,
-    Member,
-    Membership,
-    Note,
-    Outcome,
-    RequestClass,
-    Role,
-    Settings,
-    Verdict,
-)
+from brackenlane.routing.actions import Action, Fetch
+from brackenlane.routing.events import Arrival, ListKind, Membership, Note, Outcome, Verdict
+from brackenlane.routing.members import Member, Role
+from brackenlane.routing.settings import ColdStart, RequestClass, Settings
 
 VIDEO = RequestClass("video", aim=0.5, give_up=5.0, aim_stretch=2.0, worth=2.0, late_worth=0.15)
 TILES = RequestClass("tiles", aim=0.4, give_up=2.5, aim_stretch=2.0, late_worth=0.2, fresh=8.0)
--- a/tests/slow_program.py
+++ b/tests/slow_program.py
@@ -8,7 +8,8 @@
 
 from brackenlane.__main__ import main
 from brackenlane.routing import Router
-from brackenlane.routing.interface import Action, Event
+from brackenlane.routing.actions import Action
+from brackenlane.routing.events import Event
 
 COST = float(os.environ["SLOW_MS"]) / 1000
 handle = Router.handle
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -21,8 +21,8 @@
 
 from brackenlane.lab import site
 from brackenlane.lab.cluster.ports import reserve_port
-from brackenlane.lab.stand_ins.cache_server import Box, Door, Reply, data
 from brackenlane.lab.stand_ins.cache_commands import Asked
+from brackenlane.lab.stand_ins.cache_server import Box, Door, Reply, data
 from brackenlane.lab.stand_ins.dns import DnsServer
 from brackenlane.lab.stand_ins.redis import Redis
 
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -12,7 +12,8 @@
 
 from brackenlane.core.metrics import Counts, Gauges, expose
 from brackenlane.ops.maintenance import Maintenance, Reply
-from brackenlane.routing.interface import ListKind, Member, Membership, State
+from brackenlane.routing.events import ListKind, Membership
+from brackenlane.routing.members import Member, State
 from tests.stand_ins import Asked, Box, Log, data, free_port, platform, record, with_trio
 from tests.stand_ins import Reply as BoxReply
 
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -6,8 +6,10 @@
 
 import pytest
 
+from brackenlane.routing.actions import Fetch
 from brackenlane.routing.bounded_load import below_bound_first
-from brackenlane.routing.interface import Arrival, Fetch, Member, Role
+from brackenlane.routing.events import Arrival
+from brackenlane.routing.members import Member, Role
 from tests.router_harness import Rig, every
 
 EDGES = [Member(f"edge-{n}", "depot") for n in range(3)]
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -8,7 +8,8 @@
 from brackenlane.limits import Limits
 from brackenlane.net.cache_codec import Parser, WireError
 from brackenlane.net.change_log_codec import FrameReader, ListError, read_frame, read_known
-from brackenlane.routing.interface import Membership, Note, Purged, State, Verdict
+from brackenlane.routing.events import Membership, Note, Purged, Verdict
+from brackenlane.routing.members import State
 from tests.stand_ins import SETTINGS, Box, record, target
 
 _, SITE = read_settings(SETTINGS)
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -18,9 +18,12 @@
 from brackenlane.discovery.registry import Roster
 from brackenlane.lab.cluster.virtual import Fleet, Store, peak
 from brackenlane.limits import Limits
-from brackenlane.store.replica import Shared
+from brackenlane.routing.actions import Fetch
+from brackenlane.routing.events import Note, Purged
+from brackenlane.routing.members import Member, Role
+from brackenlane.routing.settings import ColdStart
 from brackenlane.routing.slow_start import MARGIN, ability, rota
-from brackenlane.routing.interface import ColdStart, Fetch, Member, Note, Purged, Role
+from brackenlane.store.replica import Shared
 from tests.router_harness import Rig, every
 
 CAPACITY = Capacity(1000, asks=500.0, loads=20.0)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -10,8 +10,9 @@
 from hypothesis import strategies as st
 
 from brackenlane.routing import router as router_module
+from brackenlane.routing.actions import Fetch, Refuse
 from brackenlane.routing.concurrency_limit import DECREASE, USED, ConcurrencyLimit
-from brackenlane.routing.interface import Fetch, Refuse, Verdict
+from brackenlane.routing.events import Verdict
 from tests.router_harness import Rig, members, only
 from tests.test_portal_settings import PACE, Branch
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,18 +11,9 @@
 from brackenlane.core.engine import Core
 from brackenlane.core.requests import Answer, Ask, Attempt, Ending, Reply
 from brackenlane.limits import Limits
-from brackenlane.routing.interface import (
-    Action,
-    Arrival,
-    Effect,
-    Event,
-    Fetch,
-    ListKind,
-    Membership,
-    Refuse,
-    RequestClass,
-    Verdict,
-)
+from brackenlane.routing.actions import Action, Fetch, Refuse
+from brackenlane.routing.events import Arrival, Event, ListKind, Membership, Verdict
+from brackenlane.routing.settings import Effect, RequestClass
 from tests.router_harness import VIDEO, members, settings
 from tests.stand_ins import with_trio
 
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -21,7 +21,7 @@
     Watch,
     box_id,
 )
-from brackenlane.routing.interface import State
+from brackenlane.routing.members import State
 
 SRV = "_cache._tcp.branch.test."
 HOSTS = ("one.branch.test", "two.branch.test", "three.branch.test")
--- a/tests/test_drawn_sites.py
+++ b/tests/test_drawn_sites.py
@@ -14,11 +14,8 @@
 from brackenlane.lab.simulation.comparison import Result, compare
 from brackenlane.lab.simulation.drawn_sites import drawn
 from brackenlane.lab.simulation.plain_policy import PlainPolicy
-from brackenlane.routing.interface import (
-    Action,
-    Arrival,
-    Refuse,
-)
+from brackenlane.routing.actions import Action, Refuse
+from brackenlane.routing.events import Arrival
 
 EXAMPLES = (*range(28), 30, 52)  # seeds; with 30, cold parents come up in both groups; 52 streams for long
 GROUPS = 2  # of examples, for as many processes
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -10,21 +10,14 @@
 
 from brackenlane.limits import Limits
 from brackenlane.net.cache_codec import Parser
+from brackenlane.routing.actions import Fetch
 from brackenlane.routing.attempts import Request
-from brackenlane.routing.latency import CALM_MEMORY
+from brackenlane.routing.events import Arrival, Note, Outcome, Verdict
 from brackenlane.routing.fill_estimate import FillEstimate
-from brackenlane.routing.interface import (
-    Arrival,
-    ColdStart,
-    Fetch,
-    Member,
-    Note,
-    Notes,
-    Outcome,
-    Role,
-    Verdict,
-)
+from brackenlane.routing.latency import CALM_MEMORY
+from brackenlane.routing.members import Member, Role
 from brackenlane.routing.servers import Server
+from brackenlane.routing.settings import ColdStart, Notes
 from tests.router_harness import VIDEO, Rig, every, members
 
 PARENTS = ("parent-0", "parent-1")
--- a/tests/test_fill_source.py
+++ b/tests/test_fill_source.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from brackenlane.routing.interface import Fetch, Member, Note, Refuse, Role, SetTimer, State, Verdict, Wake
+from brackenlane.routing.actions import Fetch, Refuse, SetTimer
+from brackenlane.routing.events import Note, Verdict, Wake
+from brackenlane.routing.members import Member, Role, State
 from tests.router_harness import Rig, every, members, only
 
 DRAWS = 4000
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenlane.routing.simulator import READERS
-from brackenlane.routing.interface import Outcome
+from brackenlane.routing.events import Outcome
 from brackenlane.routing.load_report import NAMES, read_load_report
+from brackenlane.routing.simulator import READERS
 
 Values = tuple[tuple[str, float], ...]
 
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -9,20 +9,9 @@
 
 import pytest
 
-from brackenlane.routing.interface import (
-    Action,
-    Cancel,
-    Fail,
-    Fetch,
-    Member,
-    Note,
-    Outcome,
-    Refuse,
-    Role,
-    SetTimer,
-    Verdict,
-    Wake,
-)
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer
+from brackenlane.routing.events import Note, Outcome, Verdict, Wake
+from brackenlane.routing.members import Member, Role
 from brackenlane.routing.origin_throttle import LEAST, MENDS, Upstream
 from tests.router_harness import Rig, only
 
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -13,7 +13,7 @@
 
 from brackenlane.cli.main import cli
 from brackenlane.console import HELP
-from brackenlane.core.counts import Counts, Gauges, expose
+from brackenlane.core.metrics import Counts, Gauges, expose
 from brackenlane.settings import appliance
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_overload_decisions.py
+++ b/tests/test_overload_decisions.py
@@ -9,19 +9,10 @@
 
 import pytest
 
-from brackenlane.routing.interface import (
-    Cancel,
-    Effect,
-    Fetch,
-    Note,
-    Outcome,
-    Purged,
-    Refuse,
-    Role,
-    SetTimer,
-    Verdict,
-    Wake,
-)
+from brackenlane.routing.actions import Cancel, Fetch, Refuse, SetTimer
+from brackenlane.routing.events import Note, Outcome, Purged, Verdict, Wake
+from brackenlane.routing.members import Role
+from brackenlane.routing.settings import Effect
 from tests.router_harness import TILES, VIDEO, Rig, every, members, only
 
 
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -12,8 +12,8 @@
 import pytest
 import trio
 
-from brackenlane.net.poller import Board
 from brackenlane.lifecycle import Signals
+from brackenlane.net.poller import Board
 from tests.stand_ins import Box, platform, with_trio
 
 
--- a/tests/test_portal_settings.py
+++ b/tests/test_portal_settings.py
@@ -15,25 +15,10 @@
 import pytest
 
 from brackenlane.routing import Router
-from brackenlane.routing.interface import (
-    Action,
-    Arrival,
-    ColdStart,
-    Effect,
-    Fail,
-    Fetch,
-    Member,
-    Note,
-    Notes,
-    Outcome,
-    Refuse,
-    RequestClass,
-    Role,
-    SetTimer,
-    Siblings,
-    Verdict,
-    Wake,
-)
+from brackenlane.routing.actions import Action, Fail, Fetch, Refuse, SetTimer
+from brackenlane.routing.events import Arrival, Note, Outcome, Verdict, Wake
+from brackenlane.routing.members import Member, Role
+from brackenlane.routing.settings import ColdStart, Effect, Notes, RequestClass, Siblings
 from tests.router_harness import Rig
 
 PAGE = RequestClass("page", aim=0.3, give_up=3.0, aim_stretch=2.0, late_worth=0.2, fresh=12.0)
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -23,13 +23,14 @@
 from brackenlane.core.engine import Core
 from brackenlane.core.requests import Ask, Attempt, Reply
 from brackenlane.limits import Limits
-from brackenlane.net.poller import Board
 from brackenlane.net.cache_codec import BoxAnswer, Parser, encode_get
-from brackenlane.net.http_front import Door
-from brackenlane.net.http_codec import Requests
 from brackenlane.net.change_log_codec import read_frame, read_known
+from brackenlane.net.http_codec import Requests
+from brackenlane.net.http_front import Door
+from brackenlane.net.poller import Board
 from brackenlane.net.request_codec import read_ask
-from brackenlane.routing.interface import Action, Arrival, Event, Fetch, Membership, Note, Outcome, Verdict
+from brackenlane.routing.actions import Action, Fetch
+from brackenlane.routing.events import Arrival, Event, Membership, Note, Outcome, Verdict
 from tests.stand_ins import (
     SETTINGS,
     Asked,
--- a/tests/test_purge_wave.py
+++ b/tests/test_purge_wave.py
@@ -12,10 +12,11 @@
 from brackenlane.lab.simulation.servers import Ask
 from brackenlane.lab.simulation.site import ClassLoad, Location, Site, Tells, Trouble, TroubleKind
 from brackenlane.lab.simulation.streams import Stream
-from brackenlane.lab.simulation.world import START, PolicyFactory, World
 from brackenlane.lab.simulation.value import worth
+from brackenlane.lab.simulation.world import START, PolicyFactory, World
 from brackenlane.routing import Router
-from brackenlane.routing.interface import Action, Event, Fetch
+from brackenlane.routing.actions import Action, Fetch
+from brackenlane.routing.events import Event
 from tests.test_simulated_caches import KEYED, PAGE, VIDEO
 
 PURGE_AT, WATCHED = 5.0, 6.0  # seconds after the day's start; seconds in which older copies are dropped
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -19,17 +19,9 @@
 from brackenlane.core.engine import Core
 from brackenlane.core.requests import Ask, Attempt, Reply
 from brackenlane.limits import Limits
-from brackenlane.routing.interface import (
-    Arrival,
-    Effect,
-    ListKind,
-    Member,
-    Membership,
-    Purged,
-    RequestClass,
-    Settings,
-    Verdict,
-)
+from brackenlane.routing.events import Arrival, ListKind, Membership, Purged, Verdict
+from brackenlane.routing.members import Member
+from brackenlane.routing.settings import Effect, RequestClass, Settings
 from tests.stand_ins import (
     ROOT,
     SETTINGS,
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -23,16 +23,19 @@
 import trio
 
 from brackenlane.core.engine import Core
+from brackenlane.core.membership_view import Fleet
 from brackenlane.core.requests import Ask, Attempt
 from brackenlane.core.requests import Reply as Reply_
-from brackenlane.core.membership_view import Fleet
 from brackenlane.limits import Limits
-from brackenlane.net.poller import Board
+from brackenlane.net.cache_connection import ConnectionQuota, Link, Slot
 from brackenlane.net.client_connection import Waits
 from brackenlane.net.http_front import Door
-from brackenlane.net.cache_connection import ConnectionQuota, Link, Slot
+from brackenlane.net.poller import Board
 from brackenlane.observe.throttle import Throttle
-from brackenlane.routing.interface import Arrival, Fetch, ListKind, Member, Membership, RequestClass, Settings
+from brackenlane.routing.actions import Fetch
+from brackenlane.routing.events import Arrival, ListKind, Membership
+from brackenlane.routing.members import Member
+from brackenlane.routing.settings import RequestClass, Settings
 from tests.stand_ins import (
     SETTINGS,
     Asked,
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -15,8 +15,8 @@
 from brackenlane.config import Endpoint
 from brackenlane.discovery.dns_cache import Cache, Lifetimes
 from brackenlane.discovery.merge import Merge
-from brackenlane.discovery.records import Policy, Target, Watch
 from brackenlane.discovery.query import Kind, Question, Reply, Says, put, read
+from brackenlane.discovery.records import Policy, Target, Watch
 from brackenlane.discovery.resolver import LookUpFailed, Resolver
 from brackenlane.discovery.upstreams import Patience, Upstreams
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -8,8 +8,8 @@
 import pytest
 import trio
 
-from brackenlane.core.response_cache import ResponseCache, Copy
-from brackenlane.routing.interface import Arrival, Purged
+from brackenlane.core.response_cache import Copy, ResponseCache
+from brackenlane.routing.events import Arrival, Purged
 from tests.router_harness import TILES, VIDEO, settings
 from tests.stand_ins import Log, platform, with_trio
 from tests.test_platform import fleet
--- a/tests/test_routing_settings.py
+++ b/tests/test_routing_settings.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brackenlane.routing.interface import ColdStart, RequestClass
+from brackenlane.routing.settings import ColdStart, RequestClass
 from tests.router_harness import VIDEO, settings
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,22 +6,10 @@
 
 import pytest
 
-from brackenlane.routing.interface import (
-    Effect,
-    Fail,
-    Fetch,
-    Member,
-    Note,
-    Outcome,
-    Purged,
-    Refuse,
-    RequestClass,
-    Scope,
-    SetTimer,
-    State,
-    Verdict,
-    Wake,
-)
+from brackenlane.routing.actions import Fail, Fetch, Refuse, SetTimer
+from brackenlane.routing.events import Note, Outcome, Purged, Verdict, Wake
+from brackenlane.routing.members import Member, State
+from brackenlane.routing.settings import Effect, RequestClass, Scope
 from tests.router_harness import VIDEO, Rig, every, members, only
 
 
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -17,30 +17,22 @@
 
 from brackenlane.config import ConfigError, parse
 from brackenlane.limits import Limits
-from brackenlane.routing.router import Router
+from brackenlane.routing.actions import Action, Fetch, SetTimer
 from brackenlane.routing.checked_json import LONGEST_VALUE, SettingsError
-from brackenlane.routing.interface import (
-    Action,
+from brackenlane.routing.events import (
     Arrival,
-    ColdStart,
-    Effect,
-    Fetch,
     ListKind,
-    Member,
     Membership,
     Note,
     Outcome,
     Purged,
-    Role,
-    Scope,
-    SetTimer,
-    Settings,
-    Siblings,
-    State,
     Verdict,
     Wake,
     Withdrawn,
 )
+from brackenlane.routing.members import Member, Role, State
+from brackenlane.routing.router import Router
+from brackenlane.routing.settings import ColdStart, Effect, Scope, Settings, Siblings
 from brackenlane.routing.settings_codec import kind_roles, read_settings
 from tests.router_harness import every, only
 
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -17,7 +17,10 @@
 from brackenlane.net import change_log
 from brackenlane.net.change_log import ChangeLog
 from brackenlane.net.connection_pool import Depots
-from brackenlane.routing.interface import Fetch, ListKind, Member, Note, Outcome, RequestClass, Role, Verdict
+from brackenlane.routing.actions import Fetch
+from brackenlane.routing.events import ListKind, Note, Outcome, Verdict
+from brackenlane.routing.members import Member, Role
+from brackenlane.routing.settings import RequestClass
 from tests.router_harness import VIDEO, Rig, every, members, settings
 
 
--- a/tests/test_simulated_caches.py
+++ b/tests/test_simulated_caches.py
@@ -19,26 +19,12 @@
     TroubleKind,
     Weights,
 )
-from brackenlane.lab.simulation.world import PolicyFactory, World, play
 from brackenlane.lab.simulation.value import earned, worth
-from brackenlane.routing.interface import (
-    Action,
-    Arrival,
-    ColdStart,
-    Effect,
-    Event,
-    Fail,
-    Fetch,
-    Member,
-    Note,
-    Outcome,
-    Purged,
-    Refuse,
-    RequestClass,
-    Role,
-    State,
-    Verdict,
-)
+from brackenlane.lab.simulation.world import PolicyFactory, World, play
+from brackenlane.routing.actions import Action, Fail, Fetch, Refuse
+from brackenlane.routing.events import Arrival, Event, Note, Outcome, Purged, Verdict
+from brackenlane.routing.members import Member, Role, State
+from brackenlane.routing.settings import ColdStart, Effect, RequestClass
 
 VIDEO = RequestClass(
     "video", aim=0.5, give_up=6.0, aim_stretch=2.0, worth=2.0, late_worth=0.15, in_parts=True
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -114,7 +114,7 @@
 
 def test_a_failed_decision_becomes_the_wires_exception(monkeypatch: pytest.MonkeyPatch) -> None:
     from brackenlane.routing import simulator
-    from brackenlane.routing.interface import Withdrawn
+    from brackenlane.routing.events import Withdrawn
 
     host = simulator.Host()
     host.read("LAUNCH", {"I": "1", "InitSeed": "7", "Config": json.dumps(CONFIG)}, [])
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -17,20 +17,20 @@
 import trio
 
 from brackenlane.__main__ import _ledger
-from brackenlane.coldstart.pace import Capacity
-from brackenlane.coldstart.reading import NOWHERE
+from brackenlane.coldstart.pacing import Capacity
+from brackenlane.coldstart.stream_position import NOWHERE
 from brackenlane.config import load as load_config
 from brackenlane.core.claims import Claim
-from brackenlane.discovery import lastlist
+from brackenlane.discovery import snapshot
 from brackenlane.discovery.merge import Merge
 from brackenlane.discovery.records import Definition, Memory, Order, Policy
-from brackenlane.discovery.roster import Roster
-from brackenlane.lab.standins.redis import Redis
+from brackenlane.discovery.registry import Roster
+from brackenlane.lab.stand_ins.redis import Redis
 from brackenlane.limits import Limits
-from brackenlane.ops.ledger import Ledger
-from brackenlane.ops.records import Book, Kind, Reader, Record, encode
-from brackenlane.store.shared import Shared
-from frostsail.interface import Role
+from brackenlane.ops.handover_log import Ledger
+from brackenlane.ops.handover_records import Book, Kind, Reader, Record, encode
+from brackenlane.routing.members import Role
+from brackenlane.store.replica import Shared
 from tests.stand_ins import with_trio
 
 DATA = Path(__file__).parent / "data"
@@ -44,7 +44,7 @@
 RESTORE = Order(False, 1_700_000_100.5, "the console of door-b")
 
 SAVED = 1_700_000_200.75
-KEPT = lastlist.Kept(
+KEPT = snapshot.Kept(
     Memory(
         (EDGE, PARENT),
         {"_cache._tcp.branch.example": (ORIGIN,), "_empty._tcp.branch.example": ()},
@@ -177,18 +177,18 @@
     ("sample", "kept"),
     [
         ("last-list-2.json", KEPT),
-        ("last-list-1.json", lastlist.Kept(KEPT.memory, SAVED)),  # knew neither place nor leaving nor purges
+        ("last-list-1.json", snapshot.Kept(KEPT.memory, SAVED)),  # knew neither place nor leaving nor purges
     ],
 )
-def test_last_list_is_read_to_the_same_state(sample: str, kept: lastlist.Kept, tmp_path: Path) -> None:
+def test_last_list_is_read_to_the_same_state(sample: str, kept: snapshot.Kept, tmp_path: Path) -> None:
     """Boxes, lists, addresses, orders, place and purges, of each version."""
     path = Path(shutil.copy(DATA / sample, tmp_path))  # a copy, since one that can't be read is moved
-    assert lastlist.load(path) == kept
+    assert snapshot.load(path) == kept
 
 
 def test_last_list_is_written_the_same(tmp_path: Path) -> None:
     """Byte for byte, under a version and a checksum, and nothing beside it."""
-    lastlist.save(tmp_path / "last-list.json", lastlist.dump(KEPT))
+    snapshot.save(tmp_path / "last-list.json", snapshot.dump(KEPT))
     assert (tmp_path / "last-list.json").read_bytes() == (DATA / "last-list-2.json").read_bytes()
     assert os.listdir(tmp_path) == ["last-list.json"]
 
@@ -196,7 +196,7 @@
 def test_damaged_last_list_is_set_aside(tmp_path: Path) -> None:
     """Its name is the operator's to find."""
     (tmp_path / "last-list.json").write_bytes(b"{}")
-    assert lastlist.load(tmp_path / "last-list.json") is None
+    assert snapshot.load(tmp_path / "last-list.json") is None
     assert os.listdir(tmp_path) == ["last-list.json.damaged"]
 
 
--- a/tests/test_unresponsive_caches.py
+++ b/tests/test_unresponsive_caches.py
@@ -7,7 +7,10 @@
 import pytest
 
 from brackenlane.limits import Limits
-from brackenlane.routing.interface import Fetch, ListKind, RequestClass, State, Verdict
+from brackenlane.routing.actions import Fetch
+from brackenlane.routing.events import ListKind, Verdict
+from brackenlane.routing.members import State
+from brackenlane.routing.settings import RequestClass
 from tests.router_harness import Rig, members, only, settings
 
 
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -5,8 +5,11 @@
 import pytest
 
 from brackenlane.routing import settings_codec
+from brackenlane.routing.actions import Fetch
+from brackenlane.routing.events import Note, Outcome, Verdict
+from brackenlane.routing.members import Member, Role
+from brackenlane.routing.settings import Effect, RequestClass
 from brackenlane.routing.slow_start import MARGIN, Tokens
-from brackenlane.routing.interface import Effect, Fetch, Member, Note, Outcome, RequestClass, Role, Verdict
 from tests.router_harness import TILES, VIDEO, Rig, every, only
 from tests.stand_ins import SETTINGS
 
