--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -22,7 +22,7 @@
 from brackenlane.lab.cluster.clients import served  # noqa: E402
 from brackenlane.lab.cluster.record import Event, Record  # noqa: E402
 from brackenlane.lab.cluster.scenario import Outcome, Scenario, median  # noqa: E402
-from brackenlane.lab.cluster.virtual import Fleet, Store, peak  # noqa: E402
+from brackenlane.lab.cluster.virtual import SimulatedFleet, Store, peak  # noqa: E402
 
 LANDED = "f8edb49"  # the last version before this subsystem
 ASKS, LOADS, COMMANDS = 100.0, 20.0, 600.0  # a second, of the stand-in store
@@ -130,7 +130,7 @@
     found = {}
     for count in (20, 200, 1000):
         store = Store(script_capacity(count))
-        fleet = Fleet(count, store, 1)
+        fleet = SimulatedFleet(count, store, 1)
         fleet.run(600.0)
         found[str(count)] = {
             "asked_peak": peak(store.asked),
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -25,8 +25,16 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from brackenlane.discovery.merge import Merge  # noqa: E402
-from brackenlane.discovery.records import Definition, Order, Origin, Policy, Target, Watch, box_id  # noqa: E402
+from brackenlane.discovery.merge import MembershipMerge  # noqa: E402
+from brackenlane.discovery.records import (  # noqa: E402
+    CacheDefinition,
+    DefinitionSource,
+    OperatorOrder,
+    Policy,
+    SrvRecord,
+    SrvWatch,
+    box_id,
+)
 from brackenlane.lab.bounds import at_least, at_most, conclude  # noqa: E402
 from brackenlane.lab.cache_servers import Behaviour, Seen, serve  # noqa: E402
 from brackenlane.lab.site import checkout, free_ports  # noqa: E402
@@ -53,14 +61,18 @@
     memory = 0.0
     for size in sizes:
         tracemalloc.start()
-        made = Merge(Policy(boxes=4 * size), [Watch(SRV, "branch")])
+        made = MembershipMerge(Policy(boxes=4 * size), [SrvWatch(SRV, "branch")])
         third = size // 3
-        records = [Target(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 80, 0, 8) for n in range(size)]
-        for origin, part in ((Origin.FILE, records[:third]), (Origin.STORE, records[third // 2 : 2 * third])):
+        records = [SrvRecord(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 80, 0, 8) for n in range(size)]
+        for origin, part in (
+            (DefinitionSource.FILE, records[:third]),
+            (DefinitionSource.STORE, records[third // 2 : 2 * third]),
+        ):
             made._said[origin] = {
                 what.id: what
                 for what in (  # at once: one by one would be n merges
-                    Definition(f"{origin.name.lower()}-{n}", t.host, 80, "branch") for n, t in enumerate(part)
+                    CacheDefinition(f"{origin.name.lower()}-{n}", t.host, 80, "branch")
+                    for n, t in enumerate(part)
                 )
             }
         made.answer(SRV, records, "u", 1.0)
@@ -74,7 +86,7 @@
         drains = []
         for number in range(20):
             begun = time.perf_counter()
-            made.order(box_id(records[-30 - number].host, 80), Order(True, 3.0, "b"), 3.0)
+            made.order(box_id(records[-30 - number].host, 80), OperatorOrder(True, 3.0, "b"), 3.0)
             drains.append(time.perf_counter() - begun)
         found[size] = sorted(took)[2]
         print(
--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -13,20 +13,20 @@
 import trio
 
 from brackenlane.config import Config, ConfigError, load
-from brackenlane.core.engine import Core
-from brackenlane.core.metrics import Counts
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.metrics import RequestMetrics
 from brackenlane.core.response_cache import ResponseCache
-from brackenlane.lifecycle import Early, Signals, listen_plain, serve_until_told
+from brackenlane.lifecycle import EarlySignal, SignalWatcher, listen_plain, serve_until_told
 from brackenlane.limits import Limits
-from brackenlane.net.change_log import ChangeLog
+from brackenlane.net.change_log import ChangeLogClient
 from brackenlane.net.change_log_codec import ListError, read_known
-from brackenlane.net.connection_pool import Depots
-from brackenlane.net.http_front import Door
-from brackenlane.net.poller import Board
+from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.http_front import HttpFront
+from brackenlane.net.poller import Poller
 from brackenlane.observe.throttle import Throttle
-from brackenlane.ops.admin_api import OpsDoor
-from brackenlane.ops.admin_service import Operators
-from brackenlane.ops.handover_log import Ledger, LedgerError
+from brackenlane.ops.admin_api import AdminApi
+from brackenlane.ops.admin_service import AdminService
+from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
 
 log = logging.getLogger(__name__)
 
@@ -35,10 +35,10 @@
 
 async def serve(config: Config, limits: Limits) -> None:
     """Run the platform's front until SIGTERM and the last answer after it."""
-    board = Board(limits.batch, alone=True)
-    with Signals(board, signal.SIGHUP) as hangups:
+    board = Poller(limits.batch, alone=True)
+    with SignalWatcher(board, signal.SIGHUP) as hangups:
         async with trio.open_nursery() as nursery:
-            core = Core(
+            core = RequestEngine(
                 config.settings,
                 config.seed,
                 limits,
@@ -47,17 +47,17 @@
                 cache=_response_cache(config, limits),
             )
             core.timers.first = board.hear
-            counts = Counts(c.name for c in config.settings.classes)
-            depots = Depots(
+            counts = RequestMetrics(c.name for c in config.settings.classes)
+            depots = ConnectionPools(
                 core.fleet, limits, config.settings, core.report, board, core.timers, counts.tried
             )
-            door = Door(core, limits, board, counts=counts)
-            operators = Operators(core, door, limits, _ledger(config, limits) if config.ops else None)
+            door = HttpFront(core, limits, board, counts=counts)
+            operators = AdminService(core, door, limits, _ledger(config, limits) if config.ops else None)
             if config.ops:
-                OpsDoor(
+                AdminApi(
                     board, core.timers, limits, lambda: door.serves, operators.figures, operators.order
                 ).open(listen_plain(config.ops))
-            changes = ChangeLog(
+            changes = ChangeLogClient(
                 config.changelog, config.site, limits, depots, operators.hear, board, core.timers, config.seed
             )
             nursery.start_soon(core.run)
@@ -75,7 +75,7 @@
             nursery.cancel_scope.cancel()
 
 
-def _ledger(config: Config, limits: Limits) -> Ledger | None:
+def _ledger(config: Config, limits: Limits) -> HandoverLog | None:
     """What this doorman's processes share, in `$TMPDIR`; without it each knows its own orders alone."""
     folder = os.environ.get("TMPDIR")
     if not folder:
@@ -83,8 +83,8 @@
         return None
     host, port = config.listen
     try:
-        return Ledger(Path(folder) / f"brackenlane.{host}.{port}", limits)
-    except LedgerError as fault:
+        return HandoverLog(Path(folder) / f"brackenlane.{host}.{port}", limits)
+    except HandoverLogError as fault:
         log.warning("orders and submits are not known to the next process: %s", fault)
         return None
 
@@ -104,7 +104,12 @@
 
 
 async def _reload(
-    hangups: Signals, config: Config, core: Core, depots: Depots, door: Door, changes: ChangeLog
+    hangups: SignalWatcher,
+    config: Config,
+    core: RequestEngine,
+    depots: ConnectionPools,
+    door: HttpFront,
+    changes: ChangeLogClient,
 ) -> None:
     """On SIGHUP read the file again. One that can't be used changes nothing; another holds whole at once."""
     while True:
@@ -142,7 +147,7 @@
         handler.addFilter(Throttle(Limits().log_lines, Limits().log_span))
     # Guards against a SIGHUP that ends the program, and against a new file whose SIGHUP comes between the
     # reading of the old one and the handler; before this line `run` in the deploy file has it ignored.
-    signal.signal(signal.SIGHUP, Early() if not words else signal.SIG_IGN)
+    signal.signal(signal.SIGHUP, EarlySignal() if not words else signal.SIG_IGN)
     status = 0
     try:
         match words:
--- a/brackenlane/admission/controller.py
+++ b/brackenlane/admission/controller.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-from brackenlane.routing.settings import Effect, RequestClass
+from brackenlane.routing.settings import Idempotency, RequestClass
 
 T = TypeVar("T")
 
@@ -52,12 +52,13 @@
         least = min(c.aim for c in known)
         self.target, self.interval = TARGET * least, INTERVAL * least
         best = max(
-            (c.worth for c in known if c.effect is not Effect.UNSAFE), default=max(c.worth for c in known)
+            (c.worth for c in known if c.effect is not Idempotency.NON_IDEMPOTENT),
+            default=max(c.worth for c in known),
         )
         worth = sum(c.worth for c in known) / len(known) or 1.0
         self._lanes: dict[str, Lane[T]] = {}
         for c in known:
-            first = c.effect is Effect.UNSAFE
+            first = c.effect is Idempotency.NON_IDEMPOTENT
             # Worth for cost: a request costs us about the same in any class, so worth alone weighs.
             stands = LAST * c.aim if first else self.target * max(0.5, min(2.0, c.worth / worth))
             self._lanes[c.name] = Lane(
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -12,29 +12,35 @@
 
 from brackenlane import console
 from brackenlane.coldstart.pacing import Capacity
-from brackenlane.coldstart.phases import Event, Phases
+from brackenlane.coldstart.phases import StartupEvent, StartupPhases
 from brackenlane.coldstart.stream_position import NOWHERE
 from brackenlane.config import ConfigError, Endpoint, read_endpoint
-from brackenlane.core.engine import Core
+from brackenlane.core.engine import RequestEngine
 from brackenlane.discovery import snapshot
 from brackenlane.discovery.dns_cache import Lifetimes
-from brackenlane.discovery.dns_source import Feed
-from brackenlane.discovery.merge import Merge
-from brackenlane.discovery.records import Definition, Memory, Origin, Policy, Watch
-from brackenlane.discovery.registry import Roster
+from brackenlane.discovery.dns_source import DnsSource
+from brackenlane.discovery.merge import MembershipMerge
+from brackenlane.discovery.records import (
+    CacheDefinition,
+    DefinitionSource,
+    Policy,
+    RememberedMembers,
+    SrvWatch,
+)
+from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import Resolver
 from brackenlane.dns.names import read_zone
 from brackenlane.dns.server import Responder, Server
 from brackenlane.lifecycle import listen, serve_until_told
 from brackenlane.limits import Limits
-from brackenlane.net.connection_pool import Depots
-from brackenlane.net.http_front import Door
-from brackenlane.net.poller import Board
-from brackenlane.routing.events import Verdict
+from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.http_front import HttpFront
+from brackenlane.net.poller import Poller
+from brackenlane.routing.events import AttemptResult
 from brackenlane.routing.members import Role
 from brackenlane.routing.settings import Settings
 from brackenlane.settings.appliance import ApplianceFile, ColdStarts, load_appliance
-from brackenlane.store.replica import Shared
+from brackenlane.store.replica import SharedStore
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Appliance:
+class ApplianceConfig:
     """What the operator's file says, as the parts take it."""
 
     name: str
@@ -50,8 +56,8 @@
     dns: Endpoint
     zone: Name
     settings: Settings
-    boxes: tuple[Definition, ...]
-    watches: tuple[Watch, ...]
+    boxes: tuple[CacheDefinition, ...]
+    watches: tuple[SrvWatch, ...]
     resolvers: tuple[Endpoint, ...]
     redis: Endpoint | None
     console: str
@@ -62,26 +68,26 @@
     coldstart: ColdStarts
 
 
-def load(path: str) -> Appliance:
+def load(path: str) -> ApplianceConfig:
     """The operator's file from its place; ConfigError names all that is wrong with it."""
     return adapt(load_appliance(path), Path(path).parent)
 
 
-def adapt(told: ApplianceFile, base: Path) -> Appliance:
+def adapt(told: ApplianceFile, base: Path) -> ApplianceConfig:
     """The file's records as the parts take them; other files it names stand beside it."""
     d = told.discovery
-    return Appliance(
+    return ApplianceConfig(
         told.name,
         read_endpoint(told.http, "http"),
         read_endpoint(told.dns, "dns"),
         read_zone(told.zone),
         told.module_settings(),
         tuple(
-            Definition(b.id, b.host.rstrip(".").lower(), b.port, b.zone, Role(b.role), b.weight)
+            CacheDefinition(b.id, b.host.rstrip(".").lower(), b.port, b.zone, Role(b.role), b.weight)
             for b in told.boxes
         ),
         tuple(
-            Watch(w.srv.rstrip(".").lower(), w.zone, Role(w.role), w.weight_scale, w.enough)
+            SrvWatch(w.srv.rstrip(".").lower(), w.zone, Role(w.role), w.weight_scale, w.enough)
             for w in told.discover
         ),
         tuple(read_endpoint(at, "resolver") for at in told.resolvers),
@@ -97,7 +103,9 @@
     )
 
 
-def start_merge(config: Appliance, roster: Roster, kept: snapshot.Kept | None, phases: Phases) -> bool:
+def start_merge(
+    config: ApplianceConfig, roster: Registry, kept: snapshot.Snapshot | None, phases: StartupPhases
+) -> bool:
     """What is known before anybody is asked: the last list's orders and boxes, then the file's own.
 
     False: the last list is too old to be trusted before the store is asked; its orders hold all the same.
@@ -111,22 +119,26 @@
         if trusted:
             recall(roster, phases, kept)
         else:
-            roster.apply(roster.merge.recall(Memory(orders=kept.memory.orders), now, now))
+            roster.apply(roster.merge.recall(RememberedMembers(orders=kept.memory.orders), now, now))
     for box in config.boxes:
-        roster.define(Origin.FILE, box)
+        roster.define(DefinitionSource.FILE, box)
     return trusted
 
 
-def recall(roster: Roster, phases: Phases, kept: snapshot.Kept) -> None:
+def recall(roster: Registry, phases: StartupPhases, kept: snapshot.Snapshot) -> None:
     """Serve from a last list."""
     now = time.time()
     roster.apply(roster.merge.recall(kept.memory, kept.saved, now))
-    phases.step(Event.RECALL, now)
+    phases.step(StartupEvent.RECALL, now)
     log.info("the last list, of %.0f s ago: %d boxes", now - kept.saved, len(roster.merge.boxes))
 
 
 async def unheard(
-    config: Appliance, roster: Roster, phases: Phases, old: snapshot.Kept | None, limits: Limits
+    config: ApplianceConfig,
+    roster: Registry,
+    phases: StartupPhases,
+    old: snapshot.Snapshot | None,
+    limits: Limits,
 ) -> None:
     """What is done while the store has not been heard since our start; old: a last list not trusted yet."""
     await trio.sleep(limits.unknown_purges)
@@ -143,31 +155,31 @@
             recall(roster, phases, old)
 
 
-async def serve(config: Appliance, limits: Limits) -> None:
+async def serve(config: ApplianceConfig, limits: Limits) -> None:
     """Run both fronts until SIGTERM and the last answer after it."""
     health: console.Health = {}
-    feeds: list[Feed] = []
+    feeds: list[DnsSource] = []
 
-    def notice(server: str, verdict: Verdict) -> None:
+    def notice(server: str, verdict: AttemptResult) -> None:
         health[server] = verdict, time.time()
         if len(health) > 2 * len(roster.merge.boxes) + 64:  # boxes come and go: those gone must not add up
             for gone in health.keys() - roster.merge.boxes.keys():
                 del health[gone]
-        if verdict in (Verdict.UNREACHABLE, Verdict.BROKEN):
+        if verdict in (AttemptResult.UNREACHABLE, AttemptResult.BROKEN):
             for feed in feeds:
                 feed.doubt(server)
 
     async with trio.open_nursery() as nursery:
-        core = Core(
+        core = RequestEngine(
             config.settings, time.time_ns(), limits, lambda attempt: depots.place(attempt), notice=notice
         )
-        board = Board(limits.batch)
+        board = Poller(limits.batch)
         core.timers.first = board.hear
-        depots = Depots(core.fleet, limits, config.settings, core.report, board, core.timers)
-        roster = Roster(Merge(config.policy, config.watches), core.post, depots.follow)
+        depots = ConnectionPools(core.fleet, limits, config.settings, core.report, board, core.timers)
+        roster = Registry(MembershipMerge(config.policy, config.watches), core.post, depots.follow)
         nursery.start_soon(core.run)
         nursery.start_soon(board.run)
-        phases = Phases(time.time())
+        phases = StartupPhases(time.time())
         kept = snapshot.load(config.last_list) if config.last_list else None
         trusted = start_merge(config, roster, kept, phases)
         if config.resolvers:
@@ -179,7 +191,7 @@
                 most=limits.look_ups,
             )
             feeds.append(
-                Feed(
+                DnsSource(
                     roster,
                     resolver,
                     limits,
@@ -191,7 +203,7 @@
             )
             nursery.start_soon(feeds[0].run)
         shared = (
-            Shared(
+            SharedStore(
                 config.redis,
                 str(config.zone),
                 config.name,
@@ -211,17 +223,19 @@
             nursery.start_soon(shared.run, list(config.boxes))
             nursery.start_soon(unheard, config, roster, phases, None if trusted else kept, limits)
         else:
-            phases.step(Event.READ, time.time())  # nobody else knows more
+            phases.step(StartupEvent.READ, time.time())  # nobody else knows more
         keeper = (
-            snapshot.Keeper(roster, config.last_list, limits.last_list, shared) if config.last_list else None
+            snapshot.SnapshotWriter(roster, config.last_list, limits.last_list, shared)
+            if config.last_list
+            else None
         )
         if keeper:
             nursery.start_soon(keeper.run)
         responder = Responder(config.zone, config.http, core, roster, limits)
         await _open_dns(config.dns, Server(responder, limits), nursery)
-        door = Door(core, limits, board, shared, nursery)
+        door = HttpFront(core, limits, board, shared, nursery)
         door.ready = lambda: phases.heard or config.coldstart.ready == "listed"
-        desk = console.Desk(health, roster, shared, limits, door.figures, config.name, phases)
+        desk = console.AdminConsole(health, roster, shared, limits, door.figures, config.name, phases)
         nursery.start_soon(trio.serve_listeners, desk.serve, [console.open_listener(Path(config.console))])
         await serve_until_told(door, config.http, config.name)
         Path(config.console).unlink(missing_ok=True)
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -9,27 +9,29 @@
 import orjson
 import trio
 
-from brackenlane.discovery.merge import Merge
+from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.query import Kind
 from brackenlane.discovery.records import fixed
-from brackenlane.discovery.registry import Roster
+from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import LookUpFailed, Resolver
 from brackenlane.limits import Limits
 
 if TYPE_CHECKING:
-    from brackenlane.appliance import Appliance
+    from brackenlane.appliance import ApplianceConfig
 
 
-async def ask_once(site: Appliance, limits: Limits) -> dict[str, Any]:
-    """Ask for every SRV entry and host name once, past the cache; nothing of a running doorman is touched."""
+async def ask_once(site: ApplianceConfig, limits: Limits) -> dict[str, Any]:
+    """Look up every SRV entry and host name once, past the cache; a running router is not touched."""
     from brackenlane.appliance import start_merge
-    from brackenlane.coldstart.phases import Phases
+    from brackenlane.coldstart.phases import StartupPhases
     from brackenlane.discovery import snapshot
 
     logging.getLogger("brackenlane").setLevel(logging.ERROR)
     answers: list[dict[str, Any]] = []
-    roster = Roster(Merge(site.policy, site.watches), lambda _: None, lambda *_: None)
-    start_merge(site, roster, snapshot.load(site.last_list) if site.last_list else None, Phases(time.time()))
+    roster = Registry(MembershipMerge(site.policy, site.watches), lambda _: None, lambda *_: None)
+    start_merge(
+        site, roster, snapshot.load(site.last_list) if site.last_list else None, StartupPhases(time.time())
+    )
     async with trio.open_nursery() as nursery:
         resolver = Resolver(
             site.resolvers, nursery, budget=limits.look_up, lifetimes=site.lifetimes, most=limits.look_ups
--- a/brackenlane/coldstart/pacing.py
+++ b/brackenlane/coldstart/pacing.py
@@ -66,7 +66,7 @@
     return chance.uniform(0.0, min(most, first * 2.0 ** min(failures - 1, 30)))
 
 
-class Pace:
+class StorePacing:
     """One doorman's turns at the store."""
 
     def __init__(self, name: str, capacity: Capacity, chance: random.Random) -> None:
--- a/brackenlane/coldstart/phases.py
+++ b/brackenlane/coldstart/phases.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class Phase(Enum):
+class StartupPhase(Enum):
     """What it serves from."""
 
     EMPTY = "empty"  # the operator's file alone: no last list, or one that is not trusted yet
@@ -15,7 +15,7 @@
     BEHIND = "behind"  # all that it told until it was lost
 
 
-class Event(Enum):
+class StartupEvent(Enum):
     """What moves a doorman on."""
 
     RECALL = "the last list was taken"
@@ -24,8 +24,8 @@
     LOST = "the store is away"
 
 
-P, E = Phase, Event
-TABLE: dict[tuple[Phase, Event], Phase] = {
+P, E = StartupPhase, StartupEvent
+TABLE: dict[tuple[StartupPhase, StartupEvent], StartupPhase] = {
     (P.EMPTY, E.RECALL): P.RECALLED,
     (P.EMPTY, E.ASKED): P.LOADING,
     (P.RECALLED, E.ASKED): P.LOADING,
@@ -38,25 +38,25 @@
 }  # all else changes nothing, but that a load which breaks off falls back to what it began from
 
 
-class Phases:
+class StartupPhases:
     """One doorman's phase, and since when (Unix seconds)."""
 
     def __init__(self, now: float) -> None:
-        self.phase, self.since = Phase.EMPTY, now
+        self.phase, self.since = StartupPhase.EMPTY, now
         self.heard = False  # whether the store has told all since our start, once at least
-        self._before = Phase.EMPTY  # of a load
+        self._before = StartupPhase.EMPTY  # of a load
 
-    def step(self, event: Event, now: float) -> Phase:
+    def step(self, event: StartupEvent, now: float) -> StartupPhase:
         """Move on; the phase after it."""
         old = self.phase
-        if old is Phase.LOADING and event is Event.LOST:
+        if old is StartupPhase.LOADING and event is StartupEvent.LOST:
             new = self._before
-        elif old is Phase.LOADING and event is Event.RECALL:
-            new, self._before = old, Phase.RECALLED
+        elif old is StartupPhase.LOADING and event is StartupEvent.RECALL:
+            new, self._before = old, StartupPhase.RECALLED
         else:
             new = TABLE.get((old, event), old)
         if new is not old:
             self.phase, self.since = new, now
-            self._before = old if new is Phase.LOADING else self._before
-        self.heard |= new is Phase.CURRENT
+            self._before = old if new is StartupPhase.LOADING else self._before
+        self.heard |= new is StartupPhase.CURRENT
         return new
--- a/brackenlane/console.py
+++ b/brackenlane/console.py
@@ -12,11 +12,11 @@
 import trio
 
 from brackenlane.admission.figures import WORDS, Figures
-from brackenlane.coldstart.phases import Phase, Phases
-from brackenlane.discovery.registry import Roster
+from brackenlane.coldstart.phases import StartupPhase, StartupPhases
+from brackenlane.discovery.registry import Registry
 from brackenlane.limits import Limits
-from brackenlane.routing.events import Verdict
-from brackenlane.store.replica import Shared
+from brackenlane.routing.events import AttemptResult
+from brackenlane.store.replica import SharedStore
 
 HELP = """boxes               list the boxes with state and health; boxes -v: who names them, and why
 why BOX             why a box stands as it does, and what each source says of it
@@ -32,27 +32,27 @@
 
 
 MEANS = {
-    Phase.EMPTY: "the file alone; what the store has is not known yet",
-    Phase.RECALLED: "the last list; drains and purges since it are not known yet",
-    Phase.LOADING: "the whole list is being read from the store",
-    Phase.CURRENT: "all is known",
-    Phase.BEHIND: "all that the store told until it was lost",
+    StartupPhase.EMPTY: "the file alone; what the store has is not known yet",
+    StartupPhase.RECALLED: "the last list; drains and purges since it are not known yet",
+    StartupPhase.LOADING: "the whole list is being read from the store",
+    StartupPhase.CURRENT: "all is known",
+    StartupPhase.BEHIND: "all that the store told until it was lost",
 }
-Health = dict[str, tuple[Verdict, float]]  # the last outcome at each box, and when
+Health = dict[str, tuple[AttemptResult, float]]  # the last outcome at each box, and when
 
 
-class Desk:
+class AdminConsole:
     """Carries out what the operator asks."""
 
     def __init__(
         self,
         health: Health,
-        roster: Roster,
-        shared: Shared | None,
+        roster: Registry,
+        shared: SharedStore | None,
         limits: Limits,
         figures: Figures,
         name: str,
-        phases: Phases,
+        phases: StartupPhases,
     ) -> None:
         self._last, self._roster, self._shared, self._limits = health, roster, shared, limits
         self._figures, self._name, self._phases = figures, name, phases
@@ -94,7 +94,7 @@
             f"purged {obj or f'group {group}'}\n", lambda shared: shared.purge(obj, group, now)
         )
 
-    async def _shown(self, text: str, share: Callable[[Shared], Awaitable[bool]]) -> str:
+    async def _shown(self, text: str, share: Callable[[SharedStore], Awaitable[bool]]) -> str:
         """What was done here, and whether the other doormans hear of it."""
         if self._shared and not await share(self._shared):
             return text + "the store is away: the others hear of it when it is back\n"
@@ -161,7 +161,7 @@
         if last is None:
             return "not asked yet"
         verdict, at = last
-        good = verdict in (Verdict.OK, Verdict.MISS)
+        good = verdict in (AttemptResult.OK, AttemptResult.MISS)
         return f"{'well' if good else verdict.value}, {max(0.0, time.time() - at):.0f} s ago"
 
     async def serve(self, stream: trio.SocketStream) -> None:
--- a/brackenlane/core/claims.py
+++ b/brackenlane/core/claims.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 
-class Claim(Enum):
+class ClaimResult(Enum):
     """Whether a submit is ours to run."""
 
     OURS = "ours"
@@ -14,10 +14,10 @@
     UNKNOWN = "unknown"  # nobody can tell: it must not run
 
 
-class Claims(Protocol):
+class ClaimStore(Protocol):
     """Keeps a submit from being run by two doormans."""
 
-    async def claim(self, txn: str) -> Claim:
+    async def claim(self, txn: str) -> ClaimResult:
         """Claim a submit before it runs."""
 
     async def release(self, txn: str) -> None:
--- a/brackenlane/core/engine.py
+++ b/brackenlane/core/engine.py
@@ -17,35 +17,35 @@
 
 import trio
 
-from brackenlane.core.membership_view import Fleet
-from brackenlane.core.requests import Answer, Ask, Attempt, Ending, Reply
+from brackenlane.core.membership_view import MembershipView
+from brackenlane.core.requests import Answer, Attempt, AttemptReply, Disposition, PendingRequest
 from brackenlane.core.response_cache import Copy, ResponseCache
 from brackenlane.core.timers import Timers
 from brackenlane.limits import Limits
 from brackenlane.routing import Router
-from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer
 from brackenlane.routing.events import (
+    AttemptResult,
+    CacheStatus,
+    ClientDisconnected,
     Event,
-    ListKind,
     Membership,
-    Note,
+    MembershipKind,
     Outcome,
     Purged,
-    Verdict,
-    Wake,
-    Withdrawn,
+    TimerFired,
 )
 from brackenlane.routing.settings import Settings
-from brackenlane.routing.slow_start import Tokens
+from brackenlane.routing.slow_start import TokenBucket
 
 log = logging.getLogger(__name__)
 
 
-Message = Ask | Event | tuple[Attempt, Reply] | tuple[Router, Wake]
+Message = PendingRequest | Event | tuple[Attempt, AttemptReply] | tuple[Router, TimerFired]
 Place = Callable[[Attempt], bool]
 
 
-class Core:
+class RequestEngine:
     """Owns the Router. Nothing in here waits but for the mailbox, so a mailbox that is full soon isn't."""
 
     def __init__(
@@ -55,21 +55,21 @@
         limits: Limits,
         place: Place,
         clock: Callable[[], float] = time.time,
-        notice: Callable[[str, Verdict], None] | None = None,
+        notice: Callable[[str, AttemptResult], None] | None = None,
         flow: float = 0.0,
         cache: ResponseCache | None = None,
     ) -> None:
         self._notice, self._flow = notice, flow  # flow: bytes a second of one transfer, if told
         self._cache = cache
         self.settings, self.limits, self.clock = settings, limits, clock
-        self.fleet = Fleet(settings)
+        self.fleet = MembershipView(settings)
         self._classes = {c.name: c for c in settings.classes}
         self._router = Router(settings, seed)
         self._earlier: list[Router] = []  # of settings that are in force no more, with requests in hand
         self._place = place
         self._mail: deque[Message] = deque()
         self._working = False  # a message is being worked off
-        self._asks: dict[str, Ask] = {}
+        self._asks: dict[str, PendingRequest] = {}
         self.timers = Timers(clock)
         self._order = itertools.count()
 
@@ -92,7 +92,7 @@
     def spend_cold(self, now: float) -> None:
         """Count all cold budgets as spent up to now: another process may have used them."""
         for server in self._router.servers.values():
-            server.tokens = Tokens(now)
+            server.tokens = TokenBucket(now)
 
     def adopt(
         self, settings: Settings, seed: int, limits: Limits, flow: float, cache: ResponseCache | None
@@ -101,14 +101,14 @@
         those under which it came."""
         now = self.clock()
         router = Router(settings, seed)
-        router.handle(Membership(ListKind.REMEMBERED, tuple(self.fleet.members.values())), now)
+        router.handle(Membership(MembershipKind.REMEMBERED, tuple(self.fleet.members.values())), now)
         for key, at in self.fleet.purges.items():
             obj, group = (key, -1) if isinstance(key, str) else ("", key)
             router.handle(Purged(obj, group, max(0.0, now - at)), now)
         # All that could fail is done. What the last one was still to send cold boxes is the new one's.
         self._router.since = math.inf  # also those that it is yet to hear of
         for server in self._router.servers.values():
-            server.tokens = Tokens(math.inf)
+            server.tokens = TokenBucket(math.inf)
         self._earlier = [r for r in (*self._earlier, self._router) if r.held or r.attempts]
         self._router = router
         self.settings, self.limits, self._flow = settings, limits, flow
@@ -130,9 +130,11 @@
             safe = ask.repeatable or not ask.may_have_run
             self._end(
                 name,
-                Answer(Ending.REFUSED, hold_off=self.limits.retry_after) if safe else Answer(Ending.FAILED),
+                Answer(Disposition.REJECTED, hold_off=self.limits.retry_after)
+                if safe
+                else Answer(Disposition.FAILED),
             )
-            self.post(Withdrawn(name))
+            self.post(ClientDisconnected(name))
 
     @property
     def has_copies(self) -> bool:
@@ -143,16 +145,16 @@
         """Whether there is a copy of our own, of one part of an object."""
         return self._cache is not None and self._cache.holds(cls, copy)
 
-    def submit(self, ask: Ask) -> None:
+    def submit(self, ask: PendingRequest) -> None:
         """Take a request; its `then` is called with the final answer, perhaps before this returns."""
         self.post(ask)
 
-    def withdraw(self, ask: Ask) -> None:
+    def withdraw(self, ask: PendingRequest) -> None:
         """The client of a request has left: take back the request and all its work."""
         ask.then = None
-        self.post(Withdrawn(ask.arrival.request))
+        self.post(ClientDisconnected(ask.arrival.request_id))
 
-    async def ask(self, ask: Ask) -> Answer:
+    async def ask(self, ask: PendingRequest) -> Answer:
         """The final answer of a request; cancelled, it takes back the request and all its work."""
         done = trio.Event()
         ask.then = lambda _: done.set()
@@ -165,7 +167,7 @@
         assert ask.answer is not None
         return ask.answer
 
-    def report(self, attempt: Attempt, reply: Reply) -> None:
+    def report(self, attempt: Attempt, reply: AttemptReply) -> None:
         """How an attempt ended."""
         self.post((attempt, reply))
 
@@ -193,20 +195,20 @@
                 self._outcome(message[0], message[1], now)
             else:
                 self._handle(message[1], now, message[0])
-        elif isinstance(message, Ask):
+        elif isinstance(message, PendingRequest):
             if answer := self._own(message, now):
                 self._settle(message, answer)
                 return
-            name = message.arrival.request
+            name = message.arrival.request_id
             self._asks[name] = message
             message.cls = message.cls or self._classes.get(message.arrival.cls)
             message.router = self._router
             # Guards against a request that the module lost or failed on.
             message.guard = self.timers.at(message.deadline + self.limits.core_slack, self._lost, name)
             self._handle(message.arrival, now, self._router)
-        elif isinstance(message, Withdrawn):
-            if ask := self._open(message.request):
-                self._end(message.request, None)
+        elif isinstance(message, ClientDisconnected):
+            if ask := self._open(message.request_id):
+                self._end(message.request_id, None)
                 self._handle(message, now, ask.router or self._router)
         else:
             if isinstance(message, (Membership, Purged)):
@@ -216,7 +218,7 @@
             for router in (self._router, *self._earlier):
                 self._handle(message, now, router)
 
-    def _own(self, ask: Ask, now: float) -> Answer | None:
+    def _own(self, ask: PendingRequest, now: float) -> Answer | None:
         """The answer by a copy of our own, which spares the boxes and the link in."""
         if not self._cache or ask.connect_only:
             return None
@@ -224,21 +226,23 @@
         if copy is None:
             return None
         same = copy.tag == ask.tag
-        return Answer(Ending.UNCHANGED if same else Ending.SERVED, b"" if same else copy.body, copy.tag)
+        return Answer(
+            Disposition.UNCHANGED if same else Disposition.SERVED, b"" if same else copy.body, copy.tag
+        )
 
     def _lost(self, name: str) -> None:
         """Fail a request whose time is up without any decision."""
         if self._open(name):
             log.warning("no decision ended %s in time", name)
-            self._end(name, Answer(Ending.FAILED, late=True))
-            self.post(Withdrawn(name))
+            self._end(name, Answer(Disposition.FAILED, late=True))
+            self.post(ClientDisconnected(name))
 
     def _handle(self, event: Event, now: float, router: Router) -> None:
         try:
             actions = router.handle(event, now)
         except Exception:  # one bad decision must not end all the other requests in hand
             log.exception("the module failed on %r", event)
-            self._end(getattr(event, "request", ""), Answer(Ending.FAILED))
+            self._end(getattr(event, "request_id", ""), Answer(Disposition.FAILED))
             return
         for action in actions:
             self._act(action, now, router)
@@ -250,32 +254,37 @@
             case Cancel():
                 self._cancel(action)
             case SetTimer():
-                self.timers.at(action.at, self.post, (router, Wake(action.token)))
-            case Refuse():
-                ask = self._open(action.request)
+                self.timers.at(action.at, self.post, (router, TimerFired(action.token)))
+            case Reject():
+                ask = self._open(action.request_id)
                 # Guards against telling a client to come back with what may already have run.
                 if ask and ask.once and ask.may_have_run:
-                    self._end(action.request, Answer(Ending.FAILED))
+                    self._end(action.request_id, Answer(Disposition.FAILED))
                 else:
                     self._end(
-                        action.request,
-                        Answer(Ending.REFUSED, hold_off=action.hold_off or self.limits.retry_after),
+                        action.request_id,
+                        Answer(Disposition.REJECTED, hold_off=action.hold_off or self.limits.retry_after),
                     )
             case Fail():
-                ask = self._open(action.request)
-                self._end(action.request, Answer(Ending.FAILED, late=ask is not None and now >= ask.deadline))
+                ask = self._open(action.request_id)
+                self._end(
+                    action.request_id,
+                    Answer(Disposition.FAILED, late=ask is not None and now >= ask.deadline),
+                )
 
     def _fetch(self, fetch: Fetch, now: float) -> None:
-        ask = self._open(fetch.request)
+        ask = self._open(fetch.request_id)
         if ask is None:
-            log.warning("an attempt for a request that is over: %s", fetch.request)
+            log.warning("an attempt for a request that is over: %s", fetch.request_id)
             return
         attempt = Attempt(ask, len(ask.attempts), fetch, now)
         # Guards against running a write twice, should the module ever ask for it.
         unsafe = ask.once and ask.may_have_run
         ask.attempts.append(attempt)
         if unsafe or not self._placed(attempt):
-            self.post((attempt, Reply(Verdict.NEVER_SENT)))  # an event of its own, after this decision
+            self.post(
+                (attempt, AttemptReply(AttemptResult.NEVER_SENT))
+            )  # an event of its own, after this decision
 
     def _placed(self, attempt: Attempt) -> bool:
         try:
@@ -286,19 +295,19 @@
 
     def _cancel(self, action: Cancel) -> None:
         # Straight to the attempt, not by the peer's mailbox, where it could wait behind others.
-        ask = self._asks.get(action.request)
+        ask = self._asks.get(action.request_id)
         if ask and action.attempt < len(ask.attempts):
             attempt = ask.attempts[action.attempt]
             attempt.cancelled = True
             if attempt.stop:
                 attempt.stop()
 
-    def _outcome(self, attempt: Attempt, reply: Reply, now: float) -> None:
-        ask, name = attempt.ask, attempt.fetch.request
+    def _outcome(self, attempt: Attempt, reply: AttemptReply, now: float) -> None:
+        ask, name = attempt.ask, attempt.fetch.request_id
         attempt.reply, attempt.stop = reply, None
         if self._notice:
             self._notice(attempt.fetch.server, reply.verdict)
-        if reply.verdict is Verdict.OK:
+        if reply.verdict is AttemptResult.OK:
             if (
                 self._cache
                 and reply.issued
@@ -309,7 +318,7 @@
             self._end(
                 name,
                 Answer(
-                    Ending.UNCHANGED if reply.unchanged else Ending.SERVED,
+                    Disposition.UNCHANGED if reply.unchanged else Disposition.SERVED,
                     reply.body,
                     reply.tag,
                     server=attempt.fetch.server,
@@ -317,9 +326,9 @@
             )
         note, first = reply.note, reply.delay
         fresh = reply.issued and reply.issued >= attempt.started - self.limits.age_slack
-        if fresh and note in (Note.FILLED, Note.UNTOLD):
+        if fresh and note in (CacheStatus.FILLED, CacheStatus.UNKNOWN):
             # Given out since it was asked for, and when: not every site's caches have words for either.
-            note = Note.FILLED_BY_ORIGIN
+            note = CacheStatus.FILLED_BY_ORIGIN
             first = first or max((reply.issued or 0.0) - attempt.started, 0.001)
         self._handle(
             Outcome(
@@ -339,11 +348,11 @@
         )
         self._forget(name)
 
-    def _size(self, reply: Reply) -> float:
+    def _size(self, reply: AttemptReply) -> float:
         """The size of an answer in the unit of the settings' pace; 0 where it isn't seen."""
         return len(reply.body) / self._flow * self.settings.pace_kb_per_s if self._flow else 0.0
 
-    def _open(self, name: str) -> Ask | None:
+    def _open(self, name: str) -> PendingRequest | None:
         """A request that is owed its final answer."""
         ask = self._asks.get(name)
         return ask if ask and not ask.over else None
@@ -354,7 +363,7 @@
             self._settle(ask, answer)
             self._forget(name)
 
-    def _settle(self, ask: Ask, answer: Answer | None) -> None:
+    def _settle(self, ask: PendingRequest, answer: Answer | None) -> None:
         ask.over, ask.answer, then, ask.then = True, answer, ask.then, None
         if ask.guard:
             ask.guard.cancel()
--- a/brackenlane/core/membership_view.py
+++ b/brackenlane/core/membership_view.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 from brackenlane.routing.actions import Fetch
-from brackenlane.routing.events import Arrival, ListKind, Membership, Purged
-from brackenlane.routing.members import Member, State
+from brackenlane.routing.events import Arrival, Membership, MembershipKind, Purged
+from brackenlane.routing.members import Member, ServerState
 from brackenlane.routing.settings import RequestClass, Settings
 
 
-class Fleet:
+class MembershipView:
     """The list and the purges as told; only the core changes it, the peers look at it."""
 
     def __init__(self, settings: Settings) -> None:
@@ -34,10 +34,10 @@
             if len(self.purges) % 64 == 0:
                 self.purges = {k: v for k, v in self.purges.items() if v > now - self._keep}
             return
-        if event.kind is not ListKind.CHANGES:
+        if event.kind is not MembershipKind.CHANGES:
             self.members = {}
         for member in event.members:
-            if member.state is State.GONE:
+            if member.state is ServerState.GONE:
                 self.members.pop(member.server, None)
             else:
                 self.members[member.server] = member
@@ -46,7 +46,7 @@
     def serving(self, server: str) -> bool:
         """Whether new work may go to a box."""
         member = self.members.get(server)
-        return member is not None and member.state is State.SERVING
+        return member is not None and member.state is ServerState.SERVING
 
     def allows(self, fetch: Fetch) -> bool:
         """Guards against a drain heard while an attempt waited for its connection, also of its source.
--- a/brackenlane/core/metrics.py
+++ b/brackenlane/core/metrics.py
@@ -14,8 +14,8 @@
 
 
 @dataclass(slots=True)
-class Kind:
-    """Counts of one class: requests served, refused and failed; attempts written whole to boxes."""
+class ClassCounters:
+    """Counters of one class: requests served, rejected and failed; attempts written completely to caches."""
 
     ok: int = 0
     shed: int = 0
@@ -23,15 +23,15 @@
     tries: int = 0
 
 
-class Counts:
-    """Counts by class. What asks for no class that we know is counted nowhere: it is nobody's request."""
+class RequestMetrics:
+    """Counters by request class; a request of an unknown class is not counted."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self.kinds = {name: Kind() for name in classes}
+        self.kinds = {name: ClassCounters() for name in classes}
 
     def adopt(self, classes: Iterable[str]) -> None:
         """Count by these classes from now on; counts of those that stay go on."""
-        self.kinds = {name: self.kinds.get(name) or Kind() for name in classes}
+        self.kinds = {name: self.kinds.get(name) or ClassCounters() for name in classes}
 
     def ended(self, cls: str, status: int) -> None:
         """A request of a class (any other name is passed over) got its final answer, by its HTTP status."""
@@ -58,7 +58,7 @@
     pool_ejected: int = 0  # of these, avoided by hand or by choice
 
 
-def expose(counts: Counts, gauges: Gauges) -> bytes:
+def expose(counts: RequestMetrics, gauges: Gauges) -> bytes:
     """All figures as text."""
     lines: list[str] = []
     for name in ("ok", "shed", "errors", "tries"):
--- a/brackenlane/core/requests.py
+++ b/brackenlane/core/requests.py
@@ -9,20 +9,20 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackenlane.core.membership_view import Fleet
+from brackenlane.core.membership_view import MembershipView
 from brackenlane.core.timers import Timer
 from brackenlane.routing import Router
 from brackenlane.routing.actions import Fetch
-from brackenlane.routing.events import Arrival, Note, Verdict
-from brackenlane.routing.settings import Effect, RequestClass
+from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus
+from brackenlane.routing.settings import Idempotency, RequestClass
 
 
-class Ending(Enum):
+class Disposition(Enum):
     """How a request ended."""
 
     SERVED = "served"
     UNCHANGED = "unchanged"  # served: the copy that the client holds will do
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
 
 
@@ -30,7 +30,7 @@
 class Answer:
     """The one final answer of a request."""
 
-    ending: Ending
+    ending: Disposition
     body: bytes = b""
     tag: str = ""
     hold_off: float = 0.0
@@ -39,12 +39,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reply:
+class AttemptReply:
     """How an attempt ended, as a peer reports it."""
 
-    verdict: Verdict
+    verdict: AttemptResult
     wait: float = 0.0
-    note: Note = Note.UNTOLD
+    note: CacheStatus = CacheStatus.UNKNOWN
     body: bytes = b""
     tag: str = ""
     unchanged: bool = False
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class PendingRequest:
     """One request of a front, until its final answer."""
 
     arrival: Arrival
@@ -76,14 +76,16 @@
     @property
     def repeatable(self) -> bool:
         """Whether it may run twice."""
-        return self.cls is not None and self.cls.effect is Effect.SAFE
+        return self.cls is not None and self.cls.effect is Idempotency.IDEMPOTENT
 
     @property
     def once(self) -> bool:
         """Whether it must never run twice: boxes drop repeats of a keyed request by its key alone."""
         if self.cls is None:
             return False
-        return self.cls.effect is Effect.UNSAFE or (self.cls.effect is Effect.KEYED and not self.key)
+        return self.cls.effect is Idempotency.NON_IDEMPOTENT or (
+            self.cls.effect is Idempotency.IDEMPOTENT_WITH_KEY and not self.key
+        )
 
     @property
     def may_have_run(self) -> bool:
@@ -95,16 +97,16 @@
 class Attempt:
     """One attempt at a box, from the decision to its outcome."""
 
-    ask: Ask
+    ask: PendingRequest
     number: int
     fetch: Fetch
     started: float
     stop: Callable[[], None] | None = None  # of whoever performs it: takes it back at once
     written: bool = False  # a byte of it may have reached the box
     cancelled: bool = False
-    reply: Reply | None = None
+    reply: AttemptReply | None = None
 
-    def time_to_go(self, fleet: Fleet, now: float) -> float:
+    def time_to_go(self, fleet: MembershipView, now: float) -> float:
         """The time its box has for it, if its first byte may go out at this very moment; else at most 0.
 
         The one check of all that may have changed since it was decided, however long it waited, and for what.
--- a/brackenlane/discovery/dns_cache.py
+++ b/brackenlane/discovery/dns_cache.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class CachedAnswer:
     """One answer as it was kept."""
 
     reply: Reply
@@ -35,16 +35,16 @@
 
     def __init__(self, lifetimes: Lifetimes) -> None:
         self._lifetimes = lifetimes
-        self._kept: OrderedDict[Question, Kept] = OrderedDict()
+        self._kept: OrderedDict[Question, CachedAnswer] = OrderedDict()
         self._failed: OrderedDict[Question, tuple[float, str]] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._kept)
 
-    def put(self, question: Question, reply: Reply, upstream: str, now: float) -> Kept:
+    def put(self, question: Question, reply: Reply, upstream: str, now: float) -> CachedAnswer:
         """Keep an answer; its lifetime is held between floor and ceiling."""
         most = self._lifetimes.negative if reply.says is Says.NONE else self._lifetimes.ceiling
-        kept = Kept(reply, upstream, now, now + min(most, max(self._lifetimes.floor, reply.ttl)))
+        kept = CachedAnswer(reply, upstream, now, now + min(most, max(self._lifetimes.floor, reply.ttl)))
         self._kept[question] = kept
         self._kept.move_to_end(question)
         self._failed.pop(question, None)
@@ -52,7 +52,7 @@
             self._kept.popitem(last=False)
         return kept
 
-    def fresh(self, question: Question, now: float) -> Kept | None:
+    def fresh(self, question: Question, now: float) -> CachedAnswer | None:
         """An answer within its lifetime."""
         kept = self._kept.get(question)
         if kept is None or not kept.at <= now < kept.until:
@@ -60,7 +60,7 @@
         self._kept.move_to_end(question)
         return kept
 
-    def stale(self, question: Question, now: float) -> Kept | None:
+    def stale(self, question: Question, now: float) -> CachedAnswer | None:
         """An answer past its lifetime that will do while nobody gives a better one; never a "none"."""
         kept = self._kept.get(question)
         if kept is None or kept.reply.says is Says.NONE or now - kept.until > self._lifetimes.stale:
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -11,7 +11,7 @@
 
 from brackenlane.coldstart.pacing import early, jittered, place
 from brackenlane.discovery.query import Kind
-from brackenlane.discovery.registry import Roster
+from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import Found, LookUpFailed, Resolver
 from brackenlane.limits import Limits
 from brackenlane.net.connector import connect
@@ -31,12 +31,12 @@
     failures: int = 0  # in a row
 
 
-class Feed:
+class DnsSource:
     """Keeps the merge's SRV entries and addresses right for as long as something names them."""
 
     def __init__(
         self,
-        roster: Roster,
+        roster: Registry,
         resolver: Resolver,
         limits: Limits,
         connect_timeout: float,
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -12,36 +12,38 @@
 from brackenlane.config import Endpoint
 from brackenlane.discovery.records import (
     NEVER,
-    Box,
+    CacheDefinition,
     Change,
-    Definition,
-    Entry,
-    Held,
-    Listed,
-    Memory,
-    Order,
-    Origin,
-    Place,
+    DefinitionSource,
+    HostAddresses,
+    MergedCache,
+    MergedState,
+    OperatorOrder,
+    PendingRemoval,
     Policy,
-    Standing,
-    Target,
-    Watch,
+    RememberedMembers,
+    SrvEntry,
+    SrvMember,
+    SrvRecord,
+    SrvWatch,
     box_id,
     fixed,
 )
 
 
-class Merge:
+class MembershipMerge:
     """All that is told of boxes, and the one list of it. Each method returns what changed, in order."""
 
-    def __init__(self, policy: Policy, watches: Iterable[Watch] = ()) -> None:
+    def __init__(self, policy: Policy, watches: Iterable[SrvWatch] = ()) -> None:
         self.policy = policy
-        self.entries = {watch.srv: Entry(watch) for watch in watches}
-        self.places: dict[str, Place] = {}
-        self.orders: dict[str, Order] = {}
-        self.boxes: dict[str, Box] = {}
+        self.entries = {watch.srv: SrvEntry(watch) for watch in watches}
+        self.places: dict[str, HostAddresses] = {}
+        self.orders: dict[str, OperatorOrder] = {}
+        self.boxes: dict[str, MergedCache] = {}
         self.left_out = 0  # for want of room
-        self._said: dict[Origin, dict[str, Definition]] = {o: {} for o in Origin if o is not Origin.SRV}
+        self._said: dict[DefinitionSource, dict[str, CacheDefinition]] = {
+            o: {} for o in DefinitionSource if o is not DefinitionSource.SRV
+        }
         self._recalled = 0.0  # from when what memory alone names counts as cold; 0: it is warm still
         self._cold = 0.0  # from when all boxes count as cold; 0: they don't
         self._published: dict[str, Change] = {}
@@ -50,7 +52,7 @@
 
     # What is told
 
-    def define(self, origin: Origin, what: Definition, now: float) -> list[Change]:
+    def define(self, origin: DefinitionSource, what: CacheDefinition, now: float) -> list[Change]:
         """A console, the store or the file describes a box; what it said before is replaced."""
         said = self._said[origin]
         if said.get(what.id) == what:
@@ -61,11 +63,11 @@
         said[what.id] = what
         return self._renew(now)
 
-    def remove(self, origin: Origin, server: str, now: float) -> list[Change]:
+    def remove(self, origin: DefinitionSource, server: str, now: float) -> list[Change]:
         """That source names the box no more."""
         return self._renew(now) if self._said[origin].pop(server, None) else []
 
-    def order(self, server: str, order: Order, now: float) -> list[Change]:
+    def order(self, server: str, order: OperatorOrder, now: float) -> list[Change]:
         """An operator drains or restores a box, known or not: the last word holds over any answer."""
         if not order.beats(self.orders.get(server)):
             return []
@@ -87,12 +89,12 @@
         self._due |= any(self._watched(known, entry) for entry in self.entries.values())
         return self._publish([self._stand(known)])
 
-    def answer(self, srv: str, targets: Iterable[Target], upstream: str, now: float) -> list[Change]:
+    def answer(self, srv: str, targets: Iterable[SrvRecord], upstream: str, now: float) -> list[Change]:
         """A whole answer of an SRV entry; a target "." means no service and counts as none (RFC 2782)."""
         entry = self.entries[srv]
         # At a start with nothing remembered nobody can tell who is new: all are taken as warm.
         first = entry.answered == NEVER and not entry.listed
-        told: dict[str, Definition] = {}
+        told: dict[str, CacheDefinition] = {}
         for target in targets:
             host = target.host.rstrip(".").lower()
             if not host or not 0 < target.port < 65536:
@@ -102,7 +104,7 @@
                 continue
             # RFC 2782: weight 0 is there for when there is nothing to choose; the module needs more than 0.
             weight = entry.watch.weight_scale * max(target.weight, 0.1)
-            told[server] = Definition(
+            told[server] = CacheDefinition(
                 server, host, target.port, entry.watch.zone, entry.watch.role, weight, target.priority
             )
         entry.left_out = 0
@@ -110,7 +112,7 @@
             if listed := entry.listed.get(server):
                 listed.what, listed.last, listed.missing = what, now, None
             elif self._count() < self.policy.boxes:
-                entry.listed[server] = Listed(what, now, now, cold=not first)
+                entry.listed[server] = SrvMember(what, now, now, cold=not first)
             else:
                 entry.left_out += 1
         self._missing(entry, frozenset(entry.listed.keys() - told.keys()), upstream, now)
@@ -126,14 +128,14 @@
 
     def locate_failed(self, host: str, why: str) -> None:
         """Nobody answers at any address that was told: nothing is taken away, the module finds out itself."""
-        self.places.setdefault(host, Place()).fault = why
+        self.places.setdefault(host, HostAddresses()).fault = why
 
     def locate(self, host: str, addresses: Iterable[str], now: float, dead: bool = False) -> list[Change]:
         """A whole answer for a host name. No address at all takes the box away after the grace period.
 
         dead: nobody answers at the address in use, so that a move need not wait.
         """
-        place = self.places.setdefault(host, Place())
+        place = self.places.setdefault(host, HostAddresses())
         if dead:
             place.moved = NEVER
         place.addresses, place.told, place.fault = tuple(addresses), now, ""
@@ -161,14 +163,14 @@
             return self._renew(now)
         return []
 
-    def memory(self) -> Memory:
+    def memory(self) -> RememberedMembers:
         """What a later start is to know while nobody else can be asked."""
         others = {
             what.id: what
-            for origin in (Origin.MEMORY, Origin.STORE, Origin.CONSOLE)
+            for origin in (DefinitionSource.MEMORY, DefinitionSource.STORE, DefinitionSource.CONSOLE)
             for what in self._said[origin].values()
         }
-        return Memory(
+        return RememberedMembers(
             tuple(others.values()),
             {
                 srv: tuple(listed.what for listed in entry.listed.values())
@@ -183,7 +185,7 @@
         self._cold = now
         return self._renew(now)
 
-    def recall(self, memory: Memory, saved: float, now: float) -> list[Change]:
+    def recall(self, memory: RememberedMembers, saved: float, now: float) -> list[Change]:
         """The last list, weighed by its age: too old, its boxes are left out; the orders never are."""
         for server, order in memory.orders.items():
             if order.beats(self.orders.get(server)):
@@ -191,28 +193,28 @@
         if not 0 <= now - saved <= self.policy.remembered:
             return self._renew(now)
         self._recalled = now if now - saved > self.policy.warm else 0.0
-        self._said[Origin.MEMORY] = {what.id: what for what in memory.others}
+        self._said[DefinitionSource.MEMORY] = {what.id: what for what in memory.others}
         for srv, boxes in memory.listed.items():
             if entry := self.entries.get(srv):
                 for what in boxes:
-                    entry.listed.setdefault(what.id, Listed(what, now, saved, cold=self._recalled > 0))
+                    entry.listed.setdefault(what.id, SrvMember(what, now, saved, cold=self._recalled > 0))
         for host, address in memory.places.items():
             if host not in self.places:
-                self.places[host] = Place((), address, saved, self._recalled or NEVER, True)
+                self.places[host] = HostAddresses((), address, saved, self._recalled or NEVER, True)
         return self._renew(now)
 
     def forget(self, now: float) -> list[Change]:
         """The store has been read: what memory kept of it is wanted no more."""
-        self._said[Origin.MEMORY].clear()
+        self._said[DefinitionSource.MEMORY].clear()
         return self._renew(now)
 
     def confirm(self, now: float) -> list[Change]:
         """The store stands behind what memory kept of it: these are its words now."""
-        kept = self._said[Origin.MEMORY]
+        kept = self._said[DefinitionSource.MEMORY]
         if not kept:
             return []
-        self._said[Origin.STORE] = {**kept, **self._said[Origin.STORE]}
-        self._said[Origin.MEMORY] = {}
+        self._said[DefinitionSource.STORE] = {**kept, **self._said[DefinitionSource.STORE]}
+        self._said[DefinitionSource.MEMORY] = {}
         return self._renew(now)
 
     def tick(self, now: float) -> list[Change]:
@@ -252,17 +254,17 @@
 
     # How it is worked out
 
-    def _missing(self, entry: Entry, gone: frozenset[str], upstream: str, now: float) -> None:
+    def _missing(self, entry: SrvEntry, gone: frozenset[str], upstream: str, now: float) -> None:
         """Boxes that a whole answer lacks; a mass disappearance waits to be confirmed."""
         most = max(1.0, self.policy.most_gone * len(entry.listed))
         if len(gone) > most:
             held = entry.held
             if held is None or not held.gone & gone:
-                entry.held = Held(gone, upstream, now)
+                entry.held = PendingRemoval(gone, upstream, now)
                 return
             both = held.gone & gone
             if upstream == held.upstream and now - held.since < self.policy.confirm:
-                entry.held = Held(both, upstream, held.since)
+                entry.held = PendingRemoval(both, upstream, held.since)
                 return
             gone = both
         entry.held = None
@@ -270,7 +272,7 @@
             listed = entry.listed[server]
             listed.missing = now if listed.missing is None else listed.missing
 
-    def _settle(self, host: str, place: Place, now: float) -> list[Change]:
+    def _settle(self, host: str, place: HostAddresses, now: float) -> list[Change]:
         """Choose among a name's addresses: the one in use while it is told; a new one, not too often."""
         if place.address in place.addresses:
             return []
@@ -286,7 +288,7 @@
         return self._renew(now)
 
     @staticmethod
-    def _move(place: Place, address: str, now: float) -> None:
+    def _move(place: HostAddresses, address: str, now: float) -> None:
         # Found again, or at another address, it may be another machine: it starts cold.
         place.moved = now if place.once else NEVER
         place.address, place.once = address, True
@@ -296,9 +298,9 @@
             len(entry.listed) for entry in self.entries.values()
         )
 
-    def _all(self) -> Iterable[tuple[Origin, Definition]]:
-        for origin in Origin:
-            if origin is Origin.SRV:
+    def _all(self) -> Iterable[tuple[DefinitionSource, CacheDefinition]]:
+        for origin in DefinitionSource:
+            if origin is DefinitionSource.SRV:
                 for entry in self.entries.values():
                     for listed in entry.listed.values():
                         yield origin, listed.what
@@ -306,7 +308,7 @@
                 for what in self._said[origin].values():
                     yield origin, what
 
-    def _endpoint(self, what: Definition) -> Endpoint | None:
+    def _endpoint(self, what: CacheDefinition) -> Endpoint | None:
         address = fixed(what.host)
         if address is None and (place := self.places.get(what.host)):
             address = place.address
@@ -315,7 +317,7 @@
     def _renew(self, now: float) -> list[Change]:
         """The whole list anew, by the table: who is one box, whose words hold, who serves."""
         self._due = False
-        found: dict[str, Box] = {}
+        found: dict[str, MergedCache] = {}
         names: dict[tuple[str, int], str] = {}  # host and port, as told
         ends: dict[Endpoint, str] = {}
         self._alias = {}
@@ -338,17 +340,21 @@
                 sources = known.sources if origin in known.sources else (*known.sources, origin)
                 found[server] = replace(known, sources=sources, also=also)
             else:
-                found[server] = Box(what, Standing.LOST, endpoint, self._started(origin, what), (origin,))
+                found[server] = MergedCache(
+                    what, MergedState.LOST, endpoint, self._started(origin, what), (origin,)
+                )
         self.boxes = {}
         changed = [self._stand(box) for box in found.values()]
         for entry in self.entries.values():
             changed += self._stand_by(entry)
         changed += [
-            replace(box, standing=Standing.LOST, endpoint=None)
+            replace(box, standing=MergedState.LOST, endpoint=None)
             for box in (
-                Box(
-                    Definition(server, "", 0, change.member.zone, change.member.role, change.member.weight),
-                    Standing.LOST,
+                MergedCache(
+                    CacheDefinition(
+                        server, "", 0, change.member.zone, change.member.role, change.member.weight
+                    ),
+                    MergedState.LOST,
                     None,
                     change.member.started_at,
                     (),
@@ -360,12 +366,12 @@
         final = {box.what.id: box for box in changed}  # the last word on each, so that nobody flaps
         return self._publish(final.values())
 
-    def _started(self, origin: Origin, what: Definition) -> float:
+    def _started(self, origin: DefinitionSource, what: CacheDefinition) -> float:
         """From when a box counts as cold: since it was added or has moved; 0 if it is warm."""
         place = self.places.get(what.host)
         moved = place.moved if place and place.moved > 0 else 0.0
         added = self._cold
-        if origin is Origin.SRV:
+        if origin is DefinitionSource.SRV:
             added = max(
                 (
                     listed.first
@@ -374,50 +380,53 @@
                 ),
                 default=added,
             )
-        elif origin is Origin.MEMORY:
+        elif origin is DefinitionSource.MEMORY:
             added = max(added, self._recalled)
         return max(moved, added)
 
-    def _drain(self, box: Box) -> Order | None:
+    def _drain(self, box: MergedCache) -> OperatorOrder | None:
         """The order that keeps a box out, under whichever of its ids it was given."""
         orders = [self.orders[server] for server in (box.what.id, *box.also) if server in self.orders]
         return next((order for order in orders if order.drained), None)
 
-    def _stand(self, box: Box) -> Box:
+    def _stand(self, box: MergedCache) -> MergedCache:
         """A box by its own merits: drains first, then whether it can be reached at all."""
         if order := self._drain(box):
-            standing, reason = Standing.DRAINING, f"drained by {order.by}"
+            standing, reason = MergedState.DRAINING, f"drained by {order.by}"
         elif box.endpoint is None:
             place = self.places.get(box.what.host)
             why = place.fault if place and place.fault else "no address told"
-            standing, reason = Standing.LOST, f"{box.what.host}: {why}"
+            standing, reason = MergedState.LOST, f"{box.what.host}: {why}"
         else:
-            standing, reason = Standing.SERVING, f"named by {', '.join(o.name.lower() for o in box.sources)}"
-        if standing is Standing.DRAINING and box.endpoint is None:
-            standing = Standing.LOST  # drained and nowhere: off the list, the order stays
+            standing, reason = (
+                MergedState.SERVING,
+                f"named by {', '.join(o.name.lower() for o in box.sources)}",
+            )
+        if standing is MergedState.DRAINING and box.endpoint is None:
+            standing = MergedState.LOST  # drained and nowhere: off the list, the order stays
         self.boxes[box.what.id] = found = replace(box, standing=standing, reason=reason)
         return found
 
-    def _watched(self, box: Box, entry: Entry) -> bool:
-        return box.sources[0] is Origin.SRV and box.what.id in entry.listed
+    def _watched(self, box: MergedCache, entry: SrvEntry) -> bool:
+        return box.sources[0] is DefinitionSource.SRV and box.what.id in entry.listed
 
-    def _stand_by(self, entry: Entry) -> list[Box]:
+    def _stand_by(self, entry: SrvEntry) -> list[MergedCache]:
         """RFC 2782: a target of lower priority is used only while too few better ones serve."""
         mine = sorted(
             (box for server in entry.listed if (box := self.boxes.get(server)) and self._watched(box, entry)),
             key=lambda box: (box.what.priority, box.what.id),
         )
         better, level, serving = 0, None, 0
-        changed: list[Box] = []
+        changed: list[MergedCache] = []
         for box in mine:
             if box.what.priority != level:
                 better, level = better + serving, box.what.priority
                 serving = 0
-            if box.standing is not Standing.SERVING:
+            if box.standing is not MergedState.SERVING:
                 continue
             if better >= entry.watch.enough:
                 found = replace(
-                    box, standing=Standing.STANDBY, reason=f"standby: {better} of a better priority serve"
+                    box, standing=MergedState.STANDBY, reason=f"standby: {better} of a better priority serve"
                 )
                 self.boxes[box.what.id] = found
                 changed.append(found)
@@ -425,11 +434,11 @@
                 serving += 1
         return changed
 
-    def _publish(self, boxes: Iterable[Box]) -> list[Change]:
+    def _publish(self, boxes: Iterable[MergedCache]) -> list[Change]:
         """The real changes among these boxes, one for each."""
         changes: list[Change] = []
         for box in boxes:
-            on = box.standing in (Standing.SERVING, Standing.DRAINING)
+            on = box.standing in (MergedState.SERVING, MergedState.DRAINING)
             change = Change(box.member, box.endpoint if on else None)
             known = self._published.get(box.what.id)
             if known == change or (known is None and not on):
--- a/brackenlane/discovery/query.py
+++ b/brackenlane/discovery/query.py
@@ -18,7 +18,7 @@
 import dns.rdatatype
 import dns.rrset
 
-from brackenlane.discovery.records import Target
+from brackenlane.discovery.records import SrvRecord
 
 CHAIN = 8  # aliases followed, in one answer and over several
 PAYLOAD = 1_232  # bytes of a datagram that fit every usual path (EDNS(0), RFC 6891)
@@ -68,7 +68,7 @@
     """What one answer says."""
 
     says: Says
-    targets: tuple[Target, ...] = ()  # of SRV
+    targets: tuple[SrvRecord, ...] = ()  # of SRV
     addresses: tuple[str, ...] = ()  # of A and AAAA
     ttl: float = 0.0  # seconds for which it may be kept
     alias: str = ""  # the name to ask for instead
@@ -127,7 +127,7 @@
             ttl = min(ttl, _ttl(rrset))
             if question.kind is not Kind.SRV:
                 return Reply(Says.FOUND, addresses=tuple(sorted(r.to_text() for r in rrset)), ttl=ttl)
-            targets = tuple(Target(text_of(r.target) or ".", r.port, r.priority, r.weight) for r in rrset)
+            targets = tuple(SrvRecord(text_of(r.target) or ".", r.port, r.priority, r.weight) for r in rrset)
             return Reply(Says.FOUND, targets, ttl=ttl, beside=_beside(message, targets, question))
         alias = _find(message.answer, name, dns.rdatatype.CNAME)
         if alias is None:
@@ -173,7 +173,7 @@
 
 
 def _beside(
-    message: dns.message.Message, targets: tuple[Target, ...], question: Question
+    message: dns.message.Message, targets: tuple[SrvRecord, ...], question: Question
 ) -> dict[str, tuple[str, ...]]:
     """Addresses sent along: only of targets asked for, and of the domain that was asked."""
     domain = dns.name.from_text(question.name)
--- a/brackenlane/discovery/records.py
+++ b/brackenlane/discovery/records.py
@@ -12,12 +12,12 @@
 from hashlib import blake2b
 
 from brackenlane.config import Endpoint
-from brackenlane.routing.members import Member, Role, State
+from brackenlane.routing.members import Member, Role, ServerState
 
 NEVER = float("-inf")
 
 
-class Origin(IntEnum):
+class DefinitionSource(IntEnum):
     """Who says that there is a box; where two describe the same one, the lower number's words hold."""
 
     CONSOLE = 0
@@ -27,7 +27,7 @@
     MEMORY = 4  # the last list, from disk
 
 
-class Standing(Enum):
+class MergedState(Enum):
     """What has become of a box. Only SERVING gets new work, only the first two are on the list."""
 
     SERVING = "serving"
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Definition:
+class CacheDefinition:
     """One box as one source describes it. weight: in transfers, as the module takes it."""
 
     id: str
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class SrvRecord:
     """One SRV record (RFC 2782); the host in lower case, without its last dot."""
 
     host: str
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class SrvWatch:
     """One `[[discover]]` entry of the operator's file."""
 
     srv: str  # the owner name
@@ -85,23 +85,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class OperatorOrder:
     """What an operator last said of a box: drain or restore. The later holds; at one time, the drain."""
 
     drained: bool
     at: float
     by: str
 
-    def beats(self, other: Order | None) -> bool:
+    def beats(self, other: OperatorOrder | None) -> bool:
         """Whether this one holds against another, wherever each was heard first."""
         return other is None or (self.at, self.drained, self.by) > (other.at, other.drained, other.by)
 
 
 @dataclass(slots=True)
-class Listed:
+class SrvMember:
     """One target of an SRV entry, on its list."""
 
-    what: Definition
+    what: CacheDefinition
     first: float  # when it was told first
     last: float  # and last
     missing: float | None = None  # since when whole answers lack it
@@ -109,7 +109,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class PendingRemoval:
     """A mass disappearance that is reported, not obeyed, until it is confirmed."""
 
     gone: frozenset[str]
@@ -118,19 +118,19 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class SrvEntry:
     """What one SRV entry's answers have come to."""
 
-    watch: Watch
-    listed: dict[str, Listed] = field(default_factory=dict)
-    held: Held | None = None
+    watch: SrvWatch
+    listed: dict[str, SrvMember] = field(default_factory=dict)
+    held: PendingRemoval | None = None
     answered: float = NEVER  # the last whole answer
     fault: str = ""  # why the last look-up was none
     left_out: int = 0
 
 
 @dataclass(slots=True)
-class Place:
+class HostAddresses:
     """Where a host name is."""
 
     addresses: tuple[str, ...] = ()
@@ -143,22 +143,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Box:
+class MergedCache:
     """One box of the merged list, and why it stands as it does."""
 
-    what: Definition
-    standing: Standing
+    what: CacheDefinition
+    standing: MergedState
     endpoint: Endpoint | None
     started: float  # Unix time from which it counts as cold; 0: warm
-    sources: tuple[Origin, ...]
+    sources: tuple[DefinitionSource, ...]
     also: tuple[str, ...] = ()  # other ids that name the same box
     reason: str = ""
 
     @property
     def member(self) -> Member:
         """As the module takes it."""
-        state = {Standing.SERVING: State.SERVING, Standing.DRAINING: State.DRAINING}.get(
-            self.standing, State.GONE
+        state = {MergedState.SERVING: ServerState.SERVING, MergedState.DRAINING: ServerState.DRAINING}.get(
+            self.standing, ServerState.GONE
         )
         return Member(
             self.what.id,
@@ -179,13 +179,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class RememberedMembers:
     """What is kept over a restart."""
 
-    others: tuple[Definition, ...] = ()  # from the store and consoles
-    listed: dict[str, tuple[Definition, ...]] = field(default_factory=dict)  # by SRV owner name
+    others: tuple[CacheDefinition, ...] = ()  # from the store and consoles
+    listed: dict[str, tuple[CacheDefinition, ...]] = field(default_factory=dict)  # by SRV owner name
     places: dict[str, str] = field(default_factory=dict)  # addresses by host name
-    orders: dict[str, Order] = field(default_factory=dict)  # by box
+    orders: dict[str, OperatorOrder] = field(default_factory=dict)  # by box
 
 
 def box_id(host: str, port: int) -> str:
--- a/brackenlane/discovery/registry.py
+++ b/brackenlane/discovery/registry.py
@@ -9,19 +9,19 @@
 from typing import Any
 
 from brackenlane.config import Endpoint
-from brackenlane.discovery.merge import Merge
-from brackenlane.discovery.records import Change, Definition, Order, Origin
-from brackenlane.routing.events import Event, ListKind, Membership, Purged
+from brackenlane.discovery.merge import MembershipMerge
+from brackenlane.discovery.records import CacheDefinition, Change, DefinitionSource, OperatorOrder
+from brackenlane.routing.events import Event, Membership, MembershipKind, Purged
 from brackenlane.routing.members import Role
 
 Follow = Callable[[dict[str, Endpoint], set[str], bool], None]
 ID = re.compile(r"[0-9a-z-]{1,63}")
 
 
-def read_box(raw: Any) -> Definition:
+def read_box(raw: Any) -> CacheDefinition:
     """A box from the store or the last list; ValueError if it is none."""
     try:
-        what = Definition(
+        what = CacheDefinition(
             str(raw["id"]).lower(),
             str(raw["host"]).rstrip(".").lower(),
             int(raw["port"]),
@@ -37,7 +37,7 @@
     return what
 
 
-def box_json(what: Definition) -> dict[str, Any]:
+def box_json(what: CacheDefinition) -> dict[str, Any]:
     """A box as the store and the last list keep it."""
     return {
         "id": what.id,
@@ -50,10 +50,13 @@
     }
 
 
-def read_order(raw: Any) -> tuple[str, Order]:
+def read_order(raw: Any) -> tuple[str, OperatorOrder]:
     """A drain or restore from the store or the last list; ValueError if it is none."""
     try:
-        server, order = str(raw["id"]), Order(bool(raw["drained"]), float(raw["at"]), str(raw["by"])[:64])
+        server, order = (
+            str(raw["id"]),
+            OperatorOrder(bool(raw["drained"]), float(raw["at"]), str(raw["by"])[:64]),
+        )
     except (KeyError, TypeError, ValueError) as fault:
         raise ValueError(f"order {raw!r}: {type(fault).__name__}: {fault}") from None
     # Guards against an order from a clock far ahead, which nobody could ever take back.
@@ -62,27 +65,27 @@
     return server, order
 
 
-def order_json(server: str, order: Order) -> dict[str, Any]:
+def order_json(server: str, order: OperatorOrder) -> dict[str, Any]:
     """An order as the store and the last list keep it."""
     return {"id": server, "drained": order.drained, "at": order.at, "by": order.by}
 
 
 @dataclass(slots=True)
-class Told:
+class Subscribers:
     """Where real changes go, each once and in order."""
 
     core: Callable[[Event], None]
     depots: Follow
 
 
-class Roster:
+class Registry:
     """Tells what the merge makes of things, all before a call returns: a drain waits for nobody."""
 
-    def __init__(self, merge: Merge, core: Callable[[Event], None], depots: Follow) -> None:
+    def __init__(self, merge: MembershipMerge, core: Callable[[Event], None], depots: Follow) -> None:
         self.merge = merge
         self.endpoints: dict[str, Endpoint] = {}  # of boxes on the list now
         self.changed: list[Callable[[], None]] = []  # called after each change of anything that is kept
-        self._told = Told(core, depots)
+        self._told = Subscribers(core, depots)
 
     def apply(self, changes: list[Change]) -> None:
         """Tell the core and the boxes' actors what has changed."""
@@ -95,19 +98,19 @@
                 self.endpoints.pop(server, None)
                 self._told.depots({}, {server}, False)
         if changes:
-            self._told.core(Membership(ListKind.CHANGES, tuple(change.member for change in changes)))
+            self._told.core(Membership(MembershipKind.CHANGES, tuple(change.member for change in changes)))
         for call in self.changed:
             call()
 
-    def define(self, origin: Origin, what: Definition) -> None:
+    def define(self, origin: DefinitionSource, what: CacheDefinition) -> None:
         """A source describes a box."""
         self.apply(self.merge.define(origin, what, time.time()))
 
-    def order(self, server: str, order: Order) -> None:
+    def order(self, server: str, order: OperatorOrder) -> None:
         """A drain or a restore, from wherever."""
         self.apply(self.merge.order(server, order, time.time()))
 
-    def drain(self, server: str, drained: bool, by: str) -> Order | None:
+    def drain(self, server: str, drained: bool, by: str) -> OperatorOrder | None:
         """The operator takes a box out of service or back; None if nobody names such a box."""
         if (
             server not in self.merge.boxes
@@ -115,7 +118,7 @@
             and not self.merge.explain(server, time.time())
         ):
             return None
-        order = Order(drained, time.time(), by)
+        order = OperatorOrder(drained, time.time(), by)
         self.order(server, order)
         return order
 
--- a/brackenlane/discovery/resolver.py
+++ b/brackenlane/discovery/resolver.py
@@ -14,9 +14,9 @@
 import trio
 
 from brackenlane.config import Endpoint
-from brackenlane.discovery.dns_cache import Cache, Kept, Lifetimes
+from brackenlane.discovery.dns_cache import Cache, CachedAnswer, Lifetimes
 from brackenlane.discovery.query import CHAIN, Kind, Question, Reply, Says, Sent, put, read
-from brackenlane.discovery.records import Target
+from brackenlane.discovery.records import SrvRecord
 from brackenlane.discovery.upstreams import Patience, Upstream, Upstreams
 from brackenlane.net.connector import connect, family_of
 
@@ -33,7 +33,7 @@
 class Found:
     """What is known of a question now; neither targets nor addresses: there are none, truly."""
 
-    targets: tuple[Target, ...] = ()
+    targets: tuple[SrvRecord, ...] = ()
     addresses: tuple[str, ...] = ()
     beside: tuple[tuple[str, tuple[str, ...]], ...] = ()  # addresses of targets, sent along in bailiwick
     until: float = 0.0  # Unix time for which it may be used
@@ -209,7 +209,7 @@
         return reply if reply.says is not Says.NOT_OURS else Reply(Says.LAME, why=reply.why)
 
 
-def _found(kept: Kept, why: str = "") -> Found:
+def _found(kept: CachedAnswer, why: str = "") -> Found:
     reply = kept.reply
     return Found(
         reply.targets,
--- a/brackenlane/discovery/snapshot.py
+++ b/brackenlane/discovery/snapshot.py
@@ -19,8 +19,8 @@
 import trio
 
 from brackenlane.coldstart.stream_position import NOWHERE, read_place
-from brackenlane.discovery.records import Memory
-from brackenlane.discovery.registry import Roster, box_json, order_json, read_box, read_order
+from brackenlane.discovery.records import RememberedMembers
+from brackenlane.discovery.registry import Registry, box_json, order_json, read_box, read_order
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 LARGEST = 16 * 2**20  # bytes
 
 
-class Stored(Protocol):
+class StreamProgress(Protocol):
     """What a last list keeps of the shared store."""
 
     place: str
@@ -36,17 +36,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class Snapshot:
     """A last list."""
 
-    memory: Memory
+    memory: RememberedMembers
     saved: float  # Unix time
     place: str = NOWHERE  # in the log of the shared store: all up to it is in this list
     left: bool = False  # written as the doorman left in order; else power or the program was lost
     purges: tuple[tuple[str, int, float], ...] = ()  # told lately: object, group, Unix time
 
 
-def dump(kept: Kept) -> bytes:
+def dump(kept: Snapshot) -> bytes:
     """A last list as it is written."""
     memory = kept.memory
     body = orjson.dumps(
@@ -70,7 +70,7 @@
     return orjson.dumps({"version": VERSION, "sha256": digest, "body": body.decode()})
 
 
-def parse(data: bytes) -> Kept:
+def parse(data: bytes) -> Snapshot:
     """What was remembered, and when; ValueError for what is damaged or of another version."""
     try:
         outer: dict[str, Any] = orjson.loads(data)
@@ -83,19 +83,19 @@
         listed = {str(srv): tuple(read_box(box) for box in boxes) for srv, boxes in raw["listed"].items()}
         place = str(raw.get("place", NOWHERE))
         read_place(place)
-        memory = Memory(
+        memory = RememberedMembers(
             tuple(read_box(box) for box in raw["others"]),
             listed,
             {str(host): str(at) for host, at in raw["places"].items()},
             dict(read_order(order) for order in raw["orders"]),
         )
         purges = tuple((str(obj), int(group), float(at)) for obj, group, at in raw.get("purges", ()))
-        return Kept(memory, float(raw["saved"]), place, raw.get("left", False) is True, purges)
+        return Snapshot(memory, float(raw["saved"]), place, raw.get("left", False) is True, purges)
     except (KeyError, TypeError, AttributeError) as fault:
         raise ValueError(f"{type(fault).__name__}: {fault}") from None
 
 
-def load(path: Path) -> Kept | None:
+def load(path: Path) -> Snapshot | None:
     """The last list; a damaged one is set aside, with a log line, and none is had."""
     try:
         if path.stat().st_size > LARGEST:
@@ -128,10 +128,10 @@
         os.close(folder)
 
 
-class Keeper:
+class SnapshotWriter:
     """Writes the last list after changes, once in a while; what fails is said and tried again."""
 
-    def __init__(self, roster: Roster, path: Path, pause: float, store: Stored | None) -> None:
+    def __init__(self, roster: Registry, path: Path, pause: float, store: StreamProgress | None) -> None:
         """store: whose log the roster has taken in up to a place."""
         self._roster, self._path, self._pause, self._store = roster, path, pause, store
         self._news = trio.Event()
@@ -155,7 +155,7 @@
 
     async def keep(self, left: bool = False) -> None:
         """Write what is remembered now, unless that stands there; left: for the last time, in order."""
-        kept = Kept(self._roster.merge.memory(), 0.0, left=left)
+        kept = Snapshot(self._roster.merge.memory(), 0.0, left=left)
         if self._store:
             purges = tuple((obj, group, at) for (obj, group), at in self._store.purges.items())
             kept = replace(kept, place=self._store.place, purges=purges)
--- a/brackenlane/dns/names.py
+++ b/brackenlane/dns/names.py
@@ -15,11 +15,11 @@
 import dns.name
 
 OBJECT = re.compile(r"[0-9a-z_][0-9a-z_-]{0,62}")
-DOORMAN, BOXES, SERVICE = "doorman", "boxes", ("_http", "_tcp")
+ROUTER_LABEL, CACHES_LABEL, SERVICE = "doorman", "boxes", ("_http", "_tcp")
 
 
 @dataclass(slots=True, frozen=True)
-class Wanted:
+class ObjectQuestion:
     """An object of a class."""
 
     cls: str
@@ -29,20 +29,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Box:
+class CacheQuestion:
     """One box by its id."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
-class Self:
+class RouterQuestion:
     """The doorman itself, or the zone's top."""
 
     apex: bool = False
 
 
-Question = Wanted | Box | Self
+Question = ObjectQuestion | CacheQuestion | RouterQuestion
 
 
 def read_zone(text: str) -> dns.name.Name:
@@ -63,14 +63,14 @@
         labels = labels[2:]
     match labels:
         case []:
-            return None if service else (Self(apex=True), False)
+            return None if service else (RouterQuestion(apex=True), False)
         case ["doorman"]:
-            return Self(), service
+            return RouterQuestion(), service
         case [server, "boxes"]:
-            return Box(server), service
+            return CacheQuestion(server), service
         case [*marks, obj, cls] if cls in classes and OBJECT.fullmatch(obj):
             found = _read_marks(marks)
-            return (Wanted(cls, obj, *found), service) if found else None
+            return (ObjectQuestion(cls, obj, *found), service) if found else None
     return None
 
 
--- a/brackenlane/dns/server.py
+++ b/brackenlane/dns/server.py
@@ -21,8 +21,8 @@
 import trio
 
 from brackenlane.config import Endpoint
-from brackenlane.core.engine import Core
-from brackenlane.core.requests import Ask, Ending
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.requests import Disposition, PendingRequest
 from brackenlane.dns import names
 from brackenlane.limits import Limits
 from brackenlane.routing.events import Arrival
@@ -50,7 +50,7 @@
         self,
         zone: dns.name.Name,
         own: Endpoint,
-        core: Core,
+        core: RequestEngine,
         roster: Whereabouts,
         limits: Limits,
         clock: Callable[[], float] = time.time,
@@ -119,36 +119,36 @@
         question, service = found
         kind = A if asked.rdtype == ANY and not service else SRV if asked.rdtype == ANY else asked.rdtype
         match question:
-            case names.Self(apex=True) if kind in (dns.rdatatype.SOA, dns.rdatatype.NS):
+            case names.RouterQuestion(apex=True) if kind in (dns.rdatatype.SOA, dns.rdatatype.NS):
                 response.answer.append(
                     self._soa()
                     if kind == dns.rdatatype.SOA
-                    else self._rrset(self._zone, kind, f"{names.DOORMAN}.{self._zone}")
+                    else self._rrset(self._zone, kind, f"{names.ROUTER_LABEL}.{self._zone}")
                 )
                 return
-            case names.Self(apex=True):
+            case names.RouterQuestion(apex=True):
                 return self._deny(response, dns.rcode.NOERROR)
-            case names.Box() if question.server not in self._roster.endpoints:
+            case names.CacheQuestion() if question.server not in self._roster.endpoints:
                 return self._deny(response, dns.rcode.NXDOMAIN)
         if service != (kind == SRV) or kind not in (A, AAAA, SRV):
             return self._deny(response, dns.rcode.NOERROR)
-        if isinstance(question, names.Box):
+        if isinstance(question, names.CacheQuestion):
             # Guards against naming a box that drains: its own name has no address then.
             if not self._core.fleet.serving(question.server):
                 return self._deny(response, dns.rcode.NOERROR)
             return self._name(response, asked.name, kind, question.server)
-        own = isinstance(question, names.Self) or self._classes[question.cls].uncached
+        own = isinstance(question, names.RouterQuestion) or self._classes[question.cls].uncached
         # A write's name has our own address only: the submit comes to us by HTTP and runs once.
         if own:
             return self._name(response, asked.name, kind, None)
         if kind != SRV and not any(kind == _family(at) for at in self._roster.endpoints.values()):
             return self._deny(response, dns.rcode.NOERROR)
-        assert isinstance(question, names.Wanted)
+        assert isinstance(question, names.ObjectQuestion)
         await self._pick(question, response, asked.name, kind)
 
     async def _pick(
         self,
-        wanted: names.Wanted,
+        wanted: names.ObjectQuestion,
         response: dns.message.Message,
         name: dns.name.Name,
         kind: dns.rdatatype.RdataType,
@@ -163,8 +163,8 @@
             arrival = Arrival(
                 self._core.new_id(), left, cls.name, wanted.obj, wanted.part, wanted.group, size
             )
-            answer = await self._core.ask(Ask(arrival, deadline, connect_only=True))
-            if answer.ending is not Ending.SERVED:
+            answer = await self._core.ask(PendingRequest(arrival, deadline, connect_only=True))
+            if answer.ending is not Disposition.SERVED:
                 raise GiveUp
             # Guards against a drain heard between the connection to the box and this answer.
             if self._core.fleet.serving(answer.server) and answer.server in self._roster.endpoints:
@@ -182,7 +182,9 @@
         endpoint = self._roster.endpoints[server] if server else self._own
         family = _family(endpoint)
         if kind == SRV:
-            target = dns.name.from_text(f"{server}.{names.BOXES}" if server else names.DOORMAN, self._zone)
+            target = dns.name.from_text(
+                f"{server}.{names.CACHES_LABEL}" if server else names.ROUTER_LABEL, self._zone
+            )
             response.answer.append(self._rrset(name, SRV, f"0 0 {endpoint[1]} {target}"))
             response.additional.append(self._rrset(target, family, endpoint[0]))
         elif kind == family:
@@ -199,7 +201,7 @@
         return self._rrset(
             self._zone,
             dns.rdatatype.SOA,
-            f"{names.DOORMAN}.{self._zone} hostmaster.{self._zone} 1 3600 600 86400 0",
+            f"{names.ROUTER_LABEL}.{self._zone} hostmaster.{self._zone} 1 3600 600 86400 0",
         )
 
     def _rrset(self, name: dns.name.Name, kind: dns.rdatatype.RdataType, text: str) -> dns.rrset.RRset:
--- a/brackenlane/lab/cache_servers.py
+++ b/brackenlane/lab/cache_servers.py
@@ -20,7 +20,7 @@
 
 from brackenlane.core.timers import Timers
 from brackenlane.lab.sockets import receive
-from brackenlane.net.poller import READ, WRITE, Board
+from brackenlane.net.poller import READ, WRITE, Poller
 
 
 @dataclass
@@ -58,7 +58,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        board: Board,
+        board: Poller,
         timers: Timers,
         how: Behaviour,
         seen: Seen,
@@ -141,7 +141,7 @@
 
 async def serve(ports: list[int], how: Behaviour, seed: int, seen: Seen) -> None:
     """Serve boxes at some ports of 127.0.0.1 until cancelled."""
-    board, timers, rng = Board(256), Timers(), random.Random(seed)
+    board, timers, rng = Poller(256), Timers(), random.Random(seed)
     payload = bytes(max(how.sizes.values()) * 2)
     listeners = [socket.create_server(("127.0.0.1", port), backlog=512) for port in ports]
 
--- a/brackenlane/lab/cluster/cache_servers.py
+++ b/brackenlane/lab/cluster/cache_servers.py
@@ -17,7 +17,7 @@
 
 from brackenlane.lab.cluster.record import Record
 from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Pinged
-from brackenlane.lab.stand_ins.cache_server import Door
+from brackenlane.lab.stand_ins.cache_server import CacheListener
 
 FILL = 0.02  # seconds that a fill takes besides its transfer
 FACTOR = 3.0  # times its ability, beyond which, with the slack of chance, a cold box falls
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class FleetBox(Door):
+class FleetBox(CacheListener):
     """One edge cache, parent or the origin."""
 
     id: str
--- a/brackenlane/lab/cluster/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from brackenlane.coldstart.pacing import Capacity, Pace
+from brackenlane.coldstart.pacing import Capacity, StorePacing
 
 
 @dataclass
@@ -46,7 +46,7 @@
         return self.tickets[bucket]
 
 
-class Fleet:
+class SimulatedFleet:
     """So many routers that start at given times; `remembers`: the share of them that need no whole list."""
 
     def __init__(
@@ -57,7 +57,7 @@
         *,
         remembers: float = 1.0,
         starts: Callable[[int], float] = lambda _: 0.0,
-        pace: Callable[[str, Capacity, random.Random], Pace] = Pace,
+        pace: Callable[[str, Capacity, random.Random], StorePacing] = StorePacing,
     ) -> None:
         self.store, self.now = store, 0.0
         self.chance = random.Random(seed)
--- a/brackenlane/lab/load.py
+++ b/brackenlane/lab/load.py
@@ -22,7 +22,7 @@
 
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.lab.sockets import receive
-from brackenlane.net.poller import READ, WRITE, Board
+from brackenlane.net.poller import READ, WRITE, Poller
 
 HEAD = re.compile(rb"HTTP/1\.1 (\d\d\d) [^\r]*\r\n(.*?)\r\n\r\n", re.DOTALL)
 LENGTH = re.compile(rb"[Cc]ontent-[Ll]ength: (\d+)")
@@ -189,7 +189,7 @@
     ) -> None:
         self.target, self.phases, self._most, self._objects = target, phases, most, objects
         self.random = random.Random(seed)
-        self.board, self.timers, self.tally = Board(256), Timers(), Tally()
+        self.board, self.timers, self.tally = Poller(256), Timers(), Tally()
         self.idle: deque[Client] = deque()
         self.open = 0
         self._start = 0.0
--- a/brackenlane/lab/queueing.py
+++ b/brackenlane/lab/queueing.py
@@ -15,12 +15,14 @@
 from typing import Protocol
 
 from brackenlane.admission.controller import Admission
-from brackenlane.routing.settings import Effect, RequestClass
+from brackenlane.routing.settings import Idempotency, RequestClass
 
 CLASSES = (
     RequestClass("video-parts", aim=0.5, give_up=6.0, worth=2.0),
     RequestClass("sheet-pages", aim=0.3, give_up=2.5),
-    RequestClass("sheet-submit", aim=0.8, give_up=3.0, worth=3.0, effect=Effect.UNSAFE, uncached=True),
+    RequestClass(
+        "sheet-submit", aim=0.8, give_up=3.0, worth=3.0, effect=Idempotency.NON_IDEMPOTENT, uncached=True
+    ),
 )
 SHARES = (0.56, 0.405, 0.035)
 
@@ -135,7 +137,7 @@
     events: list[tuple[float, int, Try]] = []
 
     def again(item: Try, now: float, harmless: bool) -> None:
-        if item.number < 3 and (harmless or item.cls.effect is Effect.SAFE):
+        if item.number < 3 and (harmless or item.cls.effect is Idempotency.IDEMPOTENT):
             at = now + rng.uniform(0.1, 0.5)
             ttl = item.cls.give_up * rng.uniform(0.5, 1.0)
             heapq.heappush(events, (at, next(order), Try(item.cls, item.born, at, at + ttl, item.number + 1)))
--- a/brackenlane/lab/races.py
+++ b/brackenlane/lab/races.py
@@ -25,7 +25,7 @@
 
 from brackenlane.lab import site
 from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Pinged
-from brackenlane.lab.stand_ins.cache_server import Box, Door, data
+from brackenlane.lab.stand_ins.cache_server import Box, CacheListener, data
 
 SLACK = 0.05  # seconds: the protocol's on sockets
 LEFT = 0.1  # after a client has left, no attempt
@@ -168,7 +168,7 @@
                 pass
 
 
-class List(Door):
+class List(CacheListener):
     """The change log: the latest connection is told."""
 
     def __init__(self) -> None:
--- a/brackenlane/lab/simulation/clients.py
+++ b/brackenlane/lab/simulation/clients.py
@@ -6,10 +6,10 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from brackenlane.lab.simulation.record import Ending, Operation, Request
+from brackenlane.lab.simulation.record import Disposition, Operation, Request
 from brackenlane.lab.simulation.workload import FirstTry
-from brackenlane.routing.events import Arrival, Note
-from brackenlane.routing.settings import Effect, Scope
+from brackenlane.routing.events import Arrival, CacheStatus
+from brackenlane.routing.settings import Idempotency, Scope
 
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import World
@@ -70,12 +70,12 @@
         )
         router.take(request, ask, obj.work, lambda ending, note: self._ended(client, ending, note))
 
-    def _ended(self, client: Client, ending: Ending, note: Note) -> None:
+    def _ended(self, client: Client, ending: Disposition, note: CacheStatus) -> None:
         operation, site = client.operation, self._world.site
-        if ending is Ending.SERVED:
+        if ending is Disposition.SERVED:
             if operation.answered_at is None:
                 operation.answered_at = self._world.queue.now
-                operation.stale = note is Note.STALE
+                operation.stale = note is CacheStatus.STALE
             return
         if client.tries > site.client_retries or not _may_retry(client, ending, self._world.queue.now):
             return
@@ -83,10 +83,10 @@
         self._world.queue.after(wait, lambda: self._try(client))
 
 
-def _may_retry(client: Client, ending: Ending, now: float) -> bool:
+def _may_retry(client: Client, ending: Disposition, now: float) -> bool:
     """Whether a client repeats: writes only where that does no harm."""
     cls = client.operation.cls
-    if cls.effect is Effect.SAFE or ending is Ending.REFUSED:
+    if cls.effect is Idempotency.IDEMPOTENT or ending is Disposition.REJECTED:
         return True
     within = now < client.operation.born + cls.repeat_window
-    return cls.effect is Effect.KEYED and cls.scope is Scope.ALL and within
+    return cls.effect is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL and within
--- a/brackenlane/lab/simulation/comparison.py
+++ b/brackenlane/lab/simulation/comparison.py
@@ -7,12 +7,12 @@
 
 from brackenlane.lab.simulation.invariants import violations
 from brackenlane.lab.simulation.plain_policy import PlainPolicy
-from brackenlane.lab.simulation.record import Ending
+from brackenlane.lab.simulation.record import Disposition
 from brackenlane.lab.simulation.site import Site
 from brackenlane.lab.simulation.value import worth
 from brackenlane.lab.simulation.world import PolicyFactory, World, play
 from brackenlane.routing import Router
-from brackenlane.routing.members import State
+from brackenlane.routing.members import ServerState
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,11 +44,11 @@
     record = world.record
     cold = {listed.server for listed in record.listed if listed.started_at}
     found = {
-        "drains": any(listed.state is State.DRAINING for listed in record.listed),
+        "drains": any(listed.state is ServerState.DRAINING for listed in record.listed),
         "purges": bool(record.purges_told),
         "writes": bool(record.executed),
         "further attempts": any(sent.number for sent in record.sent),
-        "refusals": any(answer.ending is Ending.REFUSED for answer in record.answered),
+        "refusals": any(answer.ending is Disposition.REJECTED for answer in record.answered),
         "cold caches": bool(cold & world.caches.keys()),
         "cold parents": bool(cold & world.parents.keys()),
         "streams": any(load.streamed for load in world.site.classes),
--- a/brackenlane/lab/simulation/drawn_sites.py
+++ b/brackenlane/lab/simulation/drawn_sites.py
@@ -14,16 +14,16 @@
     TroubleKind,
     Weights,
 )
-from brackenlane.routing.settings import ColdStart, Effect, RequestClass, Scope, Siblings
+from brackenlane.routing.settings import Idempotency, RequestClass, Scope, SiblingSources, SlowStart
 
 REQUESTS = 1000  # of one day, about
 SHORTEST, LONGEST = 4.0, 16.0  # seconds of one day
 SMALL_ALONE = 3.0  # times the usual size of small objects where there are no others
 
 
-def cold_rules(draw: Random, least: float) -> ColdStart:
+def cold_rules(draw: Random, least: float) -> SlowStart:
     """A rule for servers that started lately."""
-    return ColdStart(
+    return SlowStart(
         draw.uniform(least, 0.5), draw.uniform(4.0, 25.0), draw.uniform(1.5, 5.0), draw.uniform(0.5, 2.0)
     )
 
@@ -90,7 +90,7 @@
         aim=draw.uniform(0.4, 1.0),
         give_up=draw.uniform(2.0, 4.0),
         worth=draw.uniform(1.0, 4.0),
-        effect=draw.choice(list(Effect)),
+        effect=draw.choice(list(Idempotency)),
         scope=draw.choice([Scope.ALL, Scope.ALL, Scope.ZONE, Scope.CELL]),
         repeat_window=draw.uniform(0.5, 6.0),
         uncached=True,
@@ -174,7 +174,7 @@
         sizes_seen=draw.choice([False, True]),
         direct=draw.choice([False, True]),
         joins=draw.choice([False, True]),
-        siblings=draw.choice(list(Siblings)),
+        siblings=draw.choice(list(SiblingSources)),
         may_cancel=draw.choice([True, True, False]),
         second_copies=draw.choice([False, True]),
         max_attempts=draw.randint(2, 8),
--- a/brackenlane/lab/simulation/edge.py
+++ b/brackenlane/lab/simulation/edge.py
@@ -6,7 +6,7 @@
 
 from brackenlane.lab.simulation.memory import RankedMemory, StoredCopy
 from brackenlane.lab.simulation.servers import (
-    Ask,
+    CacheRequest,
     Fetch,
     Reply,
     Server,
@@ -16,7 +16,7 @@
     oldest_allowed,
 )
 from brackenlane.lab.simulation.streams import Failure, Stream, held, relay
-from brackenlane.routing.events import Note
+from brackenlane.routing.events import CacheStatus
 
 RENEW_FROM = 0.8  # of its fresh time, from which a copy may be renewed behind
 LEAST_NEWER = 1e-6  # seconds by which a renewed copy is newer than the one before
@@ -40,7 +40,7 @@
         self.slots = max(2, int(width * world.site.slots_per_width))
         self.hit_share = 0.5
         self._active: dict[Reply, None] = {}
-        self._waiting: deque[tuple[Ask, Reply]] = deque()
+        self._waiting: deque[tuple[CacheRequest, Reply]] = deque()
         self._fills: dict[Fetch, str] = {}
 
     @property
@@ -53,7 +53,7 @@
         self._waiting.clear()
         super().stop()
 
-    def take(self, ask: Ask, reply: Reply) -> None:
+    def take(self, ask: CacheRequest, reply: Reply) -> None:
         """One attempt."""
         if not self.admit(ask, reply):
             return
@@ -64,7 +64,7 @@
         else:
             reply.fail(Failure.FULL)
 
-    def provide(self, ask: Ask, oldest: float, stream: Stream) -> None:
+    def provide(self, ask: CacheRequest, oldest: float, stream: Stream) -> None:
         """A sibling asks: it is given what is held, or what is on its way if it may join."""
         if not self.admit(ask, stream):
             return
@@ -78,7 +78,7 @@
         else:
             stream.fail(Failure.LACKING)
 
-    def _begin(self, ask: Ask, reply: Reply) -> None:
+    def _begin(self, ask: CacheRequest, reply: Reply) -> None:
         self._active[reply] = None
         reply.listen(lambda: None, lambda: self._leave(reply))
         self._look_up(ask, reply)
@@ -86,14 +86,14 @@
     def _leave(self, reply: Reply) -> None:
         self._active.pop(reply, None)
         if reply.complete:
-            hit = reply.note in (Note.HIT, Note.STALE)
+            hit = reply.note in (CacheStatus.HIT, CacheStatus.STALE)
             self.hit_share += (hit - self.hit_share) * HIT_SHARE_WEIGHT
         while self._waiting and len(self._active) < self.slots:
             ask, waiting = self._waiting.popleft()
             if not waiting.ended:
                 self._begin(ask, waiting)
 
-    def _look_up(self, ask: Ask, reply: Reply) -> None:
+    def _look_up(self, ask: CacheRequest, reply: Reply) -> None:
         now = self.world.queue.now
         oldest = oldest_allowed(ask, now)
         copy = None if ask.cls.uncached else self.memory.get(ask.copy)
@@ -101,36 +101,36 @@
             return self._hit(ask, reply, copy, now - copy.issued)
         fill = self._joinable(ask, oldest)
         if ask.source == self.name:
-            reply.note = Note.JOINED if fill else Note.UNTOLD
+            reply.note = CacheStatus.JOINED if fill else CacheStatus.UNKNOWN
             return reply.fail(Failure.LACKING)
         if fill and ask.join:
-            reply.note = Note.JOINED
+            reply.note = CacheStatus.JOINED
             return self._deliver(fill, ask, reply)
         if len(self._fills) >= self.world.site.fills_per_cache:
             return reply.fail(Failure.NO_PLACE)
-        reply.note = Note.FILLED
+        reply.note = CacheStatus.FILLED
         self._deliver(self._fill(ask, oldest), ask, reply)
 
-    def _hit(self, ask: Ask, reply: Reply, copy: StoredCopy, age: float) -> None:
+    def _hit(self, ask: CacheRequest, reply: Reply, copy: StoredCopy, age: float) -> None:
         self.memory.use(copy, ask.keep)
         fresh = ask.cls.fresh
-        reply.note = Note.STALE if fresh and age > fresh else Note.HIT
+        reply.note = CacheStatus.STALE if fresh and age > fresh else CacheStatus.HIT
         relay(self.world.queue, held(copy.issued), reply, [self.link], ask.work, 1.0)
         ageing = ask.renew and fresh and age > RENEW_FROM * fresh and ask.source != self.name
         room = len(self._fills) < self.world.site.fills_per_cache
         if ageing and room and ask.copy not in self._fills.values():
             self._fill(ask, copy.issued + LEAST_NEWER)
 
-    def _joinable(self, ask: Ask, oldest: float) -> Fetch | None:
+    def _joinable(self, ask: CacheRequest, oldest: float) -> Fetch | None:
         if ask.cls.uncached:
             return None
         fills = (fill for fill, name in self._fills.items() if name == ask.copy)
         return next((fill for fill in fills if fill.may_join(oldest)), None)
 
-    def _deliver(self, fill: Fetch, ask: Ask, reply: Reply) -> None:
+    def _deliver(self, fill: Fetch, ask: CacheRequest, reply: Reply) -> None:
         def started() -> None:
-            if fill.stream.from_origin and reply.note is Note.FILLED:
-                reply.note = Note.FILLED_BY_ORIGIN
+            if fill.stream.from_origin and reply.note is CacheStatus.FILLED:
+                reply.note = CacheStatus.FILLED_BY_ORIGIN
 
         fill.stream.listen(started, lambda: None)
         relay(self.world.queue, fill.stream, reply, [self.link], ask.work, 1.0)
@@ -140,7 +140,7 @@
         if self.world.site.abort_fill and not fill.stream.consumers and not fill.stream.ended:
             fill.stream.fail(Failure.CANCELLED)
 
-    def _fill(self, ask: Ask, oldest: float) -> Fetch:
+    def _fill(self, ask: CacheRequest, oldest: float) -> Fetch:
         fill = Fetch(Stream(), oldest)
         self._fills[fill] = ask.copy
         collect(self.memory, ask, fill.stream, ask.keep, lambda: self._done(fill))
--- a/brackenlane/lab/simulation/faults.py
+++ b/brackenlane/lab/simulation/faults.py
@@ -9,7 +9,7 @@
 from brackenlane.lab.simulation.servers import Health, Server
 from brackenlane.lab.simulation.site import Trouble, TroubleKind
 from brackenlane.lab.simulation.workload import GROUPS
-from brackenlane.routing.members import State
+from brackenlane.routing.members import ServerState
 
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import World
@@ -70,17 +70,17 @@
 def _crash(world: World, server: Server, seconds: float) -> None:
     """The process ends at once and comes back, cold and empty."""
     server.stop()
-    world.announce(server.name, State.GONE)
+    world.announce(server.name, ServerState.GONE)
     world.queue.after(seconds, lambda: world.start_server(server.name))
 
 
 def _replace(world: World, server: Server) -> None:
     """A server drains and another takes its place; a parent comes back under its own name."""
-    world.announce(server.name, State.DRAINING)
+    world.announce(server.name, ServerState.DRAINING)
 
     def leave() -> None:
         server.stop()
-        world.announce(server.name, State.GONE)
+        world.announce(server.name, ServerState.GONE)
         if server.name in world.caches:
             successor = f"{server.name}-next"
             world.add_cache(successor, server.name)
--- a/brackenlane/lab/simulation/invariants.py
+++ b/brackenlane/lab/simulation/invariants.py
@@ -6,11 +6,11 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable
 
-from brackenlane.lab.simulation.record import Ended, Ending, Record, Request, Sent
+from brackenlane.lab.simulation.record import Disposition, Ended, Record, Request, Sent
 from brackenlane.lab.simulation.site import ORIGIN, Site
-from brackenlane.routing.events import Verdict
-from brackenlane.routing.members import State
-from brackenlane.routing.settings import Effect, Scope, Siblings
+from brackenlane.routing.events import AttemptResult
+from brackenlane.routing.members import ServerState
+from brackenlane.routing.settings import Idempotency, Scope, SiblingSources
 
 SLACK = 1e-5  # seconds, of the clock
 TOLD_SHARE = 2 / 3  # of the work that pushed a cold server over, from routers told of its start
@@ -20,7 +20,7 @@
 def answered_once(site: Site, record: Record) -> Violations:
     """One final answer in time for each request; nothing is sent after it."""
     found = [f"{name}: no final answer in time" for name in record.overdue]
-    answers = Counter(answer.request for answer in record.answered)
+    answers = Counter(answer.request_id for answer in record.answered)
     found += [f"{name}: {n} final answers" for name, n in answers.items() if n > 1]
     found += [
         f"{name}: no final answer"
@@ -28,7 +28,7 @@
         if name not in answers and name not in set(record.overdue)
     ]
     found += [
-        f"{sent.request}: attempt {sent.number} after its final answer"
+        f"{sent.request_id}: attempt {sent.number} after its final answer"
         for sent in record.sent
         if sent.answered
     ]
@@ -39,14 +39,14 @@
     """No new attempt or source at a server for longer than the grace after its drain was told."""
     told: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
     for listed in record.listed:
-        told[listed.router, listed.server].append((listed.at, listed.state is State.SERVING))
+        told[listed.router, listed.server].append((listed.at, listed.state is ServerState.SERVING))
     found = []
     for sent in record.sent:
         for server in sorted({sent.server, sent.source}):
             since = _out_since(told[sent.router, server], sent.at)
             if since is not None and sent.at > since + site.drain_grace + SLACK:
                 found.append(
-                    f"{sent.request}: {server} named {sent.at - since:.3f} s after its drain was told"
+                    f"{sent.request_id}: {server} named {sent.at - since:.3f} s after its drain was told"
                 )
     return found
 
@@ -69,30 +69,32 @@
     told: dict[tuple[int, str | int], list[tuple[float, float]]] = defaultdict(list)
     for purge in record.purges_told:
         told[purge.router, purge.key].append((purge.at, purge.purged_at))
-    sent_at = {(sent.request, sent.number): sent.at for sent in record.sent}
+    sent_at = {(sent.request_id, sent.number): sent.at for sent in record.sent}
     found = []
     for ended in record.ended:
-        if ended.verdict is not Verdict.OK:
+        if ended.verdict is not AttemptResult.OK:
             continue
-        request = record.requests[ended.request]
-        at = sent_at[ended.request, ended.number]
+        request = record.requests[ended.request_id]
+        at = sent_at[ended.request_id, ended.number]
         for key in (request.obj, request.group):
             for heard, purged in told[request.router, key]:
                 if at > heard + site.purge_grace + SLACK and ended.issued < purged - SLACK:
-                    found.append(f"{ended.request}: a copy older than a purge told {at - heard:.3f} s before")
+                    found.append(
+                        f"{ended.request_id}: a copy older than a purge told {at - heard:.3f} s before"
+                    )
     return found
 
 
 def no_repeated_writes(site: Site, record: Record) -> Violations:
     """Unsafe requests run once; keyed ones are repeated within their window and scope only."""
     sent: dict[str, list[Sent]] = defaultdict(list)
-    ended: dict[tuple[str, int], Ended] = {(e.request, e.number): e for e in record.ended}
+    ended: dict[tuple[str, int], Ended] = {(e.request_id, e.number): e for e in record.ended}
     for one in record.sent:
-        sent[one.request].append(one)
+        sent[one.request_id].append(one)
     found = []
     for name, attempts in sent.items():
         request = record.requests[name]
-        if request.cls.effect is Effect.SAFE:
+        if request.cls.effect is Idempotency.IDEMPOTENT:
             continue
         for n, later in enumerate(attempts):
             for earlier in attempts[:n]:
@@ -100,7 +102,7 @@
                     found += _repeat(request, earlier, later)
     runs = Counter(run.operation for run in record.executed)
     for name, count in runs.items():
-        if record.operations[name].cls.effect is Effect.UNSAFE and count > 1:
+        if record.operations[name].cls.effect is Idempotency.NON_IDEMPOTENT and count > 1:
             found.append(f"{name}: ran {count} times")
     return found + _refusals(record, sent, ended)
 
@@ -111,7 +113,7 @@
 
 def _repeat(request: Request, earlier: Sent, later: Sent) -> Violations:
     cls = request.cls
-    if cls.effect is Effect.UNSAFE:
+    if cls.effect is Idempotency.NON_IDEMPOTENT:
         return [f"{request.name}: sent again though it may have run"]
     if later.at > earlier.at + cls.repeat_window + SLACK:
         return [f"{request.name}: sent again after its window"]
@@ -130,29 +132,31 @@
     """A refusal says that a repeat does no harm."""
     found = []
     for answer in record.answered:
-        cls = record.requests[answer.request].cls
-        harmless = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.scope is Scope.ALL)
-        if answer.ending is not Ending.REFUSED or harmless:
+        cls = record.requests[answer.request_id].cls
+        harmless = cls.effect is Idempotency.IDEMPOTENT or (
+            cls.effect is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL
+        )
+        if answer.ending is not Disposition.REJECTED or harmless:
             continue
-        tries = sent.get(answer.request, [])
-        if any(_may_have_run(ended.get((one.request, one.number)), answer.at) for one in tries):
-            found.append(f"{answer.request}: refused though it may have run")
+        tries = sent.get(answer.request_id, [])
+        if any(_may_have_run(ended.get((one.request_id, one.number)), answer.at) for one in tries):
+            found.append(f"{answer.request_id}: refused though it may have run")
     return found
 
 
 def attempts_bounded(site: Site, record: Record) -> Violations:
     """No more attempts for one request than allowed, nor two at once where that is not allowed."""
-    ended = {(e.request, e.number): e.at for e in record.ended}
+    ended = {(e.request_id, e.number): e.at for e in record.ended}
     found = []
     last: dict[str, Sent] = {}
     for sent in record.sent:
         if sent.number >= site.max_attempts:
-            found.append(f"{sent.request}: attempt {sent.number + 1} of {site.max_attempts}")
-        before = last.get(sent.request)
-        out = before and ended.get((before.request, before.number), math.inf) > sent.at + SLACK
+            found.append(f"{sent.request_id}: attempt {sent.number + 1} of {site.max_attempts}")
+        before = last.get(sent.request_id)
+        out = before and ended.get((before.request_id, before.number), math.inf) > sent.at + SLACK
         if out and not site.second_copies:
-            found.append(f"{sent.request}: two attempts at once")
-        last[sent.request] = sent
+            found.append(f"{sent.request_id}: two attempts at once")
+        last[sent.request_id] = sent
     return found
 
 
@@ -164,11 +168,11 @@
     for sent in record.sent:
         home = f"cache-{homes[sent.router]}"
         if not _server_allowed(site, sent, home):
-            found.append(f"{sent.request}: {sent.server} may not be asked")
+            found.append(f"{sent.request_id}: {sent.server} may not be asked")
         if not _source_allowed(site, sent, home):
-            found.append(f"{sent.request}: {sent.source} may be no source for {sent.server}")
+            found.append(f"{sent.request_id}: {sent.source} may be no source for {sent.server}")
         found += [
-            f"{sent.request}: {server} was never listed"
+            f"{sent.request_id}: {server} was never listed"
             for server in sorted({sent.server, sent.source})
             if listed.get((sent.router, server), math.inf) > sent.at
         ]
@@ -186,8 +190,8 @@
         return False
     if sent.source.startswith("parent"):
         return True
-    near = site.siblings is Siblings.LOCATION and _zone(sent.source) == home
-    return near or site.siblings is Siblings.ANY
+    near = site.siblings is SiblingSources.LOCATION and _zone(sent.source) == home
+    return near or site.siblings is SiblingSources.ANY
 
 
 def no_cold_server_pushed_over(site: Site, record: Record) -> Violations:
--- a/brackenlane/lab/simulation/plain_policy.py
+++ b/brackenlane/lab/simulation/plain_policy.py
@@ -4,23 +4,23 @@
 
 from dataclasses import dataclass, field
 
-from brackenlane.routing.actions import Action, Fail, Fetch, Refuse, SetTimer, Subscribe
+from brackenlane.routing.actions import Action, Fail, Fetch, Reject, SetTimer, Subscribe
 from brackenlane.routing.events import (
     Arrival,
+    AttemptResult,
+    ClientDisconnected,
     Event,
-    ListKind,
     Membership,
+    MembershipKind,
     Outcome,
     Purged,
-    Started,
-    Verdict,
-    Wake,
-    Withdrawn,
+    ResponseStarted,
+    TimerFired,
 )
-from brackenlane.routing.members import Member, Role, State
+from brackenlane.routing.members import Member, Role, ServerState
 from brackenlane.routing.purges import Purges
 from brackenlane.routing.rendezvous_hash import score
-from brackenlane.routing.settings import Effect, RequestClass, Scope, Settings
+from brackenlane.routing.settings import Idempotency, RequestClass, Scope, Settings
 
 ATTEMPTS = 2
 
@@ -58,32 +58,32 @@
                 return self._outcome(event, now)
             case Membership():
                 return self._list(event)
-            case Wake():
+            case TimerFired():
                 request = self._requests.get(self._deadlines.pop(event.token, ""))
                 return self._give_up(request) if request else []
             case Purged():
                 self._purges.add(event, now)
-            case Started() | Withdrawn():
-                self._requests.pop(event.request, None)
+            case ResponseStarted() | ClientDisconnected():
+                self._requests.pop(event.request_id, None)
         return []
 
     def _list(self, event: Membership) -> list[Action]:
-        if event.kind in (ListKind.FULL, ListKind.REMEMBERED):
+        if event.kind in (MembershipKind.FULL, MembershipKind.REMEMBERED):
             self._members = {}
         self._members.update({m.server: m for m in event.members})
-        asks = self._settings.must_ask and event.kind in (ListKind.REMEMBERED, ListKind.REFUSED)
+        asks = self._settings.must_ask and event.kind in (MembershipKind.REMEMBERED, MembershipKind.REJECTED)
         return [Subscribe()] if asks else []
 
     def _serving(self, role: Role) -> list[Member]:
-        return [m for m in self._members.values() if m.role is role and m.state is State.SERVING]
+        return [m for m in self._members.values() if m.role is role and m.state is ServerState.SERVING]
 
     def _arrive(self, ask: Arrival, now: float) -> list[Action]:
         request = PlainRequest(ask, self._classes[ask.cls], now + ask.time_left)
-        self._requests[ask.request] = request
+        self._requests[ask.request_id] = request
         token = len(self._deadlines) + 1
         while token in self._deadlines:
             token += 1
-        self._deadlines[token] = ask.request
+        self._deadlines[token] = ask.request_id
         return [SetTimer(token, request.deadline), *self._send(request, now)]
 
     def _send(self, request: PlainRequest, now: float) -> list[Action]:
@@ -94,7 +94,7 @@
         request.tried.append(edge.server)
         return [
             Fetch(
-                request.ask.request,
+                request.ask.request_id,
                 edge.server,
                 request.deadline - now,
                 source.server,
@@ -128,29 +128,29 @@
         return min(near, key=lambda m: (score(obj, m), m.server), default=None)
 
     def _outcome(self, event: Outcome, now: float) -> list[Action]:
-        request = self._requests.get(event.request)
+        request = self._requests.get(event.request_id)
         if request is None:
             return []
-        if event.final or event.verdict is Verdict.OK:
-            del self._requests[event.request]
+        if event.final or event.verdict is AttemptResult.OK:
+            del self._requests[event.request_id]
             return []
         if not event.verdict.never_ran and not request.may_have_run:
             request.may_have_run, request.ran_since = True, now - event.wait
         again = len(request.tried) < min(ATTEMPTS, self._settings.max_attempts)
-        if event.verdict is Verdict.MISS or not again or now >= request.deadline:
+        if event.verdict is AttemptResult.MISS or not again or now >= request.deadline:
             return self._give_up(request)
         return self._send(request, now) if self._may_repeat(request, now) else self._give_up(request)
 
     def _may_repeat(self, request: PlainRequest, now: float) -> bool:
         cls = request.cls
-        if cls.effect is Effect.SAFE or not request.may_have_run:
+        if cls.effect is Idempotency.IDEMPOTENT or not request.may_have_run:
             return True
         within = now <= request.ran_since + cls.repeat_window
-        return cls.effect is Effect.KEYED and cls.scope is not Scope.CELL and within
+        return cls.effect is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is not Scope.CELL and within
 
     def _give_up(self, request: PlainRequest) -> list[Action]:
-        name, cls = request.ask.request, request.cls
+        name, cls = request.ask.request_id, request.cls
         self._requests.pop(name, None)
-        repeats = cls.effect is Effect.KEYED and cls.scope is Scope.ALL
-        harmless = cls.effect is Effect.SAFE or repeats
-        return [Refuse(name) if harmless else Fail(name)]
+        repeats = cls.effect is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL
+        harmless = cls.effect is Idempotency.IDEMPOTENT or repeats
+        return [Reject(name) if harmless else Fail(name)]
--- a/brackenlane/lab/simulation/record.py
+++ b/brackenlane/lab/simulation/record.py
@@ -5,16 +5,16 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackenlane.routing.events import Note, Verdict
-from brackenlane.routing.members import State
+from brackenlane.routing.events import AttemptResult, CacheStatus
+from brackenlane.routing.members import ServerState
 from brackenlane.routing.settings import RequestClass
 
 
-class Ending(Enum):
+class Disposition(Enum):
     """How a router ended a request."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
 
 
@@ -48,7 +48,7 @@
 class Sent:
     """An attempt as the router asked for it; answered: whether its request had its final answer before."""
 
-    request: str
+    request_id: str
     number: int
     router: int
     server: str
@@ -61,10 +61,10 @@
 class Ended:
     """An attempt's outcome as the router was told of it."""
 
-    request: str
+    request_id: str
     number: int
-    verdict: Verdict
-    note: Note  # as it was, told or not
+    verdict: AttemptResult
+    note: CacheStatus  # as it was, told or not
     issued: float  # of the copy that answered; 0 if none did
     at: float
 
@@ -73,8 +73,8 @@
 class Answered:
     """A request's final answer."""
 
-    request: str
-    ending: Ending
+    request_id: str
+    ending: Disposition
     at: float
 
 
@@ -84,7 +84,7 @@
 
     router: int
     server: str
-    state: State
+    state: ServerState
     started_at: float
     at: float
 
--- a/brackenlane/lab/simulation/routers.py
+++ b/brackenlane/lab/simulation/routers.py
@@ -7,12 +7,21 @@
 
 from brackenlane.lab.simulation.clock import ScheduledCall
 from brackenlane.lab.simulation.edge import EdgeCache
-from brackenlane.lab.simulation.record import Answered, Ended, Ending, Request, Sent
-from brackenlane.lab.simulation.servers import Ask, Reply, Server, oldest_allowed
+from brackenlane.lab.simulation.record import Answered, Disposition, Ended, Request, Sent
+from brackenlane.lab.simulation.servers import CacheRequest, Reply, Server, oldest_allowed
 from brackenlane.lab.simulation.site import Tells
 from brackenlane.lab.simulation.streams import Failure, Stream, relay
-from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer
-from brackenlane.routing.events import Arrival, Event, Note, Outcome, Started, Verdict, Wake, Withdrawn
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer
+from brackenlane.routing.events import (
+    Arrival,
+    AttemptResult,
+    CacheStatus,
+    ClientDisconnected,
+    Event,
+    Outcome,
+    ResponseStarted,
+    TimerFired,
+)
 
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import Policy, World
@@ -20,28 +29,28 @@
 SLACK = 1e-6  # of the clock
 # How an attempt ends that failed so, and the note that a cache gives.
 ENDINGS = {
-    Failure.FULL: (Verdict.FULL, Note.UNTOLD),
-    Failure.NO_PLACE: (Verdict.FULL, Note.NO_PLACE),
-    Failure.UNREACHABLE: (Verdict.UNREACHABLE, Note.UNTOLD),
-    Failure.LACKING: (Verdict.MISS, Note.UNTOLD),
-    Failure.ERROR: (Verdict.ERROR, Note.UNTOLD),
-    Failure.BROKEN: (Verdict.BROKEN, Note.UNTOLD),
-    Failure.SOURCE_REFUSED: (Verdict.FULL, Note.SOURCE_REFUSED),
-    Failure.SOURCE_UNREACHABLE: (Verdict.FULL, Note.SOURCE_FAILED),
-    Failure.SOURCE_LACKING: (Verdict.MISS, Note.SOURCE_LACKS),
-    Failure.SOURCE_FAILED: (Verdict.ERROR, Note.SOURCE_FAILED),
-    Failure.SLOW: (Verdict.ERROR, Note.SOURCE_FAILED),
-    Failure.ORIGIN: (Verdict.ERROR, Note.ORIGIN_FAILED),
-    Failure.CANCELLED: (Verdict.CANCELLED, Note.UNTOLD),
+    Failure.FULL: (AttemptResult.FULL, CacheStatus.UNKNOWN),
+    Failure.NO_PLACE: (AttemptResult.FULL, CacheStatus.NO_PLACE),
+    Failure.UNREACHABLE: (AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN),
+    Failure.LACKING: (AttemptResult.MISS, CacheStatus.UNKNOWN),
+    Failure.ERROR: (AttemptResult.ERROR, CacheStatus.UNKNOWN),
+    Failure.BROKEN: (AttemptResult.BROKEN, CacheStatus.UNKNOWN),
+    Failure.SOURCE_REFUSED: (AttemptResult.FULL, CacheStatus.SOURCE_REFUSED),
+    Failure.SOURCE_UNREACHABLE: (AttemptResult.FULL, CacheStatus.SOURCE_FAILED),
+    Failure.SOURCE_LACKING: (AttemptResult.MISS, CacheStatus.SOURCE_LACKS),
+    Failure.SOURCE_FAILED: (AttemptResult.ERROR, CacheStatus.SOURCE_FAILED),
+    Failure.SLOW: (AttemptResult.ERROR, CacheStatus.SOURCE_FAILED),
+    Failure.ORIGIN: (AttemptResult.ERROR, CacheStatus.ORIGIN_FAILED),
+    Failure.CANCELLED: (AttemptResult.CANCELLED, CacheStatus.UNKNOWN),
 }
-TOLD_OF_HITS = (Note.HIT, Note.FILLED, Note.JOINED, Note.STALE)
+TOLD_OF_HITS = (CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED, CacheStatus.STALE)
 
 
 class OpenRequest:
     """A request that a router has taken."""
 
     def __init__(
-        self, request: Request, ask: Arrival, work: float, ended: Callable[[Ending, Note], None]
+        self, request: Request, ask: Arrival, work: float, ended: Callable[[Disposition, CacheStatus], None]
     ) -> None:
         """ended: told of the final answer."""
         self.request, self.ask, self.work, self.ended = request, ask, work, ended
@@ -70,7 +79,7 @@
         self._requests: dict[str, OpenRequest] = {}
 
     def take(
-        self, request: Request, ask: Arrival, work: float, ended: Callable[[Ending, Note], None]
+        self, request: Request, ask: Arrival, work: float, ended: Callable[[Disposition, CacheStatus], None]
     ) -> None:
         """A client's try."""
         self._requests[request.name] = OpenRequest(request, ask, work, ended)
@@ -88,41 +97,45 @@
         match action:
             case Fetch():
                 self._fetch(action)
-            case Refuse():
-                self._answer(self._requests[action.request], Ending.REFUSED, Note.UNTOLD)
+            case Reject():
+                self._answer(self._requests[action.request_id], Disposition.REJECTED, CacheStatus.UNKNOWN)
             case Fail():
-                self._answer(self._requests[action.request], Ending.FAILED, Note.UNTOLD)
+                self._answer(self._requests[action.request_id], Disposition.FAILED, CacheStatus.UNKNOWN)
             case Cancel():
-                self._cancel(self._requests[action.request].attempts[action.attempt])
+                self._cancel(self._requests[action.request_id].attempts[action.attempt])
             case SetTimer():
                 at = max(action.at, self.world.queue.now + self.world.site.tick)
-                self.world.queue.at(at, lambda: self.deliver(Wake(action.token)))
+                self.world.queue.at(at, lambda: self.deliver(TimerFired(action.token)))
 
     def _fetch(self, action: Fetch) -> None:
         world, now = self.world, self.world.queue.now
-        opened = self._requests[action.request]
+        opened = self._requests[action.request_id]
         attempt = Attempt(opened, len(opened.attempts), action.server, now)
         opened.attempts.append(attempt)
         world.record.sent.append(
-            Sent(action.request, attempt.number, self.number, action.server, action.source, now, opened.over)
+            Sent(
+                action.request_id, attempt.number, self.number, action.server, action.source, now, opened.over
+            )
         )
         attempt.reply.listen(lambda: self._started(attempt), lambda: self._replied(attempt))
         if opened.over or attempt.number >= world.site.max_attempts:
-            world.queue.after(0.0, lambda: self._end(attempt, Verdict.NEVER_SENT))
+            world.queue.after(0.0, lambda: self._end(attempt, AttemptResult.NEVER_SENT))
             return
         left = opened.request.deadline - now
         timeout = min(action.timeout, left) if action.timeout else left
         attempt.timer = world.queue.after(max(0.0, timeout), lambda: self._time_out(attempt))
         server = world.server(action.server)
         if server is None:
-            world.queue.after(world.site.connect_timeout, lambda: self._end(attempt, Verdict.UNREACHABLE))
+            world.queue.after(
+                world.site.connect_timeout, lambda: self._end(attempt, AttemptResult.UNREACHABLE)
+            )
             return
         ask = self._ask(opened, action)
         world.queue.after(world.latency(self.zone, server), lambda: self._reach(server, ask, attempt))
 
-    def _ask(self, opened: OpenRequest, action: Fetch) -> Ask:
+    def _ask(self, opened: OpenRequest, action: Fetch) -> CacheRequest:
         ask = opened.ask
-        return Ask(
+        return CacheRequest(
             opened.request.operation,
             self.number,
             opened.request.cls,
@@ -138,14 +151,14 @@
             action.held_only,
         )
 
-    def _reach(self, server: Server, ask: Ask, attempt: Attempt) -> None:
+    def _reach(self, server: Server, ask: CacheRequest, attempt: Attempt) -> None:
         if attempt.over:
             return
         if isinstance(server, EdgeCache):
             return server.take(ask, attempt.reply)
         self._direct(server, ask, attempt.reply)
 
-    def _direct(self, server: Server, ask: Ask, reply: Reply) -> None:
+    def _direct(self, server: Server, ask: CacheRequest, reply: Reply) -> None:
         """Straight to a parent or the origin, over the location's link."""
         upstream = Stream()
         links = [server.link, self.world.location_links[self.zone]]
@@ -155,7 +168,7 @@
 
         def started() -> None:
             fetched = upstream.from_origin and server is not self.world.origin
-            reply.note = Note.FILLED_BY_ORIGIN if fetched else Note.HIT
+            reply.note = CacheStatus.FILLED_BY_ORIGIN if fetched else CacheStatus.HIT
 
         upstream.listen(started, lambda: None)
         server.provide(ask, oldest_allowed(ask, self.world.queue.now), upstream)
@@ -171,25 +184,31 @@
             if attempt.timer:
                 attempt.timer.cancel()
             wait = self.world.queue.now - attempt.sent_at
-            self.deliver(Started(opened.request.name, attempt.number, attempt.server, wait))
+            self.deliver(ResponseStarted(opened.request.name, attempt.number, attempt.server, wait))
 
     def _replied(self, attempt: Attempt) -> None:
         if attempt.over:
             return
         if attempt.reply.complete:
-            return self._end(attempt, Verdict.OK, attempt.reply.note, attempt.reply.issued)
+            return self._end(attempt, AttemptResult.OK, attempt.reply.note, attempt.reply.issued)
         verdict, note = ENDINGS[attempt.reply.failure or Failure.BROKEN]
-        self._end(attempt, verdict, note if note is not Note.UNTOLD else attempt.reply.note)
+        self._end(attempt, verdict, note if note is not CacheStatus.UNKNOWN else attempt.reply.note)
 
     def _time_out(self, attempt: Attempt) -> None:
         if not attempt.over and attempt.opened.streaming is not attempt:
-            self._end(attempt, Verdict.TIMEOUT)
+            self._end(attempt, AttemptResult.TIMEOUT)
 
     def _cancel(self, attempt: Attempt) -> None:
         if not attempt.over and attempt.opened.streaming is not attempt:
-            self.world.queue.after(0.0, lambda: self._end(attempt, Verdict.CANCELLED))
-
-    def _end(self, attempt: Attempt, verdict: Verdict, note: Note = Note.UNTOLD, issued: float = 0.0) -> None:
+            self.world.queue.after(0.0, lambda: self._end(attempt, AttemptResult.CANCELLED))
+
+    def _end(
+        self,
+        attempt: Attempt,
+        verdict: AttemptResult,
+        note: CacheStatus = CacheStatus.UNKNOWN,
+        issued: float = 0.0,
+    ) -> None:
         if attempt.over:
             return
         attempt.over = True
@@ -199,14 +218,16 @@
         opened, now = attempt.opened, self.world.queue.now
         name = opened.request.name
         self.world.record.ended.append(Ended(name, attempt.number, verdict, note, issued, now))
-        if not opened.over and (verdict is Verdict.OK or opened.streaming is attempt):
-            self._answer(opened, Ending.SERVED if verdict is Verdict.OK else Ending.FAILED, note)
+        if not opened.over and (verdict is AttemptResult.OK or opened.streaming is attempt):
+            self._answer(
+                opened, Disposition.SERVED if verdict is AttemptResult.OK else Disposition.FAILED, note
+            )
         self.deliver(self._outcome(attempt, verdict, note))
 
-    def _outcome(self, attempt: Attempt, verdict: Verdict, note: Note) -> Outcome:
+    def _outcome(self, attempt: Attempt, verdict: AttemptResult, note: CacheStatus) -> Outcome:
         site, opened = self.world.site, attempt.opened
-        seen = site.sizes_seen and verdict is Verdict.OK
-        filled = site.tells is Tells.ALL and note in (Note.FILLED, Note.FILLED_BY_ORIGIN)
+        seen = site.sizes_seen and verdict is AttemptResult.OK
+        filled = site.tells is Tells.ALL and note in (CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN)
         return Outcome(
             opened.request.name,
             attempt.number,
@@ -224,7 +245,7 @@
         """Until the source's first byte, as the cache counts it: from when it asked the source."""
         return max(0.0, attempt.reply.started_at - attempt.sent_at)
 
-    def _answer(self, opened: OpenRequest, ending: Ending, note: Note) -> None:
+    def _answer(self, opened: OpenRequest, ending: Disposition, note: CacheStatus) -> None:
         if opened.over:
             return
         opened.over = True
@@ -236,16 +257,20 @@
             return
         self.world.record.overdue.append(opened.request.name)
         opened.over = True
-        opened.ended(Ending.FAILED, Note.UNTOLD)
-        self.deliver(Withdrawn(opened.request.name))
+        opened.ended(Disposition.FAILED, CacheStatus.UNKNOWN)
+        self.deliver(ClientDisconnected(opened.request.name))
 
 
-def told_note(tells: Tells, note: Note, verdict: Verdict) -> Note:
+def told_note(tells: Tells, note: CacheStatus, verdict: AttemptResult) -> CacheStatus:
     """What the router is told of how an answer came about."""
     if tells is Tells.ALL:
         return note
     if tells is Tells.SILENT:
-        return Note.UNTOLD
-    if note is Note.FILLED_BY_ORIGIN:
-        return Note.FILLED
-    return note if note in TOLD_OF_HITS and verdict in (Verdict.OK, Verdict.MISS) else Note.UNTOLD
+        return CacheStatus.UNKNOWN
+    if note is CacheStatus.FILLED_BY_ORIGIN:
+        return CacheStatus.FILLED
+    return (
+        note
+        if note in TOLD_OF_HITS and verdict in (AttemptResult.OK, AttemptResult.MISS)
+        else CacheStatus.UNKNOWN
+    )
--- a/brackenlane/lab/simulation/servers.py
+++ b/brackenlane/lab/simulation/servers.py
@@ -16,7 +16,7 @@
 from brackenlane.lab.simulation.site import Site
 from brackenlane.lab.simulation.slow_start import ColdBudget
 from brackenlane.lab.simulation.streams import Failure, Stream
-from brackenlane.routing.events import Note
+from brackenlane.routing.events import CacheStatus
 from brackenlane.routing.settings import RequestClass
 
 QUICK_ERROR = 0.003  # seconds until a server that fails a request says so
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class CacheRequest:
     """A request as it reaches a server."""
 
     operation: str
@@ -62,7 +62,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.note = Note.UNTOLD
+        self.note = CacheStatus.UNKNOWN
         self.started_at = 0.0
 
 
@@ -85,14 +85,14 @@
     def mean_work(self, cls: RequestClass) -> float:
         """The mean sending time of a class."""
 
-    def fill(self, asker: Server, ask: Ask, oldest: float, into: Stream, work: float) -> None:
+    def fill(self, asker: Server, ask: CacheRequest, oldest: float, into: Stream, work: float) -> None:
         """Get a copy from the source that an ask names."""
 
     def pressed(self, server: Server, router: int, work: float) -> None:
         """Work reached a server that started lately."""
 
 
-def oldest_allowed(ask: Ask, now: float) -> float:
+def oldest_allowed(ask: CacheRequest, now: float) -> float:
     """The moment before which no copy may have left the origin."""
     cls = ask.cls
     if cls.fresh:
@@ -139,7 +139,7 @@
     def _drop(self, stream: Stream) -> None:
         self.outgoing.pop(stream, None)
 
-    def admit(self, ask: Ask, stream: Stream) -> bool:
+    def admit(self, ask: CacheRequest, stream: Stream) -> bool:
         """Whether a request is to be worked on; if not, how it ends is settled."""
         if self.cold and self.health is not Health.DOWN:
             self.world.pressed(self, ask.router, self.world.mean_work(ask.cls))
@@ -154,7 +154,7 @@
             return False
         return True
 
-    def provide(self, ask: Ask, oldest: float, stream: Stream) -> None:
+    def provide(self, ask: CacheRequest, oldest: float, stream: Stream) -> None:
         """Be the source of a fill; the stream holds the bytes as they are here, before the link."""
         raise NotImplementedError
 
@@ -175,7 +175,9 @@
         return (self.stream.issued if self.stream.started else self.oldest) >= oldest
 
 
-def collect(memory: RankedMemory, ask: Ask, stream: Stream, rank: int, done: Callable[[], None]) -> None:
+def collect(
+    memory: RankedMemory, ask: CacheRequest, stream: Stream, rank: int, done: Callable[[], None]
+) -> None:
     """Keep what a fill brings once it is whole, and call back at its end."""
 
     def ended() -> None:
@@ -186,7 +188,7 @@
     stream.listen(_nothing, ended)
 
 
-def fetch_work(world: Surroundings, memory: RankedMemory, ask: Ask) -> float:
+def fetch_work(world: Surroundings, memory: RankedMemory, ask: CacheRequest) -> float:
     """The work of a fill: little where a copy that was not purged only has to be renewed."""
     copy = memory.get(ask.copy)
     return ask.work * (RENEWAL if copy and world.is_current(copy) else 1.0)
@@ -200,7 +202,7 @@
         self.memory = RankedMemory(memory)
         self._fetches: dict[str, Fetch] = {}
 
-    def provide(self, ask: Ask, oldest: float, stream: Stream) -> None:
+    def provide(self, ask: CacheRequest, oldest: float, stream: Stream) -> None:
         """Give a copy, fetched from the origin if need be."""
         if not self.admit(ask, stream):
             return
@@ -218,7 +220,7 @@
             fetch = self._fetch(ask, oldest)
         _follow(fetch.stream, stream)
 
-    def _fetch(self, ask: Ask, oldest: float) -> Fetch:
+    def _fetch(self, ask: CacheRequest, oldest: float) -> Fetch:
         fetch = Fetch(Stream(), oldest)
         key = ask.operation if ask.cls.uncached else ask.copy
         self._fetches[key] = fetch
@@ -257,7 +259,7 @@
         super().__init__(name, zone, site.origin_width, world)
         self.slowdown = 1.0
         self._busy = 0
-        self._queue: deque[tuple[Ask, Stream]] = deque()
+        self._queue: deque[tuple[CacheRequest, Stream]] = deque()
         self._places = int(site.origin_workers * site.origin_queue_seconds / site.origin_seconds)
         self._recent: deque[float] = deque()
         self._stops = 0
@@ -267,7 +269,7 @@
         self.slowdown = factor
         self.link.set_width(self.full_width / factor)
 
-    def provide(self, ask: Ask, oldest: float, stream: Stream) -> None:
+    def provide(self, ask: CacheRequest, oldest: float, stream: Stream) -> None:
         """Work on a request when a worker is free."""
         self._watch_overload()
         if not self.admit(ask, stream):
--- a/brackenlane/lab/simulation/site.py
+++ b/brackenlane/lab/simulation/site.py
@@ -8,7 +8,13 @@
 from enum import Enum
 from functools import cached_property
 
-from brackenlane.routing.settings import ColdStart, Notes, RequestClass, Settings, Siblings
+from brackenlane.routing.settings import (
+    CacheStatusReporting,
+    RequestClass,
+    Settings,
+    SiblingSources,
+    SlowStart,
+)
 
 ORIGIN = "origin"
 USUAL_LOAD = 0.6  # for which the origin is sized
@@ -119,13 +125,13 @@
     sizes_seen: bool = False  # in answers
     direct: bool = True
     joins: bool = True
-    siblings: Siblings = Siblings.NONE
+    siblings: SiblingSources = SiblingSources.NONE
     may_cancel: bool = True
     second_copies: bool = True
     max_attempts: int = 8
     max_hold_off: float = 0.0
-    edge_cold: ColdStart = ColdStart(0.25, 16.0, 3.0, 1.0)
-    parent_cold: ColdStart = ColdStart(0.065, 20.0, 2.0, 1.0)
+    edge_cold: SlowStart = SlowStart(0.25, 16.0, 3.0, 1.0)
+    parent_cold: SlowStart = SlowStart(0.065, 20.0, 2.0, 1.0)
     drain_grace: float = 0.5
     purge_grace: float = 0.5
     purge_done: float = 6.0
@@ -226,7 +232,7 @@
             direct=self.direct,
             joins=self.joins,
             siblings=self.siblings,
-            notes=Notes(self.tells.value),
+            notes=CacheStatusReporting(self.tells.value),
         )
 
     def listed_weight(self, server: str, width: float) -> float:
--- a/brackenlane/lab/simulation/slow_start.py
+++ b/brackenlane/lab/simulation/slow_start.py
@@ -5,7 +5,7 @@
 import math
 from collections import deque
 
-from brackenlane.routing.settings import ColdStart
+from brackenlane.routing.settings import SlowStart
 
 CHANCE = 2.0  # roots of the budget, in mean requests, and as many requests, that are put down to chance
 
@@ -14,7 +14,7 @@
     """Work that reaches one cold server, in windows of the rule's span."""
 
     def __init__(
-        self, rule: ColdStart, width: float, start_share: float, warm_after: float, started_at: float
+        self, rule: SlowStart, width: float, start_share: float, warm_after: float, started_at: float
     ) -> None:
         """start_share and warm_after: as the server truly is; the rule tells the least and the latest."""
         self._rule = rule
--- a/brackenlane/lab/simulation/world.py
+++ b/brackenlane/lab/simulation/world.py
@@ -16,14 +16,14 @@
 from brackenlane.lab.simulation.record import Executed, FellOver, Listed, PurgeTold, Record
 from brackenlane.lab.simulation.reports import Reports
 from brackenlane.lab.simulation.routers import RouterHost
-from brackenlane.lab.simulation.servers import Ask, Origin, Parent, Server
+from brackenlane.lab.simulation.servers import CacheRequest, Origin, Parent, Server
 from brackenlane.lab.simulation.site import ORIGIN, Site
 from brackenlane.lab.simulation.slow_start import ColdBudget
 from brackenlane.lab.simulation.streams import Failure, Stream, relay
 from brackenlane.lab.simulation.workload import Wanted, Workload
 from brackenlane.routing.actions import Action
-from brackenlane.routing.events import Event, ListKind, Membership, Purged
-from brackenlane.routing.members import Member, Role, State
+from brackenlane.routing.events import Event, Membership, MembershipKind, Purged
+from brackenlane.routing.members import Member, Role, ServerState
 from brackenlane.routing.rendezvous_hash import score
 from brackenlane.routing.settings import RequestClass, Settings
 
@@ -78,7 +78,7 @@
     def run(self) -> Record:
         """Play the day."""
         for router in self.routers:
-            self._tell(router, ListKind.REMEMBERED, tuple(self.members.values()))
+            self._tell(router, MembershipKind.REMEMBERED, tuple(self.members.values()))
         self.clients.schedule(self.workload.first_tries())
         self._schedule_purges()
         begin_troubles(self)
@@ -113,7 +113,7 @@
         """Whether answers of a class belong to the client from the first byte on."""
         return cls.name in self._streamed
 
-    def fill(self, asker: Server, ask: Ask, oldest: float, into: Stream, work: float) -> None:
+    def fill(self, asker: Server, ask: CacheRequest, oldest: float, into: Stream, work: float) -> None:
         """Get a copy from the source that an ask names; a parent asks the origin."""
         source = self.origin if isinstance(asker, Parent) else self.server(ask.source)
         if source is None:
@@ -145,7 +145,7 @@
             self.record.fell_over.append(FellOver(server.name, share, self.queue.now))
             server.stop()
             server.cold = None
-            self.announce(server.name, State.GONE)
+            self.announce(server.name, ServerState.GONE)
 
     def latency(self, zone: str, server: Server) -> float:
         """Seconds to a server, one way."""
@@ -164,9 +164,9 @@
         share = min(1.0, rule.share * self.random.uniform(*WEAKEST))
         warm = rule.ramp * self.random.uniform(*WARMEST)
         server.start_cold(ColdBudget(rule, server.full_width, share, warm, self.queue.now))
-        self.announce(name, State.SERVING, self.queue.now)
+        self.announce(name, ServerState.SERVING, self.queue.now)
 
-    def announce(self, name: str, state: State, started_at: float | None = None) -> None:
+    def announce(self, name: str, state: ServerState, started_at: float | None = None) -> None:
         """Routers hear of a change, each after its own delay."""
         known = self.members[name]
         told = Member(
@@ -183,7 +183,7 @@
             # Delivery is ordered: what was announced later is heard later.
             at = max(self.queue.now + delay, router.list_heard)
             router.list_heard = at
-            self.queue.at(at, partial(self._tell, router, ListKind.CHANGES, (told,)))
+            self.queue.at(at, partial(self._tell, router, MembershipKind.CHANGES, (told,)))
 
     def add_cache(self, name: str, like: str) -> None:
         """A new machine stands in for another."""
@@ -211,7 +211,7 @@
         place = self.site.zones.index(zone)
         return place if place < self.site.hubs else self.site.locations[place - self.site.hubs].hub
 
-    def _tell(self, router: RouterHost, kind: ListKind, members: tuple[Member, ...]) -> None:
+    def _tell(self, router: RouterHost, kind: MembershipKind, members: tuple[Member, ...]) -> None:
         for member in members:
             self._told_starts[router.number, member.server] = member.started_at
             self.record.listed.append(
--- a/brackenlane/lab/stand_ins/cache_server.py
+++ b/brackenlane/lab/stand_ins/cache_server.py
@@ -15,10 +15,10 @@
 
 from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Dropped, Pinged
 
-Reply = bytes | None
+ScriptedReply = bytes | None
 
 
-class Door:
+class CacheListener:
     """A listener that can be closed, with all its connections, and opened again at its port."""
 
     port = 0
@@ -54,12 +54,12 @@
 
 
 @dataclass
-class Box(Door):
+class Box(CacheListener):
     """A cache box, parent or the origin. None is no answer; one that ends no line ends the connection."""
 
     id: str
     model: str = "type-a"
-    answer: Callable[[Asked], Reply] = data
+    answer: Callable[[Asked], ScriptedReply] = data
     asked: list[Asked] = field(default_factory=list)
     dropped: list[str] = field(default_factory=list)
     alive: bool = True  # whether it answers PING
--- a/brackenlane/lab/stand_ins/redis.py
+++ b/brackenlane/lab/stand_ins/redis.py
@@ -19,7 +19,7 @@
 import orjson
 import trio
 
-from brackenlane.lab.stand_ins.cache_server import Door
+from brackenlane.lab.stand_ins.cache_server import CacheListener
 
 Seen = Callable[..., None]
 
@@ -34,7 +34,7 @@
     patience: float = 0.5
 
 
-class Redis(Door):
+class Redis(CacheListener):
     """The store. `seen` is told of every connection, command and event sent, for a record."""
 
     def __init__(self, capacity: Capacity = Capacity(), seen: Seen = lambda *_, **__: None) -> None:
--- a/brackenlane/lifecycle.py
+++ b/brackenlane/lifecycle.py
@@ -15,8 +15,8 @@
 
 from brackenlane.config import ConfigError, Endpoint
 from brackenlane.net.connector import family_of
-from brackenlane.net.http_front import Door
-from brackenlane.net.poller import Board
+from brackenlane.net.http_front import HttpFront
+from brackenlane.net.poller import Poller
 
 log = logging.getLogger(__name__)
 
@@ -63,7 +63,7 @@
         log.warning("new connections are not steered: %s", fault.strerror)
 
 
-class Early:
+class EarlySignal:
     """A handler for a signal that comes before it can be served: `Signals` serves it then."""
 
     came = False
@@ -73,21 +73,21 @@
         self.came = True
 
 
-class Signals:
+class SignalWatcher:
     """Signals by a socket on the board: a board that waits itself does not hear trio's own way of telling."""
 
-    def __init__(self, board: Board, *signals: signal.Signals) -> None:
+    def __init__(self, board: Poller, *signals: signal.Signals) -> None:
         self._board, self._signals = board, signals
         self._read, self._write = socket.socketpair()
         self._came = trio.Event()
         self._old: list[Any] = []
 
-    def __enter__(self) -> Signals:
+    def __enter__(self) -> SignalWatcher:
         self._read.setblocking(False)
         self._write.setblocking(False)
         self._board.add(self._read.fileno(), self._ready, urgent=True)
         self._old = [signal.signal(number, self._tell) for number in self._signals]
-        if any(isinstance(old, Early) and old.came for old in self._old):
+        if any(isinstance(old, EarlySignal) and old.came for old in self._old):
             self._tell()
         return self
 
@@ -114,7 +114,7 @@
 
 
 async def serve_until_told(
-    door: Door,
+    door: HttpFront,
     endpoint: Endpoint,
     name: str,
     beside: Callable[[], int] | None = None,
@@ -126,7 +126,7 @@
     earlier processes of this doorman serve at the same address (None: none may); `serving` is called once it
     serves.
     """
-    with Signals(door.board, signal.SIGTERM, signal.SIGINT) as leave:
+    with SignalWatcher(door.board, signal.SIGTERM, signal.SIGINT) as leave:
         if beside is None:
             door.open([plain(listener) for listener in await listen(endpoint)])
         else:
--- a/brackenlane/limits.py
+++ b/brackenlane/limits.py
@@ -39,7 +39,7 @@
     ops_time: float = 5.0  # from a caller's connection to its end
     taken_out: int = 1_024  # boxes taken out by hand at once; one more gets a no
 
-    # Ledger of the processes of one doorman
+    # Handover log of the processes of one router
     ledger: int = 2_097_152  # past it no submit is claimed, so none runs; of a foreign one no more is read
     ledger_orders: int = 65_536  # more, for all but submits
     ledger_tidy: int = 524_288  # from which it is rewritten, while no other process lives
--- a/brackenlane/net/cache_codec.py
+++ b/brackenlane/net/cache_codec.py
@@ -8,28 +8,28 @@
 
 from brackenlane.limits import Limits
 from brackenlane.routing.actions import Fetch
-from brackenlane.routing.events import Arrival, Note, Verdict
+from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus
 from brackenlane.routing.load_report import read_load_report
 
 VERDICTS = {
-    "data": Verdict.OK,
-    "unchanged": Verdict.OK,
-    "absent": Verdict.MISS,
-    "full": Verdict.FULL,
-    "failed": Verdict.ERROR,
-    "moot": Verdict.NEVER_SENT,
+    "data": AttemptResult.OK,
+    "unchanged": AttemptResult.OK,
+    "absent": AttemptResult.MISS,
+    "full": AttemptResult.FULL,
+    "failed": AttemptResult.ERROR,
+    "moot": AttemptResult.NEVER_SENT,
 }
 NOTES = {
-    "hit": Note.HIT,
-    "filled": Note.FILLED,
-    "via_origin": Note.FILLED_BY_ORIGIN,
-    "joined": Note.JOINED,
-    "stale": Note.STALE,
-    "src_refused": Note.SOURCE_REFUSED,
-    "src_broke": Note.SOURCE_FAILED,
-    "src_lacks": Note.SOURCE_LACKS,
-    "no_slot": Note.NO_PLACE,
-    "origin_failed": Note.ORIGIN_FAILED,
+    "hit": CacheStatus.HIT,
+    "filled": CacheStatus.FILLED,
+    "via_origin": CacheStatus.FILLED_BY_ORIGIN,
+    "joined": CacheStatus.JOINED,
+    "stale": CacheStatus.STALE,
+    "src_refused": CacheStatus.SOURCE_REFUSED,
+    "src_broke": CacheStatus.SOURCE_FAILED,
+    "src_lacks": CacheStatus.SOURCE_LACKS,
+    "no_slot": CacheStatus.NO_PLACE,
+    "origin_failed": CacheStatus.ORIGIN_FAILED,
 }
 
 
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class BoxAnswer:
+class CacheResponse:
     """One answer as it came."""
 
     id: str
@@ -53,14 +53,14 @@
     body: bytes
 
     @property
-    def verdict(self) -> Verdict:
+    def verdict(self) -> AttemptResult:
         """What the word says; one that is not known may have run."""
-        return VERDICTS.get(self.word, Verdict.ERROR)
+        return VERDICTS.get(self.word, AttemptResult.ERROR)
 
     @property
-    def note(self) -> Note:
+    def note(self) -> CacheStatus:
         """How the answer came about."""
-        return NOTES.get(self.fields.get("detail", ""), Note.UNTOLD)
+        return NOTES.get(self.fields.get("detail", ""), CacheStatus.UNKNOWN)
 
     @property
     def issued(self) -> float | None:
@@ -151,7 +151,7 @@
         """Whether an answer has begun and not ended."""
         return bool(self._buffer) or self._head is not None
 
-    def feed(self, data: bytes | bytearray) -> Iterator[BoxAnswer]:
+    def feed(self, data: bytes | bytearray) -> Iterator[CacheResponse]:
         """The answers that these bytes complete."""
         self._buffer += data
         while True:
@@ -176,7 +176,7 @@
                 body = bytes(view[:length])  # copied once
             del self._buffer[: length + 2]
             self._head = None
-            yield BoxAnswer(wire_id, word, fields, body)
+            yield CacheResponse(wire_id, word, fields, body)
 
     def _read_head(self, line: bytes) -> tuple[str, str, dict[str, str], int]:
         try:
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -8,22 +8,22 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
-from brackenlane.core.membership_view import Fleet
-from brackenlane.core.requests import Attempt, Reply
+from brackenlane.core.membership_view import MembershipView
+from brackenlane.core.requests import Attempt, AttemptReply
 from brackenlane.core.timers import Timer
 from brackenlane.limits import Limits
 from brackenlane.net import cache_codec
-from brackenlane.net.poller import READ, WRITE, Board
-from brackenlane.routing.events import Verdict
+from brackenlane.net.poller import READ, WRITE, Poller
+from brackenlane.routing.events import AttemptResult
 
 log = logging.getLogger(__name__)
 
-Report = Callable[[Attempt, Reply], None]
+Report = Callable[[Attempt, AttemptReply], None]
 Tried = Callable[[str], None]  # told the class of each attempt that is written whole
-NEVER_SENT = Reply(Verdict.NEVER_SENT)
+NEVER_SENT = AttemptReply(AttemptResult.NEVER_SENT)
 
 
-class Slot:
+class DispatchedAttempt:
     """One attempt at a box, from its placing to its outcome."""
 
     __slots__ = ("attempt", "id", "sent", "link", "timer", "redispatches", "_report")
@@ -32,7 +32,7 @@
         self.attempt, self._report = attempt, report
         self.id = attempt.ask.wire_id
         self.sent = 0.0
-        self.link: Link | None = None
+        self.link: CacheConnection | None = None
         self.timer: Timer | None = None
         self.redispatches = 0  # to another connection, since one ended before a byte of it was out
 
@@ -41,7 +41,7 @@
         """Whether its outcome has been told."""
         return self.attempt.reply is not None
 
-    def settle(self, reply: Reply) -> None:
+    def settle(self, reply: AttemptReply) -> None:
         """What came of it, once."""
         if self.over:
             return
@@ -53,13 +53,13 @@
 
     def stop(self) -> None:
         """It is cancelled, or its time is up: nothing written proves that nothing ran."""
-        verdict = Verdict.CANCELLED if self.attempt.cancelled else Verdict.TIMEOUT
+        verdict = AttemptResult.CANCELLED if self.attempt.cancelled else AttemptResult.TIMEOUT
         if not self.over:
             if self.link and self.attempt.written:
                 self.link.give_up(self)
             self.settle(
-                Reply(
-                    verdict if self.attempt.written else Verdict.NEVER_SENT,
+                AttemptReply(
+                    verdict if self.attempt.written else AttemptResult.NEVER_SENT,
                     time.time() - self.attempt.started,
                 )
             )
@@ -86,18 +86,18 @@
         self._taken -= 1
 
 
-class Link:
+class CacheConnection:
     """One connection to a box: answers arrive in any order."""
 
     def __init__(
         self,
         sock: socket.socket,
-        board: Board,
-        fleet: Fleet,
+        board: Poller,
+        fleet: MembershipView,
         limits: Limits,
         may_probe: bool,
         tried: Tried,
-        again: Callable[[Slot], None],
+        again: Callable[[DispatchedAttempt], None],
         quota: ConnectionQuota,
     ) -> None:
         self._sock, self._board, self._tried = sock, board, tried
@@ -110,11 +110,11 @@
         self._heard = time.time()  # when bytes came last, or the first of what is open was written
         self._stuck = 0.0  # since when it takes no byte
         self._asked = False  # whether it lives
-        self._waiting: dict[str, Slot] = {}
+        self._waiting: dict[str, DispatchedAttempt] = {}
         self._past: OrderedDict[str, bool] = OrderedDict()  # ids to which more may come; whether answered
-        self._out: deque[Slot | bytes] = deque()
+        self._out: deque[DispatchedAttempt | bytes] = deque()
         self._rest = memoryview(b"")  # of what has been written in part
-        self._whole: Slot | None = None  # the attempt that is, once the rest is out
+        self._whole: DispatchedAttempt | None = None  # the attempt that is, once the rest is out
         self.open = True
         board.add(sock.fileno(), self._ready, READ, urgent=True)
 
@@ -152,18 +152,18 @@
         """When bytes came last, or the first of what is open was written."""
         return self._heard
 
-    def send(self, slot: Slot) -> None:
+    def send(self, slot: DispatchedAttempt) -> None:
         """Send an attempt, now if the connection takes it."""
         slot.link = self
         self._waiting[slot.id] = slot
         self._out.append(slot)
         self._flush()
 
-    def release(self, slot: Slot) -> None:
+    def release(self, slot: DispatchedAttempt) -> None:
         """An attempt is over."""
         self._waiting.pop(slot.id, None)
 
-    def give_up(self, slot: Slot) -> None:
+    def give_up(self, slot: DispatchedAttempt) -> None:
         """Tell the box that an attempt is wanted no more."""
         if not self.open:
             return
@@ -193,8 +193,8 @@
                 self._again(slot)
             else:
                 slot.settle(
-                    Reply(
-                        Verdict.BROKEN if slot.attempt.written else Verdict.UNREACHABLE,
+                    AttemptReply(
+                        AttemptResult.BROKEN if slot.attempt.written else AttemptResult.UNREACHABLE,
                         time.time() - slot.attempt.started,
                     )
                 )
@@ -252,7 +252,7 @@
             while self.open and (self._rest or self._out):
                 if not self._rest:
                     item = self._out.popleft()
-                    if isinstance(item, Slot):
+                    if isinstance(item, DispatchedAttempt):
                         if rest := self._write(item):
                             self._rest = rest
                         self._written()
@@ -274,7 +274,7 @@
             self._tried(self._whole.attempt.ask.arrival.cls)
             self._whole = None
 
-    def _write(self, slot: Slot) -> memoryview:
+    def _write(self, slot: DispatchedAttempt) -> memoryview:
         """Begin to write an attempt; what the connection did not take of it."""
         data = self._prepare(slot)
         if data and self._rest:  # others went first meanwhile, as far as the connection took them
@@ -297,7 +297,7 @@
         attempt.written, self._whole = True, slot
         return memoryview(data)[sent:]
 
-    def _prepare(self, slot: Slot) -> bytes:
+    def _prepare(self, slot: DispatchedAttempt) -> bytes:
         """The bytes of an attempt, if it may still go out at this very moment."""
         attempt, now = slot.attempt, time.time()
         left = attempt.time_to_go(self._fleet, now)
@@ -343,7 +343,7 @@
         elif not self._begun:
             self._begun = self._heard
 
-    def _answer(self, answer: cache_codec.BoxAnswer) -> None:
+    def _answer(self, answer: cache_codec.CacheResponse) -> None:
         slot = self._waiting.get(answer.id)
         if slot is None or not slot.attempt.written:
             if self._past.get(answer.id):
@@ -353,7 +353,7 @@
         ask, verdict, body = slot.attempt.ask, answer.verdict, answer.body
         tag = answer.fields.get("entity", "").strip('"')
         unchanged = answer.word == "unchanged"
-        if verdict is Verdict.OK:
+        if verdict is AttemptResult.OK:
             # Guards against a copy that is too old, or an 'unchanged' of another copy than the client holds.
             old = answer.issued is not None and self._fleet.too_old(
                 ask.cls, answer.issued, slot.sent, self._limits.age_slack
@@ -362,12 +362,12 @@
             bare = not ask.arrival.is_write and (not tag or answer.issued is None)
             if old or bare or (unchanged and tag != ask.tag):
                 log.warning("%s answered with what can't be served", slot.attempt.fetch.server)
-                verdict, body = Verdict.ERROR, b""
+                verdict, body = AttemptResult.ERROR, b""
         # A second answer does no harm where all that can follow is another look for the same object.
         if not (verdict.never_ran and ask.repeatable):
             self._remember(slot.id, answered=True)
         slot.settle(
-            Reply(
+            AttemptReply(
                 verdict,
                 now - slot.sent,
                 answer.note,
--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -12,16 +12,16 @@
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
 from brackenlane.net.change_log_codec import Change, FrameReader, ListError, read_frame
-from brackenlane.net.connection_pool import Depots
-from brackenlane.net.connector import Dial
-from brackenlane.net.poller import Board
-from brackenlane.routing.events import Event, ListKind, Membership
-from brackenlane.routing.members import State
+from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.connector import Connector
+from brackenlane.net.poller import Poller
+from brackenlane.routing.events import Event, Membership, MembershipKind
+from brackenlane.routing.members import ServerState
 
 log = logging.getLogger(__name__)
 
 
-class ChangeLog:
+class ChangeLogClient:
     """Follows one change log from the last event held, for good; one connection at a time."""
 
     def __init__(
@@ -29,15 +29,15 @@
         endpoint: Endpoint | None,
         site: Site,
         limits: Limits,
-        depots: Depots,
+        depots: ConnectionPools,
         tell: Callable[[Event], None],
-        board: Board,
+        board: Poller,
         timers: Timers,
         seed: int = 0,
     ) -> None:
         self._endpoint, self._site, self._limits = endpoint, site, limits
         self._depots, self._tell, self._board, self._timers = depots, tell, board, timers
-        self._dial: Dial | None = None
+        self._dial: Connector | None = None
         self._sock: socket.socket | None = None
         self._heard = 0.0  # when the connection said something last, or came up
         self._silence = self._patience = limits.log_silence  # borne now, and on the next connection
@@ -68,10 +68,12 @@
 
     def _connect(self) -> None:
         if self._endpoint is not None:
-            self._dial = Dial(self._endpoint, self._board, self._timers, self._limits.log_dial, self._dialled)
+            self._dial = Connector(
+                self._endpoint, self._board, self._timers, self._limits.log_dial, self._dialled
+            )
             self._dial.start()
 
-    def _dialled(self, dial: Dial, sock: socket.socket | None) -> None:
+    def _dialled(self, dial: Connector, sock: socket.socket | None) -> None:
         if dial is not self._dial:  # the log has moved meanwhile
             return sock.close() if sock else None
         self._dial = None
@@ -143,8 +145,8 @@
         if event is None or change.number <= self.cursor:
             return
         if isinstance(event, Membership):
-            gone = {m.server for m in event.members if m.state is State.GONE}
-            self._depots.follow(change.endpoints, gone, event.kind is ListKind.FULL)
+            gone = {m.server for m in event.members if m.state is ServerState.GONE}
+            self._depots.follow(change.endpoints, gone, event.kind is MembershipKind.FULL)
         self._tell(event)
         if isinstance(event, Membership):
             self._depots.recheck()
--- a/brackenlane/net/change_log_codec.py
+++ b/brackenlane/net/change_log_codec.py
@@ -9,11 +9,15 @@
 from typing import Any
 
 from brackenlane.config import Endpoint, Site, read_endpoint
-from brackenlane.routing.events import ListKind, Membership, Purged
-from brackenlane.routing.members import Member, Role, State
-
-STATES = (State.SERVING, State.DRAINING, State.GONE)
-WORDS = {"in_service": State.SERVING, "terminating": State.DRAINING, "terminated": State.GONE}
+from brackenlane.routing.events import Membership, MembershipKind, Purged
+from brackenlane.routing.members import Member, Role, ServerState
+
+STATES = (ServerState.SERVING, ServerState.DRAINING, ServerState.GONE)
+WORDS = {
+    "in_service": ServerState.SERVING,
+    "terminating": ServerState.DRAINING,
+    "terminated": ServerState.GONE,
+}
 HEAD = struct.Struct(">IQB")
 RECORD = struct.Struct(">I4sHBBBHIQ")
 OBJECT, GROUP = struct.Struct(">8sQ"), struct.Struct(">HQ")
@@ -34,9 +38,11 @@
 
 def _change(number: int, whole: bool, found: list[tuple[Member, Endpoint]]) -> Change:
     members = tuple(member for member, _ in found)
-    kind = ListKind.FULL if whole else ListKind.CHANGES
+    kind = MembershipKind.FULL if whole else MembershipKind.CHANGES
     return Change(
-        number, Membership(kind, members), {m.server: at for m, at in found if m.state is not State.GONE}
+        number,
+        Membership(kind, members),
+        {m.server: at for m, at in found if m.state is not ServerState.GONE},
     )
 
 
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -10,20 +10,27 @@
 from typing import TYPE_CHECKING
 
 from brackenlane.admission.figures import Reason
-from brackenlane.core.requests import Ask
-from brackenlane.net.http_codec import CONTINUE, BadRequest, Reading, Requests, encode_answer, read_plain
+from brackenlane.core.requests import PendingRequest
+from brackenlane.net.http_codec import (
+    CONTINUE,
+    BadRequest,
+    ParsedRequest,
+    RequestParser,
+    encode_answer,
+    read_plain,
+)
 from brackenlane.net.poller import READ, WRITE
-from brackenlane.net.request_codec import Worded, lane_of
+from brackenlane.net.request_codec import EncodedResponse, lane_of
 
 if TYPE_CHECKING:
-    from brackenlane.net.http_front import Door
+    from brackenlane.net.http_front import HttpFront
 
 log = logging.getLogger(__name__)
 
 ASKED = re.compile(rb"(?:GET|PUT) /api/v2/([^/?#]{1,64})/")  # how a request for a class begins
 
 
-class Waits(IntEnum):
+class ClientState(IntEnum):
     """What a client's connection is waiting for; a number, since the place in a list is found by it."""
 
     NOT = 0  # nothing of the client's
@@ -34,13 +41,13 @@
     BYE = 5  # the client to end it
 
 
-class Client:
+class ClientConnection:
     """One client connection: one request at a time."""
 
-    def __init__(self, door: Door, sock: socket.socket) -> None:
+    def __init__(self, door: HttpFront, sock: socket.socket) -> None:
         self._door, self._sock = door, sock
-        self._requests = Requests(door.limits)
-        self._waits = Waits.FIRST
+        self._requests = RequestParser(door.limits)
+        self._waits = ClientState.FIRST
         self._raw = b""  # what waits at the door, unread but for its target:
         self._plain = ""
         self._lane: tuple[str, bool] | None = None  # where it waits: class, and whether it is a retry
@@ -51,14 +58,14 @@
         self._close = False  # after this answer
         self._flooded = False  # more came behind a request than is kept
         self.open = True
-        self.ask: Ask | None = None  # in hand
+        self.ask: PendingRequest | None = None  # in hand
 
-    def wait(self, waits: Waits) -> None:
+    def wait(self, waits: ClientState) -> None:
         """Wait for something else from now on."""
         if self.open:
             self._door.note(self, self._waits, waits)
             self._waits = waits
-            if self._door.closing and waits in (Waits.FIRST, Waits.NEXT):
+            if self._door.closing and waits in (ClientState.FIRST, ClientState.NEXT):
                 self._part()
 
     def close(self) -> None:
@@ -81,23 +88,23 @@
 
         At once: its descriptor is wanted, whatever is still on its way.
         """
-        if self._waits is not Waits.BYE:
+        if self._waits is not ClientState.BYE:
             self.ready(READ)
-        if not self.open or self._waits not in (Waits.FIRST, Waits.NEXT, Waits.BYE):
+        if not self.open or self._waits not in (ClientState.FIRST, ClientState.NEXT, ClientState.BYE):
             return
         if at_once:
             self.close()
-        elif self._waits is not Waits.BYE:
+        elif self._waits is not ClientState.BYE:
             self._part()
 
     def expire(self) -> None:
         """It has waited too long; what has come and was not read yet counts."""
-        if self._waits in (Waits.TAKE, Waits.BYE):
+        if self._waits in (ClientState.TAKE, ClientState.BYE):
             return self.close()
         waits = self._waits
         self.ready(READ)
         if self.open and self._waits is waits:
-            if waits is Waits.REST:
+            if waits is ClientState.REST:
                 log.warning("a client does not end its request")
             self._part()
 
@@ -107,7 +114,7 @@
         What comes is read on for a moment, since a close over it would reset an answer on its way.
         """
         self._close, self._room = True, self._door.limits.linger_room
-        self.wait(Waits.BYE)
+        self.wait(ClientState.BYE)
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -150,13 +157,13 @@
         return True
 
     def _heed(self, data: bytes) -> None:
-        if self._waits is Waits.BYE:
+        if self._waits is ClientState.BYE:
             if self._unasked and (found := ASKED.match(data)):
                 self._unasked = False
                 self._door.counts.ended(found[1].decode(), HTTPStatus.SERVICE_UNAVAILABLE)
             self._room -= len(data)
             return self.close() if self._room <= 0 else None
-        if self._waits in (Waits.NOT, Waits.TAKE):
+        if self._waits in (ClientState.NOT, ClientState.TAKE):
             # Bytes of a next request are kept, up to a bound. Past it nothing is kept, and the answer that is
             # owed ends the connection; read on, it tells when its client leaves.
             self._room -= len(data)
@@ -169,7 +176,7 @@
             else:
                 self._requests.feed(data)
             return None
-        if self._waits is not Waits.REST and (plain := read_plain(data)):
+        if self._waits is not ClientState.REST and (plain := read_plain(data)):
             target, again = plain
             if self._door.refuses(target, again) and not self._door.leaving:
                 self._door.figures.refuse(Reason.STOOD)
@@ -182,7 +189,7 @@
 
     def _queue(self, target: str, again: bool) -> None:
         self._room = self._door.limits.head
-        self.wait(Waits.NOT)
+        self.wait(ClientState.NOT)
         self._cls = lane_of(target)
         self._lane = self._cls, again
         self._door.admission.offer(self, *self._lane, self._door.board.polled)
@@ -229,9 +236,9 @@
         self._door.counts.ended(self._cls, HTTPStatus.SERVICE_UNAVAILABLE)
         self._send(self._door.refusal)
         if self.open:
-            self.wait(Waits.TAKE if self._rest else Waits.NEXT)
+            self.wait(ClientState.TAKE if self._rest else ClientState.NEXT)
 
-    def _read(self) -> Reading | None:
+    def _read(self) -> ParsedRequest | None:
         """The request that waits, read in full."""
         raw, self._raw, self._plain, self._lane = self._raw, b"", "", None
         self._requests.feed(raw)
@@ -244,19 +251,19 @@
         elif wrong := self._requests.fault:
             log.warning("a client that can't be read: %s", wrong)
             self._close = True
-            self.wait(Waits.NOT)
+            self.wait(ClientState.NOT)
             self.answer((wrong.status.value, wrong.headers, f"{wrong}\n".encode()))
         else:
             if self._requests.wants_continue:
                 self._requests.wants_continue = False
                 self._send(CONTINUE)
             partial = self._requests.partial
-            if partial and self._waits is not Waits.REST:
-                self.wait(Waits.REST)
-            elif not partial and self._waits in (Waits.NOT, Waits.TAKE):
-                self.wait(Waits.NEXT)
+            if partial and self._waits is not ClientState.REST:
+                self.wait(ClientState.REST)
+            elif not partial and self._waits in (ClientState.NOT, ClientState.TAKE):
+                self.wait(ClientState.NEXT)
 
-    def answer(self, worded: Worded) -> None:
+    def answer(self, worded: EncodedResponse) -> None:
         """One whole answer; cut short, its length shows it, and the connection ends."""
         if not self.open:
             return
@@ -266,7 +273,7 @@
         self._close |= self._door.leaving or self._flooded
         self._send(encode_answer(status, headers, body, self._close), body)
         if self.open and self._rest:
-            self.wait(Waits.TAKE)
+            self.wait(ClientState.TAKE)
         elif self.open:
             self._answered()
 
@@ -297,5 +304,5 @@
         if not self._rest:
             self._rest = memoryview(b"")  # lets go of the answer
             self._door.board.want(self._sock.fileno(), READ)
-            if self._waits is Waits.TAKE:
+            if self._waits is ClientState.TAKE:
                 self._answered()
--- a/brackenlane/net/connection_pool.py
+++ b/brackenlane/net/connection_pool.py
@@ -8,31 +8,38 @@
 from collections import deque
 
 from brackenlane.config import Endpoint
-from brackenlane.core.membership_view import Fleet
-from brackenlane.core.requests import Attempt, Reply
+from brackenlane.core.membership_view import MembershipView
+from brackenlane.core.requests import Attempt, AttemptReply
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
-from brackenlane.net.cache_connection import NEVER_SENT, ConnectionQuota, Link, Report, Slot, Tried
-from brackenlane.net.connector import Dial
-from brackenlane.net.poller import Board
-from brackenlane.routing.events import Verdict
+from brackenlane.net.cache_connection import (
+    NEVER_SENT,
+    CacheConnection,
+    ConnectionQuota,
+    DispatchedAttempt,
+    Report,
+    Tried,
+)
+from brackenlane.net.connector import Connector
+from brackenlane.net.poller import Poller
+from brackenlane.routing.events import AttemptResult
 from brackenlane.routing.settings import Settings
 
 log = logging.getLogger(__name__)
 
 
-class Peer:
+class ConnectionPool:
     """The actor of one box: it performs attempts, as they are posted, on connections of its own."""
 
     def __init__(
         self,
         server: str,
         endpoint: Endpoint,
-        fleet: Fleet,
+        fleet: MembershipView,
         limits: Limits,
         settings: Settings,
         report: Report,
-        board: Board,
+        board: Poller,
         timers: Timers,
         tried: Tried,
         quota: ConnectionQuota,
@@ -42,17 +49,17 @@
         self._tried = tried
         self._fleet, self._limits, self._report = fleet, limits, report
         self.connect_timeout, self._may_probe = settings.connect_timeout, settings.may_probe
-        self._links: list[Link] = []
-        self._dial: Dial | None = None
-        self._old: list[Link] = []  # to an address that the box has left
-        self._mail: deque[Slot] = deque()  # waits for a connection
+        self._links: list[CacheConnection] = []
+        self._dial: Connector | None = None
+        self._old: list[CacheConnection] = []  # to an address that the box has left
+        self._mail: deque[DispatchedAttempt] = deque()  # waits for a connection
         self._leaving = False
 
     def post(self, attempt: Attempt) -> bool:
         """Take an attempt; False if the mailbox is full."""
         if len(self._mail) >= self._limits.peer_mail:
             return False
-        slot = Slot(attempt, self._report)
+        slot = DispatchedAttempt(attempt, self._report)
         attempt.stop = slot.stop
         # Its time runs from the decision.
         slot.timer = self.timers.at(attempt.started + attempt.fetch.timeout, slot.stop)
@@ -76,7 +83,7 @@
 
     def recheck(self) -> None:
         """Give back what waits for a connection and may go there no more, instead of when that comes up."""
-        kept: deque[Slot] = deque()
+        kept: deque[DispatchedAttempt] = deque()
         waiting, self._mail = self._mail, kept
         for slot in waiting:
             if self._fleet.allows(slot.attempt.fetch):
@@ -89,7 +96,7 @@
         self._leaving = True
 
     @property
-    def links(self) -> list[Link]:
+    def links(self) -> list[CacheConnection]:
         """All connections that are open."""
         return [link for link in (*self._links, *self._old) if link.open]
 
@@ -108,7 +115,7 @@
         self._old = [link for link in self._old if link.open]
         return bool(self._links or self._old or self._mail or self._dial)
 
-    def _serve(self, slot: Slot) -> None:
+    def _serve(self, slot: DispatchedAttempt) -> None:
         if slot.over:
             return
         if slot.attempt.ask.connect_only:
@@ -127,7 +134,7 @@
         else:
             slot.settle(NEVER_SENT)
 
-    def _end_known(self, slot: Slot) -> bool:
+    def _end_known(self, slot: DispatchedAttempt) -> bool:
         """End a connection that rests, on which more may come to an id that is asked again; whether any."""
         found = next((at for at in self._links if at.open and at.idle), None)
         if found and self._fleet.allows(slot.attempt.fetch):
@@ -135,10 +142,10 @@
             return True
         return False
 
-    def _want_link(self, slot: Slot) -> None:
+    def _want_link(self, slot: DispatchedAttempt) -> None:
         """Wait for a new connection. For a name's answer, that the box takes one is all that is wanted."""
         if not self._fleet.allows(slot.attempt.fetch):
-            return slot.settle(Reply(Verdict.UNREACHABLE, time.time() - slot.attempt.started))
+            return slot.settle(AttemptReply(AttemptResult.UNREACHABLE, time.time() - slot.attempt.started))
         self._mail.append(slot)
         self._start_dial(keep=not slot.attempt.ask.connect_only)
 
@@ -150,12 +157,12 @@
             for slot in waiting:  # our own want says nothing of the box
                 slot.settle(NEVER_SENT)
         else:
-            self._dial = Dial(
+            self._dial = Connector(
                 self.endpoint, self.board, self.timers, self.connect_timeout, self.dialled, keep
             )
             self._dial.start()
 
-    def dialled(self, dial: Dial, sock: socket.socket | None) -> None:
+    def dialled(self, dial: Connector, sock: socket.socket | None) -> None:
         """A try to connect has ended."""
         if dial is not self._dial:  # the box has moved meanwhile
             self._quota.give()
@@ -169,7 +176,7 @@
             self._quota.give()
         else:
             try:
-                link = Link(
+                link = CacheConnection(
                     sock,
                     self.board,
                     self._fleet,
@@ -190,23 +197,23 @@
             if dial.starved:
                 slot.settle(NEVER_SENT)
             elif sock is None:
-                slot.settle(Reply(Verdict.UNREACHABLE, wait))
+                slot.settle(AttemptReply(AttemptResult.UNREACHABLE, wait))
             elif slot.attempt.ask.connect_only:
-                slot.settle(Reply(Verdict.OK, wait))
+                slot.settle(AttemptReply(AttemptResult.OK, wait))
             else:
                 self._serve(slot)
 
 
-class Depots:
+class ConnectionPools:
     """The actors of all boxes on the list, by id: a new box may have a gone one's address."""
 
     def __init__(
         self,
-        fleet: Fleet,
+        fleet: MembershipView,
         limits: Limits,
         settings: Settings,
         report: Report,
-        board: Board,
+        board: Poller,
         timers: Timers,
         tried: Tried = lambda _: None,
     ) -> None:
@@ -214,10 +221,10 @@
         self._fleet, self._limits, self._report = fleet, limits, report
         self._board, self._timers, self._settings = board, timers, settings
         self._endpoints: dict[str, Endpoint] = {}
-        self._peers: dict[str, Peer] = {}
+        self._peers: dict[str, ConnectionPool] = {}
         self._quota = ConnectionQuota(limits.box_links)
         self._quota.make_room = self._end_resting
-        self._gone: list[Peer] = []  # off the list, with something out
+        self._gone: list[ConnectionPool] = []  # off the list, with something out
         self._look = self._look_in(time.time(), limits.watch)
         self._idle = False  # nothing is open anywhere: looks are far between
 
@@ -231,7 +238,7 @@
         if peer is None:
             if server not in self._endpoints:
                 return False
-            peer = self._peers[server] = Peer(
+            peer = self._peers[server] = ConnectionPool(
                 server,
                 self._endpoints[server],
                 self._fleet,
@@ -283,7 +290,7 @@
                 peer.move(endpoint)
 
     @staticmethod
-    def _look_after(peer: Peer, now: float, lag: float) -> bool:
+    def _look_after(peer: ConnectionPool, now: float, lag: float) -> bool:
         try:
             return peer.watch(now, lag)
         except Exception:  # one box must not end the looks at all others
--- a/brackenlane/net/connector.py
+++ b/brackenlane/net/connector.py
@@ -12,7 +12,7 @@
 
 from brackenlane.config import Endpoint
 from brackenlane.core.timers import Timer, Timers
-from brackenlane.net.poller import WRITE, Board
+from brackenlane.net.poller import WRITE, Poller
 
 log = logging.getLogger(__name__)
 
@@ -33,16 +33,16 @@
     return trio.SocketStream(sock)
 
 
-class Dial:
+class Connector:
     """One try to connect; `then` is called once with its end, perhaps by `start`: a socket, or None."""
 
     def __init__(
         self,
         endpoint: Endpoint,
-        board: Board,
+        board: Poller,
         timers: Timers,
         timeout: float,
-        then: Callable[[Dial, socket.socket | None], None],
+        then: Callable[[Connector, socket.socket | None], None],
         keep: bool = True,
     ) -> None:
         self.endpoint, self._timers, self._timeout, self._then = endpoint, timers, timeout, then
--- a/brackenlane/net/http_codec.py
+++ b/brackenlane/net/http_codec.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reading:
+class ParsedRequest:
     """One request as it was read."""
 
     method: str
@@ -89,13 +89,13 @@
     return found[1].decode("latin-1"), b"\nx-second-try:" in low
 
 
-class Requests:
+class RequestParser:
     """Requests out of one client's bytes as they come. Once a fault is found, nothing more is read."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._parser = httptools.HttpRequestParser(self)
-        self._whole: deque[Reading] = deque()
+        self._whole: deque[ParsedRequest] = deque()
         self._begin()
         self._in_head = self.partial = self._begun = False
         self.fault: BadRequest | None = None
@@ -140,11 +140,11 @@
         return b""
 
     @property
-    def whole(self) -> Reading | None:
+    def whole(self) -> ParsedRequest | None:
         """The next whole request, which is left there."""
         return self._whole[0] if self._whole else None
 
-    def next(self) -> Reading | None:
+    def next(self) -> ParsedRequest | None:
         """The next whole request."""
         return self._whole.popleft() if self._whole else None
 
@@ -210,7 +210,7 @@
         """It is whole."""
         self.partial = self.wants_continue = False
         self._whole.append(
-            Reading(
+            ParsedRequest(
                 self._parser.get_method().decode(),
                 self._target.decode("latin-1"),
                 self._headers,
