--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -18,42 +18,42 @@
 
 from brackenlane.admission.controller import Admission
 from brackenlane.admission.figures import Figures, Reason
-from brackenlane.core.claims import Claim, Claims
-from brackenlane.core.engine import Core
-from brackenlane.core.metrics import Counts
-from brackenlane.core.requests import Answer, Ask, Ending
+from brackenlane.core.claims import ClaimResult, ClaimStore
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.metrics import RequestMetrics
+from brackenlane.core.requests import Answer, Disposition, PendingRequest
 from brackenlane.limits import Limits
-from brackenlane.net.client_connection import Client, Waits
-from brackenlane.net.http_codec import BadRequest, Reading, encode_answer
-from brackenlane.net.poller import READ, Board
-from brackenlane.net.request_codec import HEALTHY, TARGET, Worded, lane_of, read_ask, word_answer
+from brackenlane.net.client_connection import ClientConnection, ClientState
+from brackenlane.net.http_codec import BadRequest, ParsedRequest, encode_answer
+from brackenlane.net.poller import READ, Poller
+from brackenlane.net.request_codec import HEALTHY, TARGET, EncodedResponse, lane_of, read_ask, word_answer
 
 log = logging.getLogger(__name__)
 
 HOLD_OFF_STEP = 0.05  # seconds; refusals worded in advance differ by so much in the time to stay away
 
 
-class Door:
+class HttpFront:
     """All client connections of one doorman."""
 
     def __init__(
         self,
-        core: Core,
+        core: RequestEngine,
         limits: Limits,
-        board: Board,
-        claims: Claims | None = None,
+        board: Poller,
+        claims: ClaimStore | None = None,
         nursery: trio.Nursery | None = None,
-        counts: Counts | None = None,
+        counts: RequestMetrics | None = None,
     ) -> None:
         self._core, self.limits, self.board = core, limits, board
         self._claims, self._nursery = claims, nursery
         self.ready: Callable[[], bool] = lambda: True  # asked by health besides whether a list has come
         self._classes = {c.name: c for c in core.settings.classes}
-        self.counts = counts or Counts(self._classes)
-        self._owed: dict[str, Client] = {}  # who is owed the answer to a request in hand, by its id
+        self.counts = counts or RequestMetrics(self._classes)
+        self._owed: dict[str, ClientConnection] = {}  # who is owed the answer to a request in hand, by its id
         self._submits: OrderedDict[str, None] = OrderedDict()  # of writes that may have run, oldest first
         # Connections by what they wait for, the longest so first, and until when they may
-        self._waiting: list[dict[Client, float]] = [{} for _ in Waits]
+        self._waiting: list[dict[ClientConnection, float]] = [{} for _ in ClientState]
         self._allowed = self._times(limits)
         self._count = 0
         self._listeners: list[socket.socket] = []
@@ -63,10 +63,10 @@
         self._share = 1.0  # of the places for connections that are ours
         self._places = limits.clients  # for connections
         # Whether a submit may run here, and that one never ran, where other processes could have it too
-        self.claim: Callable[[str], Claim] = lambda _: Claim.OURS
+        self.claim: Callable[[str], ClaimResult] = lambda _: ClaimResult.OURS
         self.release: Callable[[str], None] = lambda _: None
         self._empty = trio.Event()  # set when the last connection ends
-        self.admission: Admission[Client] = Admission(core.settings.classes)
+        self.admission: Admission[ClientConnection] = Admission(core.settings.classes)
         self.figures = Figures()
         self._refusals: dict[int, bytes] = {}  # by how many steps to stay away
         self.refusal = self._refusal(time.time())  # a whole one, as it is worded now
@@ -141,7 +141,8 @@
     def active(self) -> int:
         """Requests taken and not yet ended: who has none waits for a request, its rest, or the end."""
         return self._count - sum(
-            len(self._waiting[waits]) for waits in (Waits.FIRST, Waits.NEXT, Waits.REST, Waits.BYE)
+            len(self._waiting[waits])
+            for waits in (ClientState.FIRST, ClientState.NEXT, ClientState.REST, ClientState.BYE)
         )
 
     @property
@@ -169,10 +170,10 @@
                 return sock.close()
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client = Client(self, sock)
+        client = ClientConnection(self, sock)
         self.board.add(sock.fileno(), client.ready)
         self._count += 1
-        client.wait(Waits.FIRST)
+        client.wait(ClientState.FIRST)
         if full:  # told so: a connection closed unread tells its client nothing
             self.figures.refuse(Reason.FULL)
             client.shut_out()
@@ -183,17 +184,17 @@
         Who never asked gives way, then who is idle, then who is slow to ask. Who turns out to have asked
         meanwhile stays: it may not have been looked at since it was accepted.
         """
-        idle = self._spare(Waits.BYE, Waits.FIRST, Waits.NEXT)
+        idle = self._spare(ClientState.BYE, ClientState.FIRST, ClientState.NEXT)
         for there in list(itertools.islice(idle, self.limits.accepts)):
             there.retire(at_once=True)
             if not there.open:
                 return True
-        slow = next(self._spare(Waits.REST), None)
+        slow = next(self._spare(ClientState.REST), None)
         if slow:
             slow.close()
         return slow is not None
 
-    def _spare(self, *waiting: Waits) -> Iterator[Client]:
+    def _spare(self, *waiting: ClientState) -> Iterator[ClientConnection]:
         """Who has no request in hand, the first to give way first."""
         return (there for waits in waiting for there in self._waiting[waits])
 
@@ -201,11 +202,11 @@
         """Hold this share of the places for connections; parting: send their clients to a successor."""
         self._share, self.parting = share, parting
         self._places = max(1, int(self.limits.clients * share))
-        idle = self._spare(Waits.BYE, Waits.FIRST, Waits.NEXT)
+        idle = self._spare(ClientState.BYE, ClientState.FIRST, ClientState.NEXT)
         for there in list(itertools.islice(idle, max(0, self._count - self._places))):
             there.retire()
 
-    def closed(self, client: Client) -> None:
+    def closed(self, client: ClientConnection) -> None:
         """A connection has ended."""
         self._count -= 1
         if not self._count:
@@ -214,7 +215,7 @@
     def leave(self) -> None:
         """End what is idle, and every other connection after its answer."""
         self.closing = True
-        for waits in (Waits.FIRST, Waits.NEXT):
+        for waits in (ClientState.FIRST, ClientState.NEXT):
             for client in list(self._waiting[waits]):
                 client.retire()
 
@@ -227,7 +228,9 @@
             self._guard(taken[0], taken[0].refuse, now)
         for client in list(self._owed.values()):  # their claims are still asked for: nothing ran
             if client.ask:
-                self._answered(client, client.ask, Answer(Ending.REFUSED, hold_off=self.limits.retry_after))
+                self._answered(
+                    client, client.ask, Answer(Disposition.REJECTED, hold_off=self.limits.retry_after)
+                )
 
     async def emptied(self) -> None:
         """Wait until no connection is left."""
@@ -235,18 +238,18 @@
             self._empty = trio.Event()
             await self._empty.wait()
 
-    def note(self, client: Client, was: Waits, waits: Waits) -> None:
+    def note(self, client: ClientConnection, was: ClientState, waits: ClientState) -> None:
         """Note what a connection waits for, and until when."""
         known = self._waiting[was].pop(client, None) if was else None
         if not waits:
             return
-        if was is Waits.FIRST and waits is Waits.REST and known is not None:
+        if was is ClientState.FIRST and waits is ClientState.REST and known is not None:
             until = known  # guards our descriptors against clients that say their first request slowly
         else:
             until = time.time() + self._allowed[waits]
         self._waiting[waits][client] = until
 
-    def forget(self, client: Client, was: Waits) -> None:
+    def forget(self, client: ClientConnection, was: ClientState) -> None:
         """A connection is no more."""
         self._waiting[was].pop(client, None)
 
@@ -257,7 +260,13 @@
         told = self.figures.tick(now, max(0.0, now - due), time.process_time())
         if told and told.shedding:
             log.warning("short of CPU: %s", told.line())
-        for waits in (Waits.FIRST, Waits.NEXT, Waits.REST, Waits.TAKE, Waits.BYE):
+        for waits in (
+            ClientState.FIRST,
+            ClientState.NEXT,
+            ClientState.REST,
+            ClientState.TAKE,
+            ClientState.BYE,
+        ):
             for client in [client for client, until in self._waiting[waits].items() if until < now]:
                 client.expire()
 
@@ -287,7 +296,7 @@
         return self.admission.size > 0
 
     @staticmethod
-    def _guard(client: Client, call: Callable[[float], None], at: float) -> None:
+    def _guard(client: ClientConnection, call: Callable[[float], None], at: float) -> None:
         try:
             call(at)
         except Exception:  # one client must not end the others
@@ -311,17 +320,17 @@
         """Seconds after which a client that the queue refuses may come back."""
         return max(HOLD_OFF_STEP, min(self.admission.hold_off(now), self.limits.longest_wait))
 
-    def word(self, answer: Answer) -> Worded:
+    def word(self, answer: Answer) -> EncodedResponse:
         """A final answer as the clients of this site understand it."""
         return word_answer(answer, self._core.settings.max_hold_off)
 
-    def word_refusal(self, hold_off: float = 0.0) -> Worded:
+    def word_refusal(self, hold_off: float = 0.0) -> EncodedResponse:
         """A refusal by the door itself; hold_off: seconds to stay away, the usual ones if 0."""
-        return self.word(Answer(Ending.REFUSED, hold_off=hold_off or self.limits.retry_after))
+        return self.word(Answer(Disposition.REJECTED, hold_off=hold_off or self.limits.retry_after))
 
     # Requests
 
-    def take(self, client: Client, reading: Reading, since: float) -> None:
+    def take(self, client: ClientConnection, reading: ParsedRequest, since: float) -> None:
         """Take one request, which came at a Unix time; the client gets its answer, perhaps at once."""
         if reading.target == HEALTHY:
             if reading.method != "GET":
@@ -339,13 +348,13 @@
         if left < ask.arrival.time_left - 0.001:
             ask.arrival = replace(ask.arrival, time_left=left)  # what it stood at our door is gone
         claim = (
-            Claim.TAKEN
+            ClaimResult.TAKEN
             if ask.wire_id in self._owed or ask.wire_id in self._submits
-            else (self.claim(ask.wire_id) if ask.once else Claim.OURS)
+            else (self.claim(ask.wire_id) if ask.once else ClaimResult.OURS)
         )
-        if claim is Claim.UNKNOWN:
+        if claim is ClaimResult.UNKNOWN:
             return client.answer(self.word_refusal())
-        if claim is Claim.TAKEN:
+        if claim is ClaimResult.TAKEN:
             raise BadRequest(HTTPStatus.CONFLICT, "this X-Txn has been taken already")
         self._owed[ask.wire_id] = client
         client.ask, ask.stays = ask, client.stays
@@ -355,13 +364,13 @@
         else:
             self._core.submit(ask)
 
-    def withdraw(self, ask: Ask) -> None:
+    def withdraw(self, ask: PendingRequest) -> None:
         """The client of a request has left."""
         self._over(ask, refused=False)
         self._core.withdraw(ask)
 
-    def _answered(self, client: Client, ask: Ask, answer: Answer) -> None:
-        self._over(ask, answer.ending is Ending.REFUSED)
+    def _answered(self, client: ClientConnection, ask: PendingRequest, answer: Answer) -> None:
+        self._over(ask, answer.ending is Disposition.REJECTED)
         client.ask = None
         try:
             client.answer(self.word(answer))
@@ -369,7 +378,7 @@
             log.exception("an answer could not be given")
             client.close()
 
-    def _over(self, ask: Ask, refused: bool) -> None:
+    def _over(self, ask: PendingRequest, refused: bool) -> None:
         self._owed.pop(ask.wire_id, None)
         if ask.once and refused:
             self.release(ask.wire_id)
@@ -378,23 +387,25 @@
             if len(self._submits) > self.limits.submits:
                 self._submits.popitem(last=False)
 
-    async def _claim(self, client: Client, ask: Ask, claims: Claims) -> None:
+    async def _claim(self, client: ClientConnection, ask: PendingRequest, claims: ClaimStore) -> None:
         """Run a submit that other doormans could be given too: claimed before it runs."""
         claim = await claims.claim(ask.wire_id)
         if client.ask is not ask:
             return  # the client has left; what it claimed may be thought to have run, which is safe
         left = ask.deadline - time.time()
-        if claim is Claim.TAKEN:
+        if claim is ClaimResult.TAKEN:
             self._over(ask, refused=False)
             client.ask = None
             return client.answer((HTTPStatus.CONFLICT.value, {}, b"this submit has been taken before\n"))
-        if claim is Claim.UNKNOWN or left <= 0:
-            return self._answered(client, ask, Answer(Ending.REFUSED, hold_off=self.limits.retry_after))
+        if claim is ClaimResult.UNKNOWN or left <= 0:
+            return self._answered(client, ask, Answer(Disposition.REJECTED, hold_off=self.limits.retry_after))
         ask.arrival = replace(ask.arrival, time_left=left)
         ask.then = functools.partial(self._claimed, client, ask, claims)
         self._core.submit(ask)
 
-    def _claimed(self, client: Client, ask: Ask, claims: Claims, answer: Answer) -> None:
-        if answer.ending is Ending.REFUSED and self._nursery:
+    def _claimed(
+        self, client: ClientConnection, ask: PendingRequest, claims: ClaimStore, answer: Answer
+    ) -> None:
+        if answer.ending is Disposition.REJECTED and self._nursery:
             self._nursery.start_soon(claims.release, ask.wire_id)
         self._answered(client, ask, answer)
--- a/brackenlane/net/poller.py
+++ b/brackenlane/net/poller.py
@@ -28,7 +28,7 @@
 Handler = Callable[[int], None]
 
 
-class Board:
+class Poller:
     """Two queues: what the boxes say comes before what clients ask, however much that is.
 
     Handlers are called with epoll's event bits. They must not wait; one that raises is logged, and its socket
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -6,9 +6,9 @@
 import re
 from http import HTTPStatus
 
-from brackenlane.core.requests import Answer, Ask, Ending
+from brackenlane.core.requests import Answer, Disposition, PendingRequest
 from brackenlane.limits import Limits
-from brackenlane.net.http_codec import BadRequest, Headers, Reading
+from brackenlane.net.http_codec import BadRequest, Headers, ParsedRequest
 from brackenlane.routing.events import Arrival
 from brackenlane.routing.settings import RequestClass
 
@@ -18,13 +18,13 @@
 SIZE = re.compile(r"\d{1,9}(?:\.\d{1,9})?", re.ASCII)
 TAG = re.compile(r'(?:W/)?"([\w.:-]{1,64})"', re.ASCII)  # goes into a line to a box
 HEALTHY = "/-/healthy"
-Worded = tuple[int, Headers, bytes]
+EncodedResponse = tuple[int, Headers, bytes]
 REFUSED = b"refused, nothing ran: try again\n"
 
 
 def read_ask(
-    reading: Reading, classes: dict[str, RequestClass], limits: Limits, name: str, now: float
-) -> Ask:
+    reading: ParsedRequest, classes: dict[str, RequestClass], limits: Limits, name: str, now: float
+) -> PendingRequest:
     """The request that a client makes, or its fault."""
     found = TARGET.fullmatch(reading.target)
     cls = classes.get(found[1]) if found else None
@@ -59,10 +59,12 @@
         is_retry=again == "1",
         has_key=bool(key),
     )
-    return Ask(arrival, now + max(left, 0.001), txn, have[1] if have else "", reading.body, key, cls=cls)
+    return PendingRequest(
+        arrival, now + max(left, 0.001), txn, have[1] if have else "", reading.body, key, cls=cls
+    )
 
 
-def _number(reading: Reading, name: str, low: int, high: int) -> int:
+def _number(reading: ParsedRequest, name: str, low: int, high: int) -> int:
     """A header that is a whole number within its range."""
     text = reading.headers.get(name, "")
     if not (text.isascii() and text.isdigit() and len(text) < 10 and low <= int(text) <= high):
@@ -70,7 +72,7 @@
     return int(text)
 
 
-def _size_kb(reading: Reading) -> float:
+def _size_kb(reading: ParsedRequest) -> float:
     """The size of the part as its client tells it; 0, for untold, where that can't be read."""
     text = reading.headers.get("x-working-set-kb", "")
     return float(text) if SIZE.fullmatch(text) else 0.0
@@ -83,15 +85,15 @@
     return target[8 : target.find("/", 8)] if target.startswith("/api/v2/") else ""
 
 
-def word_answer(answer: Answer, max_hold_off: float) -> Worded:
+def word_answer(answer: Answer, max_hold_off: float) -> EncodedResponse:
     """Status, headers and body of a final answer; max_hold_off: seconds that clients honour, 0: none."""
     tag = {"ETag": f'"{answer.tag}"'} if answer.tag else {}
     match answer.ending:
-        case Ending.SERVED:
+        case Disposition.SERVED:
             return 200, {"Content-Type": "application/octet-stream", **tag}, answer.body
-        case Ending.UNCHANGED:
+        case Disposition.UNCHANGED:
             return 304, tag, b""
-        case Ending.REFUSED:
+        case Disposition.REJECTED:
             return 503, _hold_off_headers(answer.hold_off, max_hold_off), REFUSED
     return 504 if answer.late else 502, {}, b"failed\n"
 
--- a/brackenlane/ops/__init__.py
+++ b/brackenlane/ops/__init__.py
@@ -1,5 +1,5 @@
 """The operators' address: status, figures, boxes taken out by hand.
 
 It owns the calls, the counts and what was ordered; it never picks a server and never waits for the core.
-Entry points: `door.OpsDoor` (actor), `maintenance.Maintenance` and `counts.Counts` (pure).
+Entry points: `door.AdminApi` (actor), `maintenance.Maintenance` and `counts.RequestMetrics` (pure).
 """
--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -17,16 +17,16 @@
 from brackenlane.core.metrics import CONTENT_TYPE
 from brackenlane.core.timers import Timers
 from brackenlane.limits import Limits
-from brackenlane.net.http_codec import Headers, Reading, Requests, encode_answer
-from brackenlane.net.poller import READ, WRITE, Board
+from brackenlane.net.http_codec import Headers, ParsedRequest, RequestParser, encode_answer
+from brackenlane.net.poller import READ, WRITE, Poller
 
 log = logging.getLogger(__name__)
 
 ORDER = re.compile(r"/maintenance/(enter|exit)/([\w.:-]{1,64})", re.ASCII)
-Worded = tuple[int, Headers, bytes]
+EncodedResponse = tuple[int, Headers, bytes]
 
 
-class OpsDoor:
+class AdminApi:
     """All callers at the operators' address.
 
     ready: whether this process can serve; figures: all of them as text; order: takes a box out (True) or lets
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        board: Board,
+        board: Poller,
         timers: Timers,
         limits: Limits,
         ready: Callable[[], bool],
@@ -45,7 +45,7 @@
         self.board, self._timers, self._limits = board, timers, limits
         self._ready, self._figures, self._order = ready, figures, order
         self.call_limits = replace(limits, head=limits.ops_head, upload=limits.ops_head)
-        self._callers: dict[Caller, float] = {}  # who came first is first; until when each may stay
+        self._callers: dict[AdminConnection, float] = {}  # who came first is first; until when each may stay
         self._listener: socket.socket | None = None
 
     def open(self, listener: socket.socket) -> None:
@@ -74,11 +74,11 @@
                 # Guards against callers who connect and finish no call: the oldest gives way.
                 next((c for c in self._callers if c.answered), next(iter(self._callers))).close()
             sock.setblocking(False)
-            caller = Caller(self, sock)
+            caller = AdminConnection(self, sock)
             self._callers[caller] = time.time() + self._limits.ops_time
             self.board.add(sock.fileno(), caller.ready, urgent=True)
 
-    def gone(self, caller: Caller) -> None:
+    def gone(self, caller: AdminConnection) -> None:
         """A connection has ended."""
         self._callers.pop(caller, None)
 
@@ -89,7 +89,7 @@
         if self._listener:
             self._timers.at(now + self._limits.ops_time / 4, self._watch)
 
-    def answer(self, call: Reading) -> Worded:
+    def answer(self, call: ParsedRequest) -> EncodedResponse:
         """What one call gets."""
         found = ORDER.fullmatch(call.target)
         wants = "PUT" if found else "GET" if call.target in ("/status", "/status/metrics") else ""
@@ -108,12 +108,12 @@
         return 200, {"Content-Type": CONTENT_TYPE}, self._figures()
 
 
-class Caller:
+class AdminConnection:
     """One connection: one call."""
 
-    def __init__(self, door: OpsDoor, sock: socket.socket) -> None:
+    def __init__(self, door: AdminApi, sock: socket.socket) -> None:
         self._door, self._sock = door, sock
-        self._requests = Requests(door.call_limits)
+        self._requests = RequestParser(door.call_limits)
         self._rest = memoryview(b"")
         self._room = door.call_limits.head  # bytes that may still come once it is answered
         self.answered = False
--- a/brackenlane/ops/admin_service.py
+++ b/brackenlane/ops/admin_service.py
@@ -9,36 +9,38 @@
 import time
 from functools import partial
 
-from brackenlane.core.claims import Claim
-from brackenlane.core.engine import Core
+from brackenlane.core.claims import ClaimResult
+from brackenlane.core.engine import RequestEngine
 from brackenlane.core.metrics import Gauges, expose
 from brackenlane.limits import Limits
-from brackenlane.net.http_front import Door
-from brackenlane.ops.handover_log import Ledger, LedgerError
-from brackenlane.ops.handover_records import Kind, Record
-from brackenlane.ops.handover_state import Stand, stand
-from brackenlane.ops.maintenance import Maintenance, Reply
+from brackenlane.net.http_front import HttpFront
+from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
+from brackenlane.ops.handover_records import Record, RecordType
+from brackenlane.ops.handover_state import HandoverState, stand
+from brackenlane.ops.maintenance import Maintenance, MaintenanceResult
 from brackenlane.routing.events import Event, Membership
 from brackenlane.routing.members import Member, Role
 
 log = logging.getLogger(__name__)
 
 ANSWERS = {
-    Reply.DONE: (200, "done"),
-    Reply.UNKNOWN: (404, "no such box"),
-    Reply.FULL: (507, "too many boxes are out"),
+    MaintenanceResult.DONE: (200, "done"),
+    MaintenanceResult.UNKNOWN: (404, "no such box"),
+    MaintenanceResult.FULL: (507, "too many boxes are out"),
 }
 NOT_KEPT = (507, "it can't be kept, so nothing is changed")
 
 
-class Operators:
+class AdminService:
     """Stands between the change log and the core, and answers the calls."""
 
-    def __init__(self, core: Core, door: Door, limits: Limits, ledger: Ledger | None = None) -> None:
+    def __init__(
+        self, core: RequestEngine, door: HttpFront, limits: Limits, ledger: HandoverLog | None = None
+    ) -> None:
         """Without a ledger, what is ordered is known to this process alone."""
         self._core, self._door, self._limits, self._ledger = core, door, limits, ledger
         self._maintenance = Maintenance(limits.taken_out)
-        self._stand = Stand.ALONE
+        self._stand = HandoverState.ALONE
         if ledger:
             self._maintenance.out.update(ledger.book.out)
             ledger.hear = self._heard
@@ -61,13 +63,13 @@
         if known is out or (not known and server not in self._maintenance.listed):
             return self._carry_out(server, out, now)  # nothing changes
         if out and len(self._maintenance.out) >= self._limits.taken_out:
-            return ANSWERS[Reply.FULL]
+            return ANSWERS[MaintenanceResult.FULL]
         try:
-            self._ledger.append(Kind.ENTER if out else Kind.EXIT, server, repr(now))
-        except LedgerError as fault:
+            self._ledger.append(RecordType.ENTER if out else RecordType.EXIT, server, repr(now))
+        except HandoverLogError as fault:
             log.error("an order can't be kept: %s", fault)
             return NOT_KEPT
-        return ANSWERS[Reply.DONE]
+        return ANSWERS[MaintenanceResult.DONE]
 
     def _carry_out(self, server: str, out: bool, now: float) -> tuple[int, str]:
         call = self._maintenance.enter if out else self._maintenance.leave
@@ -98,8 +100,8 @@
         """This process serves clients from now on."""
         if self._ledger:
             try:
-                self._ledger.append(Kind.SERVES, self._ledger.me)
-            except LedgerError as fault:
+                self._ledger.append(RecordType.SERVES, self._ledger.me)
+            except HandoverLogError as fault:
                 log.error("others are not told that this process serves: %s", fault)
 
     def close(self) -> None:
@@ -110,12 +112,12 @@
 
     def _heard(self, record: Record) -> None:
         match record.kind:
-            case Kind.ENTER | Kind.EXIT:
-                self._carry_out(record.words[0], record.kind is Kind.ENTER, record.at)
-            case Kind.BORN | Kind.SERVES:
+            case RecordType.ENTER | RecordType.EXIT:
+                self._carry_out(record.words[0], record.kind is RecordType.ENTER, record.at)
+            case RecordType.BORN | RecordType.SERVES:
                 self._restand()
 
-    def _tend(self, ledger: Ledger) -> None:
+    def _tend(self, ledger: HandoverLog) -> None:
         """Look after the ledger, and at who lives."""
         self._core.timers.at(time.time() + self._limits.ledger_look, self._tend, ledger)
         try:
@@ -150,20 +152,20 @@
         started = member.started_at
         return member.role is not Role.ORIGIN and started > 0 and now - started < rule.ramp
 
-    def _claim(self, ledger: Ledger, txn: str) -> Claim:
+    def _claim(self, ledger: HandoverLog, txn: str) -> ClaimResult:
         """Whether a submit may run here: the first to claim it in the ledger may."""
         try:
-            ledger.append(Kind.CLAIM, txn, ledger.me)
-        except LedgerError as fault:
+            ledger.append(RecordType.CLAIM, txn, ledger.me)
+        except HandoverLogError as fault:
             log.error("a submit is refused, since it can't be claimed: %s", fault)
-            return Claim.UNKNOWN
-        return Claim.OURS if ledger.book.submits.get(txn) == ledger.me else Claim.TAKEN
+            return ClaimResult.UNKNOWN
+        return ClaimResult.OURS if ledger.book.submits.get(txn) == ledger.me else ClaimResult.TAKEN
 
-    def _release(self, ledger: Ledger, txn: str) -> None:
+    def _release(self, ledger: HandoverLog, txn: str) -> None:
         """A submit provably never ran: its client may send it again."""
         try:
-            ledger.append(Kind.RELEASE, txn)
-        except LedgerError as fault:
+            ledger.append(RecordType.RELEASE, txn)
+        except HandoverLogError as fault:
             log.warning("a submit stays claimed: %s", fault)
 
 
--- a/brackenlane/ops/handover_log.py
+++ b/brackenlane/ops/handover_log.py
@@ -14,27 +14,27 @@
 from pathlib import Path
 
 from brackenlane.limits import Limits
-from brackenlane.ops.handover_records import Book, Kind, Reader, Record, encode
+from brackenlane.ops.handover_records import HandoverIndex, Reader, Record, RecordType, encode
 
 log = logging.getLogger(__name__)
 
 
-class LedgerError(Exception):
+class HandoverLogError(Exception):
     """The folder cannot be used, or the ledger takes no more."""
 
 
-class Ledger:
+class HandoverLog:
     """One process's end of the shared ledger.
 
     hear: called with each record that is new, this process's own among them, in the order of the file.
     """
 
     def __init__(self, folder: Path, limits: Limits) -> None:
-        """Open it, and tell the others that this process starts. Raises LedgerError."""
+        """Open it, and tell the others that this process starts. Raises HandoverLogError."""
         self._folder, self._limits = folder, limits
         self._path = folder / "ledger"
         self.me = os.urandom(4).hex()
-        self.book = Book(limits.claims)
+        self.book = HandoverIndex(limits.claims)
         self.hear: Callable[[Record], None] = lambda _: None
         self._file = self._life = -1
         try:
@@ -50,9 +50,9 @@
                         stray.unlink(missing_ok=True)
                 if not self.others and self._size > 0:  # what is torn, old or foreign in it goes
                     self._rewrite()
-                self.append(Kind.BORN, self.me)
+                self.append(RecordType.BORN, self.me)
         except OSError as fault:
-            raise LedgerError(f"{folder}: {fault.strerror}") from None
+            raise HandoverLogError(f"{folder}: {fault.strerror}") from None
 
     # Who lives
 
@@ -64,7 +64,7 @@
             end = time.monotonic() + self._limits.ledger_wait
             while not _locked(fd):
                 if time.monotonic() > end:
-                    raise LedgerError("another process starts, and does not get on")
+                    raise HandoverLogError("another process starts, and does not get on")
                 time.sleep(0.01)
             yield
         finally:
@@ -116,18 +116,18 @@
                 self.book.take(record)
                 self.hear(record)
 
-    def append(self, kind: Kind, *words: str) -> None:
-        """Append a record and take in all up to it. Raises LedgerError where it can't be kept."""
+    def append(self, kind: RecordType, *words: str) -> None:
+        """Append a record and take in all up to it. Raises HandoverLogError where it can't be kept."""
         data = encode(Record(kind, words))
         try:
-            room = self._limits.ledger + (0 if kind is Kind.CLAIM else self._limits.ledger_orders)
+            room = self._limits.ledger + (0 if kind is RecordType.CLAIM else self._limits.ledger_orders)
             if os.fstat(self._file).st_size + len(data) > room:
-                raise LedgerError("the ledger is full")
+                raise HandoverLogError("the ledger is full")
             if os.write(self._file, data) < len(data):
-                raise LedgerError("the ledger took a part of a record")
+                raise HandoverLogError("the ledger took a part of a record")
             self.look()
         except OSError as fault:
-            raise LedgerError(f"{self._path}: {fault.strerror}") from None
+            raise HandoverLogError(f"{self._path}: {fault.strerror}") from None
 
     def tend(self) -> None:
         """Rewrite it where it has grown or is gone, if no other process lives. To be called now and then."""
--- a/brackenlane/ops/handover_records.py
+++ b/brackenlane/ops/handover_records.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class RecordType(Enum):
     """What a record tells, with its words."""
 
     BORN = "*"  # process: it starts
@@ -24,14 +24,21 @@
     RELEASE = "~"  # id of a submit: it provably never ran
 
 
-WORDS = {Kind.BORN: 1, Kind.SERVES: 1, Kind.ENTER: 2, Kind.EXIT: 2, Kind.CLAIM: 2, Kind.RELEASE: 1}
+WORDS = {
+    RecordType.BORN: 1,
+    RecordType.SERVES: 1,
+    RecordType.ENTER: 2,
+    RecordType.EXIT: 2,
+    RecordType.CLAIM: 2,
+    RecordType.RELEASE: 1,
+}
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
     """One record."""
 
-    kind: Kind
+    kind: RecordType
     words: tuple[str, ...]
 
     @property
@@ -53,11 +60,11 @@
         if len(crc) != 8 or int(crc, 16) != zlib.crc32(text):
             return None
         sign, *words = text.decode("ascii").split(" ")
-        kind = Kind(sign)
+        kind = RecordType(sign)
         if len(words) != WORDS[kind]:
             return None
         record = Record(kind, tuple(words))
-        if kind in (Kind.ENTER, Kind.EXIT):
+        if kind in (RecordType.ENTER, RecordType.EXIT):
             float(record.at)
         return record
     except ValueError:
@@ -84,7 +91,7 @@
                 self.spoilt += 1
 
 
-class Book:
+class HandoverIndex:
     """What the records add up to: who serves, which boxes are out, which submits may have run."""
 
     def __init__(self, submits: int) -> None:
@@ -97,19 +104,19 @@
     def take(self, record: Record) -> None:
         """Add one record."""
         match record.kind, record.words:
-            case Kind.BORN, (process,):
+            case RecordType.BORN, (process,):
                 self.serving.setdefault(process, False)
-            case Kind.SERVES, (process,):
+            case RecordType.SERVES, (process,):
                 self.serving[process] = True
-            case Kind.ENTER, (box, _):
+            case RecordType.ENTER, (box, _):
                 self.out.setdefault(box, record.at)
-            case Kind.EXIT, (box, _):
+            case RecordType.EXIT, (box, _):
                 self.out.pop(box, None)
-            case Kind.CLAIM, (txn, process):
+            case RecordType.CLAIM, (txn, process):
                 self.submits.setdefault(txn, process)
                 if len(self.submits) > self._most:
                     self.submits.popitem(last=False)
-            case Kind.RELEASE, (txn,):
+            case RecordType.RELEASE, (txn,):
                 self.submits.pop(txn, None)
 
     def forget(self, process: str) -> None:
@@ -119,10 +126,10 @@
     def summary(self) -> Iterator[Record]:
         """The fewest records that add up to the same."""
         for process, serves in self.serving.items():
-            yield Record(Kind.BORN, (process,))
+            yield Record(RecordType.BORN, (process,))
             if serves:
-                yield Record(Kind.SERVES, (process,))
+                yield Record(RecordType.SERVES, (process,))
         for box, at in self.out.items():
-            yield Record(Kind.ENTER, (box, repr(at)))
+            yield Record(RecordType.ENTER, (box, repr(at)))
         for txn, process in self.submits.items():
-            yield Record(Kind.CLAIM, (txn, process))
+            yield Record(RecordType.CLAIM, (txn, process))
--- a/brackenlane/ops/handover_state.py
+++ b/brackenlane/ops/handover_state.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Duty:
+class HandoverBehavior:
     """What a process does in its stand."""
 
     name: str
@@ -25,21 +25,21 @@
     cold: bool  # may send to boxes that started lately
 
 
-class Stand(Enum):
+class HandoverState(Enum):
     """The stands, each with its duty."""
 
-    ALONE = Duty("alone", 1.0, False, True)
-    EXPECTING = Duty("expecting a successor", 0.75, False, True)
-    TAKING_OVER = Duty("taking over", 0.75, False, True)
-    RELIEVED = Duty("relieved", 0.25, True, False)
+    ALONE = HandoverBehavior("alone", 1.0, False, True)
+    EXPECTING = HandoverBehavior("expecting a successor", 0.75, False, True)
+    TAKING_OVER = HandoverBehavior("taking over", 0.75, False, True)
+    RELIEVED = HandoverBehavior("relieved", 0.25, True, False)
 
 
-def stand(me: str, serving: Mapping[str, bool], alive: Set[str]) -> Stand:
+def stand(me: str, serving: Mapping[str, bool], alive: Set[str]) -> HandoverState:
     """How `me` stands. serving: who serves, in the order of births; alive: who of them lives."""
     order = list(serving)
     later = [p for p in order[order.index(me) + 1 :] if p in alive]
     if any(serving[p] for p in later):
-        return Stand.RELIEVED
+        return HandoverState.RELIEVED
     if later:
-        return Stand.EXPECTING
-    return Stand.TAKING_OVER if any(p in alive for p in order if p != me) else Stand.ALONE
+        return HandoverState.EXPECTING
+    return HandoverState.TAKING_OVER if any(p in alive for p in order if p != me) else HandoverState.ALONE
--- a/brackenlane/ops/maintenance.py
+++ b/brackenlane/ops/maintenance.py
@@ -10,11 +10,11 @@
 from dataclasses import replace
 from enum import Enum
 
-from brackenlane.routing.events import ListKind, Membership
-from brackenlane.routing.members import Member, State
+from brackenlane.routing.events import Membership, MembershipKind
+from brackenlane.routing.members import Member, ServerState
 
 
-class Reply(Enum):
+class MaintenanceResult(Enum):
     """What came of a call."""
 
     DONE = "done"
@@ -34,28 +34,28 @@
 
     def hear(self, event: Membership) -> Membership:
         """A list of the log's, as the core may hear it."""
-        if event.kind is not ListKind.CHANGES:
+        if event.kind is not MembershipKind.CHANGES:
             self.listed = {}
         for member in event.members:
-            if member.state is State.GONE:
+            if member.state is ServerState.GONE:
                 self.listed.pop(member.server, None)
             else:
                 self.listed[member.server] = member
         return Membership(event.kind, tuple(self._masked(member) for member in event.members))
 
-    def enter(self, server: str, now: float) -> tuple[Reply, Membership | None]:
+    def enter(self, server: str, now: float) -> tuple[MaintenanceResult, Membership | None]:
         """Take a box out; told again, nothing changes. The list that makes it so, if any must be told."""
         if server in self.out:
-            return Reply.DONE, None
+            return MaintenanceResult.DONE, None
         member = self.listed.get(server)
         if member is None:
-            return Reply.UNKNOWN, None
+            return MaintenanceResult.UNKNOWN, None
         if len(self.out) >= self._most:
-            return Reply.FULL, None
+            return MaintenanceResult.FULL, None
         self.out[server] = now
-        return Reply.DONE, Membership(ListKind.CHANGES, (self._masked(member),))
+        return MaintenanceResult.DONE, Membership(MembershipKind.CHANGES, (self._masked(member),))
 
-    def leave(self, server: str, now: float) -> tuple[Reply, Membership | None]:
+    def leave(self, server: str, now: float) -> tuple[MaintenanceResult, Membership | None]:
         """Let a box serve again, however often it was taken out.
 
         Guards a box that was restarted while it was out, of which the log (late) does not tell yet: unless it
@@ -64,19 +64,21 @@
         since = self.out.pop(server, None)
         member = self.listed.get(server)
         if since is None:
-            return (Reply.DONE if member else Reply.UNKNOWN), None
+            return (MaintenanceResult.DONE if member else MaintenanceResult.UNKNOWN), None
         if member is None:  # not listed at the moment: when it comes back, the log tells of its start
-            return Reply.DONE, None
+            return MaintenanceResult.DONE, None
         started = member.started_at if member.started_at >= since else now
         back = replace(member, started_at=started)
-        return Reply.DONE, Membership(ListKind.CHANGES, (self._masked(back),))
+        return MaintenanceResult.DONE, Membership(MembershipKind.CHANGES, (self._masked(back),))
 
     def shade(self, shaded: Callable[[Member], bool]) -> Membership:
         """Leave alone, from now on, whatever box this says, as if it were out; the list that makes it so."""
         self._shaded = shaded
-        return Membership(ListKind.CHANGES, tuple(self._masked(member) for member in self.listed.values()))
+        return Membership(
+            MembershipKind.CHANGES, tuple(self._masked(member) for member in self.listed.values())
+        )
 
     def _masked(self, member: Member) -> Member:
-        if member.state is State.SERVING and (member.server in self.out or self._shaded(member)):
-            return replace(member, state=State.DRAINING)
+        if member.state is ServerState.SERVING and (member.server in self.out or self._shaded(member)):
+            return replace(member, state=ServerState.DRAINING)
         return member
--- a/brackenlane/placement/model.py
+++ b/brackenlane/placement/model.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackenlane.routing.settings import ColdStart
+from brackenlane.routing.settings import SlowStart
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,7 +17,7 @@
     bytes_per_s: float  # that its link carries when it is warm
     started: float = 0.0  # Unix time of a late start; 0: warm
 
-    def bears(self, cold: ColdStart, now: float) -> float:
+    def bears(self, cold: SlowStart, now: float) -> float:
         """Bytes a second that it may be given at a time: all it can do then, by its ramp."""
         age = now - self.started
         if not self.started or age >= cold.ramp:
@@ -72,7 +72,7 @@
     link_bytes_per_s: dict[str, float] = field(default_factory=dict)  # into each zone; absent: no limit
     origin_bytes_per_s: float = float("inf")
     constraints: tuple[Constraint, ...] = ()
-    cold: ColdStart = field(default_factory=ColdStart)
+    cold: SlowStart = field(default_factory=SlowStart)
     now: float = 0.0
     in_force: dict[tuple[str, str, str], float] = field(default_factory=dict)  # zone, class, box: share
 
--- a/brackenlane/routing/actions.py
+++ b/brackenlane/routing/actions.py
@@ -16,7 +16,7 @@
 class Fetch(Action):
     """An attempt: get the object from a server, a miss being filled from source (itself: not filled)."""
 
-    request: str
+    request_id: str
     server: str
     timeout: float
     source: str
@@ -29,10 +29,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse(Action):
+class Reject(Action):
     """Final answer: turned away, a retry does no harm; come back after hold_off."""
 
-    request: str
+    request_id: str
     hold_off: float = 0.0
 
 
@@ -40,14 +40,14 @@
 class Fail(Action):
     """Final answer: failed, nothing promised."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel(Action):
     """Stop waiting for one attempt."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
--- a/brackenlane/routing/attempts.py
+++ b/brackenlane/routing/attempts.py
@@ -8,7 +8,7 @@
 from brackenlane.routing.events import Arrival
 from brackenlane.routing.members import Member
 from brackenlane.routing.servers import Server
-from brackenlane.routing.settings import Effect, RequestClass, Scope
+from brackenlane.routing.settings import Idempotency, RequestClass, Scope
 
 HEADROOM = 0.7  # of the time left that an attempt may need by its cache's crowd
 
@@ -19,8 +19,8 @@
     def __init__(self, ask: Arrival, cls: RequestClass, now: float, work: float) -> None:
         self.ask, self.cls, self.born, self.work, self.first_ran = ask, cls, now, work, now
         # Without its key, repeats of a write are not dropped.
-        keyless = cls.effect is Effect.KEYED and not ask.has_key
-        self.effect = Effect.UNSAFE if keyless else cls.effect
+        keyless = cls.effect is Idempotency.IDEMPOTENT_WITH_KEY and not ask.has_key
+        self.effect = Idempotency.NON_IDEMPOTENT if keyless else cls.effect
         self.deadline = now + ask.time_left
         self.aim = min(cls.aim + cls.aim_stretch * work, cls.give_up)
         # The unit of waits: what takes longer than its aim by itself, on an idle link, is no sign of a jam.
@@ -34,9 +34,9 @@
     def may_run_at(self, server: Member, now: float) -> bool:
         """Whether no effect can come twice: after an attempt that may have run, repeats must be dropped."""
         cls, ran = self.cls, self.ran
-        if ran is None or self.effect is Effect.SAFE:
+        if ran is None or self.effect is Idempotency.IDEMPOTENT:
             return True
-        if self.effect is Effect.UNSAFE or now > self.first_ran + cls.repeat_window:
+        if self.effect is Idempotency.NON_IDEMPOTENT or now > self.first_ran + cls.repeat_window:
             return False
         return (
             cls.scope is Scope.ALL
--- a/brackenlane/routing/events.py
+++ b/brackenlane/routing/events.py
@@ -8,16 +8,16 @@
 from brackenlane.routing.members import Member
 
 
-class ListKind(Enum):
+class MembershipKind(Enum):
     """What a membership event brings."""
 
     CHANGES = "changes"
     FULL = "full"
     REMEMBERED = "remembered"
-    REFUSED = "refused"
+    REJECTED = "refused"
 
 
-class Verdict(Enum):
+class AttemptResult(Enum):
     """How an attempt ended."""
 
     OK = "ok"
@@ -33,13 +33,18 @@
     @property
     def never_ran(self) -> bool:
         """Whether this outcome proves that nothing ran."""
-        return self in (Verdict.FULL, Verdict.UNREACHABLE, Verdict.NEVER_SENT, Verdict.MISS)
+        return self in (
+            AttemptResult.FULL,
+            AttemptResult.UNREACHABLE,
+            AttemptResult.NEVER_SENT,
+            AttemptResult.MISS,
+        )
 
 
-class Note(Enum):
+class CacheStatus(Enum):
     """How an answer came about, where the cache tells."""
 
-    UNTOLD = 0
+    UNKNOWN = 0
     HIT = 1
     FILLED = 2
     FILLED_BY_ORIGIN = 3
@@ -62,7 +67,7 @@
 class Membership(Event):
     """A list of servers, whole or in part."""
 
-    kind: ListKind
+    kind: MembershipKind
     members: tuple[Member, ...] = ()
 
 
@@ -70,7 +75,7 @@
 class Arrival(Event):
     """A client's request; it is owed one final answer within time_left."""
 
-    request: str
+    request_id: str
     time_left: float
     cls: str
     obj: str = ""
@@ -91,37 +96,37 @@
 class Outcome(Event):
     """How one attempt ended; final is set when the request is over."""
 
-    request: str
+    request_id: str
     attempt: int
     server: str
-    verdict: Verdict
+    verdict: AttemptResult
     wait: float = 0.0
     final: bool = False
-    note: Note = Note.UNTOLD
+    note: CacheStatus = CacheStatus.UNKNOWN
     first_byte: float = 0.0  # until the origin gave out what was fetched there for it, where that is seen
     report: tuple[tuple[str, float], ...] = ()
     size_kb: float = 0.0  # of what came, where it is seen; the wire of the simulator does not show it
 
 
 @dataclass(slots=True, frozen=True)
-class Started(Event):
+class ResponseStarted(Event):
     """The answer of an attempt has begun to stream; it now belongs to the client."""
 
-    request: str
+    request_id: str
     attempt: int
     server: str
     wait: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Withdrawn(Event):
+class ClientDisconnected(Event):
     """The client left; nothing more is owed."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(slots=True, frozen=True)
-class Wake(Event):
+class TimerFired(Event):
     """A timer has come due."""
 
     token: int
--- a/brackenlane/routing/fill_estimate.py
+++ b/brackenlane/routing/fill_estimate.py
@@ -11,24 +11,24 @@
 import random
 from collections.abc import Iterable
 
-from brackenlane.routing.events import Note, Outcome, Verdict
+from brackenlane.routing.events import AttemptResult, CacheStatus, Outcome
 from brackenlane.routing.servers import PRIOR_MISS_SHARE, Server
-from brackenlane.routing.settings import Notes
+from brackenlane.routing.settings import CacheStatusReporting
 
 HIT_SHARE_FIELD = "x0"  # of a load report: the cache's recent share of hits (FamilyInfo.ReportX0)
 PACES = 32  # that a learned pace is a mean over, about
 MOST_WAITING = 0.8  # of a fill's time: it is sent on at some moment, and a cache bears few at once
 ANSWERS = 64  # that a learned share of fills is a mean over, about
-FILLED = (Note.FILLED, Note.FILLED_BY_ORIGIN)
+FILLED = (CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN)
 
 
 class FillEstimate:
     """The share of answers that are filled, by all caches' notes or by each cache's reported hits."""
 
-    def __init__(self, notes: Notes, rng: random.Random, least_waiting: float = 0.0) -> None:
+    def __init__(self, notes: CacheStatusReporting, rng: random.Random, least_waiting: float = 0.0) -> None:
         """notes: which answers tell how they came about; least_waiting: of a fill, see waiting_share."""
         self._least_waiting = least_waiting
-        self._told = notes is not Notes.SILENT
+        self._told = notes is not CacheStatusReporting.SILENT
         self._random = rng
         self._share = PRIOR_MISS_SHARE
         self._pace = {True: 1.0, False: 1.0}  # of filled answers and of hits, in parts of a transfer alone
@@ -43,10 +43,10 @@
             if name == HIT_SHARE_FIELD and 0 <= value <= 1:
                 cache.miss_share = 1 - value
 
-    def observe_lookup(self, cache: Server, verdict: Verdict) -> None:
+    def observe_lookup(self, cache: Server, verdict: AttemptResult) -> None:
         """Take in how a request without a source ended: a hit or a miss, whatever notes there are."""
-        if verdict in (Verdict.OK, Verdict.MISS):
-            cache.miss_share += ((verdict is Verdict.MISS) - cache.miss_share) / ANSWERS
+        if verdict in (AttemptResult.OK, AttemptResult.MISS):
+            cache.miss_share += ((verdict is AttemptResult.MISS) - cache.miss_share) / ANSWERS
 
     @property
     def waiting_share(self) -> float:
@@ -65,7 +65,7 @@
 
     def was_filled(self, event: Outcome, chance: float) -> bool:
         """Whether a good answer with a source brought a fill; chance: as expected when it was sent."""
-        if event.note is Note.UNTOLD and not self._told:
+        if event.note is CacheStatus.UNKNOWN and not self._told:
             return self._random.random() < chance
         filled = event.note in FILLED
         self._share += (filled - self._share) / ANSWERS
--- a/brackenlane/routing/fill_source.py
+++ b/brackenlane/routing/fill_source.py
@@ -19,7 +19,7 @@
 SourceT = TypeVar("SourceT")
 
 
-class GeometricLadder:
+class FillSourceDraw:
     """Draws sources; learns which part of its draws the origin may have."""
 
     __slots__ = ("_expiring", "_random")
--- a/brackenlane/routing/latency.py
+++ b/brackenlane/routing/latency.py
@@ -10,7 +10,7 @@
 CALM_MEMORY = 512  # answers in which the calm wait follows a mean that stays higher
 
 
-class WaitEstimate:
+class LatencyEstimate:
     """The mean wait of answers, its deviation, and the mean in calm times."""
 
     __slots__ = ("_calm", "_deviation", "_mean", "strained")
--- a/brackenlane/routing/members.py
+++ b/brackenlane/routing/members.py
@@ -14,7 +14,7 @@
     ORIGIN = "origin"
 
 
-class State(Enum):
+class ServerState(Enum):
     """What discovery says of a server."""
 
     SERVING = "serving"
@@ -30,6 +30,6 @@
     zone: str
     role: Role = Role.EDGE
     cell: int = 0
-    state: State = State.SERVING
+    state: ServerState = ServerState.SERVING
     weight: float = 1.0
     started_at: float = 0.0
--- a/brackenlane/routing/origin_throttle.py
+++ b/brackenlane/routing/origin_throttle.py
@@ -11,14 +11,14 @@
 
 from __future__ import annotations
 
-from brackenlane.routing.events import Note, Outcome, Verdict
+from brackenlane.routing.events import AttemptResult, CacheStatus, Outcome
 
 MENDS = 8.0  # seconds in which the part grows back to the whole; a source that is out is tried as often
 MENDED = 1 / 4  # of what is held back, let go by an answer in time: one late now and then costs nothing
 LEAST = 0.05  # let through however late it answers: by these it is seen to have mended
 
 
-class Upstream:
+class OriginThrottle:
     """One gateway's part of what may go to the origin."""
 
     __slots__ = ("_part", "_stamp", "_cut")
@@ -39,11 +39,11 @@
         bar: seconds from which an answer is late; least: until which a refusal is the cache's own; sure: how
         surely an error is the origin's where it does not show; pause: see `late`.
         """
-        far = event.note is Note.FILLED_BY_ORIGIN
-        full = event.verdict is Verdict.FULL and event.wait > least
+        far = event.note is CacheStatus.FILLED_BY_ORIGIN
+        full = event.verdict is AttemptResult.FULL and event.wait > least
         slow = (event.first_byte or event.wait) >= bar
         # A quick error is no sign of a queue: what waits in one fails once its fill is given up.
-        if full or (slow and (far or event.verdict is Verdict.ERROR)):
+        if full or (slow and (far or event.verdict is AttemptResult.ERROR)):
             self.late(now, 1.0 if far else sure, pause)
         elif far:
             self._part += (1 - self.part(now)) * MENDED
--- a/brackenlane/routing/router.py
+++ b/brackenlane/routing/router.py
@@ -11,34 +11,34 @@
 from dataclasses import replace
 from itertools import chain
 
-from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer, Subscribe
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer, Subscribe
 from brackenlane.routing.attempts import HEADROOM, Attempt, Request, Route
 from brackenlane.routing.bounded_load import below_bound_first
 from brackenlane.routing.events import (
     Arrival,
+    AttemptResult,
+    CacheStatus,
+    ClientDisconnected,
     Event,
-    ListKind,
     Membership,
-    Note,
+    MembershipKind,
     Outcome,
     Purged,
-    Started,
-    Verdict,
-    Wake,
-    Withdrawn,
+    ResponseStarted,
+    TimerFired,
 )
 from brackenlane.routing.fill_estimate import FillEstimate
-from brackenlane.routing.fill_source import FEW, GeometricLadder
-from brackenlane.routing.latency import WaitEstimate
-from brackenlane.routing.members import Member, Role, State
-from brackenlane.routing.origin_throttle import Upstream
+from brackenlane.routing.fill_source import FEW, FillSourceDraw
+from brackenlane.routing.latency import LatencyEstimate
+from brackenlane.routing.members import Member, Role, ServerState
+from brackenlane.routing.origin_throttle import OriginThrottle
 from brackenlane.routing.popularity import Popularity
 from brackenlane.routing.purges import Purges
 from brackenlane.routing.rendezvous_hash import HashOrders
 from brackenlane.routing.servers import EJECT_AT, PROMPT, OutlierEjection, Server
-from brackenlane.routing.settings import Effect, Scope, Settings
+from brackenlane.routing.settings import Idempotency, Scope, Settings
 from brackenlane.routing.sizes import Sizes
-from brackenlane.routing.slow_start_budget import ColdBudget
+from brackenlane.routing.slow_start_budget import SlowStartBudget
 from brackenlane.routing.topology import Topology
 
 WIDEST = 3  # caches that a hot object is spread over, at most
@@ -49,7 +49,11 @@
 WAITS = 0.5  # of its time that a fill waits for its source, at least, where more than a few share a link
 LEAST = 0.2  # of its turns (squared) that a parent keeps however late its fills: it may have mended
 RETRIES = 0.2  # further attempts earned by each request
-UNTOLD = {Role.EDGE: 4.0, Role.PARENT: 10.0, Role.ORIGIN: 16.0}  # transfers, where weights are not told
+DEFAULT_WIDTH = {
+    Role.EDGE: 4.0,
+    Role.PARENT: 10.0,
+    Role.ORIGIN: 16.0,
+}  # transfers, where weights are not told
 
 
 class Router:
@@ -76,16 +80,16 @@
         self.purges = Purges(settings.purge_done, settings.tick)
         self.heat = Popularity(KEPT)
         self.sizes = Sizes(settings.classes, settings.tick, KEPT)
-        self.waits = WaitEstimate()
-        self.upstream = Upstream()  # what may go to the origin, learned
-        self.ladder = GeometricLadder(self.random)
+        self.waits = LatencyEstimate()
+        self.upstream = OriginThrottle()  # what may go to the origin, learned
+        self.ladder = FillSourceDraw(self.random)
         self.faults = 0.0  # share of errors where no source took part, learned
         self.retries = 1 / RETRIES
         self.actions: list[Action] = []
         self.topology = Topology(settings)
         self.seats = self.topology.seats  # gateways of this location
         self.hub_seats = sum(mate.weight for mate in self.topology.mates)
-        self.cold = ColdBudget(settings, self.topology, self.sizes, KEPT)
+        self.cold = SlowStartBudget(settings, self.topology, self.sizes, KEPT)
         here = settings.locations.index(settings.location)
         told = settings.link_kb_per_s and settings.pace_kb_per_s and settings.link_kb_per_s[here]
         self.link = Server(Member("", "", weight=told / settings.pace_kb_per_s if told else math.inf))
@@ -106,11 +110,11 @@
                 self._outcome(event, now)
             case Membership():
                 self._list(event)
-            case Withdrawn():
-                self._drop(event.request)
-            case Started():
-                self.held.pop(event.request, None)  # it is the client's now: nothing more may be sent
-            case Wake():
+            case ClientDisconnected():
+                self._drop(event.request_id)
+            case ResponseStarted():
+                self.held.pop(event.request_id, None)  # it is the client's now: nothing more may be sent
+            case TimerFired():
                 self._wake(event.token, now)
             case Purged():
                 self.purges.add(event, now)
@@ -118,19 +122,19 @@
 
     def _list(self, event: Membership) -> None:
         """Follow the list; a server that drains or is gone is left at once, a new start time is cold."""
-        if self.s.must_ask and event.kind in (ListKind.REMEMBERED, ListKind.REFUSED):
+        if self.s.must_ask and event.kind in (MembershipKind.REMEMBERED, MembershipKind.REJECTED):
             self.actions.append(Subscribe())
-        if event.kind is not ListKind.CHANGES and event.kind is not ListKind.REFUSED:
+        if event.kind is not MembershipKind.CHANGES and event.kind is not MembershipKind.REJECTED:
             self.servers = {m.server: self.servers.get(m.server) or self._new(m) for m in event.members}
         for m in event.members:
             known = self.servers.get(m.server)
             if known is None or m.started_at > known.born:
                 # A new start: cold, and nothing known of it.
                 known = self.servers[m.server] = self._new(m)
-            known.me = m if self.s.weights_told else replace(m, weight=UNTOLD[m.role])
+            known.me = m if self.s.weights_told else replace(m, weight=DEFAULT_WIDTH[m.role])
         # Boxes are replaced all day long: those that are gone must not add up.
-        self.servers = {name: s for name, s in self.servers.items() if s.me.state is not State.GONE}
-        serving = [s for s in self.servers.values() if s.me.state is State.SERVING]
+        self.servers = {name: s for name, s in self.servers.items() if s.me.state is not ServerState.GONE}
+        serving = [s for s in self.servers.values() if s.me.state is ServerState.SERVING]
         self.edges = [s for s in serving if s.me.role is Role.EDGE and s.me.zone == self.s.location]
         self.origin = next((s for s in serving if s.me.role is Role.ORIGIN), None)
         parents = [s for s in serving if s.me.role is Role.PARENT]
@@ -258,9 +262,9 @@
         cls = self.classes.get(ask.cls) or self.s.classes[0]
         pace = ask.size_kb and self.s.pace_kb_per_s
         work = self.sizes.work(cls.name, ask.obj, ask.size_kb / pace if pace else 0.0)
-        request = self.held[ask.request] = Request(ask, cls, now, max(work, self.s.tick))
+        request = self.held[ask.request_id] = Request(ask, cls, now, max(work, self.s.tick))
         self.retries = min(self.retries + RETRIES, 4 / RETRIES)
-        self._timer(ask.request, request.deadline, -1)
+        self._timer(ask.request_id, request.deadline, -1)
         for pipe in (*self.edges, *chain(*self.rings), self.link):
             pipe.mean_in_flight += (pipe.in_flight - pipe.mean_in_flight) / 16
         self._attempt(request, now)
@@ -331,7 +335,7 @@
         edge, source = route.edge, route.source
         fill = (1 if request.missed or edge is source else self.fills.expected(edge)) if source else 0.0
         sent = Attempt(route, now, fill)
-        self.attempts[(request.ask.request, request.sent)] = sent
+        self.attempts[(request.ask.request_id, request.sent)] = sent
         sent.load = 1 - self.fills.waiting_share * fill
         edge.in_flight += sent.load
         self.link.in_flight += fill
@@ -357,17 +361,17 @@
         """Send a request on by its route; again: after an attempt that was no look."""
         self._open(request, route, now)
         patience, left, cls = self._patience(request, now), request.deadline - now, request.cls
-        self._timer(request.ask.request, now + patience, request.sent - 1)
+        self._timer(request.ask.request_id, now + patience, request.sent - 1)
         # What was asked for before ranks above what may be wanted once, and is not pushed out by it. Whoever
         # sees a part of a location's requests can't tell, and what it ranked high would never be pushed out.
         known = self.seats < 2 and self.heat.is_repeated(request.ask.copy, request.work)
         named = route.asked or route.edge  # a parent fills only if told
         if route.edge is route.asked and self.origin:
             named = self.origin
-        keyed = request.ran is not None and request.effect is Effect.KEYED
+        keyed = request.ran is not None and request.effect is Idempotency.IDEMPOTENT_WITH_KEY
         self.actions.append(
             Fetch(
-                request.ask.request,
+                request.ask.request_id,
                 route.edge.me.server,
                 left if self.s.may_cancel else min(left, patience),
                 named.me.server,
@@ -382,27 +386,29 @@
 
     def _may_send(self, request: Request, server: Member, now: float) -> bool:
         """Whether one attempt more may be in flight, and may run there."""
-        if request.out and not (self.s.second_copies and request.effect is not Effect.UNSAFE):
+        if request.out and not (self.s.second_copies and request.effect is not Idempotency.NON_IDEMPOTENT):
             return False
         return request.may_run_at(server, now)
 
     def _outcome(self, event: Outcome, now: float) -> None:
         """Judge the servers of an attempt; then try again or end the request."""
-        attempt = self.attempts.pop((event.request, event.attempt), None)
-        request = self.held.get(event.request)
+        attempt = self.attempts.pop((event.request_id, event.attempt), None)
+        request = self.held.get(event.request_id)
         if attempt:
             self._judge(event, attempt, request, now)
         if request is None:
             return
         request.out -= 1
-        if event.final or event.verdict is Verdict.OK:
-            return self._drop(event.request)
+        if event.final or event.verdict is AttemptResult.OK:
+            return self._drop(event.request_id)
         if not event.verdict.never_ran and request.ran is None and attempt:
             request.ran, request.first_ran = attempt.edge.me, attempt.sent
-        request.full = event.verdict is Verdict.FULL and event.wait <= 2 * self.s.tick and request.missed
-        request.missed = event.verdict is Verdict.MISS or request.full
+        request.full = (
+            event.verdict is AttemptResult.FULL and event.wait <= 2 * self.s.tick and request.missed
+        )
+        request.missed = event.verdict is AttemptResult.MISS or request.full
         quick = min(1.0, event.wait / request.work)
-        request.cost = {Verdict.ERROR: quick, Verdict.BROKEN: 0.25}.get(event.verdict, 1.0)
+        request.cost = {AttemptResult.ERROR: quick, AttemptResult.BROKEN: 0.25}.get(event.verdict, 1.0)
         request.lacked = request.missed and bool(attempt and attempt.held)
         self._attempt(request, now)
 
@@ -418,15 +424,15 @@
             self.fills.observe_lookup(edge, verdict)
         if request and source and not attempt.held and not request.cls.uncached:
             self._upstream(event, request, source, now)
-        if source is None or verdict is Verdict.OK:
-            self.faults += ((verdict is Verdict.ERROR) - self.faults) / (64 if source else 16)
+        if source is None or verdict is AttemptResult.OK:
+            self.faults += ((verdict is AttemptResult.ERROR) - self.faults) / (64 if source else 16)
         filled = False
-        if verdict is Verdict.OK:
+        if verdict is AttemptResult.OK:
             self.ejection.clear(edge, now)
             if request:
                 self.waits.learn(event.wait / request.span)
             if source and source is not edge:
-                if event.note is Note.HIT and request:
+                if event.note is CacheStatus.HIT and request:
                     source.tokens.work += self._cold_cost(source, request)  # it was not asked
                 filled = self.fills.was_filled(event, attempt.fill)
                 if filled:
@@ -442,7 +448,7 @@
                 self.fills.observe_pace(filled, attempt.fill, request.work, event.wait)
             alone = event.size_kb / self.s.pace_kb_per_s if self.s.pace_kb_per_s else 0.0
             if alone > 8 * self.s.tick and not self.s.weights_told:
-                if event.note is Note.HIT and edge.me.role is Role.EDGE:
+                if event.note is CacheStatus.HIT and edge.me.role is Role.EDGE:
                     crowd = min(attempt.crowd, self._crowd(edge, self.seats) + 1)
                     edge.learn_width(crowd, event.wait / alone)
                     warm = (e.width for e in self.edges if e.width and self._cold_room(e, now) == math.inf)
@@ -451,21 +457,21 @@
                     source.learn_width(min(attempt.queue, self._crowd(source, self.hub_seats)), 1.0)
             if request and not request.ask.size_kb:
                 self.sizes.learn(request.cls.name, request.ask.obj, alone, event.wait)
-        elif verdict is Verdict.UNREACHABLE:
+        elif verdict is AttemptResult.UNREACHABLE:
             self._accuse(edge, 2 * EJECT_AT, now)
-        elif verdict is Verdict.BROKEN:
+        elif verdict is AttemptResult.BROKEN:
             # One connection's end, whatever was open on it: only the next connect tells of the cache itself.
             if now > edge.broken + self.s.connect_timeout:
                 edge.broken = now
                 self._accuse(edge, 1.0, now)
-        elif verdict is Verdict.TIMEOUT and not attempt.overdue:
+        elif verdict is AttemptResult.TIMEOUT and not attempt.overdue:
             self._late(attempt, now)
-        elif verdict in (Verdict.ERROR, Verdict.FULL) and event.wait > 2 * self.s.tick:
+        elif verdict in (AttemptResult.ERROR, AttemptResult.FULL) and event.wait > 2 * self.s.tick:
             # A cache's own refusal comes within a tick or two; what takes longer failed at the source. But a
             # good source is not shut for errors that caches make alone, sooner than a fill is given up.
-            alone = verdict is Verdict.ERROR and self.faults > 0.1 and event.wait < self.aim
+            alone = verdict is AttemptResult.ERROR and self.faults > 0.1 and event.wait < self.aim
             # A quick error says nothing of a queue: fewer fills in flight would not have helped.
-            crowded = verdict is Verdict.FULL or event.wait >= HEADROOM * (
+            crowded = verdict is AttemptResult.FULL or event.wait >= HEADROOM * (
                 request.aim if request else self.aim
             )
             self._accuse(edge if alone else source or edge, 0.5 if alone else 1.0, now, crowded)
@@ -475,11 +481,11 @@
 
     def _limit(self, event: Outcome, attempt: Attempt, request: Request, filled: bool, now: float) -> None:
         """Learn how many transfers at a time the server bears that an answer came from."""
-        server, crowd, used, note = attempt.edge, attempt.crowd, attempt.edge_used, Note.HIT
+        server, crowd, used, note = attempt.edge, attempt.crowd, attempt.edge_used, CacheStatus.HIT
         if filled and attempt.source:
             server, crowd, used = attempt.source, attempt.queue, attempt.source_used
-            note = Note.FILLED
-        if event.note not in (note, Note.UNTOLD) or server.me.role is Role.ORIGIN:
+            note = CacheStatus.FILLED
+        if event.note not in (note, CacheStatus.UNKNOWN) or server.me.role is Role.ORIGIN:
             return
         # What is late on a link of its own is large or slow, but no crowd.
         late = event.wait > request.aim
@@ -511,11 +517,11 @@
 
     def _finish(self, request: Request, now: float) -> None:
         """Give up at once: refuse where a retry does no harm, else fail."""
-        cls, name = request.cls, request.ask.request
-        keyed = request.effect is Effect.KEYED and cls.scope is Scope.ALL
-        repeats = request.effect is Effect.SAFE or keyed
+        cls, name = request.cls, request.ask.request_id
+        keyed = request.effect is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL
+        repeats = request.effect is Idempotency.IDEMPOTENT or keyed
         refuse = (repeats or (request.ran is None and not request.out)) and now < request.deadline
-        self.actions.append(Refuse(name, min(self.s.max_hold_off, cls.aim)) if refuse else Fail(name))
+        self.actions.append(Reject(name, min(self.s.max_hold_off, cls.aim)) if refuse else Fail(name))
         self._drop(name)
 
     def _drop(self, name: str) -> None:
--- a/brackenlane/routing/servers.py
+++ b/brackenlane/routing/servers.py
@@ -11,7 +11,7 @@
 
 from brackenlane.routing.concurrency_limit import ConcurrencyLimit
 from brackenlane.routing.members import Member, Role
-from brackenlane.routing.slow_start import Tokens
+from brackenlane.routing.slow_start import TokenBucket
 
 EJECT_AT = 2.0  # failure score above the mean of its peers that ejects a server
 EJECT_ALONE_AT = 4.0  # the same for a server that has no peer
@@ -45,7 +45,7 @@
         self.slow = -math.inf  # when it was last late with what it holds
         self.broken = -math.inf  # when a connection of it last broke
         self.born = me.started_at
-        self.tokens = Tokens(max(me.started_at, since))
+        self.tokens = TokenBucket(max(me.started_at, since))
         self.window = math.inf if me.role is Role.EDGE else start  # fills in flight; a slow start until cut
 
     @property
@@ -110,7 +110,7 @@
             return
         if server.gap > 2 * self._shortest:
             server.born = now
-            server.tokens = Tokens(now)
+            server.tokens = TokenBucket(now)
         server.ejected_until = 0.0
         server.gap = 0.0
         server.failure_score = 0.0
--- a/brackenlane/routing/settings.py
+++ b/brackenlane/routing/settings.py
@@ -7,12 +7,12 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """Whether a request may run more than once."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_WITH_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
 class Scope(Enum):
@@ -23,7 +23,7 @@
     CELL = "cell"
 
 
-class Notes(Enum):
+class CacheStatusReporting(Enum):
     """Which answers of caches tell how they came about."""
 
     ALL = "all"
@@ -31,7 +31,7 @@
     SILENT = "silent"
 
 
-class Siblings(Enum):
+class SiblingSources(Enum):
     """Which other edge caches may be a fill source."""
 
     NONE = "none"
@@ -57,7 +57,7 @@
     aim_stretch: float = 0.0
     worth: float = 1.0
     late_worth: float = 0.0
-    effect: Effect = Effect.SAFE
+    effect: Idempotency = Idempotency.IDEMPOTENT
     scope: Scope = Scope.ALL
     repeat_window: float = 0.0
     fresh: float = 0.0
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ColdStart:
+class SlowStart:
     """The rule for servers that started lately: least share, ramp, and what pushes them over."""
 
     share: float = 1.0
@@ -105,8 +105,8 @@
     mate: int = -1  # this gateway's place among those of its location, from 0; -1: not told
     link_kb_per_s: tuple[float, ...] = ()
     pace_kb_per_s: float = 0.0
-    edge_cold: ColdStart = field(default_factory=ColdStart)
-    parent_cold: ColdStart = field(default_factory=ColdStart)
+    edge_cold: SlowStart = field(default_factory=SlowStart)
+    parent_cold: SlowStart = field(default_factory=SlowStart)
     tick: float = 0.001
     answer_slack: float = 0.0
     connect_timeout: float = 1.0
@@ -124,8 +124,8 @@
     second_copies: bool = False
     direct: bool = False
     joins: bool = False
-    siblings: Siblings = Siblings.NONE
-    notes: Notes = Notes.ALL
+    siblings: SiblingSources = SiblingSources.NONE
+    notes: CacheStatusReporting = CacheStatusReporting.ALL
 
     def __post_init__(self) -> None:
         if not self.classes:
--- a/brackenlane/routing/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -22,12 +22,24 @@
     repeats,
 )
 from brackenlane.routing.members import Role
-from brackenlane.routing.settings import ColdStart, Effect, Notes, RequestClass, Scope, Settings, Siblings
+from brackenlane.routing.settings import (
+    CacheStatusReporting,
+    Idempotency,
+    RequestClass,
+    Scope,
+    Settings,
+    SiblingSources,
+    SlowStart,
+)
 
-EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
+EFFECTS = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.IDEMPOTENT_WITH_KEY,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
 SCOPES = {scope.value: scope for scope in Scope}
-SIBLINGS = {"silent": Siblings.NONE, "location": Siblings.LOCATION, "any": Siblings.ANY}
-NOTES = {notes.value: notes for notes in Notes}
+SIBLINGS = {"silent": SiblingSources.NONE, "location": SiblingSources.LOCATION, "any": SiblingSources.ANY}
+NOTES = {notes.value: notes for notes in CacheStatusReporting}
 REPORT_WAYS = {word: word for word in ("piggyback", "pull", "silent")}
 WEIGHTS_TOLD = {"silent": False, "nominal": True, "rough": True, "live": True}
 MUST_ASK = {"push": False, "ask": True}
@@ -162,20 +174,20 @@
     return longest if limits.flag("RetryAfter") else 0.0
 
 
-def _read_cold_starts(rules: Section, family: Section) -> tuple[ColdStart, ColdStart]:
+def _read_cold_starts(rules: Section, family: Section) -> tuple[SlowStart, SlowStart]:
     """The rules for caches and for parents that started lately; a parent's are the cache's where not told."""
     edge_ramp = rules.number("RampTimeS", 0.0)
     parent_ramp = family.number("UpperColdS", edge_ramp)
     if not _has_parents(family):
         parent_ramp = 0.0
     span = rules.number("OverloadForS", 1.0, _cold_bounds(max(edge_ramp, parent_ramp), ABOVE_ZERO)) or 1.0
-    edge = ColdStart(
+    edge = SlowStart(
         rules.number("ColdFrom", 1.0, _cold_bounds(edge_ramp, SHARE)) or 1.0,
         edge_ramp,
         rules.number("OverloadFactor", 1.0, _cold_bounds(edge_ramp, ABOVE_ZERO)) or 1.0,
         span,
     )
-    parent = ColdStart(
+    parent = SlowStart(
         family.number("ParentStartsAt", edge.share, _cold_bounds(parent_ramp, SHARE)) or 1.0,
         parent_ramp,
         family.number("ParentFallMultiple", edge.factor, _cold_bounds(parent_ramp, ABOVE_ZERO)) or 1.0,
--- a/brackenlane/routing/simulator.py
+++ b/brackenlane/routing/simulator.py
@@ -7,42 +7,42 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import TextIO
 
-from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer, Subscribe
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer, Subscribe
 from brackenlane.routing.events import (
     Arrival,
+    AttemptResult,
+    CacheStatus,
+    ClientDisconnected,
     Event,
-    ListKind,
     Membership,
-    Note,
+    MembershipKind,
     Outcome,
     Purged,
-    Started,
-    Verdict,
-    Wake,
-    Withdrawn,
+    ResponseStarted,
+    TimerFired,
 )
 from brackenlane.routing.load_report import read_load_report
-from brackenlane.routing.members import Member, Role, State
+from brackenlane.routing.members import Member, Role, ServerState
 from brackenlane.routing.router import Router
 from brackenlane.routing.settings_codec import kind_roles, read_settings
 
 VERDICTS = {
-    "0": Verdict.OK,
-    "255": Verdict.ERROR,
-    "254": Verdict.FULL,
-    "253": Verdict.TIMEOUT,
-    "252": Verdict.UNREACHABLE,
-    "251": Verdict.BROKEN,
-    "250": Verdict.CANCELLED,
-    "249": Verdict.NEVER_SENT,
-    "1": Verdict.MISS,
+    "0": AttemptResult.OK,
+    "255": AttemptResult.ERROR,
+    "254": AttemptResult.FULL,
+    "253": AttemptResult.TIMEOUT,
+    "252": AttemptResult.UNREACHABLE,
+    "251": AttemptResult.BROKEN,
+    "250": AttemptResult.CANCELLED,
+    "249": AttemptResult.NEVER_SENT,
+    "1": AttemptResult.MISS,
 }
-STATES = {"SERVING": State.SERVING, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {"SERVING": ServerState.SERVING, "DRAINING": ServerState.DRAINING, "DELETED": ServerState.GONE}
 LISTS = {
-    "changes": ListKind.CHANGES,
-    "all": ListKind.FULL,
-    "remembered": ListKind.REMEMBERED,
-    "refused": ListKind.REFUSED,
+    "changes": MembershipKind.CHANGES,
+    "all": MembershipKind.FULL,
+    "remembered": MembershipKind.REMEMBERED,
+    "refused": MembershipKind.REJECTED,
 }
 TEXT_FIELDS = (" Config=", " What=")
 USAGE_SEPARATOR = ","
@@ -93,10 +93,10 @@
     )
 
 
-def _read_note(f: Fields) -> Note:
+def _read_note(f: Fields) -> CacheStatus:
     """The note of an outcome; one that is not known counts as none."""
     code = int(f.get("Note", 0))
-    return Note(code) if code in Note._value2member_map_ else Note.UNTOLD
+    return CacheStatus(code) if code in CacheStatus._value2member_map_ else CacheStatus.UNKNOWN
 
 
 READERS: dict[str, Callable[[Fields], Event]] = {
@@ -122,11 +122,11 @@
         float(f.get("TtfbS", 0.0)),
         read_load_report(f.get("Usage", ""), USAGE_SEPARATOR),
     ),
-    "FIRST": lambda f: Started(
+    "FIRST": lambda f: ResponseStarted(
         f["MsgId"], int(f["SeqNo"]), f.get("Cache", ""), float(f.get("WaitTimeS", 0.0))
     ),
-    "WITHDRAWN": lambda f: Withdrawn(f["MsgId"]),
-    "WAKE": lambda f: Wake(int(f["Handle"])),
+    "WITHDRAWN": lambda f: ClientDisconnected(f["MsgId"]),
+    "WAKE": lambda f: TimerFired(int(f["Handle"])),
     "OUTDATED": lambda f: Purged(
         "" if f.get("File", "0") == "0" else f["File"], int(f.get("Tag", -1)), float(f.get("OldnessS", 0.0))
     ),
@@ -139,16 +139,16 @@
         case Fetch():
             mode = MODE_JOIN * action.join + MODE_HELD * action.held_only + MODE_RENEW * action.renew
             return (
-                f"FETCH_THROUGH I={instance} MsgId={action.request} Cache={action.server} "
+                f"FETCH_THROUGH I={instance} MsgId={action.request_id} Cache={action.server} "
                 f"PatienceS={action.timeout:.6f} Supplier={action.source} TierRank={action.keep} "
                 f"OldnessS={action.max_age:.6f} Mode={mode}"
             )
-        case Refuse():
-            return f"BUSY I={instance} MsgId={action.request} HoldOffS={action.hold_off:.6f}"
+        case Reject():
+            return f"BUSY I={instance} MsgId={action.request_id} HoldOffS={action.hold_off:.6f}"
         case Fail():
-            return f"FINISH_ERROR I={instance} MsgId={action.request}"
+            return f"FINISH_ERROR I={instance} MsgId={action.request_id}"
         case Cancel():
-            return f"WITHDRAW I={instance} MsgId={action.request} SeqNo={action.attempt}"
+            return f"WITHDRAW I={instance} MsgId={action.request_id} SeqNo={action.attempt}"
         case SetTimer():
             return f"SET_TIMER I={instance} Handle={action.token} AtS={action.at:.6f}"
         case Subscribe():
--- a/brackenlane/routing/slow_start.py
+++ b/brackenlane/routing/slow_start.py
@@ -10,12 +10,12 @@
 from collections.abc import Iterable
 from zlib import crc32
 
-from brackenlane.routing.settings import ColdStart
+from brackenlane.routing.settings import SlowStart
 
 MARGIN = 0.85  # part of a cold budget that is used: weights and sizes are known roughly
 
 
-def ability(rule: ColdStart, weight: float, age: float) -> float:
+def ability(rule: SlowStart, weight: float, age: float) -> float:
     """Transfers that a server of this age (seconds) surely bears: at the slowest it warms in a line.
 
     The age is negative where the server's clock is ahead of ours; a ramp of 0 is over at any age.
@@ -24,7 +24,7 @@
     return MARGIN * weight * (rule.share + (1 - rule.share) * warmed)
 
 
-def burst(rule: ColdStart, can: float) -> float:
+def burst(rule: SlowStart, can: float) -> float:
     """Work that may come at once, on top of what is worked off meanwhile."""
     return (rule.factor - 1) * can * rule.span
 
@@ -54,7 +54,7 @@
     return few if (mate + crc32(server.encode())) % mates < few else 0
 
 
-class Tokens:
+class TokenBucket:
     """One gateway's share of one server's budget."""
 
     __slots__ = ("work", "stamp")
--- a/brackenlane/routing/slow_start_budget.py
+++ b/brackenlane/routing/slow_start_budget.py
@@ -17,7 +17,7 @@
 from brackenlane.routing.topology import Topology
 
 
-class ColdBudget:
+class SlowStartBudget:
     """What this gateway may send to cold servers."""
 
     def __init__(self, settings: Settings, topology: Topology, sizes: Sizes, kept: int) -> None:
--- a/brackenlane/settings/appliance.py
+++ b/brackenlane/settings/appliance.py
@@ -15,7 +15,7 @@
 
 from brackenlane.config import ConfigError
 from brackenlane.discovery.records import fixed
-from brackenlane.routing.settings import ColdStart, Effect, RequestClass, Scope, Settings
+from brackenlane.routing.settings import Idempotency, RequestClass, Scope, Settings, SlowStart
 
 
 def _endpoint(text: str) -> str:
@@ -237,9 +237,9 @@
         for name in ("locations", "hub_of", "seats", "link_kb_per_s"):
             told[name] = tuple(told[name])
         for name in ("edge_cold", "parent_cold"):
-            told[name] = ColdStart(**told[name])
+            told[name] = SlowStart(**told[name])
         classes = tuple(
-            RequestClass(**{**c.model_dump(), "effect": Effect(c.effect), "scope": Scope(c.scope)})
+            RequestClass(**{**c.model_dump(), "effect": Idempotency(c.effect), "scope": Scope(c.scope)})
             for c in self.classes
         )
         return Settings(classes=classes, **told)
--- a/brackenlane/store/connection.py
+++ b/brackenlane/store/connection.py
@@ -11,7 +11,7 @@
 from brackenlane.net.connector import connect
 
 
-class StoreAway(Exception):
+class StoreUnavailableError(Exception):
     """The store cannot be reached or does not answer."""
 
     slow = False  # somebody is there, but too late
@@ -44,7 +44,7 @@
                         if not whole:
                             await self.close()
         except (trio.TooSlowError, trio.BrokenResourceError, OSError, hiredis.ProtocolError) as fault:
-            away = StoreAway(str(fault) or type(fault).__name__)
+            away = StoreUnavailableError(str(fault) or type(fault).__name__)
             away.slow = isinstance(fault, trio.TooSlowError)
             raise away from None
         for reply in replies:
--- a/brackenlane/store/replica.py
+++ b/brackenlane/store/replica.py
@@ -19,15 +19,15 @@
 import orjson
 import trio
 
-from brackenlane.coldstart.pacing import Capacity, Pace
-from brackenlane.coldstart.phases import Event, Phase, Phases
+from brackenlane.coldstart.pacing import Capacity, StorePacing
+from brackenlane.coldstart.phases import StartupEvent, StartupPhase, StartupPhases
 from brackenlane.coldstart.stream_position import NOWHERE, before, continues, lacking, read_place
 from brackenlane.config import Endpoint
-from brackenlane.core.claims import Claim
-from brackenlane.discovery.records import Definition, Order, Origin
-from brackenlane.discovery.registry import Roster, box_json, order_json, read_box, read_order
+from brackenlane.core.claims import ClaimResult
+from brackenlane.discovery.records import CacheDefinition, DefinitionSource, OperatorOrder
+from brackenlane.discovery.registry import Registry, box_json, order_json, read_box, read_order
 from brackenlane.limits import Limits
-from brackenlane.store.connection import Connection, StoreAway, StoreError
+from brackenlane.store.connection import Connection, StoreError, StoreUnavailableError
 
 log = logging.getLogger(__name__)
 
@@ -35,7 +35,7 @@
 Change = tuple[list[str | int] | None, dict[str, Any]]  # the command that keeps it, the event that tells it
 
 
-class Shared:
+class SharedStore:
     """One doorman's view of the store."""
 
     def __init__(
@@ -43,11 +43,11 @@
         endpoint: Endpoint,
         site: str,
         name: str,
-        roster: Roster,
+        roster: Registry,
         purge_done: float,
         limits: Limits,
         capacity: Capacity | None = None,
-        phases: Phases | None = None,
+        phases: StartupPhases | None = None,
         place: str = NOWHERE,
     ) -> None:
         """place: up to where in the stream the roster knows all."""
@@ -61,44 +61,44 @@
         self._claims = f"brackenlane:{site}:claim:"
         self._commands = Connection(endpoint, limits.store_wait)
         self._follows = Connection(endpoint, limits.store_wait)
-        self.phases, self.place = phases or Phases(time.time()), place
+        self.phases, self.place = phases or StartupPhases(time.time()), place
         self._chance = random.Random()
-        self.pace = Pace(name, capacity or Capacity(), self._chance)
+        self.pace = StorePacing(name, capacity or Capacity(), self._chance)
         self.fault = ""  # why the store is away
         self._unshared: deque[Change] = deque(maxlen=limits.store_unshared)
         # Told to the store, not read back yet: a store that is set back may have lost it.
         self._unread: OrderedDict[str, Change] = OrderedDict()
-        self._there: dict[str, Order] = {}  # orders that the store has
+        self._there: dict[str, OperatorOrder] = {}  # orders that the store has
 
     @property
     def reached(self) -> bool:
         """Whether all that the store has is known, and news are followed."""
-        return self.phases.phase is Phase.CURRENT
+        return self.phases.phase is StartupPhase.CURRENT
 
-    async def claim(self, txn: str) -> Claim:
+    async def claim(self, txn: str) -> ClaimResult:
         """Claim a submit before it runs; the first to claim it is the only one ever to run it."""
         try:
             [reply] = await self._commands.call(
                 ["SET", self._claims + txn, self._name, "NX", "EX", self._limits.claim_kept]
             )
-        except (StoreAway, StoreError) as fault:
+        except (StoreUnavailableError, StoreError) as fault:
             log.warning("no claim: %s", fault)
-            return Claim.UNKNOWN
-        return Claim.OURS if reply == "OK" else Claim.TAKEN
+            return ClaimResult.UNKNOWN
+        return ClaimResult.OURS if reply == "OK" else ClaimResult.TAKEN
 
     async def release(self, txn: str) -> None:
         """Give back the claim of a submit that provably never ran, so that it may be sent again."""
         try:
             await self._commands.call(["DEL", self._claims + txn])
-        except (StoreAway, StoreError) as fault:
+        except (StoreUnavailableError, StoreError) as fault:
             log.warning("a claim stays: %s", fault)
 
-    async def change(self, box: Definition) -> bool:
+    async def change(self, box: CacheDefinition) -> bool:
         """Share what has changed about a box; False if the store is away."""
         text = orjson.dumps(box_json(box)).decode()
         return await self._share(["HSET", self._boxes, box.id, text], {"box": box_json(box)})
 
-    async def order(self, server: str, order: Order) -> bool:
+    async def order(self, server: str, order: OperatorOrder) -> bool:
         """Share a drain or a restore; False if the store is away."""
         told = order_json(server, order)
         return await self._share(["HSET", self._orders, server, orjson.dumps(told).decode()], {"order": told})
@@ -147,14 +147,14 @@
         ]
         try:
             await self._commands.call(*([["MULTI"], first, added, ["EXEC"]] if first else [added]))
-        except (StoreAway, StoreError) as fault:
+        except (StoreUnavailableError, StoreError) as fault:
             log.warning("not shared: %s", fault)
             return False
         return True
 
-    async def run(self, own: list[Definition]) -> None:
+    async def run(self, own: list[CacheDefinition]) -> None:
         """Follow the store for good; while it is away the last list stands."""
-        filing = Filing(own, self._filed)
+        filing = FileRegistration(own, self._filed)
         await trio.sleep(self.pace.first())
         while True:
             refused = False
@@ -166,20 +166,22 @@
                         if not filing.done:
                             await self._file(filing)
                         await self._follow()
-            except* (StoreAway, StoreError) as faults:
+            except* (StoreUnavailableError, StoreError) as faults:
                 self.fault = str(faults.exceptions[0])
-                refused = not isinstance(faults.exceptions[0], StoreAway) or faults.exceptions[0].slow
+                refused = (
+                    not isinstance(faults.exceptions[0], StoreUnavailableError) or faults.exceptions[0].slow
+                )
             await self._follows.close()
-            self.phases.step(Event.LOST, time.time())
+            self.phases.step(StartupEvent.LOST, time.time())
             wait = self.pace.failed(refused)
             log.warning("store: %s; again in %.1f s", self.fault, wait)
             await trio.sleep(wait)
 
-    async def _catch_up(self, filing: Filing) -> None:
+    async def _catch_up(self, filing: FileRegistration) -> None:
         """Take in what came behind our place, or the whole list when it is our turn."""
         while self._unshared:
             if not await self._send(self._unshared[0]):
-                raise StoreAway("what changed meanwhile can't be shared yet")
+                raise StoreUnavailableError("what changed meanwhile can't be shared yet")
             self._unshared.popleft()
         asked = time.monotonic()
         begin = self.place if self.place != NOWHERE else "+"  # behind all: nothing is asked for
@@ -208,11 +210,11 @@
                     self._take({"order": _read_json(text)})
             self._read(entries)
         else:
-            self.phases.step(Event.ASKED, time.time())
+            self.phases.step(StartupEvent.ASKED, time.time())
             await self._turn()
             await self._load()
         self.fault = ""
-        self.phases.step(Event.READ, time.time())
+        self.phases.step(StartupEvent.READ, time.time())
 
     def _obey(self, hint: Any) -> None:
         """What the store bears, if it says so itself."""
@@ -293,9 +295,9 @@
         self._unread.clear()
         for change in again:
             if not await self._send(change):
-                raise StoreAway("what the store has lost can't be shared again yet")
+                raise StoreUnavailableError("what the store has lost can't be shared again yet")
         mine = self._roster.merge.orders
-        if not (missing := lacking(mine, self._there, Order.beats)):
+        if not (missing := lacking(mine, self._there, OperatorOrder.beats)):
             return
         [texts] = await self._commands.call(["HMGET", self._orders, *missing])
         for server, text in zip(missing, texts, strict=True):
@@ -306,9 +308,9 @@
             if there:
                 self._there[server] = there
             if server in mine and mine[server].beats(there) and not await self.order(server, mine[server]):
-                raise StoreAway("orders that the store has lost can't be shared again yet")
+                raise StoreUnavailableError("orders that the store has lost can't be shared again yet")
 
-    async def _file(self, filing: Filing) -> None:
+    async def _file(self, filing: FileRegistration) -> None:
         """Write those boxes of our file that the store has not, unless another is about to."""
         mine, value = await self._follows.call(
             ["SET", filing.key, self._name, "NX", "EX", self._limits.store_filing], ["GET", filing.key]
@@ -348,7 +350,7 @@
         """One event, from a place of the log; guards against what another program may have written there."""
         try:
             if "box" in event:
-                self._roster.define(Origin.STORE, read_box(event["box"]))
+                self._roster.define(DefinitionSource.STORE, read_box(event["box"]))
             elif "order" in event:
                 server, order = read_order(event["order"])
                 if order.beats(self._there.get(server)):
@@ -370,10 +372,10 @@
         return None
 
 
-class Filing:
+class FileRegistration:
     """The operator's file in the store: its boxes are written by one of all who have the same file."""
 
-    def __init__(self, own: list[Definition], prefix: str) -> None:
+    def __init__(self, own: list[CacheDefinition], prefix: str) -> None:
         self.own, self.done = own, not own
         self.key = prefix + hashlib.sha256(orjson.dumps([box_json(box) for box in own])).hexdigest()[:32]
 
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -7,9 +7,16 @@
 
 from brackenlane.routing import Router
 from brackenlane.routing.actions import Action, Fetch
-from brackenlane.routing.events import Arrival, ListKind, Membership, Note, Outcome, Verdict
+from brackenlane.routing.events import (
+    Arrival,
+    AttemptResult,
+    CacheStatus,
+    Membership,
+    MembershipKind,
+    Outcome,
+)
 from brackenlane.routing.members import Member, Role
-from brackenlane.routing.settings import ColdStart, RequestClass, Settings
+from brackenlane.routing.settings import RequestClass, Settings, SlowStart
 
 VIDEO = RequestClass("video", aim=0.5, give_up=5.0, aim_stretch=2.0, worth=2.0, late_worth=0.15)
 TILES = RequestClass("tiles", aim=0.4, give_up=2.5, aim_stretch=2.0, late_worth=0.2, fresh=8.0)
@@ -27,8 +34,8 @@
         "hub_of": (0, 1, 2, 0),
         "seats": (0, 0, 0, 1),
         "pace_kb_per_s": 4000.0,
-        "edge_cold": ColdStart(0.18, 18.0, 4.0, 1.0),
-        "parent_cold": ColdStart(0.085, 22.0, 2.0, 1.0),
+        "edge_cold": SlowStart(0.18, 18.0, 4.0, 1.0),
+        "parent_cold": SlowStart(0.085, 22.0, 2.0, 1.0),
         "connect_timeout": 0.4,
         "purge_done": 6.0,
         "max_attempts": 8,
@@ -51,7 +58,7 @@
     return found + [Member("origin", "hub-a", Role.ORIGIN)] * origin
 
 
-class Rig:
+class RouterHarness:
     """A Router, and the events that its tests send it."""
 
     def __init__(
@@ -60,9 +67,9 @@
         self.router = Router(settings(**changes), seed)
         self.now = now
         self.ids = itertools.count()
-        self.tell(members() if fleet is None else fleet, ListKind.REMEMBERED)
+        self.tell(members() if fleet is None else fleet, MembershipKind.REMEMBERED)
 
-    def tell(self, fleet: list[Member], kind: ListKind = ListKind.CHANGES) -> list[Action]:
+    def tell(self, fleet: list[Member], kind: MembershipKind = MembershipKind.CHANGES) -> list[Action]:
         """A list from discovery."""
         return self.router.handle(Membership(kind, tuple(fleet)), self.now)
 
@@ -74,18 +81,22 @@
     def end(
         self,
         fetch: Fetch,
-        verdict: Verdict = Verdict.OK,
-        note: Note = Note.HIT,
+        verdict: AttemptResult = AttemptResult.OK,
+        note: CacheStatus = CacheStatus.HIT,
         attempt: int = 0,
         wait: float = 0.4,
     ) -> list[Action]:
         """The outcome of an attempt."""
         return self.router.handle(
-            Outcome(fetch.request, attempt, fetch.server, verdict, wait, verdict is Verdict.OK, note),
+            Outcome(
+                fetch.request_id, attempt, fetch.server, verdict, wait, verdict is AttemptResult.OK, note
+            ),
             self.now,
         )
 
-    def serve(self, obj: str = "clip", cls: str = "video", note: Note = Note.HIT, **more: Any) -> Fetch:
+    def serve(
+        self, obj: str = "clip", cls: str = "video", note: CacheStatus = CacheStatus.HIT, **more: Any
+    ) -> Fetch:
         """One request that is answered well."""
         fetch = only(self.ask(obj, cls, **more), Fetch)
         self.end(fetch, note=note)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -22,11 +22,11 @@
 from brackenlane.lab import site
 from brackenlane.lab.cluster.ports import reserve_port
 from brackenlane.lab.stand_ins.cache_commands import Asked
-from brackenlane.lab.stand_ins.cache_server import Box, Door, Reply, data
+from brackenlane.lab.stand_ins.cache_server import Box, CacheListener, ScriptedReply, data
 from brackenlane.lab.stand_ins.dns import DnsServer
 from brackenlane.lab.stand_ins.redis import Redis
 
-__all__ = ["Asked", "Box", "Redis", "Reply", "data"]
+__all__ = ["Asked", "Box", "Redis", "ScriptedReply", "data"]
 
 FIRST_PORT, PORT_COUNT = 10_000, 10_000  # below the kernel's own range, and the rig's
 PORTS = itertools.count(os.getpid() * 97)  # each worker begins at a place of its own
@@ -59,7 +59,7 @@
     return int(reserved[-1].getsockname()[1])
 
 
-class Log(Door):
+class Log(CacheListener):
     """The change log."""
 
     def __init__(self) -> None:
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -10,12 +10,12 @@
 import pytest
 import trio
 
-from brackenlane.core.metrics import Counts, Gauges, expose
-from brackenlane.ops.maintenance import Maintenance, Reply
-from brackenlane.routing.events import ListKind, Membership
-from brackenlane.routing.members import Member, State
+from brackenlane.core.metrics import Gauges, RequestMetrics, expose
+from brackenlane.ops.maintenance import Maintenance, MaintenanceResult
+from brackenlane.routing.events import Membership, MembershipKind
+from brackenlane.routing.members import Member, ServerState
 from tests.stand_ins import Asked, Box, Log, data, free_port, platform, record, with_trio
-from tests.stand_ins import Reply as BoxReply
+from tests.stand_ins import ScriptedReply
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
 
@@ -44,7 +44,7 @@
 
 def test_text_format() -> None:
     """Each line is a sample or a type, names and labels as the published format has them, quotes escaped."""
-    counts = Counts(['a"b\\c\nd', "pages"])
+    counts = RequestMetrics(['a"b\\c\nd', "pages"])
     counts.ended("pages", 200)
     counts.ended("pages", 304)
     counts.ended("nobody's", 200)
@@ -63,30 +63,30 @@
     known = Maintenance(most=1)
     box, other = Member("a", "z", started_at=5.0), Member("b", "z")
 
-    def told(event: Membership | None) -> list[tuple[str, State, float]]:
+    def told(event: Membership | None) -> list[tuple[str, ServerState, float]]:
         assert event is not None
         return [(m.server, m.state, m.started_at) for m in event.members]
 
-    assert known.enter("a", 10.0) == (Reply.UNKNOWN, None)
-    known.hear(Membership(ListKind.FULL, (box, other)))
-    assert told(known.enter("a", 10.0)[1]) == [("a", State.DRAINING, 5.0)]
-    assert known.enter("a", 11.0) == (Reply.DONE, None)
-    assert known.enter("b", 11.0) == (Reply.FULL, None)
-    for kind in (ListKind.CHANGES, ListKind.FULL):
+    assert known.enter("a", 10.0) == (MaintenanceResult.UNKNOWN, None)
+    known.hear(Membership(MembershipKind.FULL, (box, other)))
+    assert told(known.enter("a", 10.0)[1]) == [("a", ServerState.DRAINING, 5.0)]
+    assert known.enter("a", 11.0) == (MaintenanceResult.DONE, None)
+    assert known.enter("b", 11.0) == (MaintenanceResult.FULL, None)
+    for kind in (MembershipKind.CHANGES, MembershipKind.FULL):
         assert told(known.hear(Membership(kind, (box, other)))) == [
-            ("a", State.DRAINING, 5.0),
-            ("b", State.SERVING, 0.0),
+            ("a", ServerState.DRAINING, 5.0),
+            ("b", ServerState.SERVING, 0.0),
         ]
-    assert told(known.leave("a", 20.0)[1]) == [("a", State.SERVING, 20.0)]  # no start told since: cold
-    assert known.leave("a", 21.0) == (Reply.DONE, None)
-    assert known.leave("c", 21.0) == (Reply.UNKNOWN, None)
+    assert told(known.leave("a", 20.0)[1]) == [("a", ServerState.SERVING, 20.0)]  # no start told since: cold
+    assert known.leave("a", 21.0) == (MaintenanceResult.DONE, None)
+    assert known.leave("c", 21.0) == (MaintenanceResult.UNKNOWN, None)
     known.enter("a", 30.0)
-    known.hear(Membership(ListKind.CHANGES, (Member("a", "z", state=State.GONE),)))
-    assert known.leave("a", 31.0) == (Reply.DONE, None)
-    known.hear(Membership(ListKind.CHANGES, (box,)))
+    known.hear(Membership(MembershipKind.CHANGES, (Member("a", "z", state=ServerState.GONE),)))
+    assert known.leave("a", 31.0) == (MaintenanceResult.DONE, None)
+    known.hear(Membership(MembershipKind.CHANGES, (box,)))
     known.enter("a", 40.0)
-    known.hear(Membership(ListKind.CHANGES, (Member("a", "z", started_at=44.0),)))
-    assert told(known.leave("a", 50.0)[1]) == [("a", State.SERVING, 44.0)]
+    known.hear(Membership(MembershipKind.CHANGES, (Member("a", "z", started_at=44.0),)))
+    assert told(known.leave("a", 50.0)[1]) == [("a", ServerState.SERVING, 44.0)]
 
 
 @pytest.mark.parametrize(
@@ -138,14 +138,14 @@
 @with_trio
 async def test_true_figures(tmp_path: Path) -> None:
     """Every way a request may end is counted as its client saw it, each attempt as its box did."""
-    ways: dict[str, BoxReply] = {
+    ways: dict[str, ScriptedReply] = {
         "00000000000000a0": b"%b absent - 0\r\n\r\n",
         "00000000000000a1": b"%b failed - 0\r\n\r\n",
         "00000000000000a2": b"%b full - 0\r\n\r\n",
         "00000000000000a3": None,
     }
 
-    def answer(asked: Asked) -> BoxReply:
+    def answer(asked: Asked) -> ScriptedReply:
         worded = ways.get(asked.fields["path"], b"")
         if asked.fields["path"] == "00000000000000a4":
             return data(asked, b"", "unchanged")
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -10,7 +10,7 @@
 from brackenlane.routing.bounded_load import below_bound_first
 from brackenlane.routing.events import Arrival
 from brackenlane.routing.members import Member, Role
-from tests.router_harness import Rig, every
+from tests.router_harness import RouterHarness, every
 
 EDGES = [Member(f"edge-{n}", "depot") for n in range(3)]
 FLEET = [
@@ -44,17 +44,17 @@
     assert order == ["a", "b"]
 
 
-def open_at(rig: Rig, count: int) -> dict[str, int]:
+def open_at(harness: RouterHarness, count: int) -> dict[str, int]:
     """Where requests for objects that prefer the first cache are sent while none is answered."""
     sent = dict.fromkeys((member.server for member in EDGES), 0)
     asked, names = 0, itertools.count()
     while asked < count:
         obj = f"object-{next(names)}"
-        order = rig.router.orders.order(Arrival("", 5.0, "video", obj).copy, rig.router.edges)
+        order = harness.router.orders.order(Arrival("", 5.0, "video", obj).copy, harness.router.edges)
         if order[0].me.server != "edge-0":
             continue
         asked += 1
-        for fetch in every(rig.ask(obj, part=0, size_kb=0.0), Fetch):
+        for fetch in every(harness.ask(obj, part=0, size_kb=0.0), Fetch):
             sent[fetch.server] += 1
     return sent
 
@@ -62,16 +62,16 @@
 @pytest.mark.parametrize("told", [False, True])
 def test_hot_cache_is_spared_where_widths_are_not_told(told: bool) -> None:
     """Before, eight of eight met at one cache, whose link bears fewer, while its neighbours had nothing."""
-    rig = Rig(FLEET, weights_told=told)
+    harness = RouterHarness(FLEET, weights_told=told)
     if told:
-        rig.tell([Member(m.server, m.zone, m.role, weight=20.0) for m in FLEET])
-    sent = open_at(rig, 8)
+        harness.tell([Member(m.server, m.zone, m.role, weight=20.0) for m in FLEET])
+    sent = open_at(harness, 8)
     assert sum(sent.values()) == 8
     assert (max(sent.values()) < 8) is not told, sent
 
 
 def test_no_spill_while_the_origin_is_slow() -> None:
     """A spilled request is filled anew: what is slow is not asked for more of that."""
-    rig = Rig(FLEET, now=100.0, weights_told=False)
-    rig.router.upstream.late(rig.now, sure=1.0, pause=0.0)
-    assert open_at(rig, 8)["edge-0"] == 8
+    harness = RouterHarness(FLEET, now=100.0, weights_told=False)
+    harness.router.upstream.late(harness.now, sure=1.0, pause=0.0)
+    assert open_at(harness, 8)["edge-0"] == 8
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -8,8 +8,8 @@
 from brackenlane.limits import Limits
 from brackenlane.net.cache_codec import Parser, WireError
 from brackenlane.net.change_log_codec import FrameReader, ListError, read_frame, read_known
-from brackenlane.routing.events import Membership, Note, Purged, Verdict
-from brackenlane.routing.members import State
+from brackenlane.routing.events import AttemptResult, CacheStatus, Membership, Purged
+from brackenlane.routing.members import ServerState
 from tests.stand_ins import SETTINGS, Box, record, target
 
 _, SITE = read_settings(SETTINGS)
@@ -33,7 +33,7 @@
     """Whatever a load report says, the answer that carries it is read as without it."""
     wire = f"a1 data entity=t,use={use},detail=hit,issued=5000 2\r\nok\r\n".encode()
     [answer] = Parser(Limits()).feed(wire)
-    assert (answer.verdict, answer.note, answer.issued) == (Verdict.OK, Note.HIT, 5.0)
+    assert (answer.verdict, answer.note, answer.issued) == (AttemptResult.OK, CacheStatus.HIT, 5.0)
     assert answer.body == b"ok" and answer.fields["use"] == use
 
 
@@ -56,10 +56,14 @@
 
 @pytest.mark.parametrize(
     ("number", "state", "word"),
-    [(0, State.SERVING, "in_service"), (1, State.DRAINING, "terminating"), (2, State.GONE, "terminated")],
+    [
+        (0, ServerState.SERVING, "in_service"),
+        (1, ServerState.DRAINING, "terminating"),
+        (2, ServerState.GONE, "terminated"),
+    ],
 )
 @pytest.mark.parametrize("piece", [1, 1000])
-def test_list(number: int, state: State, word: str, piece: int) -> None:
+def test_list(number: int, state: ServerState, word: str, piece: int) -> None:
     """A frame and its JSON twin mean the same."""
     box = Box("s-00c41f7a", "parent")
     box.port = 7001
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -9,29 +9,29 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenlane.coldstart.pacing import LONGEST, Capacity, Pace, early, jittered, place
-from brackenlane.coldstart.phases import Event, Phase, Phases
+from brackenlane.coldstart.pacing import LONGEST, Capacity, StorePacing, early, jittered, place
+from brackenlane.coldstart.phases import StartupEvent, StartupPhase, StartupPhases
 from brackenlane.coldstart.stream_position import NOWHERE, before, continues, lacking, read_place
 from brackenlane.discovery import snapshot
-from brackenlane.discovery.merge import Merge
-from brackenlane.discovery.records import Memory, Order, Policy
-from brackenlane.discovery.registry import Roster
-from brackenlane.lab.cluster.virtual import Fleet, Store, peak
+from brackenlane.discovery.merge import MembershipMerge
+from brackenlane.discovery.records import OperatorOrder, Policy, RememberedMembers
+from brackenlane.discovery.registry import Registry
+from brackenlane.lab.cluster.virtual import SimulatedFleet, Store, peak
 from brackenlane.limits import Limits
 from brackenlane.routing.actions import Fetch
-from brackenlane.routing.events import Note, Purged
+from brackenlane.routing.events import CacheStatus, Purged
 from brackenlane.routing.members import Member, Role
-from brackenlane.routing.settings import ColdStart
+from brackenlane.routing.settings import SlowStart
 from brackenlane.routing.slow_start import MARGIN, ability, rota
-from brackenlane.store.replica import Shared
-from tests.router_harness import Rig, every
+from brackenlane.store.replica import SharedStore
+from tests.router_harness import RouterHarness, every
 
 CAPACITY = Capacity(1000, asks=500.0, loads=20.0)
 
 
-def eager(name: str, capacity: Capacity, chance: random.Random) -> Pace:
+def eager(name: str, capacity: Capacity, chance: random.Random) -> StorePacing:
     """The fault that the checks must find: no place in a window, and always the same wait after a failure."""
-    pace = Pace(name, capacity, chance)
+    pace = StorePacing(name, capacity, chance)
     pace.first = lambda: 0.0  # type: ignore[method-assign]
     pace.failed = lambda refused: 0.3  # type: ignore[method-assign]
     pace.ahead = lambda ticket: 0  # type: ignore[method-assign]
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_thousand_at_once(seed: int) -> None:
     """All start in one moment with a last list: never more than is stated, all current in twice the least."""
-    fleet = Fleet(1000, store := Store(CAPACITY), seed)
+    fleet = SimulatedFleet(1000, store := Store(CAPACITY), seed)
     fleet.run(60.0)
     assert len(fleet.current) == 1000 and not store.refused
     assert peak(store.asked) <= 1.1 * CAPACITY.asks
@@ -53,13 +53,13 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_whole_lists_by_ticket(seed: int) -> None:
     """A tenth has no last list: whole lists keep to what is stated, and one alone waits for nobody."""
-    fleet = Fleet(1000, store := Store(CAPACITY), seed, remembers=0.9)
+    fleet = SimulatedFleet(1000, store := Store(CAPACITY), seed, remembers=0.9)
     fleet.run(60.0)
     assert len(fleet.current) == 1000
     assert peak(store.loaded) <= 2.1 * CAPACITY.loads  # two seconds' tickets may be used side by side
     least = len(store.loaded) / CAPACITY.loads
     assert max(fleet.current.values()) <= 2 * least + 1000 / CAPACITY.asks
-    alone = Fleet(1, Store(CAPACITY), seed, remembers=0.0)
+    alone = SimulatedFleet(1, Store(CAPACITY), seed, remembers=0.0)
     alone.run(60.0)
     assert alone.current[0] < 1000 / CAPACITY.asks + 0.2
 
@@ -67,7 +67,7 @@
 def test_away_for_a_minute() -> None:
     """A store that was away for a minute meets no second wave as it comes back; all are current soon."""
     store = Store(CAPACITY, away=lambda now: 20.0 <= now < 80.0)
-    fleet = Fleet(1000, store, 1)
+    fleet = SimulatedFleet(1000, store, 1)
     fleet.run(20.0)
     fleet.lose()
     fleet.run(110.0)
@@ -83,7 +83,7 @@
     """Half, or nine in ten, are refused for 30 s: tries stay at what is stated, and all are current after."""
     chance = random.Random(7)
     store = Store(CAPACITY, refuses=lambda now: now < 30.0 and chance.random() < share)
-    fleet = Fleet(1000, store, 3)
+    fleet = SimulatedFleet(1000, store, 3)
     fleet.run(90.0)
     assert len(fleet.current) == 1000
     assert peak(store.asked) <= 1.1 * CAPACITY.asks
@@ -92,14 +92,14 @@
 
 def test_in_two_halves() -> None:
     """Power comes back in two halves 5 s apart: the second meets a place of its own as the first did."""
-    fleet = Fleet(1000, store := Store(CAPACITY), 1, starts=lambda n: 5.0 * (n % 2))
+    fleet = SimulatedFleet(1000, store := Store(CAPACITY), 1, starts=lambda n: 5.0 * (n % 2))
     fleet.run(60.0)
     assert len(fleet.current) == 1000 and not store.refused and peak(store.asked) <= CAPACITY.asks
 
 
 def test_the_planted_wave_is_found() -> None:
     """Without places, jitter and tickets the same checks see the wave."""
-    fleet = Fleet(1000, store := Store(CAPACITY), 1, remembers=0.9, pace=eager)
+    fleet = SimulatedFleet(1000, store := Store(CAPACITY), 1, remembers=0.9, pace=eager)
     fleet.run(60.0)
     assert peak(store.asked) > 1.1 * CAPACITY.asks and store.refused > 100
     assert peak(store.loaded) > 2.1 * CAPACITY.loads
@@ -115,7 +115,7 @@
 @given(st.integers(1, 50), st.integers(0, 2**32))
 def test_waits_are_bounded(failures: int, seed: int) -> None:
     """However often it failed: a wait from 0 to its bound, windows from one to their longest."""
-    pace = Pace("a", CAPACITY, random.Random(seed))
+    pace = StorePacing("a", CAPACITY, random.Random(seed))
     for _ in range(failures):
         assert pace.window <= pace.failed(failures % 2 == 0) <= 5 * LONGEST * CAPACITY.window
         assert 1 <= pace.stretch <= LONGEST
@@ -143,7 +143,7 @@
 )
 def test_tickets(loads: float, ticket: int, ahead: int, turn: float | None) -> None:
     """The first of a span load in it, one after the other; the others draw where it is their turn."""
-    pace = Pace("a", Capacity(9, loads=loads), random.Random(1))
+    pace = StorePacing("a", Capacity(9, loads=loads), random.Random(1))
     assert pace.ahead(ticket) == ahead
     now = 1000.0
     if turn is not None:
@@ -166,33 +166,34 @@
     for text in ("", "5", "5-", "-1", "a-1", "5-1-1", "²-1", "1" * 50 + "-1"):
         with pytest.raises(ValueError):
             read_place(text)
-    old, new = Order(True, 1.0, "a"), Order(False, 2.0, "b")
-    assert lacking({"x": new, "y": old, "z": old}, {"x": old, "y": new}, Order.beats) == ["x", "z"]
+    old, new = OperatorOrder(True, 1.0, "a"), OperatorOrder(False, 2.0, "b")
+    assert lacking({"x": new, "y": old, "z": old}, {"x": old, "y": new}, OperatorOrder.beats) == ["x", "z"]
 
 
-@given(st.lists(st.sampled_from(list(Event)), max_size=30))
-def test_phases(events: list[Event]) -> None:
+@given(st.lists(st.sampled_from(list(StartupEvent)), max_size=30))
+def test_phases(events: list[StartupEvent]) -> None:
     """Whatever comes in whatever order: heard only after all was read, and a loss never looks current."""
-    phases, now = Phases(0.0), 0.0
+    phases, now = StartupPhases(0.0), 0.0
     for event in events:
         now += 1
         old = phases.phase
         new = phases.step(event, now)
-        assert (new is Phase.CURRENT) == (
-            event is Event.READ or (old is Phase.CURRENT and event in (Event.RECALL, Event.ASKED))
+        assert (new is StartupPhase.CURRENT) == (
+            event is StartupEvent.READ
+            or (old is StartupPhase.CURRENT and event in (StartupEvent.RECALL, StartupEvent.ASKED))
         )
         assert (phases.since == now) == (new is not old)
-        if event is Event.LOST:
-            assert new not in (Phase.LOADING, Phase.CURRENT)
-    assert phases.heard == (Event.READ in events)
+        if event is StartupEvent.LOST:
+            assert new not in (StartupPhase.LOADING, StartupPhase.CURRENT)
+    assert phases.heard == (StartupEvent.READ in events)
 
 
 def test_a_broken_load_falls_back() -> None:
     """What a load began from is what is served when it breaks off, a last list taken beside it included."""
-    phases = Phases(0.0)
-    assert phases.step(Event.ASKED, 1.0) is Phase.LOADING
-    phases.step(Event.RECALL, 2.0)
-    assert phases.step(Event.LOST, 3.0) is Phase.RECALLED
+    phases = StartupPhases(0.0)
+    assert phases.step(StartupEvent.ASKED, 1.0) is StartupPhase.LOADING
+    phases.step(StartupEvent.RECALL, 2.0)
+    assert phases.step(StartupEvent.LOST, 3.0) is StartupPhase.RECALLED
 
 
 @given(st.floats(0, 50), st.floats(0.01, 2), st.integers(1, 300), st.text("abc-0123", min_size=1, max_size=8))
@@ -218,18 +219,20 @@
     """Forty gateways, ten boxes, all just started: with places known, boxes are used at once."""
     fleet = [Member(f"edge-{n}", "depot", weight=2.0, started_at=100.0) for n in range(10)]
     fleet += [Member("origin", "hub-a", Role.ORIGIN)]
-    rigs = [
-        Rig(fleet, n, 100.0, gateways=40, seats=(0, 0, 0, 40), gateway=n, mate=n if mate == 0 else -1)
+    harnesses = [
+        RouterHarness(
+            fleet, n, 100.0, gateways=40, seats=(0, 0, 0, 40), gateway=n, mate=n if mate == 0 else -1
+        )
         for n in range(40)
     ]
     chance, served, per_box = random.Random(1), 0, dict.fromkeys((m.server for m in fleet), 0)
     for tick in range(1200):  # 3 s
-        rig = chance.choice(rigs)
-        rig.now = 100.0 + tick / 400
-        for fetch in every(rig.ask(f"o{tick}", "tiles", time_left=2.5, size_kb=400.0), Fetch):
+        harness = chance.choice(harnesses)
+        harness.now = 100.0 + tick / 400
+        for fetch in every(harness.ask(f"o{tick}", "tiles", time_left=2.5, size_kb=400.0), Fetch):
             per_box[fetch.server] += 1
             served += fetch.server != "origin"
-            rig.end(fetch, note=Note.FILLED, wait=0.1)
+            harness.end(fetch, note=CacheStatus.FILLED, wait=0.1)
     assert (served > 20) is (mate == 0)
     # At three seconds a box does 2 x (0.18 + 0.82 / 6) transfers of 0.1 s a second; a burst may be four
     # seconds' worth.
@@ -239,13 +242,15 @@
 def test_purges_over_a_restart() -> None:
     """With its place in the log a last list keeps the purges before it that still count, and no others."""
     events: list[object] = []
-    roster = Roster(Merge(Policy()), events.append, lambda *_: None)
-    shared = Shared(("127.0.0.1", 1), "site", "a", roster, 6.0, Limits())
+    roster = Registry(MembershipMerge(Policy()), events.append, lambda *_: None)
+    shared = SharedStore(("127.0.0.1", 1), "site", "a", roster, 6.0, Limits())
     now = time.time()
     shared.recall({("clip", -1): now - 3.0, ("", 7): now - 11.0, ("old", -1): now - 13.0})
     found = {(e.obj, e.group): e.age for e in events if isinstance(e, Purged)}
     assert found == {("clip", -1): pytest.approx(3.0, abs=0.2), ("", 7): pytest.approx(11.0, abs=0.2)}
-    kept = snapshot.Kept(Memory(), now, "5-1", True, tuple((*key, at) for key, at in shared.purges.items()))
+    kept = snapshot.Snapshot(
+        RememberedMembers(), now, "5-1", True, tuple((*key, at) for key, at in shared.purges.items())
+    )
     assert snapshot.parse(snapshot.dump(kept)) == kept and len(kept.purges) == 2
 
 
@@ -255,4 +260,4 @@
 )
 def test_ability_by_age(ramp: float, age: float, part: float) -> None:
     """A server whose clock is ahead of ours is as cold as a new one, and warm where nothing is ever cold."""
-    assert ability(ColdStart(0.25, ramp, 2.0, 1.0), 8.0, age) == pytest.approx(MARGIN * 8.0 * part)
+    assert ability(SlowStart(0.25, ramp, 2.0, 1.0), 8.0, age) == pytest.approx(MARGIN * 8.0 * part)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from brackenlane.routing import router as router_module
-from brackenlane.routing.actions import Fetch, Refuse
+from brackenlane.routing.actions import Fetch, Reject
 from brackenlane.routing.concurrency_limit import DECREASE, USED, ConcurrencyLimit
-from brackenlane.routing.events import Verdict
-from tests.router_harness import Rig, members, only
+from brackenlane.routing.events import AttemptResult
+from tests.router_harness import RouterHarness, members, only
 from tests.test_portal_settings import PACE, Branch
 
 WIDTH, PAUSE = 4.0, 1.0
@@ -64,29 +64,31 @@
 @pytest.mark.parametrize("wait", [0.1, 9.0])
 def test_a_weight_that_falls_to_nothing_while_an_attempt_is_out_ends_no_router(wait: float) -> None:
     """A list may say so at any time; the answer to come was a division by zero."""
-    rig = Rig()
-    fetches = [only(rig.ask(f"o{n}"), Fetch) for n in range(12)]
-    rig.tell([replace(member, weight=0.0) for member in members()])
+    harness = RouterHarness()
+    fetches = [only(harness.ask(f"o{n}"), Fetch) for n in range(12)]
+    harness.tell([replace(member, weight=0.0) for member in members()])
     for fetch in fetches:
-        rig.end(fetch, wait=wait)
-    assert only(rig.ask(), Refuse)
+        harness.end(fetch, wait=wait)
+    assert only(harness.ask(), Reject)
 
 
 @pytest.mark.parametrize("assumed", [1 / 2, 1.0, 2.0, 4.0])
 def test_a_width_assumed_wrong_costs_a_branch_little(monkeypatch: pytest.MonkeyPatch, assumed: float) -> None:
     """With half of the widths assumed, over half of the requests were refused for good, before idle links."""
     monkeypatch.setattr(
-        router_module, "UNTOLD", {role: assumed * width for role, width in router_module.UNTOLD.items()}
+        router_module,
+        "DEFAULT_WIDTH",
+        {role: assumed * width for role, width in router_module.DEFAULT_WIDTH.items()},
     )
     branch = Branch(weights_told=False)
     in_hand: dict[str, list[float]] = {}
 
-    def end(fetch: Fetch) -> tuple[float, Verdict]:
-        now, mine = branch.rig.now, in_hand.setdefault(fetch.server, [])
+    def end(fetch: Fetch) -> tuple[float, AttemptResult]:
+        now, mine = branch.harness.now, in_hand.setdefault(fetch.server, [])
         mine[:] = [until for until in mine if until > now]
         wait = 0.38 * max(1.0, (len(mine) + 1) / 8.0)
         mine.append(now + wait)
-        return wait, Verdict.OK
+        return wait, AttemptResult.OK
 
     branch.end = end  # type: ignore[method-assign]
     branch.run(140.0, rate=35.0, cls="video", size_kb=0.38 * PACE)
@@ -97,6 +99,6 @@
 def test_what_is_late_alone_on_its_link_lowers_nothing(wait: float) -> None:
     """Objects that take longer than their aim on an idle link would leave no room for any of them."""
     branch = Branch()
-    branch.end = lambda fetch: (wait, Verdict.OK)  # type: ignore[method-assign]
+    branch.end = lambda fetch: (wait, AttemptResult.OK)  # type: ignore[method-assign]
     branch.run(160.0, rate=0.3, cls="page")
-    assert all(server.concurrency.factor == 1.0 for server in branch.rig.router.servers.values())
+    assert all(server.concurrency.factor == 1.0 for server in branch.harness.router.servers.values())
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from tests.stand_ins import Asked, Box, Reply, data, free_port, platform, with_trio
+from tests.stand_ins import Asked, ScriptedReply, Box, data, free_port, platform, with_trio
 from tests.test_admin_api import figures
 from tests.test_handover import READ, read_answer
 
@@ -51,7 +51,7 @@
     """Hundreds connect and say nothing or stop half-way: work in hand ends well, new work is served."""
     held = trio.Event()
 
-    def answer(asked: Asked) -> Reply:
+    def answer(asked: Asked) -> ScriptedReply:
         return None if asked.fields["path"] == "00000000000000aa" and not held.is_set() else data(asked)
 
     async with trio.open_nursery() as nursery:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,16 +8,16 @@
 import pytest
 import trio
 
-from brackenlane.core.engine import Core
-from brackenlane.core.requests import Answer, Ask, Attempt, Ending, Reply
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.requests import Answer, Attempt, AttemptReply, Disposition, PendingRequest
 from brackenlane.limits import Limits
-from brackenlane.routing.actions import Action, Fetch, Refuse
-from brackenlane.routing.events import Arrival, Event, ListKind, Membership, Verdict
-from brackenlane.routing.settings import Effect, RequestClass
+from brackenlane.routing.actions import Action, Fetch, Reject
+from brackenlane.routing.events import Arrival, AttemptResult, Event, Membership, MembershipKind
+from brackenlane.routing.settings import Idempotency, RequestClass
 from tests.router_harness import VIDEO, members, settings
 from tests.stand_ins import with_trio
 
-SUBMIT = RequestClass("submit", aim=0.8, give_up=3.0, effect=Effect.UNSAFE, uncached=True)
+SUBMIT = RequestClass("submit", aim=0.8, give_up=3.0, effect=Idempotency.NON_IDEMPOTENT, uncached=True)
 
 
 class Bench:
@@ -26,7 +26,9 @@
     def __init__(self, place: Callable[[Attempt], bool] | None = None) -> None:
         self.attempts: list[Attempt] = []
         self.news = trio.Event()
-        self.core = Core(settings(classes=(VIDEO, SUBMIT), max_attempts=3), 1, Limits(), place or self.take)
+        self.core = RequestEngine(
+            settings(classes=(VIDEO, SUBMIT), max_attempts=3), 1, Limits(), place or self.take
+        )
 
     def take(self, attempt: Attempt) -> bool:
         """An attempt arrives at its box."""
@@ -39,14 +41,14 @@
         """Run a test beside the core."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.core.run)
-            self.core.post(Membership(ListKind.FULL, tuple(members())))
+            self.core.post(Membership(MembershipKind.FULL, tuple(members())))
             await test()
             nursery.cancel_scope.cancel()
 
     async def ask(self, cls: str = "video", left: float = 3.0) -> Answer:
         """One request."""
         arrival = Arrival(self.core.new_id(), left, cls, "clip")
-        return await self.core.ask(Ask(arrival, time.time() + left))
+        return await self.core.ask(PendingRequest(arrival, time.time() + left))
 
 
 @with_trio
@@ -56,8 +58,8 @@
 
     async def answer() -> None:
         await bench.news.wait()
-        bench.core.report(bench.attempts[0], Reply(Verdict.OK, 0.1, body=b"first"))
-        bench.core.report(bench.attempts[0], Reply(Verdict.OK, 0.1, body=b"second"))
+        bench.core.report(bench.attempts[0], AttemptReply(AttemptResult.OK, 0.1, body=b"first"))
+        bench.core.report(bench.attempts[0], AttemptReply(AttemptResult.OK, 0.1, body=b"second"))
 
     async def test() -> None:
         async with trio.open_nursery() as nursery:
@@ -75,7 +77,7 @@
 
     async def test() -> None:
         answer = await bench.ask()
-        assert answer.ending is Ending.REFUSED and answer.hold_off > 0
+        assert answer.ending is Disposition.REJECTED and answer.hold_off > 0
 
     await bench.run(test)
 
@@ -83,35 +85,35 @@
 @pytest.mark.parametrize(
     ("verdict", "sent"),
     [
-        (Verdict.TIMEOUT, 1),
-        (Verdict.BROKEN, 1),
-        (Verdict.ERROR, 1),
-        (Verdict.CANCELLED, 1),
-        (Verdict.UNREACHABLE, 2),
-        (Verdict.MISS, 2),
-        (Verdict.FULL, 2),
-        (Verdict.NEVER_SENT, 2),
+        (AttemptResult.TIMEOUT, 1),
+        (AttemptResult.BROKEN, 1),
+        (AttemptResult.ERROR, 1),
+        (AttemptResult.CANCELLED, 1),
+        (AttemptResult.UNREACHABLE, 2),
+        (AttemptResult.MISS, 2),
+        (AttemptResult.FULL, 2),
+        (AttemptResult.NEVER_SENT, 2),
     ],
 )
 @with_trio
-async def test_unsafe(monkeypatch: pytest.MonkeyPatch, verdict: Verdict, sent: int) -> None:
+async def test_unsafe(monkeypatch: pytest.MonkeyPatch, verdict: AttemptResult, sent: int) -> None:
     """A module that sends again, then refuses, what may have run gets neither past the core."""
     bench = Bench()
 
     def careless(event: Event, now: float) -> list[Action]:
         fetch = Fetch("q0", "edge-0", 3.0, "origin")
-        return [fetch] if isinstance(event, Arrival) else [fetch, Refuse("q0")] if bench.attempts else []
+        return [fetch] if isinstance(event, Arrival) else [fetch, Reject("q0")] if bench.attempts else []
 
     monkeypatch.setattr(bench.core._router, "handle", careless)
 
     async def answer() -> None:
         await bench.news.wait()
-        bench.core.report(bench.attempts[0], Reply(verdict, 0.1))
+        bench.core.report(bench.attempts[0], AttemptReply(verdict, 0.1))
 
     async def test() -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(answer)
-            assert (await bench.ask("submit")).ending is Ending.FAILED
+            assert (await bench.ask("submit")).ending is Disposition.FAILED
         assert len(bench.attempts) == sent
 
     await bench.run(test)
@@ -132,6 +134,6 @@
 
     async def test() -> None:
         answer = await bench.ask(left=0.05)
-        assert answer.ending is Ending.FAILED and answer.late is late
+        assert answer.ending is Disposition.FAILED and answer.late is late
 
     await bench.run(test)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,9 +13,9 @@
 import trio
 
 from brackenlane.discovery import snapshot
-from brackenlane.discovery.records import Definition, Memory, Order, box_id
+from brackenlane.discovery.records import CacheDefinition, OperatorOrder, RememberedMembers, box_id
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
-from tests.stand_ins import ROOT, Asked, Box, Program, Reply, appliance, data, with_trio
+from tests.stand_ins import ROOT, Asked, Box, Program, ScriptedReply, appliance, data, with_trio
 from tests.test_appliance import OBJECT, console, query, texts
 
 SRV = "_cache._tcp.branch.test"
@@ -197,7 +197,7 @@
         site = await Site.open(nursery, 2)
         held: list[Asked] = []
 
-        def hold(asked: Asked) -> Reply:
+        def hold(asked: Asked) -> ScriptedReply:
             held.append(asked)
             return None
 
@@ -315,17 +315,17 @@
     assert done.stdout.strip() == "[]"
 
 
-MEMORY = Memory(
-    (Definition("s1", "127.0.0.1", 80, "z"),),
-    {SRV: (Definition("b-1", "b.test", 80, "z"),)},
+MEMORY = RememberedMembers(
+    (CacheDefinition("s1", "127.0.0.1", 80, "z"),),
+    {SRV: (CacheDefinition("b-1", "b.test", 80, "z"),)},
     {"b.test": "127.0.0.2"},
-    {"b-1": Order(True, 5.0, "console")},
+    {"b-1": OperatorOrder(True, 5.0, "console")},
 )
 
 
 def test_last_list_cut(tmp_path: Path) -> None:
     """A last list reads back as it was; cut or changed at any byte it is refused, never half believed."""
-    kept = snapshot.Kept(MEMORY, 7.0, "17-3", True, (("clip", -1, 5.0),))
+    kept = snapshot.Snapshot(MEMORY, 7.0, "17-3", True, (("clip", -1, 5.0),))
     whole = snapshot.dump(kept)
     assert snapshot.parse(whole) == kept
     for place in range(len(whole)):
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -9,19 +9,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from brackenlane.discovery.merge import Merge
+from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.records import (
+    CacheDefinition,
     Change,
-    Definition,
-    Order,
-    Origin,
+    DefinitionSource,
+    MergedState,
+    OperatorOrder,
     Policy,
-    Standing,
-    Target,
-    Watch,
+    SrvRecord,
+    SrvWatch,
     box_id,
 )
-from brackenlane.routing.members import State
+from brackenlane.routing.members import ServerState
 
 SRV = "_cache._tcp.branch.test."
 HOSTS = ("one.branch.test", "two.branch.test", "three.branch.test")
@@ -29,35 +29,35 @@
 POLICY = Policy(grace=5.0, confirm=2.0, settle=5.0)
 
 
-def merge(enough: int = 99, hosts: tuple[str, ...] = HOSTS) -> Merge:
+def merge(enough: int = 99, hosts: tuple[str, ...] = HOSTS) -> MembershipMerge:
     """A merge that watches one SRV entry, whose hosts are all found."""
-    made = Merge(POLICY, [Watch(SRV, "branch", enough=enough)])
+    made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", enough=enough)])
     for number, host in enumerate(hosts):
         made.locate(host, [f"127.0.1.{number + 1}"], 0.0)
     return made
 
 
-def targets(*hosts: str, priority: int = 0, weight: int = 8) -> list[Target]:
+def targets(*hosts: str, priority: int = 0, weight: int = 8) -> list[SrvRecord]:
     """Records of these hosts."""
-    return [Target(host, 80, priority, weight) for host in hosts]
+    return [SrvRecord(host, 80, priority, weight) for host in hosts]
 
 
-def states(changes: list[Change]) -> dict[str, State]:
+def states(changes: list[Change]) -> dict[str, ServerState]:
     """What each box has become."""
     assert len({c.member.server for c in changes}) == len(changes), "two events for one box at once"
     return {c.member.server: c.member.state for c in changes}
 
 
-def serving(made: Merge) -> set[str]:
+def serving(made: MembershipMerge) -> set[str]:
     """The boxes that get new work."""
-    return {server for server, box in made.boxes.items() if box.standing is Standing.SERVING}
+    return {server for server, box in made.boxes.items() if box.standing is MergedState.SERVING}
 
 
 def test_first_answer() -> None:
     """The first answer's boxes are warm, with address and weight; what comes later is cold."""
     made = merge()
     changes = made.answer(SRV, targets(*HOSTS[:2]), "u1", 10.0)
-    assert states(changes) == dict.fromkeys(IDS[:2], State.SERVING)
+    assert states(changes) == dict.fromkeys(IDS[:2], ServerState.SERVING)
     assert {c.endpoint for c in changes} == {("127.0.1.1", 80), ("127.0.1.2", 80)}
     assert all(c.member.started_at == 0 and c.member.weight == 8 for c in changes)
     [added] = made.answer(SRV, targets(*HOSTS), "u1", 20.0)
@@ -69,19 +69,21 @@
     """A drain holds at once, over each new answer, priority, absence and return elsewhere, until restored."""
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
-    assert states(made.order(IDS[0], Order(True, 11.0, "console"), 11.0)) == {IDS[0]: State.DRAINING}
+    assert states(made.order(IDS[0], OperatorOrder(True, 11.0, "console"), 11.0)) == {
+        IDS[0]: ServerState.DRAINING
+    }
     made.answer(SRV, targets(*HOSTS, priority=0, weight=99), "u1", 12.0)
     made.answer(SRV, targets(*HOSTS[1:]), "u1", 13.0)
     made.tick(19.0)
     assert IDS[0] not in made.boxes
     assert made.locate(HOSTS[0], ["127.0.9.9"], 20.0) == []
     [back] = made.answer(SRV, targets(*HOSTS), "u1", 21.0)
-    assert back.member.state is State.DRAINING and back.endpoint == ("127.0.9.9", 80)
+    assert back.member.state is ServerState.DRAINING and back.endpoint == ("127.0.9.9", 80)
     assert serving(made) == set(IDS[1:])
     assert "drained by console" in made.explain(IDS[0], 22.0)[0]
-    assert made.order(IDS[0], Order(False, 10.5, "late news"), 23.0) == []  # older than the drain
-    [again] = made.order(IDS[0], Order(False, 24.0, "console"), 24.0)
-    assert again.member.state is State.SERVING and again.member.started_at == 21.0  # and cold
+    assert made.order(IDS[0], OperatorOrder(False, 10.5, "late news"), 23.0) == []  # older than the drain
+    [again] = made.order(IDS[0], OperatorOrder(False, 24.0, "console"), 24.0)
+    assert again.member.state is ServerState.SERVING and again.member.started_at == 21.0  # and cold
 
 
 @pytest.mark.parametrize(("hosts", "held"), [(HOSTS[:2], False), (HOSTS[:1], True), ((), True)])
@@ -112,11 +114,11 @@
         assert made.tick(now) == []
     new = ("four.branch.test", "five.branch.test", "six.branch.test")
     changes = made.answer(SRV, targets(*new), "u1", 14.0)
-    assert all(c.member.started_at == 14.0 and c.member.state is State.SERVING for c in changes)
+    assert all(c.member.started_at == 14.0 and c.member.state is ServerState.SERVING for c in changes)
     assert len(serving(made)) == 6  # half of six may go at once: the old three are missing, not yet gone
     made.failed(SRV, "timed out")
     gone = made.tick(19.5)
-    assert states(gone) == dict.fromkeys(IDS, State.GONE) and len(serving(made)) == 3
+    assert states(gone) == dict.fromkeys(IDS, ServerState.GONE) and len(serving(made)) == 3
 
 
 def test_mistake_undone() -> None:
@@ -124,7 +126,7 @@
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
     for now in (20.0, 21.0):
-        assert made.answer(SRV, [Target(".", 0)], "u1", now) == []
+        assert made.answer(SRV, [SrvRecord(".", 0)], "u1", now) == []
     assert made.answer(SRV, targets(*HOSTS), "u1", 21.5) == []
     assert made.entries[SRV].held is None
     assert made.tick(99.0) == [] and serving(made) == set(IDS)
@@ -195,19 +197,19 @@
 
 def test_one_box_two_names() -> None:
     """A box named by the file and by SRV, or by two names at one address, is one box, by the file's words."""
-    made = Merge(POLICY, [Watch(SRV, "branch")])
+    made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
     made.locate(HOSTS[0], ["127.0.1.1"], 0.0)
     made.locate(HOSTS[1], ["127.0.1.2"], 0.0)
-    made.define(Origin.FILE, Definition("box-1", HOSTS[0], 80, "branch", weight=5.0), 1.0)
-    made.define(Origin.FILE, Definition("box-2", "127.0.1.2", 80, "branch"), 1.0)
+    made.define(DefinitionSource.FILE, CacheDefinition("box-1", HOSTS[0], 80, "branch", weight=5.0), 1.0)
+    made.define(DefinitionSource.FILE, CacheDefinition("box-2", "127.0.1.2", 80, "branch"), 1.0)
     made.answer(SRV, targets(*HOSTS[:2], weight=50), "u1", 2.0)
     assert made.boxes.keys() == {"box-1", "box-2"} and made.boxes["box-1"].what.weight == 5.0
-    assert made.boxes["box-1"].sources == (Origin.FILE, Origin.SRV)
+    assert made.boxes["box-1"].sources == (DefinitionSource.FILE, DefinitionSource.SRV)
     # Drained by either name it is drained.
-    [drained] = made.order(IDS[0], Order(True, 3.0, "console"), 3.0)
-    assert (drained.member.server, drained.member.state) == ("box-1", State.DRAINING)
+    [drained] = made.order(IDS[0], OperatorOrder(True, 3.0, "console"), 3.0)
+    assert (drained.member.server, drained.member.state) == ("box-1", ServerState.DRAINING)
     assert any("the same box as" in line for line in made.explain("box-1", 4.0))
-    made.remove(Origin.FILE, "box-2", 4.0)
+    made.remove(DefinitionSource.FILE, "box-2", 4.0)
     assert made.boxes.keys() == {"box-1", IDS[1]}
 
 
@@ -215,12 +217,16 @@
     """A target of lower priority stands by until too few better ones serve; a drain counts at once."""
     made = merge(enough=2)
     changes = made.answer(SRV, [*targets(*HOSTS[:2]), *targets(HOSTS[2], priority=10)], "u1", 10.0)
-    assert states(changes).keys() == set(IDS[:2]) and made.boxes[IDS[2]].standing is Standing.STANDBY
-    changes = made.order(IDS[0], Order(True, 11.0, "console"), 11.0)
-    assert states(changes) == {IDS[0]: State.DRAINING}  # the drain alone, at once, whatever the list's size
-    assert made.next_due() < 11.0 and states(made.tick(11.0)) == {IDS[2]: State.SERVING}
-    assert states(made.order(IDS[0], Order(False, 12.0, "console"), 12.0)) == {IDS[0]: State.SERVING}
-    assert states(made.tick(12.0)) == {IDS[2]: State.GONE} and made.next_due() > 12.0
+    assert states(changes).keys() == set(IDS[:2]) and made.boxes[IDS[2]].standing is MergedState.STANDBY
+    changes = made.order(IDS[0], OperatorOrder(True, 11.0, "console"), 11.0)
+    assert states(changes) == {
+        IDS[0]: ServerState.DRAINING
+    }  # the drain alone, at once, whatever the list's size
+    assert made.next_due() < 11.0 and states(made.tick(11.0)) == {IDS[2]: ServerState.SERVING}
+    assert states(made.order(IDS[0], OperatorOrder(False, 12.0, "console"), 12.0)) == {
+        IDS[0]: ServerState.SERVING
+    }
+    assert states(made.tick(12.0)) == {IDS[2]: ServerState.GONE} and made.next_due() > 12.0
 
 
 @pytest.mark.parametrize(
@@ -230,10 +236,10 @@
     """A start with the resolver away goes on with the last list, by its age; drains hold at any age."""
     old = merge()
     old.answer(SRV, targets(*HOSTS), "u1", 10.0)
-    old.define(Origin.STORE, Definition("box-9", "127.0.1.9", 80, "branch"), 10.0)
-    old.order(IDS[0], Order(True, 11.0, "console"), 11.0)
+    old.define(DefinitionSource.STORE, CacheDefinition("box-9", "127.0.1.9", 80, "branch"), 10.0)
+    old.order(IDS[0], OperatorOrder(True, 11.0, "console"), 11.0)
     now = 12.0 + age
-    made = Merge(POLICY, [Watch(SRV, "branch")])
+    made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
     made.recall(old.memory(), 12.0, now)
     assert serving(made) == ({*IDS[1:], "box-9"} if known else set())
     assert all((box.started == 0) is warm for box in made.boxes.values())
@@ -241,7 +247,7 @@
     made.answer(SRV, targets(HOSTS[0]), "u1", now + 1)
     made.locate(HOSTS[0], ["127.0.1.1"], now + 1)
     made.tick(now + 10)
-    assert made.boxes[IDS[0]].standing is Standing.DRAINING
+    assert made.boxes[IDS[0]].standing is MergedState.DRAINING
     assert serving(made) == ({*IDS[1:], "box-9"} if known else set())
     made.forget(now + 11)
     assert "box-9" not in made.boxes
@@ -249,17 +255,17 @@
 
 def test_bounds() -> None:
     """More boxes than there is room for are left out and counted; a drain is never forgotten for another."""
-    made = Merge(Policy(boxes=5, drains=3), [Watch(SRV, "branch")])
-    made.answer(SRV, [Target(f"127.0.0.{n}", 80) for n in range(1, 9)], "u1", 1.0)
+    made = MembershipMerge(Policy(boxes=5, drains=3), [SrvWatch(SRV, "branch")])
+    made.answer(SRV, [SrvRecord(f"127.0.0.{n}", 80) for n in range(1, 9)], "u1", 1.0)
     assert len(made.boxes) == 5 and made.entries[SRV].left_out == 3
-    made.define(Origin.FILE, Definition("late", "127.0.0.99", 80, "branch"), 2.0)
+    made.define(DefinitionSource.FILE, CacheDefinition("late", "127.0.0.99", 80, "branch"), 2.0)
     assert made.left_out == 1 and "late" not in made.boxes
     for number in range(3):
-        made.order(f"b{number}", Order(True, float(number), "console"), 3.0)
-    made.order("b3", Order(True, 9.0, "console"), 9.0)
+        made.order(f"b{number}", OperatorOrder(True, float(number), "console"), 3.0)
+    made.order("b3", OperatorOrder(True, 9.0, "console"), 9.0)
     assert set(made.orders) == {"b0", "b1", "b2"}
-    made.order("b1", Order(False, 10.0, "console"), 10.0)
-    made.order("b3", Order(True, 11.0, "console"), 11.0)
+    made.order("b1", OperatorOrder(False, 10.0, "console"), 10.0)
+    made.order("b3", OperatorOrder(True, 11.0, "console"), 11.0)
     assert set(made.orders) == {"b0", "b2", "b3"}
 
 
@@ -267,18 +273,23 @@
     "orders",
     list(
         itertools.permutations(
-            [Order(True, 1.0, "a"), Order(False, 2.0, "b"), Order(True, 2.0, "c"), Order(False, 1.5, "d")]
+            [
+                OperatorOrder(True, 1.0, "a"),
+                OperatorOrder(False, 2.0, "b"),
+                OperatorOrder(True, 2.0, "c"),
+                OperatorOrder(False, 1.5, "d"),
+            ]
         )
     ),
 )
-def test_orders_commute(orders: tuple[Order, ...]) -> None:
+def test_orders_commute(orders: tuple[OperatorOrder, ...]) -> None:
     """However news of drains and restores arrives, all doormans end alike: the last, and of two the drain."""
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 0.5)
     for order in orders:
         made.order(IDS[0], order, 5.0)
-    assert made.orders[IDS[0]] == Order(True, 2.0, "c")
-    assert made.boxes[IDS[0]].standing is Standing.DRAINING
+    assert made.orders[IDS[0]] == OperatorOrder(True, 2.0, "c")
+    assert made.boxes[IDS[0]].standing is MergedState.DRAINING
 
 
 class Interleavings(RuleBasedStateMachine):
@@ -323,7 +334,7 @@
         """An operator acts: it holds with the very events that come of it."""
         self.now += 0.001
         (self.drained.add if drain else self.drained.discard)(IDS[which])
-        self.hear(self.made.order(IDS[which], Order(drain, self.now, "console"), self.now))
+        self.hear(self.made.order(IDS[which], OperatorOrder(drain, self.now, "console"), self.now))
         self.drains_hold()
         self.hear(self.made.tick(self.now))
 
@@ -332,7 +343,7 @@
         """News from another doorman, perhaps older than what is known here."""
         at = self.now - late
         known = self.made.orders.get(IDS[which])
-        self.hear(self.made.order(IDS[which], Order(drain, at, "other"), self.now))
+        self.hear(self.made.order(IDS[which], OperatorOrder(drain, at, "other"), self.now))
         self.hear(self.made.tick(self.now))
         if known is None or at > known.at:
             (self.drained.add if drain else self.drained.discard)(IDS[which])
@@ -350,7 +361,7 @@
         """The doorman starts anew, with its last list alone."""
         memory, saved = self.made.memory(), self.now
         self.now += age
-        self.made, self.heard = Merge(POLICY, [Watch(SRV, "branch", enough=2)]), {}
+        self.made, self.heard = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", enough=2)]), {}
         self.hear(self.made.recall(memory, saved, self.now))
 
     @invariant()
@@ -358,16 +369,18 @@
         """Nothing but a restore puts a drained box back to work, whatever it is called."""
         for server, box in self.made.boxes.items():
             if self.drained & {server, *box.also}:
-                assert box.standing not in (Standing.SERVING, Standing.STANDBY), (server, box)
+                assert box.standing not in (MergedState.SERVING, MergedState.STANDBY), (server, box)
         for server, change in self.heard.items():
             if server in self.drained:
-                assert change.member.state is not State.SERVING
+                assert change.member.state is not ServerState.SERVING
 
     @invariant()
     def told_is_true(self) -> None:
         """What the core was told is what the merge holds; one address is one box."""
-        on = {s for s, c in self.heard.items() if c.member.state is not State.GONE}
-        true = {s for s, b in self.made.boxes.items() if b.standing in (Standing.SERVING, Standing.DRAINING)}
+        on = {s for s, c in self.heard.items() if c.member.state is not ServerState.GONE}
+        true = {
+            s for s, b in self.made.boxes.items() if b.standing in (MergedState.SERVING, MergedState.DRAINING)
+        }
         assert on == true
         for server in on:
             box = self.made.boxes[server]
@@ -381,11 +394,11 @@
         boxes = [box for box in self.made.boxes.values()]
         for box in boxes:
             better = sum(
-                other.what.priority < box.what.priority and other.standing is Standing.SERVING
+                other.what.priority < box.what.priority and other.standing is MergedState.SERVING
                 for other in boxes
             )
-            if box.standing in (Standing.STANDBY, Standing.SERVING):
-                assert (box.standing is Standing.STANDBY) is (better >= 2)
+            if box.standing in (MergedState.STANDBY, MergedState.SERVING):
+                assert (box.standing is MergedState.STANDBY) is (better >= 2)
 
 
 Interleavings.TestCase.settings = settings(
--- a/tests/test_drawn_sites.py
+++ b/tests/test_drawn_sites.py
@@ -14,7 +14,7 @@
 from brackenlane.lab.simulation.comparison import Result, compare
 from brackenlane.lab.simulation.drawn_sites import drawn
 from brackenlane.lab.simulation.plain_policy import PlainPolicy
-from brackenlane.routing.actions import Action, Refuse
+from brackenlane.routing.actions import Action, Reject
 from brackenlane.routing.events import Arrival
 
 EXAMPLES = (*range(28), 30, 52)  # seeds; with 30, cold parents come up in both groups; 52 streams for long
@@ -61,7 +61,7 @@
         """Refuses every fifth request."""
 
         def _arrive(self, ask: Arrival, now: float) -> list[Action]:
-            return [Refuse(ask.request)] if crc32(ask.obj.encode()) % 5 == 0 else super()._arrive(ask, now)
+            return [Reject(ask.request_id)] if crc32(ask.obj.encode()) % 5 == 0 else super()._arrive(ask, now)
 
     results = {number: compare(drawn(number), Refusing) for number in EASY}
     assert all(complaint(number, result) for number, result in results.items())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,10 +15,10 @@
 from hypothesis import strategies as st
 
 from brackenlane.limits import Limits
-from brackenlane.ops.handover_log import Ledger, LedgerError
-from brackenlane.ops.handover_records import Book, Kind, Reader, Record, encode
-from brackenlane.ops.handover_state import Stand, stand
-from tests.stand_ins import Asked, Box, Program, Reply, data, free_port, platform, with_trio
+from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
+from brackenlane.ops.handover_records import HandoverIndex, Reader, Record, RecordType, encode
+from brackenlane.ops.handover_state import HandoverState, stand
+from tests.stand_ins import Asked, Box, ScriptedReply, Program, data, free_port, platform, with_trio
 from tests.test_admin_api import call
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
@@ -38,24 +38,28 @@
 RECORDS = st.lists(
     st.one_of(
         st.builds(
-            lambda k, p: Record(k, (p,)), st.sampled_from([Kind.BORN, Kind.SERVES]), st.sampled_from("abc")
+            lambda k, p: Record(k, (p,)),
+            st.sampled_from([RecordType.BORN, RecordType.SERVES]),
+            st.sampled_from("abc"),
         ),
         st.builds(
             lambda k, b, t: Record(k, (b, repr(t))),
-            st.sampled_from([Kind.ENTER, Kind.EXIT]),
+            st.sampled_from([RecordType.ENTER, RecordType.EXIT]),
             st.sampled_from(["s-1", "s-2"]),
             st.floats(0, 9e9),
         ),
-        st.builds(lambda t, p: Record(Kind.CLAIM, (t, p)), st.sampled_from("123"), st.sampled_from("abc")),
-        st.builds(lambda t: Record(Kind.RELEASE, (t,)), st.sampled_from("123")),
+        st.builds(
+            lambda t, p: Record(RecordType.CLAIM, (t, p)), st.sampled_from("123"), st.sampled_from("abc")
+        ),
+        st.builds(lambda t: Record(RecordType.RELEASE, (t,)), st.sampled_from("123")),
     ),
     max_size=20,
 )
 
 
-def folded(data: bytes, step: int) -> Book:
+def folded(data: bytes, step: int) -> HandoverIndex:
     """The book of what was read in pieces."""
-    book, reader = Book(100), Reader(256)
+    book, reader = HandoverIndex(100), Reader(256)
     for n in range(0, len(data), step):
         for record in reader.feed(data[n : n + step]):
             book.take(record)
@@ -77,9 +81,9 @@
     before: list[Record], after: list[Record], junk: bytes, cut: int
 ) -> None:
     """A record cut by a crash, or bytes that are none of ours, hide no record before or after them."""
-    torn = encode(Record(Kind.ENTER, ("s-9", "1.0")))[: -2 - cut % 10]
+    torn = encode(Record(RecordType.ENTER, ("s-9", "1.0")))[: -2 - cut % 10]
     text = b"".join(map(encode, before)) + torn + junk.replace(b"\n", b"") + b"".join(map(encode, after))
-    whole = Book(100)
+    whole = HandoverIndex(100)
     for record in (*before, *after):
         whole.take(record)
     found = folded(text, 7)
@@ -89,25 +93,25 @@
 @pytest.mark.parametrize(
     ("serving", "alive", "found"),
     [
-        ({"me": True}, set(), Stand.ALONE),
-        ({"old": True, "me": False}, {"old"}, Stand.TAKING_OVER),
-        ({"old": True, "me": True}, set(), Stand.ALONE),
-        ({"me": True, "new": False}, {"new"}, Stand.EXPECTING),
-        ({"me": True, "new": True}, {"new"}, Stand.RELIEVED),
-        ({"me": True, "new": True}, set(), Stand.ALONE),  # it has died
-        ({"old": True, "me": True, "new": True}, {"old", "new"}, Stand.RELIEVED),
+        ({"me": True}, set(), HandoverState.ALONE),
+        ({"old": True, "me": False}, {"old"}, HandoverState.TAKING_OVER),
+        ({"old": True, "me": True}, set(), HandoverState.ALONE),
+        ({"me": True, "new": False}, {"new"}, HandoverState.EXPECTING),
+        ({"me": True, "new": True}, {"new"}, HandoverState.RELIEVED),
+        ({"me": True, "new": True}, set(), HandoverState.ALONE),  # it has died
+        ({"old": True, "me": True, "new": True}, {"old", "new"}, HandoverState.RELIEVED),
     ],
 )
-def test_stands(serving: dict[str, bool], alive: set[str], found: Stand) -> None:
+def test_stands(serving: dict[str, bool], alive: set[str], found: HandoverState) -> None:
     assert stand("me", serving, alive) is found
 
 
 def test_first_claim_wins(tmp_path: Path) -> None:
     """Of two that claim one submit, the order of the file decides, and both know."""
-    old, new = (Ledger(tmp_path / "x", Limits()) for _ in range(2))
+    old, new = (HandoverLog(tmp_path / "x", Limits()) for _ in range(2))
     assert old.others == [] or old.others == [new.me]
     for ledger in (new, old):
-        ledger.append(Kind.CLAIM, "t1", ledger.me)
+        ledger.append(RecordType.CLAIM, "t1", ledger.me)
     old.look()
     new.look()
     assert old.book.submits["t1"] == new.book.submits["t1"] == new.me
@@ -118,29 +122,29 @@
 def test_bounds(tmp_path: Path) -> None:
     """Past its bound it takes no claim, but orders; alone, it is rewritten and takes claims again."""
     limits = Limits(ledger=4_000, ledger_tidy=1_000, ledger_orders=1_000, claims=5)
-    old = Ledger(tmp_path / "x", limits)
-    new = Ledger(tmp_path / "x", limits)
-    with pytest.raises(LedgerError):
+    old = HandoverLog(tmp_path / "x", limits)
+    new = HandoverLog(tmp_path / "x", limits)
+    with pytest.raises(HandoverLogError):
         for n in range(200):
-            old.append(Kind.CLAIM, f"{n:016x}", old.me)
-    old.append(Kind.ENTER, "s-1", "5.0")
+            old.append(RecordType.CLAIM, f"{n:016x}", old.me)
+    old.append(RecordType.ENTER, "s-1", "5.0")
     old.tend()
     assert (tmp_path / "x" / "ledger").stat().st_size > 3_900  # not while another lives
     new.close()
     old.tend()
     assert (tmp_path / "x" / "ledger").stat().st_size < 500
-    old.append(Kind.CLAIM, "t", old.me)
-    later = Ledger(tmp_path / "x", limits)
+    old.append(RecordType.CLAIM, "t", old.me)
+    later = HandoverLog(tmp_path / "x", limits)
     assert later.book.out == {"s-1": 5.0} and len(later.book.submits) == 5
 
 
 def test_gone_ledger_is_written_again(tmp_path: Path) -> None:
     """Whoever empties the folder loses no order that a living process knows."""
-    old = Ledger(tmp_path / "x", Limits())
-    old.append(Kind.ENTER, "s-1", "5.0")
+    old = HandoverLog(tmp_path / "x", Limits())
+    old.append(RecordType.ENTER, "s-1", "5.0")
     (tmp_path / "x" / "ledger").unlink()
     old.tend()
-    assert Ledger(tmp_path / "x", Limits()).book.out == {"s-1": 5.0}
+    assert HandoverLog(tmp_path / "x", Limits()).book.out == {"s-1": 5.0}
 
 
 # Two real processes
@@ -166,7 +170,7 @@
 
 
 @contextlib.asynccontextmanager
-async def site(tmp_path: Path, answer: Callable[[Asked], Reply] = data) -> AsyncIterator[Site]:
+async def site(tmp_path: Path, answer: Callable[[Asked], ScriptedReply] = data) -> AsyncIterator[Site]:
     async with trio.open_nursery() as nursery:
         boxes = [
             await Box(name, "origin" if name is ORIGIN else "small", answer=answer).open(nursery)
@@ -349,14 +353,15 @@
         elif left == "large":
             (folder / "ledger").write_bytes(os.urandom(8 * 2**20))
         elif left == "torn":
-            kept = encode(Record(Kind.ENTER, (EDGE, "5.0")))
-            (folder / "ledger").write_bytes(kept + encode(Record(Kind.ENTER, (OTHER, "5.0")))[:-3])
+            kept = encode(Record(RecordType.ENTER, (EDGE, "5.0")))
+            (folder / "ledger").write_bytes(kept + encode(Record(RecordType.ENTER, (OTHER, "5.0")))[:-3])
         elif left == "pipe":
             os.mkfifo(folder / "ledger")
         elif left == "stale":
             (folder / "life.0badcafe").write_bytes(b"")
             (folder / "ledger").write_bytes(
-                encode(Record(Kind.BORN, ("0badcafe",))) + encode(Record(Kind.SERVES, ("0badcafe",)))
+                encode(Record(RecordType.BORN, ("0badcafe",)))
+                + encode(Record(RecordType.SERVES, ("0badcafe",)))
             )
         async with here.process() as (doorman, ops):
             for n in range(8):
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Refuse, SetTimer
-from brackenlane.routing.events import Note, Outcome, Verdict, Wake
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer
+from brackenlane.routing.events import AttemptResult, CacheStatus, Outcome, TimerFired
 from brackenlane.routing.members import Member, Role
-from brackenlane.routing.origin_throttle import LEAST, MENDS, Upstream
-from tests.router_harness import Rig, only
+from brackenlane.routing.origin_throttle import LEAST, MENDS, OriginThrottle
+from tests.router_harness import RouterHarness, only
 
 GATEWAYS, RATE = 60, 100.0  # requests a second over all
 SLOW = 0.6 * RATE  # what the origin does a second once it falls behind
@@ -29,8 +29,8 @@
         fleet = [Member(f"edge-{n}", "depot", weight=8.0) for n in range(8)]
         fleet += [Member(f"parent-{n}", "hub-a", Role.PARENT, weight=20.0) for n in range(12)]
         fleet.append(Member("origin", "hub-a", Role.ORIGIN))
-        self.rigs = [
-            Rig(fleet, n, 100.0, gateways=GATEWAYS, seats=(0, 0, 0, 6), weights_told=False)
+        self.harnesses = [
+            RouterHarness(fleet, n, 100.0, gateways=GATEWAYS, seats=(0, 0, 0, 6), weights_told=False)
             for n in range(GATEWAYS)
         ]
         self.heap: list[tuple[float, int, Any]] = []
@@ -54,55 +54,64 @@
                 self.now, _, call = heapq.heappop(self.heap)
                 call()
             self.now = next_ask
-            rig = self.random.choice(self.rigs)
-            rig.now = self.now
+            harness = self.random.choice(self.harnesses)
+            harness.now = self.now
             self.asked.append(self.now)
-            self.take(rig, rig.ask(f"o{next(self.order)}", "tiles", time_left=2.5, size_kb=0.0), self.now)
+            self.take(
+                harness, harness.ask(f"o{next(self.order)}", "tiles", time_left=2.5, size_kb=0.0), self.now
+            )
 
-    def take(self, rig: Rig, actions: list[Action], born: float) -> None:
+    def take(self, harness: RouterHarness, actions: list[Action], born: float) -> None:
         """Carry out what a gateway decides."""
         for action in actions:
             if isinstance(action, Fetch):
-                self.fetch(rig, action, born)
+                self.fetch(harness, action, born)
             elif isinstance(action, SetTimer):
-                self.at(action.at, lambda token=action.token: self.tell(rig, Wake(token), born))
-            elif isinstance(action, Refuse):
-                self.over.add((rig, action.request))
+                self.at(action.at, lambda token=action.token: self.tell(harness, TimerFired(token), born))
+            elif isinstance(action, Reject):
+                self.over.add((harness, action.request_id))
             else:
                 assert isinstance(action, Cancel | Fail), action
 
-    def tell(self, rig: Rig, event: Any, born: float) -> None:
+    def tell(self, harness: RouterHarness, event: Any, born: float) -> None:
         """One event to a gateway."""
-        rig.now = self.now
-        self.take(rig, rig.router.handle(event, self.now), born)
+        harness.now = self.now
+        self.take(harness, harness.router.handle(event, self.now), born)
 
-    def fetch(self, rig: Rig, fetch: Fetch, born: float) -> None:
+    def fetch(self, harness: RouterHarness, fetch: Fetch, born: float) -> None:
         """An attempt: looks come back, fills wait at the origin."""
-        key = rig, fetch.request
+        key = harness, fetch.request_id
         number = self.sent[key] = self.sent.get(key, -1) + 1
         start = self.now
 
-        def end(verdict: Verdict, note: Note = Note.UNTOLD, first: float = 0.0) -> None:
+        def end(verdict: AttemptResult, note: CacheStatus = CacheStatus.UNKNOWN, first: float = 0.0) -> None:
             wait = self.now - start
-            if verdict is Verdict.OK and key not in self.over and self.now - born < 0.7:
+            if verdict is AttemptResult.OK and key not in self.over and self.now - born < 0.7:
                 self.served.append(born)
             self.tell(
-                rig,
+                harness,
                 Outcome(
-                    fetch.request, number, fetch.server, verdict, wait, verdict is Verdict.OK, note, first
+                    fetch.request_id,
+                    number,
+                    fetch.server,
+                    verdict,
+                    wait,
+                    verdict is AttemptResult.OK,
+                    note,
+                    first,
                 ),
                 born,
             )
 
         if fetch.source == fetch.server or fetch.held_only:
-            return self.at(start + 0.01, lambda: end(Verdict.MISS))
+            return self.at(start + 0.01, lambda: end(AttemptResult.MISS))
         if self.free - start > ROOM:
-            return self.at(start + 0.05, lambda: end(Verdict.FULL))
+            return self.at(start + 0.05, lambda: end(AttemptResult.FULL))
         self.free = max(self.free, start) + 1 / self.pace  # it works that off, whoever still waits
         done = self.free + 0.05
         if done - start > PATIENCE:
-            return self.at(start + PATIENCE, lambda: end(Verdict.ERROR))
-        self.at(done, lambda: end(Verdict.OK, Note.FILLED_BY_ORIGIN, done - start))
+            return self.at(start + PATIENCE, lambda: end(AttemptResult.ERROR))
+        self.at(done, lambda: end(AttemptResult.OK, CacheStatus.FILLED_BY_ORIGIN, done - start))
 
     def share(self, since: float, until: float) -> float:
         """Of what was asked for in a time, the part served in time."""
@@ -126,7 +135,7 @@
 
 def test_without_the_limit_nobody_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """The fault that the check must find: all is let through, the origin works off what was given up."""
-    monkeypatch.setattr(Upstream, "part", lambda self, now: 1.0)
+    monkeypatch.setattr(OriginThrottle, "part", lambda self, now: 1.0)
     world = World(1)
     world.run(105.0)
     world.pace = SLOW
@@ -137,12 +146,14 @@
 @pytest.mark.parametrize("quick", [True, False])
 def test_quick_errors_are_no_queue(quick: bool) -> None:
     """Errors that come at once hold nothing back from the origin; the same errors after a long wait do."""
-    rig = Rig([Member("edge-0", "depot", weight=8.0), Member("origin", "hub-a", Role.ORIGIN)], now=100.0)
-    rig.serve(note=Note.FILLED)
-    fetch = only(rig.ask("lost", "tiles", time_left=2.5, size_kb=0.0), Fetch)
+    harness = RouterHarness(
+        [Member("edge-0", "depot", weight=8.0), Member("origin", "hub-a", Role.ORIGIN)], now=100.0
+    )
+    harness.serve(note=CacheStatus.FILLED)
+    fetch = only(harness.ask("lost", "tiles", time_left=2.5, size_kb=0.0), Fetch)
     assert (fetch.server, fetch.source) == ("edge-0", "origin")
-    rig.end(fetch, Verdict.ERROR, Note.UNTOLD, wait=0.015 if quick else 1.265)
-    assert (rig.router.upstream.part(rig.now) == 1.0) is quick
+    harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=0.015 if quick else 1.265)
+    assert (harness.router.upstream.part(harness.now) == 1.0) is quick
 
 
 @pytest.mark.parametrize(("failing", "part"), [(0, 1.0), (1, 0.875), (2, 0.75), (4, 0.5)])
@@ -150,22 +161,22 @@
     """What fails at one parent is its own; what fails at half of the others is held back by half as much."""
     parents = [Member(f"parent-{n}", "hub-a", Role.PARENT, weight=20.0) for n in range(5)]
     origin = Member("origin", "hub-a", Role.ORIGIN)
-    rig = Rig([Member("edge-0", "depot", weight=8.0), *parents, origin], now=100.0)
-    fetch = only(rig.ask("lost", time_left=5.0, size_kb=0.0), Fetch)
+    harness = RouterHarness([Member("edge-0", "depot", weight=8.0), *parents, origin], now=100.0)
+    fetch = only(harness.ask("lost", time_left=5.0, size_kb=0.0), Fetch)
     others = [name for name in (parent.server for parent in parents) if name != fetch.source]
     for name in others[:failing]:
-        rig.router.servers[name].failure_score = 1.0
-    rig.end(fetch, Verdict.ERROR, Note.UNTOLD, wait=3.0)
-    assert rig.router.upstream.part(rig.now) == pytest.approx(part)
+        harness.router.servers[name].failure_score = 1.0
+    harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=3.0)
+    assert harness.router.upstream.part(harness.now) == pytest.approx(part)
 
 
 @pytest.mark.parametrize(("every", "low", "high"), [(5, 0.6, 1.0), (1, 0.0, 0.2)])
 def test_late_now_and_then(every: int, low: float, high: float) -> None:
     """An origin whose usual wait is near an aim is late for some: little is held back; always late, most."""
-    up, parts = Upstream(), []
+    up, parts = OriginThrottle(), []
     for n in range(60):
         now, wait = 100 + 0.2 * n, 0.39 if n % every == 0 else 0.05
-        fill = Outcome("x", 0, "edge-0", Verdict.OK, wait, True, Note.FILLED_BY_ORIGIN, wait)
+        fill = Outcome("x", 0, "edge-0", AttemptResult.OK, wait, True, CacheStatus.FILLED_BY_ORIGIN, wait)
         up.learn(fill, now, 0.28, 1.0, 0.4, 0.004)
         parts.append(up.part(now))
     assert low <= sum(parts[20:]) / 40 <= high
@@ -173,7 +184,7 @@
 
 def test_part() -> None:
     """Halved once for each crowd, down to its least; back to the whole in its time."""
-    up = Upstream()
+    up = OriginThrottle()
     assert up.part(100.0) == 1.0
     up.late(100.0, 1.0, 0.5)
     up.late(100.4, 1.0, 0.5)
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -13,7 +13,7 @@
 
 from brackenlane.cli.main import cli
 from brackenlane.console import HELP
-from brackenlane.core.metrics import Counts, Gauges, expose
+from brackenlane.core.metrics import Gauges, RequestMetrics, expose
 from brackenlane.settings import appliance
 
 ROOT = Path(__file__).parent.parent
@@ -22,7 +22,7 @@
 
 def test_metric_names() -> None:
     """The operators' dashboards go by these."""
-    counts = Counts(["pages"])
+    counts = RequestMetrics(["pages"])
     counts.ended("pages", 200)
     assert expose(counts, Gauges(14, 9, 1)).decode().splitlines() == [
         "# TYPE gw_ok counter",
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,7 +10,7 @@
 import trio
 
 from brackenlane.limits import Limits
-from brackenlane.net.http_codec import BadRequest, Requests, read_plain
+from brackenlane.net.http_codec import BadRequest, RequestParser, read_plain
 from tests.stand_ins import Asked, Box, Log, Program, data, platform, record, with_trio
 from tests.test_platform import EDGE, ORIGIN, SMUGGLED
 
@@ -174,7 +174,7 @@
 @pytest.mark.parametrize("step", [1, 7, 100_000])
 def test_codec_faults(sent: str, status: int, step: int) -> None:
     """What h11 refused is refused still, however its bytes are cut."""
-    requests = Requests(Limits())
+    requests = RequestParser(Limits())
     for start in range(0, len(sent), step):
         requests.feed(sent[start : start + step].encode())
     assert isinstance(requests.fault, BadRequest) and requests.fault.status == status
@@ -190,7 +190,7 @@
         b"GET /u HTTP/1.1\r\nHost: a\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n\r\n"
         b"GET /b HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
     )
-    requests = Requests(Limits())
+    requests = RequestParser(Limits())
     for start in range(0, len(sent), step):
         requests.feed(sent[start : start + step])
     first, wish, second = requests.next(), requests.next(), requests.next()
@@ -203,7 +203,7 @@
 
 def test_codec_wishes() -> None:
     """A packet full of wishes for another protocol is read like any other."""
-    requests = Requests(Limits())
+    requests = RequestParser(Limits())
     requests.feed(b"GET /u HTTP/1.1\r\nHost: a\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n\r\n" * 1000)
     assert requests.fault is None and sum(1 for _ in iter(requests.next, None)) == 1000
 
@@ -211,6 +211,6 @@
 def test_codec_noise() -> None:
     """Noise ends in a fault or waits for more; it is never taken for a request, and never raises."""
     for _ in range(300):
-        requests = Requests(Limits())
+        requests = RequestParser(Limits())
         requests.feed(os.urandom(200) + b"\r\n\r\n")
         assert requests.next() is None
--- a/tests/test_overload_decisions.py
+++ b/tests/test_overload_decisions.py
@@ -9,40 +9,40 @@
 
 import pytest
 
-from brackenlane.routing.actions import Cancel, Fetch, Refuse, SetTimer
-from brackenlane.routing.events import Note, Outcome, Purged, Verdict, Wake
+from brackenlane.routing.actions import Cancel, Fetch, Reject, SetTimer
+from brackenlane.routing.events import AttemptResult, CacheStatus, Outcome, Purged, TimerFired
 from brackenlane.routing.members import Role
-from brackenlane.routing.settings import Effect
-from tests.router_harness import TILES, VIDEO, Rig, every, members, only
+from brackenlane.routing.settings import Idempotency
+from tests.router_harness import TILES, VIDEO, RouterHarness, every, members, only
 
 
 def test_a_crowd_spills_over_and_is_then_refused_at_once() -> None:
-    rig = Rig(members(edges=2))
+    harness = RouterHarness(members(edges=2))
     seen: dict[str, int] = {}
     for _ in range(200):
-        actions = rig.ask("clip")
+        actions = harness.ask("clip")
         for fetch in every(actions, Fetch):
             seen[fetch.server] = seen.get(fetch.server, 0) + 1
-    refused = only(actions, Refuse)
+    refused = only(actions, Reject)
     assert refused.hold_off > 0
     # Of an aim of 0.5 + 2 x 0.4 s, 0.7 count; 0.4 s of sending on 8 transfers: 18 attempts each, not more.
     assert seen == {"edge-0": 18, "edge-1": 18}
 
 
-def strained(**changes: Any) -> Rig:
+def strained(**changes: Any) -> RouterHarness:
     """A rig whose usual answers come after the aim."""
-    rig = Rig(**changes)
+    harness = RouterHarness(**changes)
     for n in range(60):
-        rig.now += 5
-        rig.end(only(rig.ask(f"o{n}"), Fetch), wait=3.0)
-    return rig
+        harness.now += 5
+        harness.end(only(harness.ask(f"o{n}"), Fetch), wait=3.0)
+    return harness
 
 
 def test_under_strain_a_request_looks_for_a_hit_first() -> None:
-    rig = strained()
-    look = only(rig.ask("clip"), Fetch)
+    harness = strained()
+    look = only(harness.ask("clip"), Fetch)
     assert look.source == look.server
-    fill = only(rig.end(look, Verdict.MISS, Note.UNTOLD), Fetch)
+    fill = only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch)
     assert fill.source.startswith("parent")
 
 
@@ -56,160 +56,166 @@
 )
 def test_looks_that_find_nothing_leave_an_attempt_for_the_fill(attempts: int, asked: list[str]) -> None:
     """Before, a site that allows two attempts had both spent on looks, and refused what it could fill."""
-    rig = strained(max_attempts=attempts, direct=False)
-    sent, found = only(rig.ask("clip"), Fetch), list[str]()
+    harness = strained(max_attempts=attempts, direct=False)
+    sent, found = only(harness.ask("clip"), Fetch), list[str]()
     while True:
         own = sent.source == sent.server
         found.append("look at the cache" if own else "look at the parent" if sent.held_only else "fill")
         if found[-1] == "fill":
             break
-        sent = only(rig.end(sent, Verdict.MISS, Note.UNTOLD, attempt=len(found) - 1), Fetch)
+        sent = only(harness.end(sent, AttemptResult.MISS, CacheStatus.UNKNOWN, attempt=len(found) - 1), Fetch)
     assert found == asked
 
 
 def test_a_known_miss_without_room_is_refused_at_once() -> None:
-    rig = strained()
-    for server in rig.router.servers.values():
+    harness = strained()
+    for server in harness.router.servers.values():
         server.window, server.in_flight = (
             1.0,
             1.0 if server.me.server.startswith(("parent", "origin")) else 0.0,
         )
-    look = only(rig.ask("clip"), Fetch)
-    assert only(rig.end(look, Verdict.MISS, Note.UNTOLD), Refuse)
+    look = only(harness.ask("clip"), Fetch)
+    assert only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN), Reject)
 
 
 def test_under_strain_a_cold_cache_is_not_looked_at_first() -> None:
     """It has little yet: a look there would come back, and would cost it a part of what it bears."""
-    rig = strained()
-    rig.tell([replace(m, started_at=rig.now) for m in members() if m.role is Role.EDGE])
-    rig.now += 17.0
-    fetch = only(rig.ask("fresh"), Fetch)
+    harness = strained()
+    harness.tell([replace(m, started_at=harness.now) for m in members() if m.role is Role.EDGE])
+    harness.now += 17.0
+    fetch = only(harness.ask("fresh"), Fetch)
     assert fetch.server.startswith("edge") and fetch.source.startswith(("parent", "origin"))
-    rig.now += 2.0  # warm by now
-    fetch = only(rig.ask("other"), Fetch)
+    harness.now += 2.0  # warm by now
+    fetch = only(harness.ask("other"), Fetch)
     assert fetch.source == fetch.server
 
 
 def test_under_strain_a_copy_past_its_fresh_time_will_do_but_no_purged_one() -> None:
-    rig = strained(classes=(VIDEO, replace(TILES, grace=20.0)))
-    assert only(rig.ask("clip", "tiles"), Fetch).max_age == 28.0
-    rig.router.handle(Purged("clip", 0, 0.0), rig.now)
-    rig.now += 1
-    assert 0.9 < only(rig.ask("clip", "tiles"), Fetch).max_age < 1.0
+    harness = strained(classes=(VIDEO, replace(TILES, grace=20.0)))
+    assert only(harness.ask("clip", "tiles"), Fetch).max_age == 28.0
+    harness.router.handle(Purged("clip", 0, 0.0), harness.now)
+    harness.now += 1
+    assert 0.9 < only(harness.ask("clip", "tiles"), Fetch).max_age < 1.0
 
 
 def test_under_strain_a_late_fill_runs_on() -> None:
-    rig = strained()
-    actions = rig.end(only(rig.ask("clip"), Fetch), Verdict.MISS, Note.UNTOLD)
+    harness = strained()
+    actions = harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN)
     timer = every(actions, SetTimer)[0]
-    rig.now = timer.at
-    actions = rig.router.handle(Wake(timer.token), rig.now)
-    assert not every(actions, Cancel) and not every(actions, Refuse)
+    harness.now = timer.at
+    actions = harness.router.handle(TimerFired(timer.token), harness.now)
+    assert not every(actions, Cancel) and not every(actions, Reject)
 
 
 def test_under_strain_late_work_is_let_go() -> None:
-    rig = strained()
-    actions = rig.ask("clip", "tiles")
+    harness = strained()
+    actions = harness.ask("clip", "tiles")
     fetch, timer = only(actions, Fetch), every(actions, SetTimer)[1]
-    rig.now = timer.at
-    actions = rig.router.handle(Wake(timer.token), rig.now)
+    harness.now = timer.at
+    actions = harness.router.handle(TimerFired(timer.token), harness.now)
     assert only(actions, Cancel).attempt == 0
-    assert only(actions, Refuse).request == fetch.request
+    assert only(actions, Reject).request_id == fetch.request_id
 
 
 def test_without_strain_a_long_answer_is_left_to_run() -> None:
-    rig = Rig()
+    harness = RouterHarness()
     for n in range(30):
-        rig.now += 5
-        rig.serve(f"o{n}")
-    timer = every(rig.ask("clip"), SetTimer)[1]
-    rig.now = timer.at
-    actions = rig.router.handle(Wake(timer.token), rig.now)
-    assert not every(actions, Cancel) and only(actions, SetTimer).at > rig.now
+        harness.now += 5
+        harness.serve(f"o{n}")
+    timer = every(harness.ask("clip"), SetTimer)[1]
+    harness.now = timer.at
+    actions = harness.router.handle(TimerFired(timer.token), harness.now)
+    assert not every(actions, Cancel) and only(actions, SetTimer).at > harness.now
 
 
 def test_a_cache_without_a_place_for_a_fill_is_passed_by() -> None:
-    rig = strained()
-    look = only(rig.ask("clip"), Fetch)
-    fill = only(rig.end(look, Verdict.MISS, Note.UNTOLD, wait=0.001), Fetch)
-    straight = only(rig.end(fill, Verdict.FULL, Note.UNTOLD, attempt=1, wait=0.001), Fetch)
+    harness = strained()
+    look = only(harness.ask("clip"), Fetch)
+    fill = only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.001), Fetch)
+    straight = only(harness.end(fill, AttemptResult.FULL, CacheStatus.UNKNOWN, attempt=1, wait=0.001), Fetch)
     assert straight.server.startswith("parent")
     assert straight.source == "origin"  # a parent that names itself fills nothing
 
 
 def test_a_source_whose_fills_are_overdue_leaves_the_ladder_and_the_edge_stays() -> None:
-    rig = Rig(members(parents=("hub-a", "hub-b")))
+    harness = RouterHarness(members(parents=("hub-a", "hub-b")))
     for n in range(20):
-        rig.now += 1
-        rig.serve(f"o{n}", note=Note.FILLED)
+        harness.now += 1
+        harness.serve(f"o{n}", note=CacheStatus.FILLED)
     for n in range(6):
-        actions = rig.ask(f"late{n}")
+        actions = harness.ask(f"late{n}")
         fetch, timer = only(actions, Fetch), every(actions, SetTimer)[1]
-        assert fetch.source == "parent-0" or rig.router.servers["parent-0"].ejected_until
-        rig.now += 0.01
+        assert fetch.source == "parent-0" or harness.router.servers["parent-0"].ejected_until
+        harness.now += 0.01
         for k in range(5):
-            rig.serve(f"hit{n}-{k}")  # hits prove that the caches are alive
-        rig.now = max(rig.now, timer.at)
-        rig.router.handle(Wake(timer.token), rig.now)
-    assert rig.router.servers["parent-0"].ejected_until
-    assert not any(s.ejected_until for s in rig.router.servers.values() if s.me.server.startswith("edge"))
-    rig.router.servers["parent-0"].ejected_until = rig.now + 60  # no trial is due yet
-    rig.router.waits.strained, rig.router.servers["parent-1"].window = False, 8.0
-    assert only(rig.ask("next"), Fetch).source == "parent-1"
+            harness.serve(f"hit{n}-{k}")  # hits prove that the caches are alive
+        harness.now = max(harness.now, timer.at)
+        harness.router.handle(TimerFired(timer.token), harness.now)
+    assert harness.router.servers["parent-0"].ejected_until
+    assert not any(s.ejected_until for s in harness.router.servers.values() if s.me.server.startswith("edge"))
+    harness.router.servers["parent-0"].ejected_until = harness.now + 60  # no trial is due yet
+    harness.router.waits.strained, harness.router.servers["parent-1"].window = False, 8.0
+    assert only(harness.ask("next"), Fetch).source == "parent-1"
 
 
 def test_with_many_gateways_one_attempt_more_does_not_spill() -> None:
     """The others are taken to have what this gateway usually has, not what it has right now."""
-    rig = Rig(seats=(0, 0, 0, 10), gateways=10)
+    harness = RouterHarness(seats=(0, 0, 0, 10), gateways=10)
     for n in range(50):
-        rig.now += 1
-        rig.serve(f"o{n}")
-    first = [only(rig.ask("clip"), Fetch).server for _ in range(3)]
+        harness.now += 1
+        harness.serve(f"o{n}")
+    first = [only(harness.ask("clip"), Fetch).server for _ in range(3)]
     assert len(set(first)) == 1
 
 
 def test_fills_of_all_gateways_must_fit_the_locations_link() -> None:
-    rig = Rig(seats=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 4000.0))  # one transfer at full pace
+    harness = RouterHarness(
+        seats=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 4000.0)
+    )  # one transfer at full pace
     for n in range(10):
-        rig.now += 0.1
-        last = only(rig.ask(f"o{n}"), Fetch)
+        harness.now += 0.1
+        last = only(harness.ask(f"o{n}"), Fetch)
     assert last.source == last.server  # no source: only a copy on hand will do
-    assert only(rig.end(last, Verdict.MISS, Note.UNTOLD), Refuse)
-    rig = Rig(seats=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 160000.0))
+    assert only(harness.end(last, AttemptResult.MISS, CacheStatus.UNKNOWN), Reject)
+    harness = RouterHarness(seats=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 160000.0))
     for n in range(10):
-        rig.now += 0.1
-        last = only(rig.ask(f"o{n}"), Fetch)
+        harness.now += 0.1
+        last = only(harness.ask(f"o{n}"), Fetch)
     assert last.source != last.server
 
 
 def test_under_strain_the_parent_is_looked_at_before_the_origin_behind_it() -> None:
     """What the parent lacks needs room in the origin's window, and its lateness is the origin's."""
-    rig = strained()
-    held = only(rig.end(only(rig.ask("clip"), Fetch), Verdict.MISS, Note.UNTOLD), Fetch)
+    harness = strained()
+    held = only(harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch)
     assert held.held_only and held.source.startswith("parent")
-    origin, parent = (rig.router.servers[name] for name in ("origin", held.source))
-    actions = rig.end(held, Verdict.MISS, Note.UNTOLD, attempt=1)
+    origin, parent = (harness.router.servers[name] for name in ("origin", held.source))
+    actions = harness.end(held, AttemptResult.MISS, CacheStatus.UNKNOWN, attempt=1)
     full, timer = only(actions, Fetch), every(actions, SetTimer)[0]
     assert not full.held_only and full.source.startswith("parent") and origin.in_flight == 1
     window = parent.window
-    rig.now = timer.at
-    rig.router.handle(Wake(timer.token), rig.now)
+    harness.now = timer.at
+    harness.router.handle(TimerFired(timer.token), harness.now)
     assert origin.window == 4 and parent.window == window
     origin.window, origin.in_flight = 1.0, 1.0
-    held = only(rig.end(only(rig.ask("other"), Fetch), Verdict.MISS, Note.UNTOLD), Fetch)
-    assert only(rig.end(held, Verdict.MISS, Note.UNTOLD, attempt=1), Refuse)
+    held = only(
+        harness.end(only(harness.ask("other"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch
+    )
+    assert only(harness.end(held, AttemptResult.MISS, CacheStatus.UNKNOWN, attempt=1), Reject)
 
 
 def test_a_parent_late_with_what_it_holds_is_slow_itself_and_not_excused() -> None:
     """After a late look at a parent, misses are asked of it in full again and judged as its own."""
-    rig = strained()
-    actions = rig.end(only(rig.ask("clip"), Fetch), Verdict.MISS, Note.UNTOLD)
+    harness = strained()
+    actions = harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN)
     held, timer = only(actions, Fetch), every(actions, SetTimer)[0]
-    rig.now = timer.at
-    rig.router.handle(Wake(timer.token), rig.now)
-    assert rig.router.servers[held.source].slow == rig.now
+    harness.now = timer.at
+    harness.router.handle(TimerFired(timer.token), harness.now)
+    assert harness.router.servers[held.source].slow == harness.now
     for n in range(30):
-        fetch = only(rig.end(only(rig.ask(f"next{n}"), Fetch), Verdict.MISS, Note.UNTOLD), Fetch)
+        fetch = only(
+            harness.end(only(harness.ask(f"next{n}"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch
+        )
         if fetch.source == held.source:
             break
     assert fetch.source == held.source and not fetch.held_only
@@ -218,57 +224,66 @@
 @pytest.mark.parametrize("gateways", [3, 40])
 def test_the_first_fills_of_all_gateways_are_a_number_that_a_source_bears(gateways: int) -> None:
     """A start of its own for each gateway was 8 fills a source; of forty it was 320, and never came back."""
-    rigs = [Rig(members(edges=12), seed=n, gateways=gateways) for n in range(gateways)]
-    sent = [f for rig in rigs for n in range(12) for f in every(rig.ask(f"o{n}", size_kb=40.0), Fetch)]
+    harnesses = [RouterHarness(members(edges=12), seed=n, gateways=gateways) for n in range(gateways)]
+    sent = [
+        f
+        for harness in harnesses
+        for n in range(12)
+        for f in every(harness.ask(f"o{n}", size_kb=40.0), Fetch)
+    ]
     held = Counter(f.source for f in sent if f.source.startswith("parent"))
     assert all(count <= 2 * min(8 * gateways, 80) for count in held.values()), held  # half are likely hits
 
 
 def test_what_the_parents_have_no_room_for_is_not_sent_to_the_origin_unless_they_are_out() -> None:
-    rig = Rig(members(edges=12), gateways=40)
-    fetches = [f for n in range(12) for f in every(rig.ask(f"o{n}", size_kb=40.0), Fetch)]
+    harness = RouterHarness(members(edges=12), gateways=40)
+    fetches = [f for n in range(12) for f in every(harness.ask(f"o{n}", size_kb=40.0), Fetch)]
     assert {f.source for f in fetches if f.source != f.server} == {"parent-0", "parent-1"}
     assert any(f.source == f.server for f in fetches)  # looked for only
-    for server in rig.router.servers.values():
+    for server in harness.router.servers.values():
         if server.me.role is Role.PARENT:
             server.ejected_until = math.inf
-    assert only(rig.ask("o99", size_kb=40.0), Fetch).source == "origin"
+    assert only(harness.ask("o99", size_kb=40.0), Fetch).source == "origin"
 
 
 @pytest.mark.parametrize(("seats", "counted"), [(1, 12.0), (9, 6.0)])
 def test_fills_that_wait_are_not_taken_for_a_jam_of_all_who_share_a_link(seats: int, counted: float) -> None:
     """With all copies void the caches' links stood idle, yet a ninth of the crowd, times nine, was a jam."""
-    rig = Rig(members(edges=1), seats=(0, 0, 0, seats), gateways=3)
+    harness = RouterHarness(members(edges=1), seats=(0, 0, 0, seats), gateways=3)
     sent = 0
     while sent < 12:
-        fetch = only(rig.ask(f"o{sent}", size_kb=40.0), Fetch)
-        sent += bool(every(rig.end(fetch, Verdict.MISS, Note.UNTOLD, wait=0.01), Fetch))  # a fill for sure
-    edge = rig.router.servers["edge-0"]
+        fetch = only(harness.ask(f"o{sent}", size_kb=40.0), Fetch)
+        sent += bool(
+            every(harness.end(fetch, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.01), Fetch)
+        )  # a fill for sure
+    edge = harness.router.servers["edge-0"]
     assert edge.in_flight == pytest.approx(counted)
-    for name, number in list(rig.router.attempts):
-        rig.router.handle(Outcome(name, number, "edge-0", Verdict.OK, 0.1, True, Note.FILLED), rig.now)
+    for name, number in list(harness.router.attempts):
+        harness.router.handle(
+            Outcome(name, number, "edge-0", AttemptResult.OK, 0.1, True, CacheStatus.FILLED), harness.now
+        )
     assert edge.in_flight == pytest.approx(0.0)
 
 
 @pytest.mark.parametrize("purged", [False, True])
 def test_what_was_purged_as_a_group_lately_is_not_looked_for_at_the_parent(purged: bool) -> None:
     """With all copies void each look at a parent came back with nothing, 265 a second, before any fill."""
-    rig = strained()
+    harness = strained()
     if purged:
-        rig.router.handle(Purged(group=7, age=0.2), rig.now)
-    looked = only(rig.ask("fresh-one", group=7), Fetch)
+        harness.router.handle(Purged(group=7, age=0.2), harness.now)
+    looked = only(harness.ask("fresh-one", group=7), Fetch)
     assert looked.source == looked.server
-    fetch = only(rig.end(looked, Verdict.MISS, Note.UNTOLD, wait=0.01), Fetch)
+    fetch = only(harness.end(looked, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.01), Fetch)
     assert fetch.source.startswith("parent") and fetch.held_only is not purged
 
 
 def test_under_strain_nobody_looks_for_a_write() -> None:
     """It is kept nowhere: looks at a cache and a parent come back; then the origin's window ends it."""
-    submit = replace(VIDEO, name="submit", effect=Effect.UNSAFE, uncached=True)
-    rig = strained(classes=(VIDEO, submit))
-    sent = only(rig.ask("sheet", "submit", is_write=True), Fetch)
+    submit = replace(VIDEO, name="submit", effect=Idempotency.NON_IDEMPOTENT, uncached=True)
+    harness = strained(classes=(VIDEO, submit))
+    sent = only(harness.ask("sheet", "submit", is_write=True), Fetch)
     assert sent.source != sent.server and not sent.held_only
-    origin = rig.router.servers["origin"]
+    origin = harness.router.servers["origin"]
     origin.window, origin.in_flight = 1.0, 1.0  # with the origin's window full, a parent takes it there
-    sent = only(rig.ask("sheet", "submit", is_write=True), Fetch)
+    sent = only(harness.ask("sheet", "submit", is_write=True), Fetch)
     assert sent.source.startswith("parent") and not sent.held_only
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -14,9 +14,9 @@
 from brackenlane.placement.model import Box, Constraint, Demand, Kind, Problem, Wish
 from brackenlane.placement.solve import solve
 from brackenlane.placement.verify import verify
-from brackenlane.routing.settings import ColdStart
+from brackenlane.routing.settings import SlowStart
 
-COLD = ColdStart(0.3, 18.0, 3.0, 1.0)
+COLD = SlowStart(0.3, 18.0, 3.0, 1.0)
 KINDS = (Kind("video", 1000.0, 2.0, 0.7), Kind("pages", 300.0, 1.0, 0.5), Kind("large", 4000.0, 3.0, 0.0))
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -21,9 +21,9 @@
     ROOT,
     SETTINGS,
     Asked,
+    ScriptedReply,
     Box,
     Log,
-    Reply,
     data,
     free_port,
     platform,
@@ -35,7 +35,7 @@
 TICK_MS = 1000 * SETTINGS["QuantumS"]  # the least time told apart
 
 
-def fleet(answer: Callable[[Asked], Reply] = data) -> list[Box]:
+def fleet(answer: Callable[[Asked], ScriptedReply] = data) -> list[Box]:
     """An edge cache and the origin."""
     return [Box(EDGE, answer=answer), Box(ORIGIN, "origin", answer=answer)]
 
@@ -72,7 +72,7 @@
     named = "e2"
     async with trio.open_nursery() as nursery:
 
-        def answer(asked: Asked) -> Reply:
+        def answer(asked: Asked) -> ScriptedReply:
             return data(asked, b"", "unchanged", entity=named) if "mine" in asked.fields else data(asked)
 
         edge, origin = [await box.open(nursery) for box in fleet(answer)]
@@ -137,7 +137,7 @@
 async def test_submit(tmp_path: Path, word: str, runs: int, status: int) -> None:
     """A submit is sent again, or refused, only after a proof that it never ran."""
 
-    def answer(asked: Asked) -> Reply:
+    def answer(asked: Asked) -> ScriptedReply:
         return data(asked, b"", word) if word not in ("", "cut") else b"x" if word == "cut" else None
 
     async with trio.open_nursery() as nursery:
@@ -350,7 +350,7 @@
         edge, origin = [await box.open(nursery) for box in fleet()]
         edge.alive = origin.alive = alive
 
-        def once(asked: Asked) -> Reply:
+        def once(asked: Asked) -> ScriptedReply:
             if len(edge.asked) + len(origin.asked) > 1 and not alive:
                 return data(asked)
             return part % asked.id.encode() if part else None
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -12,8 +12,8 @@
 import pytest
 import trio
 
-from brackenlane.lifecycle import Signals
-from brackenlane.net.poller import Board
+from brackenlane.lifecycle import SignalWatcher
+from brackenlane.net.poller import Poller
 from tests.stand_ins import Box, platform, with_trio
 
 
@@ -57,11 +57,11 @@
 @with_trio
 async def test_wakes_for_sockets_tasks_and_signals(alone: bool) -> None:
     """A board that waits itself must not sleep through what trio's tasks are due for, nor a signal."""
-    board = Board(16, alone)
+    board = Poller(16, alone)
     ours, theirs = socket.socketpair()
     came: list[bytes] = []
     board.add(ours.fileno(), lambda _: came.append(ours.recv(9)))
-    with Signals(board, signal.SIGUSR1) as told, trio.fail_after(20):
+    with SignalWatcher(board, signal.SIGUSR1) as told, trio.fail_after(20):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(board.run)
             start = time.monotonic()
@@ -80,7 +80,7 @@
 
 def test_what_was_ready_of_a_socket_that_ended_is_not_told_to_the_next_with_its_number() -> None:
     """A try to connect that took the number of a client's closed socket passed for one that had come up."""
-    board = Board(16)
+    board = Poller(16)
     pairs = [socket.socketpair() for _ in range(2)]
     told: list[str] = []
     fresh: list[socket.socket] = []
