--- a/tests/test_portal_settings.py
+++ b/tests/test_portal_settings.py
@@ -15,19 +15,31 @@
 import pytest
 
 from brackenlane.routing import Router
-from brackenlane.routing.actions import Action, Fail, Fetch, Refuse, SetTimer
-from brackenlane.routing.events import Arrival, Note, Outcome, Verdict, Wake
+from brackenlane.routing.actions import Action, Fail, Fetch, Reject, SetTimer
+from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus, Outcome, TimerFired
 from brackenlane.routing.members import Member, Role
-from brackenlane.routing.settings import ColdStart, Effect, Notes, RequestClass, Siblings
-from tests.router_harness import Rig
+from brackenlane.routing.settings import (
+    CacheStatusReporting,
+    Idempotency,
+    RequestClass,
+    SiblingSources,
+    SlowStart,
+)
+from tests.router_harness import RouterHarness
 
 PAGE = RequestClass("page", aim=0.3, give_up=3.0, aim_stretch=2.0, late_worth=0.2, fresh=12.0)
 VIDEO = RequestClass("video", aim=0.6, give_up=6.0, aim_stretch=1.6, worth=2.0, in_parts=True)
 SUBMIT = RequestClass(
-    "submit", aim=0.6, give_up=3.0, worth=3.0, effect=Effect.KEYED, repeat_window=6.0, uncached=True
+    "submit",
+    aim=0.6,
+    give_up=3.0,
+    worth=3.0,
+    effect=Idempotency.IDEMPOTENT_WITH_KEY,
+    repeat_window=6.0,
+    uncached=True,
 )
 ZONES = ("north", "middle", "south", "north-1", "middle-1", "south-1")
-EDGE_COLD, PARENT_COLD = ColdStart(0.23, 17.0, 4.0, 1.5), ColdStart(0.067, 19.0, 2.0, 1.5)
+EDGE_COLD, PARENT_COLD = SlowStart(0.23, 17.0, 4.0, 1.5), SlowStart(0.067, 19.0, 2.0, 1.5)
 PACE = 4000.0  # KB a second
 PAGE_KB, PAGE_WORK = 260.0, 0.065
 LOOK = 0.005  # seconds until a cache says that it has nothing
@@ -47,8 +59,8 @@
         "parent_cold": PARENT_COLD,
         "max_hold_off": 0.5,
         "direct": False,
-        "siblings": Siblings.ANY,
-        "notes": Notes.SILENT,
+        "siblings": SiblingSources.ANY,
+        "notes": CacheStatusReporting.SILENT,
     }
     return told | changes
 
@@ -65,7 +77,7 @@
     """One gateway of a branch in virtual time: its requests, and attempts that end as a test says."""
 
     def __init__(self, seed: int = 1, **changes: Any) -> None:
-        self.rig = Rig(boxes(), seed, 100.0, **site(**changes))
+        self.harness = RouterHarness(boxes(), seed, 100.0, **site(**changes))
         self.random = random.Random(seed)
         self.heap: list[tuple[float, int, Any]] = []
         self.order = itertools.count()
@@ -74,28 +86,28 @@
         self.number: dict[str, int] = {}
         self.born: dict[str, float] = {}
 
-    def end(self, fetch: Fetch) -> tuple[float, Verdict]:
+    def end(self, fetch: Fetch) -> tuple[float, AttemptResult]:
         """How a fill ends, and after what time; a test's to say."""
-        return PAGE_WORK, Verdict.OK
+        return PAGE_WORK, AttemptResult.OK
 
     def run(self, until: float, rate: float = 40.0, cls: str = "page", size_kb: float = PAGE_KB) -> None:
         """Requests for objects of their own until a time."""
-        at = self.rig.now
+        at = self.harness.now
         while (at := at + self.random.expovariate(rate)) < until:
             self.work_off(at)
             number = next(self.order)
             self.born[f"q{number}"] = at
             give_up = PAGE.give_up if cls == "page" else VIDEO.give_up
             arrival = Arrival(f"q{number}", give_up, cls, f"o{number}", size_kb=size_kb)
-            self.take(self.rig.router.handle(arrival, at))
+            self.take(self.harness.router.handle(arrival, at))
         self.work_off(until)
 
     def work_off(self, until: float) -> None:
         """All that is due by a time."""
         while self.heap and self.heap[0][0] <= until:
-            self.rig.now, _, event = heapq.heappop(self.heap)
-            self.take(self.rig.router.handle(event, self.rig.now))
-        self.rig.now = until
+            self.harness.now, _, event = heapq.heappop(self.heap)
+            self.take(self.harness.router.handle(event, self.harness.now))
+        self.harness.now = until
 
     def take(self, actions: list[Action]) -> None:
         """Carry out what the gateway decides."""
@@ -103,9 +115,9 @@
             if isinstance(action, Fetch):
                 self.fetch(action)
             elif isinstance(action, SetTimer):
-                self.post(action.at, Wake(action.token))
-            elif isinstance(action, Refuse | Fail):
-                self.ended.append((self.born[action.request], type(action).__name__))
+                self.post(action.at, TimerFired(action.token))
+            elif isinstance(action, Reject | Fail):
+                self.ended.append((self.born[action.request_id], type(action).__name__))
 
     def post(self, at: float, event: Any) -> None:
         """An event to come."""
@@ -113,19 +125,19 @@
 
     def fetch(self, fetch: Fetch) -> None:
         """An attempt, and its outcome to come."""
-        self.sent.append((self.rig.now, fetch))
-        number = self.number[fetch.request] = self.number.get(fetch.request, -1) + 1
+        self.sent.append((self.harness.now, fetch))
+        number = self.number[fetch.request_id] = self.number.get(fetch.request_id, -1) + 1
         # All objects are new, so whoever is asked only for what it holds has nothing, if it answers at all.
-        wait, verdict = (LOOK, Verdict.MISS) if fetch.source == fetch.server else self.end(fetch)
-        if fetch.held_only and verdict is Verdict.OK:
-            wait, verdict = LOOK, Verdict.MISS
+        wait, verdict = (LOOK, AttemptResult.MISS) if fetch.source == fetch.server else self.end(fetch)
+        if fetch.held_only and verdict is AttemptResult.OK:
+            wait, verdict = LOOK, AttemptResult.MISS
         if wait > fetch.timeout:
-            wait, verdict = fetch.timeout, Verdict.TIMEOUT
-        ok = verdict is Verdict.OK
+            wait, verdict = fetch.timeout, AttemptResult.TIMEOUT
+        ok = verdict is AttemptResult.OK
         if ok:
-            self.ended.append((self.born[fetch.request], "served"))
-        outcome = Outcome(fetch.request, number, fetch.server, verdict, wait, ok, Note.UNTOLD)
-        self.post(self.rig.now + wait, outcome)
+            self.ended.append((self.born[fetch.request_id], "served"))
+        outcome = Outcome(fetch.request_id, number, fetch.server, verdict, wait, ok, CacheStatus.UNKNOWN)
+        self.post(self.harness.now + wait, outcome)
 
     def share(self, since: float, until: float) -> float:
         """The share served of what was asked for in a time."""
@@ -140,17 +152,17 @@
 def overload(role: str, factor: float) -> float:
     """A server starts whose weight is told so many times too high; at most how much of what pushes it over it
     is sent by the gateways that may use it, at 400 requests a second."""
-    rigs = [Rig(boxes(), n, 100.0, **site()) for n in range(2)]
+    harnesses = [RouterHarness(boxes(), n, 100.0, **site()) for n in range(2)]
     known = next(m for m in boxes() if m.server == f"{role}-0")
     true, rule = known.weight / factor, EDGE_COLD if role == "edge" else PARENT_COLD
     spent: list[tuple[float, float]] = []
     worst = 0.0
-    for rig in rigs:
-        rig.tell([replace(known, started_at=100.0)])
+    for harness in harnesses:
+        harness.tell([replace(known, started_at=100.0)])
     for n in range(int(400 * rule.ramp)):
-        rig = rigs[n % len(rigs)]
-        rig.now = now = 100.0 + n / 400
-        fetch = rig.serve(f"o{n}", "page", Note.UNTOLD, time_left=3.0, size_kb=PAGE_KB)
+        harness = harnesses[n % len(harnesses)]
+        harness.now = now = 100.0 + n / 400
+        fetch = harness.serve(f"o{n}", "page", CacheStatus.UNKNOWN, time_left=3.0, size_kb=PAGE_KB)
         if known.server in (fetch.server, fetch.source):
             spent.append((now, PAGE_WORK))
         can = true * (rule.share + (1 - rule.share) * (now - 100.0) / rule.ramp)
@@ -181,12 +193,12 @@
     true = {f"edge-{number}": width for number, width in enumerate(widths)}
     hand: dict[str, list[float]] = {name: [] for name in true}
 
-    def end(fetch: Fetch) -> tuple[float, Verdict]:
-        now, mine = branch.rig.now, hand[fetch.server]
+    def end(fetch: Fetch) -> tuple[float, AttemptResult]:
+        now, mine = branch.harness.now, hand[fetch.server]
         mine[:] = [until for until in mine if until > now]
         wait = 0.38 * max(1.0, (len(mine) + 1) / true[fetch.server])
         mine.append(now + wait)
-        return wait, Verdict.OK
+        return wait, AttemptResult.OK
 
     branch.end = end  # type: ignore[method-assign]
     branch.run(140.0, rate=35.0, cls="video", size_kb=0.38 * PACE)
@@ -196,29 +208,31 @@
 @pytest.mark.parametrize(
     ("verdict", "wait"),
     [
-        (Verdict.FULL, 0.02),  # it can't be reached: said at once
-        (Verdict.ERROR, 0.03),  # it fails fast
-        (Verdict.ERROR, 2.0),  # cut off: the cache gives the fill up
-        (Verdict.FULL, 2.0),
+        (AttemptResult.FULL, 0.02),  # it can't be reached: said at once
+        (AttemptResult.ERROR, 0.03),  # it fails fast
+        (AttemptResult.ERROR, 2.0),  # cut off: the cache gives the fill up
+        (AttemptResult.FULL, 2.0),
     ],
 )
 @pytest.mark.parametrize("share", [1.0, 0.6])
-def test_a_hub_that_is_lost_hands_its_fills_to_the_next(verdict: Verdict, wait: float, share: float) -> None:
+def test_a_hub_that_is_lost_hands_its_fills_to_the_next(
+    verdict: AttemptResult, wait: float, share: float
+) -> None:
     """The branch is served by the next hub's parent within seconds, and no cache is shut for it."""
     branch = Branch()
     branch.run(110.0)
     assert set(branch.sources(105.0)) <= {"parent-0", "origin"} and branch.share(105, 110) > 0.99
 
-    def end(fetch: Fetch) -> tuple[float, Verdict]:
+    def end(fetch: Fetch) -> tuple[float, AttemptResult]:
         lost = fetch.source == "parent-0" and branch.random.random() < share
-        return (wait, verdict) if lost else (PAGE_WORK, Verdict.OK)
+        return (wait, verdict) if lost else (PAGE_WORK, AttemptResult.OK)
 
     branch.end = end  # type: ignore[method-assign]
     branch.run(130.0)
     late = branch.sources(120.0)
     assert branch.share(118, 128) > 0.95
     assert late.count("parent-1") > 0.5 * len(late) and late.count("origin") < 0.1 * len(late)
-    assert not any(edge.ejected_until for edge in branch.rig.router.edges)
+    assert not any(edge.ejected_until for edge in branch.harness.router.edges)
 
 
 def test_a_branch_whose_hub_is_lost_is_served_while_the_next_hub_is_cold() -> None:
@@ -228,10 +242,10 @@
     cold = replace(boxes()[4], started_at=105.0)
     gone = replace(boxes()[3], started_at=0.0)
 
-    def end(fetch: Fetch) -> tuple[float, Verdict]:
-        return (0.02, Verdict.FULL) if fetch.source == gone.server else (PAGE_WORK, Verdict.OK)
+    def end(fetch: Fetch) -> tuple[float, AttemptResult]:
+        return (0.02, AttemptResult.FULL) if fetch.source == gone.server else (PAGE_WORK, AttemptResult.OK)
 
     branch.end = end  # type: ignore[method-assign]
-    branch.rig.tell([cold])
+    branch.harness.tell([cold])
     branch.run(125.0, rate=20.0)
     assert branch.share(110, 124) > 0.5
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -20,17 +20,17 @@
 import trio
 
 from brackenlane.config import read_settings
-from brackenlane.core.engine import Core
-from brackenlane.core.requests import Ask, Attempt, Reply
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.requests import Attempt, AttemptReply, PendingRequest
 from brackenlane.limits import Limits
-from brackenlane.net.cache_codec import BoxAnswer, Parser, encode_get
+from brackenlane.net.cache_codec import CacheResponse, Parser, encode_get
 from brackenlane.net.change_log_codec import read_frame, read_known
-from brackenlane.net.http_codec import Requests
-from brackenlane.net.http_front import Door
-from brackenlane.net.poller import Board
+from brackenlane.net.http_codec import RequestParser
+from brackenlane.net.http_front import HttpFront
+from brackenlane.net.poller import Poller
 from brackenlane.net.request_codec import read_ask
 from brackenlane.routing.actions import Action, Fetch
-from brackenlane.routing.events import Arrival, Event, Membership, Note, Outcome, Verdict
+from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus, Event, Membership, Outcome
 from tests.stand_ins import (
     SETTINGS,
     Asked,
@@ -44,7 +44,7 @@
     target,
     with_trio,
 )
-from tests.stand_ins import Reply as BoxReply
+from tests.stand_ins import ScriptedReply
 
 EDGE, OTHER = "s-00000001", "s-00000002"
 PARENT, NEXT_PARENT, ORIGIN = "s-00000008", "s-00000007", "s-00000009"
@@ -79,14 +79,16 @@
     }
 
 
-async def fleet(nursery: trio.Nursery, *names: str, answer: Callable[[Asked], BoxReply] = data) -> list[Box]:
+async def fleet(
+    nursery: trio.Nursery, *names: str, answer: Callable[[Asked], ScriptedReply] = data
+) -> list[Box]:
     """Boxes that answer alike."""
     return [await Box(name, MODELS.get(name, "type-a"), answer).open(nursery) for name in names]
 
 
-def parse(text: bytes) -> Requests:
+def parse(text: bytes) -> RequestParser:
     """A client's bytes as the front reads them."""
-    requests = Requests(Limits())
+    requests = RequestParser(Limits())
     requests.feed(text)
     return requests
 
@@ -264,7 +266,7 @@
 ) -> None:
     """Worded without the request's being read: the time to stay away is bounded, and whole milliseconds."""
     settings, _ = read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})
-    door = Door(Core(settings, 1, Limits(), lambda _: False), Limits(), Board(1))
+    door = HttpFront(RequestEngine(settings, 1, Limits(), lambda _: False), Limits(), Poller(1))
     monkeypatch.setattr(door.admission, "hold_off", lambda now: waits)
     head = door._refusal(time.time()).partition(b"\r\n\r\n")[0].decode()
     lines = dict(line.split(": ") for line in head.split("\r\n")[1:])
@@ -277,8 +279,8 @@
     """Clients that honour less from now on are told no longer time that was worded before."""
     limits = Limits()
     settings = [read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})[0] for most in (0.04, 0.02)]
-    core = Core(settings[0], 1, limits, lambda _: False)
-    door = Door(core, limits, Board(1))
+    core = RequestEngine(settings[0], 1, limits, lambda _: False)
+    door = HttpFront(core, limits, Poller(1))
     assert b"X-Throttle-Ms: 40\r\n" in door._refusal(time.time())
     core.adopt(settings[1], 1, limits, 0.0, None)
     door.adopt(limits)
@@ -353,7 +355,7 @@
     assert dict(pair.split("=") for pair in told.split(",")) == usual | fields | within
 
 
-def answered(text: str) -> BoxAnswer:
+def answered(text: str) -> CacheResponse:
     """One answer of a box, by its fields."""
     [answer] = Parser(Limits()).feed(f"a1 data {text} 0\r\n\r\n".encode())
     return answer
@@ -385,24 +387,24 @@
 @pytest.mark.parametrize(
     ("word", "note"),
     [
-        ("hit", Note.HIT),
-        ("filled", Note.FILLED),
-        ("via_origin", Note.FILLED_BY_ORIGIN),
-        ("joined", Note.JOINED),
-        ("stale", Note.STALE),
-        ("src_refused", Note.SOURCE_REFUSED),
-        ("src_broke", Note.SOURCE_FAILED),
-        ("src_lacks", Note.SOURCE_LACKS),
-        ("no_slot", Note.NO_PLACE),
-        ("origin_failed", Note.ORIGIN_FAILED),
-        ("never_heard_of", Note.UNTOLD),
-        ("", Note.UNTOLD),
+        ("hit", CacheStatus.HIT),
+        ("filled", CacheStatus.FILLED),
+        ("via_origin", CacheStatus.FILLED_BY_ORIGIN),
+        ("joined", CacheStatus.JOINED),
+        ("stale", CacheStatus.STALE),
+        ("src_refused", CacheStatus.SOURCE_REFUSED),
+        ("src_broke", CacheStatus.SOURCE_FAILED),
+        ("src_lacks", CacheStatus.SOURCE_LACKS),
+        ("no_slot", CacheStatus.NO_PLACE),
+        ("origin_failed", CacheStatus.ORIGIN_FAILED),
+        ("never_heard_of", CacheStatus.UNKNOWN),
+        ("", CacheStatus.UNKNOWN),
     ],
 )
-def test_detail(word: str, note: Note) -> None:
+def test_detail(word: str, note: CacheStatus) -> None:
     """Each word has the number that the simulator gives it; none, and one not known, tell nothing."""
     assert answered(f"detail={word}").note is note
-    assert list(Note).index(note) == note.value
+    assert list(CacheStatus).index(note) == note.value
 
 
 @pytest.mark.parametrize(
@@ -418,16 +420,16 @@
 @pytest.mark.parametrize(
     ("verdict", "told"),
     [
-        (Verdict.OK, {"note": Note.FILLED_BY_ORIGIN, "delay": 0.07}),
-        (Verdict.ERROR, {"note": Note.SOURCE_FAILED, "delay": 0.09}),
-        (Verdict.OK, {"report": (("inflight", 3.0), ("x0", 0.5))}),
-        (Verdict.FULL, {"report": (("inflight", 9.0),)}),
+        (AttemptResult.OK, {"note": CacheStatus.FILLED_BY_ORIGIN, "delay": 0.07}),
+        (AttemptResult.ERROR, {"note": CacheStatus.SOURCE_FAILED, "delay": 0.09}),
+        (AttemptResult.OK, {"report": (("inflight", 3.0), ("x0", 0.5))}),
+        (AttemptResult.FULL, {"report": (("inflight", 9.0),)}),
     ],
 )
 def test_what_an_answer_tells_reaches_the_module(
-    monkeypatch: pytest.MonkeyPatch, verdict: Verdict, told: dict[str, Any]
+    monkeypatch: pytest.MonkeyPatch, verdict: AttemptResult, told: dict[str, Any]
 ) -> None:
-    """Note, time waited for the source and load report, with every verdict."""
+    """Cache status, time waited for the source and load report, with every verdict."""
     settings, _ = read_settings({**SETTINGS, **site()})
     placed: list[Attempt] = []
     heard: list[Outcome] = []
@@ -441,13 +443,13 @@
             heard.append(event)
         return [Fetch("q0", EDGE, 1.0, ORIGIN)] if isinstance(event, Arrival) else []
 
-    core = Core(settings, 1, Limits(), place)
+    core = RequestEngine(settings, 1, Limits(), place)
     monkeypatch.setattr(core._router, "handle", decide)
-    core.submit(Ask(Arrival("q0", 1.0, "video-parts", "7f3a9c21e0b4d655"), time.time() + 1.0))
-    core.report(placed[0], Reply(verdict, 0.1, **told))
+    core.submit(PendingRequest(Arrival("q0", 1.0, "video-parts", "7f3a9c21e0b4d655"), time.time() + 1.0))
+    core.report(placed[0], AttemptReply(verdict, 0.1, **told))
     [outcome] = heard
     assert (outcome.verdict, outcome.wait) == (verdict, 0.1)
-    assert outcome.note is told.get("note", Note.UNTOLD)
+    assert outcome.note is told.get("note", CacheStatus.UNKNOWN)
     assert outcome.first_byte == told.get("delay", 0.0) and outcome.report == told.get("report", ())
 
 
@@ -508,7 +510,7 @@
     """Four requests on one connection, answered last first: each client gets the bytes meant for it."""
     async with trio.open_nursery() as nursery:
 
-        def hold(asked: Asked) -> BoxReply:
+        def hold(asked: Asked) -> ScriptedReply:
             if len(edge.asked) < 4:
                 return None
             return b"".join(data(one, one.fields["path"].encode()) for one in reversed(edge.asked))
--- a/tests/test_purge_wave.py
+++ b/tests/test_purge_wave.py
@@ -9,7 +9,7 @@
 
 from brackenlane.lab.simulation import invariants
 from brackenlane.lab.simulation.record import Record
-from brackenlane.lab.simulation.servers import Ask
+from brackenlane.lab.simulation.servers import CacheRequest
 from brackenlane.lab.simulation.site import ClassLoad, Location, Site, Tells, Trouble, TroubleKind
 from brackenlane.lab.simulation.streams import Stream
 from brackenlane.lab.simulation.value import worth
@@ -50,7 +50,7 @@
     world, copies = World(site, policy), Counter[str]()
     provide = world.origin.provide
 
-    def count(ask: Ask, oldest: float, stream: Stream) -> None:
+    def count(ask: CacheRequest, oldest: float, stream: Stream) -> None:
         if ask.cls is VIDEO and PURGE_AT <= world.queue.now - START < PURGE_AT + WATCHED:
             copies[ask.copy] += 1
         provide(ask, oldest, stream)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,12 +16,12 @@
 import pytest
 import trio
 
-from brackenlane.core.engine import Core
-from brackenlane.core.requests import Ask, Attempt, Reply
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.requests import Attempt, AttemptReply, PendingRequest
 from brackenlane.limits import Limits
-from brackenlane.routing.events import Arrival, ListKind, Membership, Purged, Verdict
+from brackenlane.routing.events import Arrival, AttemptResult, Membership, MembershipKind, Purged
 from brackenlane.routing.members import Member
-from brackenlane.routing.settings import Effect, RequestClass, Settings
+from brackenlane.routing.settings import Idempotency, RequestClass, Settings
 from tests.stand_ins import (
     ROOT,
     SETTINGS,
@@ -143,7 +143,7 @@
 
 def test_nothing_learned_or_promised_under_old_settings_is_left() -> None:
     """Widths, blame and budgets begin anew; an old request keeps its rules and gets no cold box."""
-    old = RequestClass("a", aim=0.5, give_up=5.0, effect=Effect.UNSAFE, uncached=True)
+    old = RequestClass("a", aim=0.5, give_up=5.0, effect=Idempotency.NON_IDEMPOTENT, uncached=True)
     new = RequestClass("a", aim=0.1, give_up=1.0)
     now = time.time()
     placed: list[Attempt] = []
@@ -152,23 +152,25 @@
         placed.append(attempt)
         return True
 
-    core = Core(Settings("here", ("here",), (old,), direct=True, max_attempts=4), 1, Limits(), place)
-    core.post(Membership(ListKind.FULL, (Member("box", "here"), Member("other", "here"))))
+    core = RequestEngine(Settings("here", ("here",), (old,), direct=True, max_attempts=4), 1, Limits(), place)
+    core.post(Membership(MembershipKind.FULL, (Member("box", "here"), Member("other", "here"))))
     core.post(Purged("thing", -1, 0.5))
     first = core._router
     first.servers["box"].width, first.servers["box"].ejected_until = 9.0, now + 60
-    ask = Ask(Arrival("q", 4.0, "a", "thing", is_write=True), now + 4.0, "1" * 16)
+    ask = PendingRequest(Arrival("q", 4.0, "a", "thing", is_write=True), now + 4.0, "1" * 16)
     core.submit(ask)
     core.adopt(Settings("here", ("here",), (new,), direct=True, max_attempts=4), 1, Limits(), 0.0, None)
     assert core._router is not first and {s.width for s in core._router.servers.values()} == {0.0}
     assert not any(s.ejected_until for s in core._router.servers.values())
     assert core._router.purges.keys() == {"thing"}
     assert first.servers["box"].tokens.fill(now + 99, 5.0, 5.0) == 0.0
-    core.post(Membership(ListKind.CHANGES, (Member("new", "here", started_at=now),)))
+    core.post(Membership(MembershipKind.CHANGES, (Member("new", "here", started_at=now),)))
     assert first.servers["new"].tokens.fill(now + 99, 5.0, 5.0) == 0.0
     assert core._router.servers["new"].tokens.fill(now + 99, 5.0, 5.0) == 5.0
     placed[0].written = True
-    core.report(placed[0], Reply(Verdict.ERROR, 0.1))  # by the class of now it could be tried again
+    core.report(
+        placed[0], AttemptReply(AttemptResult.ERROR, 0.1)
+    )  # by the class of now it could be tried again
     assert len(placed) == 1 and ask.over and not core._earlier
     for _ in range(9):  # with no request in hand, settings that follow one another leave nothing behind
         core.adopt(core.settings, 1, Limits(), 0.0, None)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -22,27 +22,27 @@
 import pytest
 import trio
 
-from brackenlane.core.engine import Core
-from brackenlane.core.membership_view import Fleet
-from brackenlane.core.requests import Ask, Attempt
-from brackenlane.core.requests import Reply as Reply_
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.membership_view import MembershipView
+from brackenlane.core.requests import Attempt, PendingRequest
+from brackenlane.core.requests import AttemptReply
 from brackenlane.limits import Limits
-from brackenlane.net.cache_connection import ConnectionQuota, Link, Slot
-from brackenlane.net.client_connection import Waits
-from brackenlane.net.http_front import Door
-from brackenlane.net.poller import Board
+from brackenlane.net.cache_connection import CacheConnection, ConnectionQuota, DispatchedAttempt
+from brackenlane.net.client_connection import ClientState
+from brackenlane.net.http_front import HttpFront
+from brackenlane.net.poller import Poller
 from brackenlane.observe.throttle import Throttle
 from brackenlane.routing.actions import Fetch
-from brackenlane.routing.events import Arrival, ListKind, Membership
+from brackenlane.routing.events import Arrival, Membership, MembershipKind
 from brackenlane.routing.members import Member
 from brackenlane.routing.settings import RequestClass, Settings
 from tests.stand_ins import (
     SETTINGS,
     Asked,
+    ScriptedReply,
     Box,
     Log,
     Program,
-    Reply,
     data,
     free_port,
     platform,
@@ -54,7 +54,9 @@
 MODELS = {ORIGIN: "origin", PARENT: "parent"}
 
 
-async def fleet(nursery: trio.Nursery, *names: str, answer: Callable[[Asked], Reply] = data) -> list[Box]:
+async def fleet(
+    nursery: trio.Nursery, *names: str, answer: Callable[[Asked], ScriptedReply] = data
+) -> list[Box]:
     """Boxes that answer alike."""
     return [await Box(name, MODELS.get(name, "type-a"), answer).open(nursery) for name in names]
 
@@ -175,7 +177,7 @@
     async with trio.open_nursery() as nursery:
         first: list[Asked] = []
 
-        def hold(asked: Asked) -> Reply:
+        def hold(asked: Asked) -> ScriptedReply:
             first.append(asked)
             heard.set()
             return None
@@ -233,7 +235,7 @@
     runs: list[Asked] = []
     came: list[Asked] = []
 
-    def answer(asked: Asked) -> Reply:
+    def answer(asked: Asked) -> ScriptedReply:
         came.append(asked)
         if len(came) == 1:
             return data(asked, b"", "full")
@@ -259,7 +261,7 @@
     async with trio.open_nursery() as nursery:
         ended = trio.Event()
 
-        def answer(asked: Asked) -> Reply:
+        def answer(asked: Asked) -> ScriptedReply:
             if asked.id != "1" * 16:
                 return data(asked)
             nursery.start_soon(drip, asked)
@@ -398,9 +400,11 @@
     In one process, since the moment lies between two calls: nothing has come, then something has.
     """
     limits = Limits()
-    core = Core(Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, limits, lambda _: False)
-    board = Board(limits.batch)
-    door = Door(core, limits, board)
+    core = RequestEngine(
+        Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, limits, lambda _: False
+    )
+    board = Poller(limits.batch)
+    door = HttpFront(core, limits, board)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         peer = socket.create_connection(listener.getsockname())
         mine, _ = listener.accept()
@@ -419,9 +423,9 @@
     with peer:
         door._admit(Crossed(fileno=mine.detach()))
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
-        while not door._waiting[Waits.NEXT]:
+        while not door._waiting[ClientState.NEXT]:
             board.turn()
-        [client] = door._waiting[Waits.NEXT]
+        [client] = door._waiting[ClientState.NEXT]
         if how == "leave":
             door.leave()
         else:
@@ -749,8 +753,8 @@
     """A connection takes bytes again: the next in turn is out of time, and what follows from that is written
     there in part, in the midst of the turn. In one process, since the order is that of calls."""
     settings = Settings("here", ("here",), (RequestClass("a", 0.5, 9.0, uncached=True),))
-    limits, board, fleet_, now = Limits(), Board(512), Fleet(settings), time.time()
-    fleet_.hear(Membership(ListKind.FULL, (Member("box", "here"),)), now)
+    limits, board, fleet_, now = Limits(), Poller(512), MembershipView(settings), time.time()
+    fleet_.hear(Membership(MembershipKind.FULL, (Member("box", "here"),)), now)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         mine = socket.socket()
         mine.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
@@ -759,17 +763,19 @@
     mine.setblocking(False)
     ended: list[str] = []
 
-    def slot(name: str, left: float, then: Callable[[], None] = lambda: None) -> Slot:
-        def report(attempt: Attempt, reply: Reply_) -> None:
+    def slot(name: str, left: float, then: Callable[[], None] = lambda: None) -> DispatchedAttempt:
+        def report(attempt: Attempt, reply: AttemptReply) -> None:
             attempt.reply = reply
             ended.append(name)
             then()
 
         body = name.encode() * 2_000_000
-        ask = Ask(Arrival(name, 9.0, "a", "thing", is_write=True), now + 9, name, body=body)
-        return Slot(Attempt(ask, 0, Fetch(name, "box", left, "box"), now), report)
+        ask = PendingRequest(Arrival(name, 9.0, "a", "thing", is_write=True), now + 9, name, body=body)
+        return DispatchedAttempt(Attempt(ask, 0, Fetch(name, "box", left, "box"), now), report)
 
-    link = Link(mine, board, fleet_, limits, False, lambda _: None, lambda _: None, ConnectionQuota(9))
+    link = CacheConnection(
+        mine, board, fleet_, limits, False, lambda _: None, lambda _: None, ConnectionQuota(9)
+    )
     link.send(slot("x", 9.0))  # more than the connection takes at once
     link.send(slot("y", -1.0, lambda: link.send(slot("z", 9.0))))
     with peer:
@@ -790,20 +796,22 @@
     """What was let go of a flood leaves a gap: what comes behind it is not read on as if there were none.
 
     In one process: the answer is larger than the connection takes at once."""
-    core = Core(Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, Limits(), lambda _: False)
-    board = Board(512)
-    door = Door(core, Limits(), board)
+    core = RequestEngine(
+        Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, Limits(), lambda _: False
+    )
+    board = Poller(512)
+    door = HttpFront(core, Limits(), board)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         peer = socket.create_connection(listener.getsockname())
         mine, _ = listener.accept()
     with peer:
         mine.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         door._admit(mine)
-        [client] = door._waiting[Waits.FIRST]
-        client.wait(Waits.NOT)
+        [client] = door._waiting[ClientState.FIRST]
+        client.wait(ClientState.NOT)
         client._room = Limits().head
         client.answer((200, {}, bytes(8_000_000)))
-        assert client in door._waiting[Waits.TAKE]
+        assert client in door._waiting[ClientState.TAKE]
         peer.sendall(b"x" * 20_000)
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n" * 1000)
         peer.setblocking(False)
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -14,9 +14,9 @@
 
 from brackenlane.config import Endpoint
 from brackenlane.discovery.dns_cache import Cache, Lifetimes
-from brackenlane.discovery.merge import Merge
+from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.query import Kind, Question, Reply, Says, put, read
-from brackenlane.discovery.records import Policy, Target, Watch
+from brackenlane.discovery.records import Policy, SrvRecord, SrvWatch
 from brackenlane.discovery.resolver import LookUpFailed, Resolver
 from brackenlane.discovery.upstreams import Patience, Upstreams
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
@@ -25,7 +25,7 @@
 SRV = "_cache._tcp.branch.test"
 SEEDS = itertools.count(1)
 QUICK = Patience(first=0.15, least=0.1, most=0.3, rest=0.2)
-TARGETS = tuple(Target(f"box-{n}.branch.test", 7100 + n, 0, 8) for n in range(4))
+TARGETS = tuple(SrvRecord(f"box-{n}.branch.test", 7100 + n, 0, 8) for n in range(4))
 
 
 def script(server: DnsServer, count: int = 4, ttl: int = 1) -> None:
@@ -247,7 +247,7 @@
         )
         found = await resolver.look_up("_c._tcp.x", Kind.SRV)
         assert len(found.targets) == 2000 and server.asked[-1].tcp
-        merge = Merge(Policy(), [Watch("_c._tcp.x", "branch")])
+        merge = MembershipMerge(Policy(), [SrvWatch("_c._tcp.x", "branch")])
         merge.answer("_c._tcp.x", found.targets, found.upstream, 1.0)
         assert len(merge.boxes) == len(merge.hosts) == 2000
         nursery.cancel_scope.cancel()
--- a/tests/test_routing_settings.py
+++ b/tests/test_routing_settings.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brackenlane.routing.settings import ColdStart, RequestClass
+from brackenlane.routing.settings import RequestClass, SlowStart
 from tests.router_harness import VIDEO, settings
 
 
@@ -39,4 +39,4 @@
         RequestClass("video", aim=1.0, give_up=1.0, fresh=-1.0)
     for wrong in ({"share": 0.0}, {"share": 1.5}, {"ramp": -1.0}, {"factor": 0.0}, {"span": 0.0}):
         with pytest.raises(ValueError, match="cold"):
-            ColdStart(**wrong)
+            SlowStart(**wrong)
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -21,18 +21,18 @@
 from brackenlane.routing.checked_json import LONGEST_VALUE, SettingsError
 from brackenlane.routing.events import (
     Arrival,
-    ListKind,
+    AttemptResult,
+    CacheStatus,
+    ClientDisconnected,
     Membership,
-    Note,
+    MembershipKind,
     Outcome,
     Purged,
-    Verdict,
-    Wake,
-    Withdrawn,
+    TimerFired,
 )
-from brackenlane.routing.members import Member, Role, State
+from brackenlane.routing.members import Member, Role, ServerState
 from brackenlane.routing.router import Router
-from brackenlane.routing.settings import ColdStart, Effect, Scope, Settings, Siblings
+from brackenlane.routing.settings import Idempotency, Scope, Settings, SiblingSources, SlowStart
 from brackenlane.routing.settings_codec import kind_roles, read_settings
 from tests.router_harness import every, only
 
@@ -310,12 +310,16 @@
     assert found.classes[1].fresh == 12.0 and found.classes[1].grace == 45.0
     assert found.classes[1].stale_worth == 0.4 and not found.classes[1].uncached
     votes = found.classes[2]
-    assert (votes.effect, votes.scope, votes.repeat_window) == (Effect.KEYED, Scope.ZONE, 2.0)
+    assert (votes.effect, votes.scope, votes.repeat_window) == (
+        Idempotency.IDEMPOTENT_WITH_KEY,
+        Scope.ZONE,
+        2.0,
+    )
     assert votes.uncached and not votes.in_parts
     assert (found.gateway, found.gateways, found.hub_of, found.seats) == (1, 5, (0, 1, 0, 1), (0, 1, 2, 2))
-    assert found.edge_cold == ColdStart(0.22, 16.0, 3.5, 1.5)
-    assert found.parent_cold == ColdStart(0.12, 14.0, 2.5, 1.5)
-    assert found.weights_told and not found.must_ask and found.siblings is Siblings.LOCATION
+    assert found.edge_cold == SlowStart(0.22, 16.0, 3.5, 1.5)
+    assert found.parent_cold == SlowStart(0.12, 14.0, 2.5, 1.5)
+    assert found.weights_told and not found.must_ask and found.siblings is SiblingSources.LOCATION
     assert (found.probe_price, found.max_hold_off, found.streams) == (0.02, 2.5, 64)
     assert (found.tick, found.keepalive, found.link_kb_per_s[2]) == (0.004, 25.0, 52000.0)
     assert kind_roles(WITH_HUBS) == {"relay": Role.PARENT, "vault": Role.ORIGIN}
@@ -332,7 +336,7 @@
     """A Router by a settings object, told of its fleet."""
     told = read_settings(raw)
     router = Router(told, 5)
-    router.handle(Membership(ListKind.REMEMBERED, tuple(fleet(told, hubs))), 1.0)
+    router.handle(Membership(MembershipKind.REMEMBERED, tuple(fleet(told, hubs))), 1.0)
     return router
 
 
@@ -364,7 +368,7 @@
     raw = changed(WITHOUT_HUBS, (info("StoreKind"), DELETED))
     assert kind_roles(raw) == {}
     router = Router(read_settings(raw), 5)
-    router.handle(Membership(ListKind.REMEMBERED, (Member("edge-0", "west", weight=6.0),)), 1.0)
+    router.handle(Membership(MembershipKind.REMEMBERED, (Member("edge-0", "west", weight=6.0),)), 1.0)
     fetch = asked(router, "pages")
     assert fetch.source == fetch.server == "edge-0"
 
@@ -506,8 +510,8 @@
         Member("young-parent", told.locations[0], Role.PARENT, weight=9.0, started_at=10.0),
         Member("other", "elsewhere", next(iter(roles.values()), Role.EDGE), weight=0.0),
     ]
-    router.handle(Membership(ListKind.REMEMBERED, tuple(members)), 10.1)
-    verdicts, dice = itertools.cycle(Verdict), random.Random(7)
+    router.handle(Membership(MembershipKind.REMEMBERED, tuple(members)), 10.1)
+    verdicts, dice = itertools.cycle(AttemptResult), random.Random(7)
     pending: list[Action] = []
     count, now = 0, 10.1
     for number in range(24):
@@ -523,28 +527,28 @@
             timers = every(pending, SetTimer)
             pending, count = [], count + len(fetches)
             for fetch in fetches:
-                attempt = attempts.get(fetch.request, -1) + 1
-                attempts[fetch.request] = attempt
+                attempt = attempts.get(fetch.request_id, -1) + 1
+                attempts[fetch.request_id] = attempt
                 verdict = next(verdicts)
                 wait = dice.choice((0.001, 0.2, 0.8))
                 ended = Outcome(
-                    fetch.request,
+                    fetch.request_id,
                     attempt,
                     fetch.server,
                     verdict,
                     wait,
-                    verdict is Verdict.OK,
-                    dice.choice(list(Note)),
+                    verdict is AttemptResult.OK,
+                    dice.choice(list(CacheStatus)),
                     size_kb=size,
                 )
                 pending += router.handle(ended, now + wait)
             for timer in timers[:1]:
-                pending += router.handle(Wake(timer.token), max(now, min(timer.at, now + 1.0)))
+                pending += router.handle(TimerFired(timer.token), max(now, min(timer.at, now + 1.0)))
         router.handle(Purged("o1", -1, 0.1) if number % 2 else Purged("", 1, 0.1), now)
-        router.handle(Withdrawn(f"q{number}"), now)
-    drained = Member("edge-0", told.location, state=State.DRAINING)
-    router.handle(Membership(ListKind.CHANGES, (drained,)), now)
-    router.handle(Membership(ListKind.REFUSED), now)
+        router.handle(ClientDisconnected(f"q{number}"), now)
+    drained = Member("edge-0", told.location, state=ServerState.DRAINING)
+    router.handle(Membership(MembershipKind.CHANGES, (drained,)), now)
+    router.handle(Membership(MembershipKind.REJECTED), now)
     router.handle(Arrival("last", 0.9, "unknown class", "o9"), now)
     return count
 
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -15,13 +15,13 @@
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
 from brackenlane.net import change_log
-from brackenlane.net.change_log import ChangeLog
-from brackenlane.net.connection_pool import Depots
+from brackenlane.net.change_log import ChangeLogClient
+from brackenlane.net.connection_pool import ConnectionPools
 from brackenlane.routing.actions import Fetch
-from brackenlane.routing.events import ListKind, Note, Outcome, Verdict
+from brackenlane.routing.events import AttemptResult, CacheStatus, MembershipKind, Outcome
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.settings import RequestClass
-from tests.router_harness import VIDEO, Rig, every, members, settings
+from tests.router_harness import VIDEO, RouterHarness, every, members, settings
 
 
 class Clock(Timers):
@@ -80,12 +80,12 @@
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All lose it at one moment; none may leave it for 2 s, by when it counts as told."""
-    monkeypatch.setattr(change_log, "Dial", NoDial)
+    monkeypatch.setattr(change_log, "Connector", NoDial)
     monkeypatch.setattr(NoDial, "tries", [])
     limits = Limits()
     boxes: Any = None
     logs = [
-        ChangeLog(("127.0.0.1", 9), Site((), (), {}), limits, boxes, lambda _: None, boxes, clock, seed)
+        ChangeLogClient(("127.0.0.1", 9), Site((), (), {}), limits, boxes, lambda _: None, boxes, clock, seed)
         for seed in range(200)
     ]
     for log in logs:
@@ -120,7 +120,7 @@
             return True
 
     nothing: Any = None
-    boxes = Depots(nothing, limits, nothing, nothing, nothing, clock)
+    boxes = ConnectionPools(nothing, limits, nothing, nothing, nothing, clock)
     clock.run_to(clock.now + 10)
     assert clock.rung <= 25
     box: Any = Busy()
@@ -136,7 +136,7 @@
 PARENTS = 12
 
 
-class Fleet:
+class MembershipView:
     """Two hundred gateways in thirty-three locations of one hub: four caches each, twelve parents for all."""
 
     def __init__(self, cold: float, uneven: bool, shares: bool = True) -> None:
@@ -152,14 +152,14 @@
         self.started = {name: at for name, at in started.items() if name in chosen}
         self.parents = [self._member(f"parent-{n}", "hub-a", Role.PARENT) for n in range(PARENTS)]
         self.now = 100.0
-        self.rigs = [self._start(place, seed) for seed, place in enumerate(homes)]
+        self.harnesses = [self._start(place, seed) for seed, place in enumerate(homes)]
         self.spent: dict[str, list[float]] = {name: [] for name in chosen}
 
     def _member(self, name: str, zone: str, role: Role) -> Member:
         return Member(name, zone, role, started_at=self.started.get(name, 0.0))
 
-    def _start(self, place: str, seed: int) -> Rig:
-        rig = Rig(
+    def _start(self, place: str, seed: int) -> RouterHarness:
+        harness = RouterHarness(
             [],
             seed,
             self.now,
@@ -171,29 +171,29 @@
             weights_told=False,
             classes=(VIDEO,),
         )
-        rig.tell(
+        harness.tell(
             [
                 *(self._member(f"{place}/{n}", place, Role.EDGE) for n in range(4)),
                 *self.parents,
                 Member("origin", "hub-a", Role.ORIGIN),
             ],
-            ListKind.REMEMBERED,
+            MembershipKind.REMEMBERED,
         )
         if not self.shares:  # the fault that the check must find
-            budget = rig.router.cold
-            rig.router.seats = budget.seats = 1.0
+            budget = harness.router.cold
+            harness.router.seats = budget.seats = 1.0
             budget.mates = budget.mates[:1]
             budget.mates[0].me = Member("", place, weight=1.0)
-        return rig
+        return harness
 
     def run(self, until: float, rate: float = 250.0) -> str:
         """Requests at this rate; the first server that is sent more than the rule allows."""
         while self.now < until:
             self.now += self.random.expovariate(rate)
-            [rig] = self.random.choices(self.rigs, self.load)
-            rig.now = self.now
-            for fetch in every(rig.ask(f"o{self.random.randrange(9999)}"), Fetch):
-                rig.end(fetch, note=Note.FILLED)
+            [harness] = self.random.choices(self.harnesses, self.load)
+            harness.now = self.now
+            for fetch in every(harness.ask(f"o{self.random.randrange(9999)}"), Fetch):
+                harness.end(fetch, note=CacheStatus.FILLED)
                 for name in {fetch.server, fetch.source} & self.spent.keys():
                     if self.now >= self.started[name]:
                         self.spent[name].append(self.now)
@@ -216,14 +216,14 @@
 @pytest.mark.parametrize("cold", [0.0, 0.6])
 def test_what_is_cold_is_neither_pushed_over_nor_left_idle(cold: float, uneven: bool) -> None:
     """One cache and one parent cold, or six in ten; equal loads, or some gateways with ten times others'."""
-    fleet = Fleet(cold, uneven)
+    fleet = MembershipView(cold, uneven)
     assert fleet.run(118.0) == ""
     assert all(fleet.spent.values())
 
 
 def test_the_check_finds_gateways_that_take_no_share() -> None:
     """The fault planted: each takes the whole budget for its own."""
-    assert Fleet(0.6, False, shares=False).run(118.0)
+    assert MembershipView(0.6, False, shares=False).run(118.0)
 
 
 def calls_at_a_cold_cache(
@@ -241,8 +241,8 @@
     cold, now, restart, told = Member("edge-0", "depot", weight=weight, started_at=100.0), 90.0, 100.5, False
     others = [m for m in members(edges=4) if m.server != "edge-0"]
 
-    def start(seed: int) -> Rig:
-        return Rig(
+    def start(seed: int) -> RouterHarness:
+        return RouterHarness(
             [*others, *[cold] * told],
             seed,
             now,
@@ -252,39 +252,39 @@
             classes=(cls,),
         )
 
-    rigs = [start(seed) for seed in range(sharers)]
-    out: list[tuple[float, int, Rig, Fetch]] = []
+    harnesses = [start(seed) for seed in range(sharers)]
+    out: list[tuple[float, int, RouterHarness, Fetch]] = []
     spent: list[float] = []
     for count in range(int(22 * 45 / work)):
         now += draw.expovariate(45 / work)
         while out and out[0][0] <= now:
-            at, obj, rig, fetch = heapq.heappop(out)
-            rig.now = at
-            rig.router.handle(
+            at, obj, harness, fetch = heapq.heappop(out)
+            harness.now = at
+            harness.router.handle(
                 Outcome(
-                    fetch.request,
+                    fetch.request_id,
                     0,
                     fetch.server,
-                    Verdict.OK,
+                    AttemptResult.OK,
                     sizes[obj] * 1.1,
                     True,
-                    Note.HIT,
+                    CacheStatus.HIT,
                     size_kb=sizes[obj] * 4000.0,
                 ),
                 at,
             )
         if now >= 100 and not told:
             told = True
-            for rig in rigs:
-                rig.now = now
-                rig.tell([cold])
+            for harness in harnesses:
+                harness.now = now
+                harness.tell([cold])
         if now > restart:
             restart += 0.4
-            rigs[count % sharers] = start(count)
-        rig, obj = draw.choice(rigs), draw.randrange(3000)
-        rig.now = now
-        for fetch in every(rig.ask(f"o{obj}", "c", size_kb=0.0), Fetch):
-            heapq.heappush(out, (now + sizes[obj] * 1.1, obj, rig, fetch))
+            harnesses[count % sharers] = start(count)
+        harness, obj = draw.choice(harnesses), draw.randrange(3000)
+        harness.now = now
+        for fetch in every(harness.ask(f"o{obj}", "c", size_kb=0.0), Fetch):
+            heapq.heappush(out, (now + sizes[obj] * 1.1, obj, harness, fetch))
             if fetch.server == "edge-0":
                 spent.append(now)
                 share = EDGE_COLD.share + (1 - EDGE_COLD.share) * (now - 100.0) / EDGE_COLD.ramp
@@ -314,10 +314,12 @@
     spent, cold = 0.0, Member("edge-0", "depot", started_at=100.0)
     for start, now in ((90.0, 104.0), (104.3, 104.4)):
         for seed in range(6):
-            rig = Rig(members()[1:], seed, start, gateways=6, seats=(0, 0, 0, 6), weights_told=False)
-            rig.now = now
-            rig.tell([cold])
+            harness = RouterHarness(
+                members()[1:], seed, start, gateways=6, seats=(0, 0, 0, 6), weights_told=False
+            )
+            harness.now = now
+            harness.tell([cold])
             for n in range(20):
-                spent += 0.4 * (rig.serve(f"o{n}").server == "edge-0")
+                spent += 0.4 * (harness.serve(f"o{n}").server == "edge-0")
     rule = EDGE_COLD
     assert 0 < spent <= rule.factor * 4.0 * (rule.share + (1 - rule.share) * 4.3 / rule.ramp) * rule.span
--- a/tests/test_simulated_caches.py
+++ b/tests/test_simulated_caches.py
@@ -21,17 +21,19 @@
 )
 from brackenlane.lab.simulation.value import earned, worth
 from brackenlane.lab.simulation.world import PolicyFactory, World, play
-from brackenlane.routing.actions import Action, Fail, Fetch, Refuse
-from brackenlane.routing.events import Arrival, Event, Note, Outcome, Purged, Verdict
-from brackenlane.routing.members import Member, Role, State
-from brackenlane.routing.settings import ColdStart, Effect, RequestClass
+from brackenlane.routing.actions import Action, Fail, Fetch, Reject
+from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus, Event, Outcome, Purged
+from brackenlane.routing.members import Member, Role, ServerState
+from brackenlane.routing.settings import Idempotency, RequestClass, SlowStart
 
 VIDEO = RequestClass(
     "video", aim=0.5, give_up=6.0, aim_stretch=2.0, worth=2.0, late_worth=0.15, in_parts=True
 )
 PAGE = RequestClass("page", aim=0.3, give_up=2.5, aim_stretch=2.0, fresh=8.0, grace=20.0, stale_worth=0.5)
-SUBMIT = RequestClass("submit", aim=0.8, give_up=3.0, worth=3.0, effect=Effect.UNSAFE, uncached=True)
-KEYED = replace(SUBMIT, effect=Effect.KEYED, repeat_window=0.05)
+SUBMIT = RequestClass(
+    "submit", aim=0.8, give_up=3.0, worth=3.0, effect=Idempotency.NON_IDEMPOTENT, uncached=True
+)
+KEYED = replace(SUBMIT, effect=Idempotency.IDEMPOTENT_WITH_KEY, repeat_window=0.05)
 
 
 def site(write: RequestClass = SUBMIT, **changes: Any) -> Site:
@@ -56,7 +58,7 @@
     return Trouble(kind, **{"at": 2.0, "seconds": 5.0, "part": 0.4, **more})
 
 
-def verdicts(record: Record) -> set[Verdict]:
+def verdicts(record: Record) -> set[AttemptResult]:
     """All outcomes that were seen."""
     return {ended.verdict for ended in record.ended}
 
@@ -83,22 +85,22 @@
     assert len(record.operations) > 200 and worth(record) > 0.95
     assert invariants.violations(day, record) == {}
     notes = {ended.note for ended in record.ended}
-    assert {Note.HIT, Note.FILLED, Note.FILLED_BY_ORIGIN} <= notes
+    assert {CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN} <= notes
 
 
 @pytest.mark.parametrize(
     ("found", "strikes"),
     [
-        (Verdict.ERROR, trouble(TroubleKind.FAST_ERRORS, size=0.8)),
-        (Verdict.ERROR, trouble(TroubleKind.FAST_ERRORS, size=0.8, parents=True)),
-        (Verdict.TIMEOUT, trouble(TroubleKind.HANG)),
-        (Verdict.ERROR, trouble(TroubleKind.HANG, parents=True)),
-        (Verdict.BROKEN, trouble(TroubleKind.CRASH)),
-        (Verdict.UNREACHABLE, trouble(TroubleKind.CRASH)),
-        (Verdict.FULL, trouble(TroubleKind.CRASH, parents=True)),
+        (AttemptResult.ERROR, trouble(TroubleKind.FAST_ERRORS, size=0.8)),
+        (AttemptResult.ERROR, trouble(TroubleKind.FAST_ERRORS, size=0.8, parents=True)),
+        (AttemptResult.TIMEOUT, trouble(TroubleKind.HANG)),
+        (AttemptResult.ERROR, trouble(TroubleKind.HANG, parents=True)),
+        (AttemptResult.BROKEN, trouble(TroubleKind.CRASH)),
+        (AttemptResult.UNREACHABLE, trouble(TroubleKind.CRASH)),
+        (AttemptResult.FULL, trouble(TroubleKind.CRASH, parents=True)),
     ],
 )
-def test_troubles_show_in_outcomes_and_cost_worth(found: Verdict, strikes: Trouble) -> None:
+def test_troubles_show_in_outcomes_and_cost_worth(found: AttemptResult, strikes: Trouble) -> None:
     day = site(troubles=(strikes,))
     record = play(day, PlainPolicy)
     assert found in verdicts(record)
@@ -152,18 +154,27 @@
 @pytest.mark.parametrize(
     ("tells", "notes"),
     [
-        (Tells.SILENT, {Note.UNTOLD}),
-        (Tells.HIT, {Note.UNTOLD, Note.HIT, Note.FILLED, Note.JOINED}),
-        (Tells.ALL, {Note.HIT, Note.FILLED, Note.FILLED_BY_ORIGIN, Note.JOINED, Note.SOURCE_FAILED}),
+        (Tells.SILENT, {CacheStatus.UNKNOWN}),
+        (Tells.HIT, {CacheStatus.UNKNOWN, CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED}),
+        (
+            Tells.ALL,
+            {
+                CacheStatus.HIT,
+                CacheStatus.FILLED,
+                CacheStatus.FILLED_BY_ORIGIN,
+                CacheStatus.JOINED,
+                CacheStatus.SOURCE_FAILED,
+            },
+        ),
     ],
 )
 def test_routers_see_the_notes_that_the_site_gives(
-    listener: type[Listener], tells: Tells, notes: set[Note]
+    listener: type[Listener], tells: Tells, notes: set[CacheStatus]
 ) -> None:
     strikes = trouble(TroubleKind.FAST_ERRORS, parents=True, size=0.9)
     play(site(tells=tells, troubles=(strikes,), load=0.8), listener)
     seen = {outcome.note for outcome in listener.outcomes}
-    assert seen <= notes | {Note.UNTOLD} and len(seen) >= min(3, len(notes))
+    assert seen <= notes | {CacheStatus.UNKNOWN} and len(seen) >= min(3, len(notes))
 
 
 def test_reports_sizes_and_weights_are_told_as_the_site_says(listener: type[Listener]) -> None:
@@ -180,8 +191,8 @@
 def test_a_streamed_answer_outlasts_its_deadline() -> None:
     load = ClassLoad(replace(VIDEO, give_up=0.5), 0.5, 2.0, objects=50, streamed=True)
     record = play(site(classes=(load,)), PlainPolicy)
-    late = [r for r in record.ended if r.at > record.requests[r.request].deadline + 0.1]
-    assert any(ended.verdict is Verdict.OK for ended in late) and not record.overdue
+    late = [r for r in record.ended if r.at > record.requests[r.request_id].deadline + 0.1]
+    assert any(ended.verdict is AttemptResult.OK for ended in late) and not record.overdue
 
 
 # Policies with one fault each, and the check that finds it.
@@ -198,7 +209,7 @@
     """Takes every server on the list for one that serves."""
 
     def _serving(self, role: Role) -> list[Member]:
-        return [m for m in self._members.values() if m.role is role and m.state is not State.GONE]
+        return [m for m in self._members.values() if m.role is role and m.state is not ServerState.GONE]
 
 
 class SourceDrainBlind(PlainPolicy):
@@ -207,7 +218,7 @@
     def _serving(self, role: Role) -> list[Member]:
         if role is not Role.PARENT:
             return super()._serving(role)
-        return [m for m in self._members.values() if m.role is role and m.state is not State.GONE]
+        return [m for m in self._members.values() if m.role is role and m.state is not ServerState.GONE]
 
 
 class PurgeBlind(PlainPolicy):
@@ -229,16 +240,16 @@
     """Refuses what may have run."""
 
     def _give_up(self, request: PlainRequest) -> list[Action]:
-        self._requests.pop(request.ask.request, None)
-        return [Refuse(request.ask.request)]
+        self._requests.pop(request.ask.request_id, None)
+        return [Reject(request.ask.request_id)]
 
 
 class Stubborn(PlainPolicy):
     """Tries one cache again and again."""
 
     def _outcome(self, event: Outcome, now: float) -> list[Action]:
-        request = self._requests.get(event.request)
-        if request and event.verdict is Verdict.ERROR and request.cls.effect is Effect.SAFE:
+        request = self._requests.get(event.request_id)
+        if request and event.verdict is AttemptResult.ERROR and request.cls.effect is Idempotency.IDEMPOTENT:
             request.tried = []
             return self._send(request, now)
         return super()._outcome(event, now)
@@ -249,7 +260,7 @@
 
     def _arrive(self, ask: Arrival, now: float) -> list[Action]:
         actions = super()._arrive(ask, now)
-        safe = self._requests.get(ask.request)
+        safe = self._requests.get(ask.request_id)
         again = [a for a in actions if isinstance(a, Fetch)] if safe and safe.cls is PAGE else []
         return [*actions, *again]
 
@@ -298,7 +309,7 @@
             {
                 "troubles": (trouble(TroubleKind.REPLACE, parents=True),),
                 "list_notice": 0.5,
-                "parent_cold": ColdStart(),  # warm at once
+                "parent_cold": SlowStart(),  # warm at once
             },
         ),
         (PurgeBlind, "purges_kept", {"troubles": (trouble(TroubleKind.PURGE_GROUPS, part=1.0),)}),
@@ -321,7 +332,7 @@
             {
                 "load": 1.0,
                 "list_notice": 0.3,
-                "edge_cold": ColdStart(0.05, 20.0, 2.0, 1.0),
+                "edge_cold": SlowStart(0.05, 20.0, 2.0, 1.0),
                 "troubles": (trouble(TroubleKind.REPLACE, at=0.5),),
             },
         ),
@@ -333,7 +344,7 @@
                 "load": 1.0,
                 "list_notice": 0.3,
                 "parents": (0,),
-                "parent_cold": ColdStart(0.02, 20.0, 1.2, 1.0),
+                "parent_cold": SlowStart(0.02, 20.0, 1.2, 1.0),
             },
         ),
     ],
@@ -352,7 +363,7 @@
 
         def _arrive(self, ask: Arrival, now: float) -> list[Action]:
             fetches = [a for a in super()._arrive(ask, now) if isinstance(a, Fetch)]
-            return [Fail(ask.request)] if self._settings.gateway else [Fail(ask.request), *fetches]
+            return [Fail(ask.request_id)] if self._settings.gateway else [Fail(ask.request_id), *fetches]
 
     day = site()
     assert list(invariants.violations(day, play(day, Late))) == ["answered_once"]
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -114,7 +114,7 @@
 
 def test_a_failed_decision_becomes_the_wires_exception(monkeypatch: pytest.MonkeyPatch) -> None:
     from brackenlane.routing import simulator
-    from brackenlane.routing.events import Withdrawn
+    from brackenlane.routing.events import ClientDisconnected
 
     host = simulator.Host()
     host.read("LAUNCH", {"I": "1", "InitSeed": "7", "Config": json.dumps(CONFIG)}, [])
@@ -123,4 +123,6 @@
         raise IndexError("index\nout of range")
 
     monkeypatch.setattr(host.routers["1"], "handle", broken)
-    assert host.decide("1", Withdrawn("q"), 1.0) == ["EXCEPTION I=1 What=IndexError: index out of range"]
+    assert host.decide("1", ClientDisconnected("q"), 1.0) == [
+        "EXCEPTION I=1 What=IndexError: index out of range"
+    ]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -20,32 +20,32 @@
 from brackenlane.coldstart.pacing import Capacity
 from brackenlane.coldstart.stream_position import NOWHERE
 from brackenlane.config import load as load_config
-from brackenlane.core.claims import Claim
+from brackenlane.core.claims import ClaimResult
 from brackenlane.discovery import snapshot
-from brackenlane.discovery.merge import Merge
-from brackenlane.discovery.records import Definition, Memory, Order, Policy
-from brackenlane.discovery.registry import Roster
+from brackenlane.discovery.merge import MembershipMerge
+from brackenlane.discovery.records import CacheDefinition, OperatorOrder, Policy, RememberedMembers
+from brackenlane.discovery.registry import Registry
 from brackenlane.lab.stand_ins.redis import Redis
 from brackenlane.limits import Limits
-from brackenlane.ops.handover_log import Ledger
-from brackenlane.ops.handover_records import Book, Kind, Reader, Record, encode
+from brackenlane.ops.handover_log import HandoverLog
+from brackenlane.ops.handover_records import HandoverIndex, Reader, Record, RecordType, encode
 from brackenlane.routing.members import Role
-from brackenlane.store.replica import Shared
+from brackenlane.store.replica import SharedStore
 from tests.stand_ins import with_trio
 
 DATA = Path(__file__).parent / "data"
 ROOT = Path(__file__).parent.parent
 AGES = 1e9  # seconds for which a purge counts, so that those of the sample still do
 
-EDGE = Definition("e-1", "192.0.2.7", 7001, "north", Role.EDGE, 2.5, 0)
-PARENT = Definition("p-1", "parent.branch.example", 7002, "south", Role.PARENT, 1.0, 10)
-ORIGIN = Definition("o-1", "2001:db8::9", 443, "south", Role.ORIGIN, 8.0, 0)
-DRAIN = Order(True, 1_700_000_000.25, "the console of door-a")
-RESTORE = Order(False, 1_700_000_100.5, "the console of door-b")
+EDGE = CacheDefinition("e-1", "192.0.2.7", 7001, "north", Role.EDGE, 2.5, 0)
+PARENT = CacheDefinition("p-1", "parent.branch.example", 7002, "south", Role.PARENT, 1.0, 10)
+ORIGIN = CacheDefinition("o-1", "2001:db8::9", 443, "south", Role.ORIGIN, 8.0, 0)
+DRAIN = OperatorOrder(True, 1_700_000_000.25, "the console of door-a")
+RESTORE = OperatorOrder(False, 1_700_000_100.5, "the console of door-b")
 
 SAVED = 1_700_000_200.75
-KEPT = snapshot.Kept(
-    Memory(
+KEPT = snapshot.Snapshot(
+    RememberedMembers(
         (EDGE, PARENT),
         {"_cache._tcp.branch.example": (ORIGIN,), "_empty._tcp.branch.example": ()},
         {"parent.branch.example": "192.0.2.8"},
@@ -58,15 +58,15 @@
 )
 
 RECORDS = (
-    Record(Kind.BORN, ("0a1b2c3d",)),
-    Record(Kind.SERVES, ("0a1b2c3d",)),
-    Record(Kind.BORN, ("4e5f6071",)),
-    Record(Kind.ENTER, ("s-00000001", "1700000000.25")),
-    Record(Kind.ENTER, ("s-00000002", "1700000001.5")),
-    Record(Kind.EXIT, ("s-00000002", "1700000002.75")),
-    Record(Kind.CLAIM, ("txn-1", "0a1b2c3d")),
-    Record(Kind.CLAIM, ("txn-2", "4e5f6071")),
-    Record(Kind.RELEASE, ("txn-2",)),
+    Record(RecordType.BORN, ("0a1b2c3d",)),
+    Record(RecordType.SERVES, ("0a1b2c3d",)),
+    Record(RecordType.BORN, ("4e5f6071",)),
+    Record(RecordType.ENTER, ("s-00000001", "1700000000.25")),
+    Record(RecordType.ENTER, ("s-00000002", "1700000001.5")),
+    Record(RecordType.EXIT, ("s-00000002", "1700000002.75")),
+    Record(RecordType.CLAIM, ("txn-1", "0a1b2c3d")),
+    Record(RecordType.CLAIM, ("txn-2", "4e5f6071")),
+    Record(RecordType.RELEASE, ("txn-2",)),
 )
 
 
@@ -85,17 +85,17 @@
         return await super()._turn(command, queue)
 
 
-def shared_at(redis: Redis, place: str = NOWHERE) -> tuple[Shared, Merge]:
+def shared_at(redis: Redis, place: str = NOWHERE) -> tuple[SharedStore, MembershipMerge]:
     """A view of the store in redis, from a place in its log on."""
-    merge = Merge(Policy())
-    roster = Roster(merge, lambda _: None, lambda *_: None)
+    merge = MembershipMerge(Policy())
+    roster = Registry(merge, lambda _: None, lambda *_: None)
     endpoint = ("127.0.0.1", redis.port)
-    return Shared(
+    return SharedStore(
         endpoint, "branch.example", "door-a", roster, AGES, Limits(), Capacity(2), place=place
     ), merge
 
 
-async def follow_until_current(redis: Redis, shared: Shared, own: list[Definition]) -> None:
+async def follow_until_current(redis: Redis, shared: SharedStore, own: list[CacheDefinition]) -> None:
     """Run until the store is read whole and news are waited for."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(shared.run, own)
@@ -110,7 +110,7 @@
     assert await shared.change(PARENT)
     assert await shared.order("e-1", DRAIN) and await shared.order("p-1", RESTORE)
     assert await shared.purge("clip", -1, 1_700_000_150.5) and await shared.purge("", 7, 1_700_000_160.0)
-    assert await shared.claim("txn-1") is Claim.OURS and await shared.claim("txn-2") is Claim.OURS
+    assert await shared.claim("txn-1") is ClaimResult.OURS and await shared.claim("txn-2") is ClaimResult.OURS
     await shared.release("txn-2")
 
 
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize(("place", "others"), [(NOWHERE, {EDGE, PARENT}), ("1700000200750-0", {PARENT})])
-def test_store_is_read_to_the_same_state(place: str, others: set[Definition]) -> None:
+def test_store_is_read_to_the_same_state(place: str, others: set[CacheDefinition]) -> None:
     """A whole load, and a place behind the first entry of the log, give boxes, orders and purges."""
     keys = stored_keys()
     keys["brackenlane:branch.example:pace"] = '{"asks": 5, "loads": 3.5}'  # the operator's to write
@@ -159,8 +159,8 @@
             shared, merge = shared_at(redis, place)
             await follow_until_current(redis, shared, [EDGE])
             assert not any(command[0] == "SET" for command in redis.came)  # the file is there already
-            assert await shared.claim("txn-1") is Claim.TAKEN
-            assert await shared.claim("txn-2") is Claim.OURS
+            assert await shared.claim("txn-1") is ClaimResult.TAKEN
+            assert await shared.claim("txn-2") is ClaimResult.OURS
             nursery.cancel_scope.cancel()
         memory = merge.memory()
         assert set(memory.others) == others and not memory.listed
@@ -177,10 +177,13 @@
     ("sample", "kept"),
     [
         ("last-list-2.json", KEPT),
-        ("last-list-1.json", snapshot.Kept(KEPT.memory, SAVED)),  # knew neither place nor leaving nor purges
+        (
+            "last-list-1.json",
+            snapshot.Snapshot(KEPT.memory, SAVED),
+        ),  # knew neither place nor leaving nor purges
     ],
 )
-def test_last_list_is_read_to_the_same_state(sample: str, kept: snapshot.Kept, tmp_path: Path) -> None:
+def test_last_list_is_read_to_the_same_state(sample: str, kept: snapshot.Snapshot, tmp_path: Path) -> None:
     """Boxes, lists, addresses, orders, place and purges, of each version."""
     path = Path(shutil.copy(DATA / sample, tmp_path))  # a copy, since one that can't be read is moved
     assert snapshot.load(path) == kept
@@ -203,9 +206,9 @@
 def test_ledger_records_are_read_and_written_the_same() -> None:
     """Every kind of record, and what they add up to."""
     data = (DATA / "ledger").read_bytes()
-    reader, book = Reader(Limits().ledger_line), Book(Limits().claims)
+    reader, book = Reader(Limits().ledger_line), HandoverIndex(Limits().claims)
     assert tuple(reader.feed(data)) == RECORDS and reader.spoilt == 0
-    assert {record.kind for record in RECORDS} == set(Kind)
+    assert {record.kind for record in RECORDS} == set(RecordType)
     assert b"".join(map(encode, RECORDS)) == data
     for record in RECORDS:
         book.take(record)
@@ -227,7 +230,7 @@
     (folder / "life.0a1b2c3d").touch()  # its process has ended: nobody holds its lock
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     ledger = _ledger(config, Limits())
-    assert isinstance(ledger, Ledger)
+    assert isinstance(ledger, HandoverLog)
     assert ledger.book.serving == {ledger.me: False}
     assert ledger.book.out == {"s-00000001": 1_700_000_000.25}
     assert ledger.book.submits == {"txn-1": "0a1b2c3d"}
--- a/tests/test_unresponsive_caches.py
+++ b/tests/test_unresponsive_caches.py
@@ -8,69 +8,72 @@
 
 from brackenlane.limits import Limits
 from brackenlane.routing.actions import Fetch
-from brackenlane.routing.events import ListKind, Verdict
-from brackenlane.routing.members import State
+from brackenlane.routing.events import AttemptResult, MembershipKind
+from brackenlane.routing.members import ServerState
 from brackenlane.routing.settings import RequestClass
-from tests.router_harness import Rig, members, only, settings
+from tests.router_harness import RouterHarness, members, only, settings
 
 
 def test_all_caches_silent_at_once_are_passed_by_and_come_back_cold() -> None:
-    rig = Rig()
-    actions = rig.ask("clip")
+    harness = RouterHarness()
+    actions = harness.ask("clip")
     for n in range(3):
         fetch = only(actions, Fetch)
         assert fetch.server.startswith("edge")
-        actions = rig.end(fetch, Verdict.UNREACHABLE, attempt=n, wait=0.4)
+        actions = harness.end(fetch, AttemptResult.UNREACHABLE, attempt=n, wait=0.4)
     straight = only(actions, Fetch)
     assert straight.server.startswith("parent") and straight.source == "origin"
-    rig.now = 3.0
-    rig.tell([replace(m, started_at=2.0) for m in members() if m.server.startswith("edge")])
+    harness.now = 3.0
+    harness.tell([replace(m, started_at=2.0) for m in members() if m.server.startswith("edge")])
     for n in range(20):
-        rig.now += 0.5
-        rig.serve(f"o{n}")
-    back = [s for s in rig.router.servers.values() if s.me.server.startswith("edge")]
+        harness.now += 0.5
+        harness.serve(f"o{n}")
+    back = [s for s in harness.router.servers.values() if s.me.server.startswith("edge")]
     assert not any(s.ejected_until for s in back) and all(s.born == 2.0 for s in back)
 
 
 def test_a_restarted_gateway_with_an_old_list_leaves_what_does_not_answer() -> None:
-    rig = Rig(members(edges=2))  # the remembered list
+    harness = RouterHarness(members(edges=2))  # the remembered list
     for n in range(4):
-        fetch = only(rig.ask(f"o{n}"), Fetch)
+        fetch = only(harness.ask(f"o{n}"), Fetch)
         if fetch.server == "edge-0":
-            rig.end(fetch, Verdict.UNREACHABLE, wait=0.4)
-    rig.tell([replace(m, state=State.GONE) for m in members(edges=2) if m.server == "edge-0"])
-    assert {rig.serve(f"p{n}").server for n in range(50)} == {"edge-1"}
-    rig.now += 5
-    rig.tell(members(edges=3), ListKind.FULL)
-    assert len({rig.serve(f"q{n}").server for n in range(50)}) == 3
+            harness.end(fetch, AttemptResult.UNREACHABLE, wait=0.4)
+    harness.tell([replace(m, state=ServerState.GONE) for m in members(edges=2) if m.server == "edge-0"])
+    assert {harness.serve(f"p{n}").server for n in range(50)} == {"edge-1"}
+    harness.now += 5
+    harness.tell(members(edges=3), MembershipKind.FULL)
+    assert len({harness.serve(f"q{n}").server for n in range(50)}) == 3
 
 
 def test_a_cache_whose_answers_are_lost_is_out_while_the_others_serve() -> None:
-    rig = Rig()
+    harness = RouterHarness()
     for n in range(30):
-        rig.now += 0.2
-        rig.serve(f"o{n}")
+        harness.now += 0.2
+        harness.serve(f"o{n}")
     for n in range(20):
-        if rig.router.servers["edge-0"].ejected_until:
+        if harness.router.servers["edge-0"].ejected_until:
             break
-        fetch = only(rig.ask(f"lost{n}"), Fetch)
+        fetch = only(harness.ask(f"lost{n}"), Fetch)
         wait = 1.5 if fetch.server == "edge-0" else 0.4
-        rig.now += wait
-        rig.end(fetch, Verdict.TIMEOUT if fetch.server == "edge-0" else Verdict.OK, wait=wait)
-    assert rig.router.servers["edge-0"].ejected_until
-    assert not rig.router.servers["edge-1"].ejected_until and not rig.router.servers["edge-2"].ejected_until
+        harness.now += wait
+        harness.end(fetch, AttemptResult.TIMEOUT if fetch.server == "edge-0" else AttemptResult.OK, wait=wait)
+    assert harness.router.servers["edge-0"].ejected_until
+    assert (
+        not harness.router.servers["edge-1"].ejected_until
+        and not harness.router.servers["edge-2"].ejected_until
+    )
 
 
 def test_a_cache_that_grows_slower_is_passed_over_by_its_crowd() -> None:
-    rig = Rig(members(edges=2))
+    harness = RouterHarness(members(edges=2))
     seen = set()
     for n in range(60):
-        rig.now += 0.01
-        fetch = only(rig.ask(f"o{n}"), Fetch)
+        harness.now += 0.01
+        fetch = only(harness.ask(f"o{n}"), Fetch)
         seen.add(fetch.server)
         if fetch.server == "edge-1":
-            rig.end(fetch)  # edge-0 takes ever longer: nothing comes back yet
-    late = [only(rig.ask(f"p{n}"), Fetch) for n in range(15)]
+            harness.end(fetch)  # edge-0 takes ever longer: nothing comes back yet
+    late = [only(harness.ask(f"p{n}"), Fetch) for n in range(15)]
     assert seen == {"edge-0", "edge-1"} and {f.server for f in late} == {"edge-1"}
 
 
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -6,14 +6,16 @@
 
 from brackenlane.routing import settings_codec
 from brackenlane.routing.actions import Fetch
-from brackenlane.routing.events import Note, Outcome, Verdict
+from brackenlane.routing.events import AttemptResult, CacheStatus, Outcome
 from brackenlane.routing.members import Member, Role
-from brackenlane.routing.settings import Effect, RequestClass
-from brackenlane.routing.slow_start import MARGIN, Tokens
-from tests.router_harness import TILES, VIDEO, Rig, every, only
+from brackenlane.routing.settings import Idempotency, RequestClass
+from brackenlane.routing.slow_start import MARGIN, TokenBucket
+from tests.router_harness import TILES, VIDEO, RouterHarness, every, only
 from tests.stand_ins import SETTINGS
 
-SUBMIT = RequestClass("submit", aim=0.8, give_up=3.0, worth=3.0, effect=Effect.UNSAFE, uncached=True)
+SUBMIT = RequestClass(
+    "submit", aim=0.8, give_up=3.0, worth=3.0, effect=Idempotency.NON_IDEMPOTENT, uncached=True
+)
 FLEET = [
     Member("edge-0", "depot"),
     Member("parent-0", "hub-a", Role.PARENT),
@@ -31,9 +33,11 @@
 @pytest.mark.parametrize("cls", ["submit", "video"])
 def test_untold_weight(cls: str, told: bool, sent: bool) -> None:
     """A weight of 1 that tells nothing must not pass for a cache whose link bears one transfer."""
-    rig = Rig(FLEET, weights_told=told, classes=(VIDEO, SUBMIT))
+    harness = RouterHarness(FLEET, weights_told=told, classes=(VIDEO, SUBMIT))
     found = [
-        action for n in range(6) for action in every(rig.ask(f"o{n}", cls, time_left=3.0, size_kb=0.0), Fetch)
+        action
+        for n in range(6)
+        for action in every(harness.ask(f"o{n}", cls, time_left=3.0, size_kb=0.0), Fetch)
     ]
     assert (len(found) == 6) is sent
 
@@ -49,16 +53,25 @@
 )
 def test_learned_width(seen: float, wait: float, wider: bool) -> None:
     """A link that bears more than is assumed must not be kept for a few: that refuses others for nothing."""
-    rig = Rig(FLEET, weights_told=False, classes=(VIDEO, SUBMIT))
+    harness = RouterHarness(FLEET, weights_told=False, classes=(VIDEO, SUBMIT))
     crowds = []
     for _ in range(6):
-        crowd = [f for n in range(100) for f in every(rig.ask(f"o{n}", size_kb=0.0), Fetch)]
+        crowd = [f for n in range(100) for f in every(harness.ask(f"o{n}", size_kb=0.0), Fetch)]
         crowds.append(len(crowd))
-        rig.now += wait
+        harness.now += wait
         for fetch in crowd:
-            rig.router.handle(
-                Outcome(fetch.request, 0, fetch.server, Verdict.OK, wait, True, Note.HIT, size_kb=seen),
-                rig.now,
+            harness.router.handle(
+                Outcome(
+                    fetch.request_id,
+                    0,
+                    fetch.server,
+                    AttemptResult.OK,
+                    wait,
+                    True,
+                    CacheStatus.HIT,
+                    size_kb=seen,
+                ),
+                harness.now,
             )
     assert (crowds[-1] > 2 * crowds[0]) is wider, crowds
 
@@ -67,55 +80,74 @@
 def test_cold_budget_of_learned_width(learned: bool) -> None:
     """A cache that starts where links have proved wide is not kept idle on the budget of an assumed one."""
     late = Member("edge-1", "depot", started_at=90.0)
-    rig = Rig([*FLEET, late], weights_told=False, classes=(VIDEO, SUBMIT))
-    rig.now = 100.0
-    rig.router.servers["edge-0"].width = 40.0
+    harness = RouterHarness([*FLEET, late], weights_told=False, classes=(VIDEO, SUBMIT))
+    harness.now = 100.0
+    harness.router.servers["edge-0"].width = 40.0
     if learned:
         fetch = next(
-            f for n in range(50) for f in every(rig.ask(f"o{n}", size_kb=0.0), Fetch) if f.server == "edge-0"
+            f
+            for n in range(50)
+            for f in every(harness.ask(f"o{n}", size_kb=0.0), Fetch)
+            if f.server == "edge-0"
         )
-        rig.router.handle(
-            Outcome(fetch.request, 0, "edge-0", Verdict.OK, 0.2, True, Note.HIT, size_kb=800.0), rig.now
+        harness.router.handle(
+            Outcome(
+                fetch.request_id, 0, "edge-0", AttemptResult.OK, 0.2, True, CacheStatus.HIT, size_kb=800.0
+            ),
+            harness.now,
         )
-    cold, plain = rig.router.servers["edge-1"], 4.0 * MARGIN * (0.18 + 0.82 * 10 / 18)
-    cold.tokens = Tokens(0.0)
-    room = rig.router._cold_room(cold, rig.now)
+    cold, plain = harness.router.servers["edge-1"], 4.0 * MARGIN * (0.18 + 0.82 * 10 / 18)
+    cold.tokens = TokenBucket(0.0)
+    room = harness.router._cold_room(cold, harness.now)
     assert room == pytest.approx(3 * plain * (5.0 if learned else 1.0))
 
 
 def test_sizes_are_learned_by_object_and_means_by_the_first_answers() -> None:
     """A guess of a quarter aim, mended by 2% an arrival, was a third of the truth for 10 s and more."""
-    rig = Rig(classes=(VIDEO, TILES), weights_told=False)
+    harness = RouterHarness(classes=(VIDEO, TILES), weights_told=False)
     for n in range(12):
-        fetch = only(rig.ask(f"o{n}", size_kb=0.0, part=0), Fetch)
-        rig.router.handle(
-            Outcome(fetch.request, 0, fetch.server, Verdict.OK, 0.6, True, Note.HIT, size_kb=1600.0), rig.now
+        fetch = only(harness.ask(f"o{n}", size_kb=0.0, part=0), Fetch)
+        harness.router.handle(
+            Outcome(
+                fetch.request_id,
+                0,
+                fetch.server,
+                AttemptResult.OK,
+                0.6,
+                True,
+                CacheStatus.HIT,
+                size_kb=1600.0,
+            ),
+            harness.now,
         )
-    assert rig.router.sizes.means["video"] == pytest.approx(0.4, rel=0.25)  # 1,600 KB at 4,000 a second
-    rig.ask("o0", size_kb=0.0, part=7)  # another part of an object seen
-    assert next(reversed(rig.router.held.values())).work == pytest.approx(0.4)
+    assert harness.router.sizes.means["video"] == pytest.approx(0.4, rel=0.25)  # 1,600 KB at 4,000 a second
+    harness.ask("o0", size_kb=0.0, part=7)  # another part of an object seen
+    assert next(reversed(harness.router.held.values())).work == pytest.approx(0.4)
 
 
 def test_an_answer_without_bytes_tells_of_no_size() -> None:
-    rig = Rig(weights_told=False)
+    harness = RouterHarness(weights_told=False)
     for size, wait in ((1600.0, 0.6), (0.0, 0.01)):
-        fetch = only(rig.ask("clip", size_kb=0.0), Fetch)
-        rig.router.handle(
-            Outcome(fetch.request, 0, fetch.server, Verdict.OK, wait, True, Note.HIT, size_kb=size), rig.now
+        fetch = only(harness.ask("clip", size_kb=0.0), Fetch)
+        harness.router.handle(
+            Outcome(
+                fetch.request_id, 0, fetch.server, AttemptResult.OK, wait, True, CacheStatus.HIT, size_kb=size
+            ),
+            harness.now,
         )
-    assert rig.router.sizes.by_object["clip"] == pytest.approx(0.4)
+    assert harness.router.sizes.by_object["clip"] == pytest.approx(0.4)
 
 
 @pytest.mark.parametrize(("seats", "ranks"), [(1, [1, 2]), (9, [1, 1])])
 def test_rank_of_what_is_asked_for_again(seats: int, ranks: list[int]) -> None:
     """Of nine doormans each called known what it saw twice: copies that the others' could not push out."""
-    rig = Rig(seats=(0, 0, 0, seats))
-    assert [rig.serve("clip").keep for _ in ranks] == ranks
+    harness = RouterHarness(seats=(0, 0, 0, seats))
+    assert [harness.serve("clip").keep for _ in ranks] == ranks
 
 
 def test_an_absurd_size_that_a_client_tells_moves_no_mean_far() -> None:
     """One told size of years made every cold cache too dear for hundreds of requests."""
-    rig = Rig()
-    before = rig.router.sizes.means["video"]
-    rig.ask("huge", size_kb=999_999_999.0)
-    assert rig.router.sizes.means["video"] <= before + VIDEO.give_up
+    harness = RouterHarness()
+    before = harness.router.sizes.means["video"]
+    harness.ask("huge", size_kb=999_999_999.0)
+    assert harness.router.sizes.means["video"] <= before + VIDEO.give_up
