--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -68,12 +68,12 @@
         return [(m.server, m.state, m.started_at) for m in event.members]
 
     assert known.enter("a", 10.0) == (MaintenanceResult.UNKNOWN, None)
-    known.hear(Membership(MembershipKind.FULL, (box, other)))
+    known.apply(Membership(MembershipKind.FULL, (box, other)))
     assert told(known.enter("a", 10.0)[1]) == [("a", ServerState.DRAINING, 5.0)]
     assert known.enter("a", 11.0) == (MaintenanceResult.DONE, None)
     assert known.enter("b", 11.0) == (MaintenanceResult.FULL, None)
     for kind in (MembershipKind.CHANGES, MembershipKind.FULL):
-        assert told(known.hear(Membership(kind, (box, other)))) == [
+        assert told(known.apply(Membership(kind, (box, other)))) == [
             ("a", ServerState.DRAINING, 5.0),
             ("b", ServerState.SERVING, 0.0),
         ]
@@ -81,11 +81,11 @@
     assert known.leave("a", 21.0) == (MaintenanceResult.DONE, None)
     assert known.leave("c", 21.0) == (MaintenanceResult.UNKNOWN, None)
     known.enter("a", 30.0)
-    known.hear(Membership(MembershipKind.CHANGES, (Member("a", "z", state=ServerState.GONE),)))
+    known.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", state=ServerState.GONE),)))
     assert known.leave("a", 31.0) == (MaintenanceResult.DONE, None)
-    known.hear(Membership(MembershipKind.CHANGES, (box,)))
+    known.apply(Membership(MembershipKind.CHANGES, (box,)))
     known.enter("a", 40.0)
-    known.hear(Membership(MembershipKind.CHANGES, (Member("a", "z", started_at=44.0),)))
+    known.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", started_at=44.0),)))
     assert told(known.leave("a", 50.0)[1]) == [("a", ServerState.SERVING, 44.0)]
 
 
@@ -109,11 +109,11 @@
     async with trio.open_nursery() as nursery:
         boxes = [await box.open(nursery) for box in (Box(EDGE), Box(ORIGIN, "origin"))]
         ops = free_port()
-        async with platform(tmp_path, boxes, ops=ops) as doorman:
+        async with platform(tmp_path, boxes, ops=ops) as router_process:
             found, _ = await call(ops, "", raw=raw)
             assert found == status or (status >= 400 and 400 <= found < 500 and b"\xff" in raw)
             assert (await figures(ops))["gw_pool_ejected"] == 0
-            assert (await doorman.ask())[0] == 200
+            assert (await router_process.ask())[0] == 200
         nursery.cancel_scope.cancel()
 
 
@@ -157,7 +157,7 @@
             for box in (Box(EDGE, answer=answer), Box(ORIGIN, "origin", answer=answer))
         ]
         ops = free_port()
-        async with platform(tmp_path, boxes, ops=ops) as doorman:
+        async with platform(tmp_path, boxes, ops=ops) as router_process:
             seen = {
                 (name, cls): 0
                 for name in ("ok", "shed", "errors")
@@ -165,7 +165,9 @@
             }
 
             async def ask(cls: str, obj: str, **headers: str) -> None:
-                found = (await doorman.ask(cls, obj, b"signed" * (cls == "sheet-submit"), 600, **headers))[0]
+                found = (
+                    await router_process.ask(cls, obj, b"signed" * (cls == "sheet-submit"), 600, **headers)
+                )[0]
                 ending = "ok" if found in (200, 304) else "shed" if found in (429, 503) else "errors"
                 seen[ending, cls] += 1
 
@@ -173,8 +175,8 @@
                 for cls in ("video-parts", "sheet-pages", "sheet-submit"):
                     await ask(cls, f"00000000000000a{n}", If_None_Match='"e1"')
             await ask("video-parts", "00000000000000b0", X_Second_Try="7")  # malformed, of a class
-            await doorman.ask("no-such-class")
-            with socket.create_connection(("127.0.0.1", doorman.port)) as gone:  # a client that leaves
+            await router_process.ask("no-such-class")
+            with socket.create_connection(("127.0.0.1", router_process.port)) as gone:  # a client that leaves
                 gone.send(
                     b"GET /api/v2/sheet-pages/00000000000000a3/n-1 HTTP/1.1\r\nHost: o\r\nX-Txn: "
                     b"9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 9000\r\nX-Shard: 1\r\n\r\n"
@@ -202,11 +204,11 @@
             await box.open(nursery) for box in (Box(EDGE), Box(OTHER), Box(ORIGIN, "origin"))
         ]
         ops = free_port()
-        async with platform(tmp_path, [edge, other, origin], log, ops=ops) as doorman:
+        async with platform(tmp_path, [edge, other, origin], log, ops=ops) as router_process:
 
             async def ask_all() -> None:
                 for n in range(12):
-                    assert (await doorman.ask(obj=f"{n:016x}"))[0] == 200
+                    assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
 
             await ask_all()
             assert edge.asked
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -90,40 +90,40 @@
 
 def test_phases() -> None:
     """A burst shorter than an interval is served in its order; a queue that stands is shed, newest first."""
-    door: Admission[int] = Admission(CLASSES)
+    front: Admission[int] = Admission(CLASSES)
     for n in range(10):
-        door.offer(n, "video-parts", False, 0.0)
-    assert door.phase(INTERVAL - 0.001) is Phase.CALM and door.shed(INTERVAL - 0.001) == []
-    assert door.take(INTERVAL - 0.001) == (0, 0.0)
-    door.offer(10, "video-parts", False, INTERVAL)
-    assert door.phase(INTERVAL) is Phase.STANDING
-    assert door.take(INTERVAL) == (10, INTERVAL)
-    assert door.shed(INTERVAL) == list(range(1, 10)) and door.size == 0
-    assert door.phase(INTERVAL) is Phase.CALM
+        front.offer(n, "video-parts", False, 0.0)
+    assert front.phase(INTERVAL - 0.001) is Phase.CALM and front.shed(INTERVAL - 0.001) == []
+    assert front.take(INTERVAL - 0.001) == (0, 0.0)
+    front.offer(10, "video-parts", False, INTERVAL)
+    assert front.phase(INTERVAL) is Phase.STANDING
+    assert front.take(INTERVAL) == (10, INTERVAL)
+    assert front.shed(INTERVAL) == list(range(1, 10)) and front.size == 0
+    assert front.phase(INTERVAL) is Phase.CALM
 
 
 def test_standing_room() -> None:
     """Behind a standing queue there is room for what is taken within the target, the less worth, the less."""
-    door: Admission[int] = Admission(CLASSES)
+    front: Admission[int] = Admission(CLASSES)
     numbers = itertools.count()
     for _ in range(9):
-        door.offer(next(numbers), "video-parts", False, 0.0)
+        front.offer(next(numbers), "video-parts", False, 0.0)
     now = INTERVAL + 0.001
-    door.phase(now)
+    front.phase(now)
     for _ in range(400):  # 1,000 a second
         now += 0.001
-        door.offer(next(numbers), "video-parts", False, now)
-        door.take(now)
-    assert door.pace == pytest.approx(1000, rel=0.1)
+        front.offer(next(numbers), "video-parts", False, now)
+        front.take(now)
+    assert front.pace == pytest.approx(1000, rel=0.1)
     joined = {name: 0 for name in ("sheet-pages", "video-parts", "sheet-submit", "no-such", "health")}
     for name in joined:
-        while joined[name] < 100 and door.welcome(name, False):
-            door.offer(next(numbers), name, False, now)
+        while joined[name] < 100 and front.welcome(name, False):
+            front.offer(next(numbers), name, False, now)
             joined[name] += 1
     assert joined["sheet-submit"] == joined["health"] == 100
     assert 0 < joined["sheet-pages"] < joined["sheet-pages"] + joined["video-parts"] <= 1000 * TARGET + 1
-    assert not door.welcome("video-parts", True)
-    assert door.hold_off(now) > INTERVAL
+    assert not front.welcome("video-parts", True)
+    assert front.hold_off(now) > INTERVAL
 
 
 def rank(lane: tuple[str, bool]) -> int:
@@ -145,30 +145,30 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 def test_each_leaves_once(steps: list[tuple[str, str, bool, float]]) -> None:
     """Whatever happens in whatever order, each request leaves the queue once, and its size is told truly."""
-    door: Admission[int] = Admission(CLASSES)
+    front: Admission[int] = Admission(CLASSES)
     now, waiting, lanes = 0.0, set(), {}
     for number, (word, lane, again, wait) in enumerate(steps):
         now += wait
         if word == "offer":
-            door.offer(number, lane, again, now)
+            front.offer(number, lane, again, now)
             waiting.add(number)
             lanes[number] = lane, again
         elif word == "take":
-            taken = door.take(now)
+            taken = front.take(now)
             assert (taken is None) is (not waiting)
             if taken:
                 assert rank(lanes[taken[0]]) == min(rank(lanes[n]) for n in waiting)
                 waiting.remove(taken[0])
         elif word == "shed":
-            for item in door.shed(now):
+            for item in front.shed(now):
                 assert lanes[item][0] != "health"
                 waiting.remove(item)
         elif waiting:
             item = min(waiting)
-            assert door.drop(item, *lanes[item])
-            assert not door.drop(item, *lanes[item])
+            assert front.drop(item, *lanes[item])
+            assert not front.drop(item, *lanes[item])
             waiting.remove(item)
-        assert door.size == len(waiting)
+        assert front.size == len(waiting)
 
 
 def test_figures() -> None:
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -81,12 +81,12 @@
     """Every kind of question has its answer, none of which may be kept."""
     async with trio.open_nursery() as nursery:
         box, origin = await boxes_at(nursery, "box-1")
-        async with appliance(tmp_path, [box, origin]) as (doorman, port, _):
+        async with appliance(tmp_path, [box, origin]) as (router_process, port, _):
             if kind == "AXFR" and tcp:
                 kind = "MAILB"  # the library asks for a transfer in its own way; another meta type will do
             found = await query(port, name, kind, tcp)
             assert dns.rcode.to_text(found.rcode()) == code
-            assert texts(found) == [text.format(box=box.port, http=doorman.port) for text in answer]
+            assert texts(found) == [text.format(box=box.port, http=router_process.port) for text in answer]
             assert bool(found.authority) is (not answer and code != "REFUSED")
         nursery.cancel_scope.cancel()
 
@@ -173,14 +173,14 @@
     """A stale answer naming a dead box: the next query names another, and a read at the doorman works."""
     async with trio.open_nursery() as nursery:
         first, second, origin = await boxes_at(nursery, "box-1", "box-2")
-        async with appliance(tmp_path, [first, second, origin]) as (doorman, port, _):
+        async with appliance(tmp_path, [first, second, origin]) as (router_process, port, _):
             stale = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             dead, alive = (first, second) if stale.startswith("box-1") else (second, first)
             await dead.close()
             # A client that ignores lifetimes finds nobody there; by the doorman it is served all the same.
             with pytest.raises(OSError):
                 await trio.open_tcp_stream("127.0.0.1", dead.port)
-            assert (await doorman.ask(obj=OBJECT))[0] == 200 and alive.asked
+            assert (await router_process.ask(obj=OBJECT))[0] == 200 and alive.asked
             fresh = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             assert fresh.startswith(alive.id)
         nursery.cancel_scope.cancel()
@@ -209,9 +209,9 @@
         nursery.cancel_scope.cancel()
 
 
-async def submit(doorman: Program, txn: str) -> int:
+async def submit(router_process: Program, txn: str) -> int:
     """One try of a submit by HTTP."""
-    return (await doorman.ask("sheet-submit", OBJECT, b"signed", txn=txn))[0]
+    return (await router_process.ask("sheet-submit", OBJECT, b"signed", txn=txn))[0]
 
 
 @with_trio
@@ -247,16 +247,18 @@
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
         boxes = await boxes_at(nursery, "box-1")
-        async with appliance(tmp_path, boxes, redis=redis) as (doorman, _, _path):
-            assert await submit(doorman, "00000000000000b1") == 200
+        async with appliance(tmp_path, boxes, redis=redis) as (router_process, _, _path):
+            assert await submit(router_process, "00000000000000b1") == 200
             redis.late = 0.2
             async with trio.open_nursery() as client:
-                client.start_soon(submit, doorman, "00000000000000b2")
+                client.start_soon(submit, router_process, "00000000000000b2")
                 while not any(key.endswith("claim:00000000000000b2") for key in redis.keys):
                     await trio.sleep(0.005)
                 client.cancel_scope.cancel()
             redis.late = 0.0
-            assert await submit(doorman, "00000000000000b3") == 200  # claimed behind the one that has left
+            assert (
+                await submit(router_process, "00000000000000b3") == 200
+            )  # claimed behind the one that has left
             assert [asked.id[-2:] for box in boxes for asked in box.asked] == ["b1", "b3"]
         nursery.cancel_scope.cancel()
 
@@ -293,13 +295,13 @@
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
         boxes = await boxes_at(nursery, "box-1", "box-2")
-        async with appliance(tmp_path, boxes, redis=redis) as (doorman, port, path):
+        async with appliance(tmp_path, boxes, redis=redis) as (router_process, port, path):
             await redis.seen.wait()
             await redis.close()
             assert texts(await query(port, READ)) == ["127.0.0.1"]
-            assert (await doorman.ask())[0] == 200
+            assert (await router_process.ask())[0] == 200
             before = [len(box.asked) for box in boxes]
-            status, headers, _ = await doorman.ask("sheet-submit", OBJECT, b"signed")
+            status, headers, _ = await router_process.ask("sheet-submit", OBJECT, b"signed")
             assert status == 503 and "retry-after" in headers
             assert [len(box.asked) for box in boxes] == before
             assert "the store is away" in await console(path, "drain", "box-1")
@@ -308,7 +310,7 @@
             await redis.seen.wait()
             assert "draining" in (await console(path, "boxes")).split("box-2")[0]
             assert '"drained":true' in redis.keys["brackenlane:caches.test.:orders"]["box-1"]
-            assert await submit(doorman, "00000000000000b1") == 200
+            assert await submit(router_process, "00000000000000b1") == 200
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -50,8 +50,8 @@
     asked, names = 0, itertools.count()
     while asked < count:
         obj = f"object-{next(names)}"
-        order = harness.router.orders.order(Arrival("", 5.0, "video", obj).copy, harness.router.edges)
-        if order[0].me.server != "edge-0":
+        order = harness.router.orders.order(Arrival("", 5.0, "video", obj).cache_key, harness.router.edges)
+        if order[0].member.server != "edge-0":
             continue
         asked += 1
         for fetch in every(harness.ask(obj, part=0, size_kb=0.0), Fetch):
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("told", [False, True])
 def test_hot_cache_is_spared_where_widths_are_not_told(told: bool) -> None:
     """Before, eight of eight met at one cache, whose link bears fewer, while its neighbours had nothing."""
-    harness = RouterHarness(FLEET, weights_told=told)
+    harness = RouterHarness(FLEET, weights_known=told)
     if told:
         harness.tell([Member(m.server, m.zone, m.role, weight=20.0) for m in FLEET])
     sent = open_at(harness, 8)
@@ -72,6 +72,6 @@
 
 def test_no_spill_while_the_origin_is_slow() -> None:
     """A spilled request is filled anew: what is slow is not asked for more of that."""
-    harness = RouterHarness(FLEET, now=100.0, weights_told=False)
-    harness.router.upstream.late(harness.now, sure=1.0, pause=0.0)
+    harness = RouterHarness(FLEET, now=100.0, weights_known=False)
+    harness.router.origin_throttle.late(harness.now, sure=1.0, pause=0.0)
     assert open_at(harness, 8)["edge-0"] == 8
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -33,7 +33,7 @@
     """Whatever a load report says, the answer that carries it is read as without it."""
     wire = f"a1 data entity=t,use={use},detail=hit,issued=5000 2\r\nok\r\n".encode()
     [answer] = Parser(Limits()).feed(wire)
-    assert (answer.verdict, answer.note, answer.issued) == (AttemptResult.OK, CacheStatus.HIT, 5.0)
+    assert (answer.result, answer.cache_status, answer.issued) == (AttemptResult.OK, CacheStatus.HIT, 5.0)
     assert answer.body == b"ok" and answer.fields["use"] == use
 
 
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -22,7 +22,7 @@
 from brackenlane.routing.events import CacheStatus, Purged
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.settings import SlowStart
-from brackenlane.routing.slow_start import MARGIN, ability, rota
+from brackenlane.routing.slow_start import MARGIN, capacity_by_age, turn_order
 from brackenlane.store.replica import SharedStore
 from tests.router_harness import RouterHarness, every
 
@@ -199,18 +199,18 @@
 @given(st.floats(0, 50), st.floats(0.01, 2), st.integers(1, 300), st.text("abc-0123", min_size=1, max_size=8))
 def test_rota(room: float, unit: float, mates: int, server: str) -> None:
     """Of one location exactly so many share as the burst pays for, whose shares are never more than it."""
-    sharers = [rota(room, unit, mate, mates, server) for mate in range(mates)]
+    sharers = [turn_order(room, unit, mate, mates, server) for mate in range(mates)]
     few = max(sharers)
     assert 1 <= few <= mates and set(sharers) <= {0, few}
     assert sum(n > 0 for n in sharers) == few
     assert few == 1 or few == mates or few * unit <= room * (1 + 1e-9)
-    later = [rota(2 * room, unit, mate, mates, server) for mate in range(mates)]
+    later = [turn_order(2 * room, unit, mate, mates, server) for mate in range(mates)]
     assert all(late for late, early_ in zip(later, sharers, strict=True) if early_)  # nobody drops out again
 
 
 def test_rota_reaches_all() -> None:
     """Over sixty boxes each of two hundred has its turn at some, and none at far more than its part."""
-    turns = [sum(rota(1.0, 0.1, mate, 200, f"box-{n}") > 0 for n in range(60)) for mate in range(200)]
+    turns = [sum(turn_order(1.0, 0.1, mate, 200, f"box-{n}") > 0 for n in range(60)) for mate in range(200)]
     assert sum(turns) == 60 * 10 and max(turns) <= 12 and sum(t > 0 for t in turns) > 150
 
 
@@ -221,7 +221,13 @@
     fleet += [Member("origin", "hub-a", Role.ORIGIN)]
     harnesses = [
         RouterHarness(
-            fleet, n, 100.0, gateways=40, seats=(0, 0, 0, 40), gateway=n, mate=n if mate == 0 else -1
+            fleet,
+            n,
+            100.0,
+            router_count=40,
+            seats=(0, 0, 0, 40),
+            router_index=n,
+            peer_index=n if mate == 0 else -1,
         )
         for n in range(40)
     ]
@@ -232,7 +238,7 @@
         for fetch in every(harness.ask(f"o{tick}", "tiles", time_left=2.5, size_kb=400.0), Fetch):
             per_box[fetch.server] += 1
             served += fetch.server != "origin"
-            harness.end(fetch, note=CacheStatus.FILLED, wait=0.1)
+            harness.end(fetch, cache_status=CacheStatus.FILLED, wait=0.1)
     assert (served > 20) is (mate == 0)
     # At three seconds a box does 2 x (0.18 + 0.82 / 6) transfers of 0.1 s a second; a burst may be four
     # seconds' worth.
@@ -260,4 +266,4 @@
 )
 def test_ability_by_age(ramp: float, age: float, part: float) -> None:
     """A server whose clock is ahead of ours is as cold as a new one, and warm where nothing is ever cold."""
-    assert ability(SlowStart(0.25, ramp, 2.0, 1.0), 8.0, age) == pytest.approx(MARGIN * 8.0 * part)
+    assert capacity_by_age(SlowStart(0.25, ramp, 2.0, 1.0), 8.0, age) == pytest.approx(MARGIN * 8.0 * part)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -80,7 +80,7 @@
         "DEFAULT_WIDTH",
         {role: assumed * width for role, width in router_module.DEFAULT_WIDTH.items()},
     )
-    branch = Branch(weights_told=False)
+    branch = Branch(weights_known=False)
     in_hand: dict[str, list[float]] = {}
 
     def end(fetch: Fetch) -> tuple[float, AttemptResult]:
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -33,12 +33,12 @@
             await box.open(nursery)
             for box in (Box(EDGE, answer=lambda _: None), Box(ORIGIN, "origin", answer=lambda _: None))
         ]
-        async with platform(tmp_path, boxes, sockets=SOCKETS) as doorman:
-            doorman.process.send_signal(signal.SIGSTOP)
-            streams = [await trio.open_tcp_stream("127.0.0.1", doorman.port) for _ in range(84)]
+        async with platform(tmp_path, boxes, sockets=SOCKETS) as router_process:
+            router_process.process.send_signal(signal.SIGSTOP)
+            streams = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(84)]
             for stream in streams:
                 await stream.send_all(request(os.urandom(8).hex()).replace(b"Ms: 2000", b"Ms: 600"))
-            doorman.process.send_signal(signal.SIGCONT)
+            router_process.process.send_signal(signal.SIGCONT)
             found = [await read_answer(stream) for stream in streams]
             assert set(found) == {503, 504}  # in hand until its time was up, or no room: told so
             for stream in streams:
@@ -61,22 +61,24 @@
         ]
         ops = free_port()
         async with (
-            platform(tmp_path, boxes, sockets=SOCKETS, ops=ops, TMPDIR=str(tmp_path)) as doorman,
+            platform(tmp_path, boxes, sockets=SOCKETS, ops=ops, TMPDIR=str(tmp_path)) as router_process,
             contextlib.AsyncExitStack() as crowd,
         ):
-            working = await crowd.enter_async_context(await trio.open_tcp_stream("127.0.0.1", doorman.port))
+            working = await crowd.enter_async_context(
+                await trio.open_tcp_stream("127.0.0.1", router_process.port)
+            )
             await working.send_all(request("00000000000000aa"))
             await boxes[0].until(lambda: bool(boxes[0].asked))
             for n in range(300):
                 stream = await crowd.enter_async_context(
-                    await trio.open_tcp_stream("127.0.0.1", doorman.port)
+                    await trio.open_tcp_stream("127.0.0.1", router_process.port)
                 )
                 if n % 2:
                     with contextlib.suppress(trio.BrokenResourceError):
                         await stream.send_all(request()[:40])
             for n in range(20):
-                assert (await doorman.ask(obj=f"{n:016x}"))[0] == 200
-            assert len(os.listdir(f"/proc/{doorman.process.pid}/fd")) < SOCKETS * 2 / 3
+                assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
+            assert len(os.listdir(f"/proc/{router_process.process.pid}/fd")) < SOCKETS * 2 / 3
             assert (await figures(ops))["gw_active"] == 1
             held.set()
             assert await read_answer(working) in (200, 504)  # the box held it back, nobody closed it
@@ -96,8 +98,8 @@
             )
         ]
         async with (
-            platform(tmp_path, boxes, sockets=SOCKETS) as doorman,
-            await trio.open_tcp_stream("127.0.0.1", doorman.port) as stream,
+            platform(tmp_path, boxes, sockets=SOCKETS) as router_process,
+            await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream,
         ):
             stream.socket.setsockopt(1, 8, 16_384)  # SO_RCVBUF: what is not read waits at the doorman
             text = request()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -17,7 +17,9 @@
 from tests.router_harness import VIDEO, members, settings
 from tests.stand_ins import with_trio
 
-SUBMIT = RequestClass("submit", aim=0.8, give_up=3.0, effect=Idempotency.NON_IDEMPOTENT, uncached=True)
+SUBMIT = RequestClass(
+    "submit", latency_objective=0.8, time_limit=3.0, idempotency=Idempotency.NON_IDEMPOTENT, uncached=True
+)
 
 
 class Bench:
@@ -45,10 +47,10 @@
             await test()
             nursery.cancel_scope.cancel()
 
-    async def ask(self, cls: str = "video", left: float = 3.0) -> Answer:
+    async def request(self, cls: str = "video", left: float = 3.0) -> Answer:
         """One request."""
         arrival = Arrival(self.core.new_id(), left, cls, "clip")
-        return await self.core.ask(PendingRequest(arrival, time.time() + left))
+        return await self.core.request(PendingRequest(arrival, time.time() + left))
 
 
 @with_trio
@@ -64,8 +66,8 @@
     async def test() -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(answer)
-            assert (await bench.ask()).body == b"first"
-        assert bench.core.open_asks == 0
+            assert (await bench.request()).body == b"first"
+        assert bench.core.open_request_count == 0
 
     await bench.run(test)
 
@@ -76,14 +78,14 @@
     bench = Bench(lambda attempt: False)
 
     async def test() -> None:
-        answer = await bench.ask()
-        assert answer.ending is Disposition.REJECTED and answer.hold_off > 0
+        answer = await bench.request()
+        assert answer.disposition is Disposition.REJECTED and answer.hold_off > 0
 
     await bench.run(test)
 
 
 @pytest.mark.parametrize(
-    ("verdict", "sent"),
+    ("result", "sent"),
     [
         (AttemptResult.TIMEOUT, 1),
         (AttemptResult.BROKEN, 1),
@@ -96,7 +98,7 @@
     ],
 )
 @with_trio
-async def test_unsafe(monkeypatch: pytest.MonkeyPatch, verdict: AttemptResult, sent: int) -> None:
+async def test_unsafe(monkeypatch: pytest.MonkeyPatch, result: AttemptResult, sent: int) -> None:
     """A module that sends again, then refuses, what may have run gets neither past the core."""
     bench = Bench()
 
@@ -108,12 +110,12 @@
 
     async def answer() -> None:
         await bench.news.wait()
-        bench.core.report(bench.attempts[0], AttemptReply(verdict, 0.1))
+        bench.core.report(bench.attempts[0], AttemptReply(result, 0.1))
 
     async def test() -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(answer)
-            assert (await bench.ask("submit")).ending is Disposition.FAILED
+            assert (await bench.request("submit")).disposition is Disposition.FAILED
         assert len(bench.attempts) == sent
 
     await bench.run(test)
@@ -133,7 +135,7 @@
     monkeypatch.setattr(bench.core._router, "handle", broken)
 
     async def test() -> None:
-        answer = await bench.ask(left=0.05)
-        assert answer.ending is Disposition.FAILED and answer.late is late
+        answer = await bench.request(left=0.05)
+        assert answer.disposition is Disposition.FAILED and answer.late is late
 
     await bench.run(test)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -62,7 +62,7 @@
 SEARCH_LIMIT = 60.0  # seconds: over three times the ramp (18 s) after which no cold budget holds a box back
 
 
-async def objects_at(doorman: Program, box: Box, count: int) -> list[str]:
+async def objects_at(router_process: Program, box: Box, count: int) -> list[str]:
     """Objects of which a box is asked first: which ones those are follows from ports drawn anew each time.
 
     A box whose connect failed is ejected for a while, then cold: its budget fills with time, not with
@@ -73,7 +73,7 @@
     with trio.move_on_after(SEARCH_LIMIT):
         for number in itertools.cycle(range(OBJECT_COUNT)):
             before, obj = len(box.asked), f"{number:016x}"
-            assert (await doorman.ask(obj=obj))[0] == 200
+            assert (await router_process.ask(obj=obj))[0] == 200
             if len(box.asked) > before and obj not in found:
                 found.append(obj)
             if len(found) == count:
@@ -95,10 +95,14 @@
     """A drained box is named by no answer and asked by no request, whatever SRV and the resolver do."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (doorman, port, path):
+        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
+            router_process,
+            port,
+            path,
+        ):
             await listed(path, *site.ids)
             first = site.boxes[0]
-            objects = await objects_at(doorman, first, 4)
+            objects = await objects_at(router_process, first, 4)
             assert await console(path, "drain", site.ids[0]) == f"{site.ids[0]} drained\n"
             told, before = time.monotonic(), len(first.asked)
 
@@ -120,7 +124,7 @@
                 for obj in objects:
                     answer = await query(port, f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
                     named |= {text.split()[3].split(".")[0] for text in texts(answer)}
-                    await doorman.ask(obj=obj)
+                    await router_process.ask(obj=obj)
             assert site.ids[0] not in named and named and len(first.asked) == before
             why = await console(path, "why", site.ids[0])
             assert "drained by the console of a1" in why
@@ -140,11 +144,15 @@
                 await trio.sleep(0.05)  # killed, not ended: what is on disk is all there is
         await site.server.close()
         careful = EXTRA.replace("confirm = 0.2", "confirm = 600")
-        async with appliance(tmp_path, [site.origin], site.server, extra=careful) as (doorman, _port, path):
+        async with appliance(tmp_path, [site.origin], site.server, extra=careful) as (
+            router_process,
+            _port,
+            path,
+        ):
             text = await listed(path, *site.ids)
             assert "draining" in next(line for line in text.splitlines() if line.startswith(site.ids[1]))
             for number in range(8):
-                assert (await doorman.ask(obj=f"{number:016x}"))[0] == 200
+                assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
             assert site.boxes[0].asked and not site.boxes[1].asked
             # The resolver is back, and has lost all but one: not believed at once.
             site.name(0)
@@ -159,20 +167,24 @@
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery, 4)
         site.name(0, 1)
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (doorman, _port, path):
+        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
+            router_process,
+            _port,
+            path,
+        ):
             await listed(path, *site.ids[:2])
             site.server.fail(Fault.LOST)
             for box in site.boxes[:2]:
                 await box.close()
             for number in range(8):
-                assert (await doorman.ask(obj=f"{number:016x}"))[0] == 200
+                assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
             site.name(2, 3)
             site.server.fail()
             await listed(path, *site.ids[2:])
             while (text := await console(path, "boxes")) and (site.ids[0] in text or site.ids[1] in text):
-                assert (await doorman.ask())[0] == 200
+                assert (await router_process.ask())[0] == 200
             for number in range(8):
-                assert (await doorman.ask(obj=f"{number:016x}"))[0] == 200
+                assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
             assert site.boxes[2].asked or site.boxes[3].asked
         nursery.cancel_scope.cancel()
 
@@ -183,8 +195,12 @@
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
         (tmp_path / "last.json").write_bytes(b'{"version":1,"sha256":"00","body":"{}"}')
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (doorman, _port, path):
-            await doorman.says(b"the checksum does not fit")
+        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
+            router_process,
+            _port,
+            path,
+        ):
+            await router_process.says(b"the checksum does not fit")
             await listed(path, *site.ids)
             assert (tmp_path / "last.json.damaged").exists()
         nursery.cancel_scope.cancel()
@@ -203,12 +219,16 @@
 
         for box in (*site.boxes, site.origin):
             box.answer = hold
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (doorman, _port, path):
+        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
+            router_process,
+            _port,
+            path,
+        ):
             await listed(path, *site.ids)
             found: list[int] = []
 
             async def submit() -> None:
-                found.append((await doorman.ask("sheet-submit", OBJECT, b"signed", ttl=2500))[0])
+                found.append((await router_process.ask("sheet-submit", OBJECT, b"signed", ttl=2500))[0])
 
             async with trio.open_nursery() as client:
                 client.start_soon(submit)
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -23,10 +23,10 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "door"), [("example/config.json", "7001"), ("deploy/appliance.toml", "7080")]
+    ("name", "front"), [("example/config.json", "7001"), ("deploy/appliance.toml", "7080")]
 )
 @with_trio
-async def test_example(tmp_path: Path, name: str, door: str) -> None:
+async def test_example(tmp_path: Path, name: str, front: str) -> None:
     """The toy boxes answer through the doorman."""
     path, ports = moved(tmp_path, name)
     toy = await trio.lowlevel.open_process(
@@ -36,10 +36,10 @@
         assert toy.stdout
         assert b"are up" in await toy.stdout.receive_some(4096)
         words = ("appliance", str(path)) if path.suffix == ".toml" else ()
-        async with program(ports[door], *words, GW_CONFIG=str(path)) as doorman:
-            status, _, body = await doorman.ask()
+        async with program(ports[front], *words, GW_CONFIG=str(path)) as router_process:
+            status, _, body = await router_process.ask()
             assert status == 200 and body.startswith(b"7f3a9c21e0b4d655/3 as ")
-            status, _, body = await doorman.ask("sheet-submit", body=b"signed")
+            status, _, body = await router_process.ask("sheet-submit", body=b"signed")
             assert status == 200 and body
     finally:
         toy.kill()
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -24,33 +24,33 @@
 
 
 def outcome(
-    fetch: Fetch, verdict: AttemptResult, wait: float, attempt: int = 0, hit_share: float = 0.2
+    fetch: Fetch, result: AttemptResult, wait: float, attempt: int = 0, hit_share: float = 0.2
 ) -> Outcome:
     """The end of an attempt at a site whose answers carry a load report and no note."""
-    final = verdict is AttemptResult.OK
+    final = result is AttemptResult.OK
     report = (("inflight", 2.0), ("x0", hit_share))
-    return Outcome(fetch.request_id, attempt, fetch.server, verdict, wait, final, report=report)
+    return Outcome(fetch.request_id, attempt, fetch.server, result, wait, final, report=report)
 
 
-def play(harness: RouterHarness, requests: int, verdict: AttemptResult, wait: float) -> int:
+def play(harness: RouterHarness, requests: int, result: AttemptResult, wait: float) -> int:
     """Requests for new objects, each attempt ending alike; how many attempts named a parent."""
     named = 0
     for n in range(requests):
         harness.now += 0.25
-        fetches = every(harness.ask(f"{verdict.value}{n}"), Fetch)
+        fetches = every(harness.ask(f"{result.value}{n}"), Fetch)
         for attempt in range(8):
             if not fetches:
                 break
             named += fetches[0].source in PARENTS
             fetches = every(
-                harness.router.handle(outcome(fetches[0], verdict, wait, attempt), harness.now), Fetch
+                harness.router.handle(outcome(fetches[0], result, wait, attempt), harness.now), Fetch
             )
     return named
 
 
 def test_parents_are_cleared_where_no_answer_tells_of_a_fill() -> None:
     """A parent that was late for a while stayed out for good: only a told fill cleared it."""
-    harness = RouterHarness(notes=CacheStatusReporting.SILENT)
+    harness = RouterHarness(status_reporting=CacheStatusReporting.SILENT)
     play(harness, 40, AttemptResult.TIMEOUT, 3.0)
     parents = [harness.router.servers[name] for name in PARENTS]
     assert max(parent.window for parent in parents) <= 2.0
@@ -95,7 +95,7 @@
     answer = Outcome("r", 0, "edge-0", AttemptResult.OK)
     assert 270 < sum(fills.was_filled(answer, 0.3) for _ in range(1000)) < 330
     assert fills.was_filled(answer, 1.0)
-    told = Outcome("r", 0, "edge-0", AttemptResult.OK, note=CacheStatus.FILLED_BY_ORIGIN)
+    told = Outcome("r", 0, "edge-0", AttemptResult.OK, cache_status=CacheStatus.FILLED_BY_ORIGIN)
     assert fills.was_filled(told, 0.0)
 
 
@@ -114,7 +114,7 @@
         harness.now += 5.0
         harness.serve(f"hit{n}")
         (fetch,) = every(harness.ask(f"fill{n}"), Fetch)
-        harness.end(fetch, note=CacheStatus.FILLED, wait=0.8)
+        harness.end(fetch, cache_status=CacheStatus.FILLED, wait=0.8)
     assert harness.router.fills.waiting_share == pytest.approx(0.5, abs=0.05)
     (fetch,) = every(harness.ask("last"), Fetch)
     held = harness.router.servers[fetch.server].in_flight
@@ -136,7 +136,7 @@
 @pytest.mark.parametrize("fresh", [0.0, 8.0])
 def test_what_never_expires_stays_with_few_parents(fresh: float) -> None:
     """Each further parent that an object reaches fetches it from the origin once more."""
-    cls = replace(VIDEO, fresh=fresh)
+    cls = replace(VIDEO, fresh_for=fresh)
     harness = RouterHarness(classes=(cls,))
     sources = Counter(harness.serve("clip").source for _ in range(2000))
     most, *others = sorted((sources[name] for name in PARENTS), reverse=True)
@@ -147,7 +147,10 @@
     """Steps between hubs went by their places in the list: a foreign hub's parents counted as our own's."""
     fleet = members(parents=("hub-a", "hub-c"))
     harness = RouterHarness(fleet, hub_of=(0, 0, 2, 0))
-    assert [[s.me.zone for s in ring] for ring in harness.router.rings] == [["hub-a"], ["hub-c"]]
+    assert [[s.member.zone for s in ring] for ring in harness.router.parents_by_distance] == [
+        ["hub-a"],
+        ["hub-c"],
+    ]
 
 
 def test_a_cache_whose_clock_is_ahead_is_used_where_nothing_warms_up() -> None:
@@ -159,7 +162,7 @@
 
 def test_a_lone_parent_that_hangs_is_left_for_the_origin() -> None:
     """With no peer to compare it with, a parent was never ejected, whatever it failed."""
-    harness = RouterHarness(members(parents=("hub-a",)), notes=CacheStatusReporting.ALL)
+    harness = RouterHarness(members(parents=("hub-a",)), status_reporting=CacheStatusReporting.ALL)
     play(harness, 12, AttemptResult.TIMEOUT, 3.0)
     assert harness.router.servers["parent-0"].ejected_until
     harness.router.servers["parent-0"].ejected_until = harness.now + 60  # no trial is due yet
@@ -169,12 +172,12 @@
 
 def test_waits_that_are_long_by_themselves_are_no_jam() -> None:
     """Objects that take longer than their aim on an idle link kept a site in its jam's ways for good."""
-    slow = replace(VIDEO, aim=0.3, aim_stretch=0.0)
+    slow = replace(VIDEO, latency_objective=0.3, objective_stretch=0.0)
     harness = RouterHarness(classes=(slow,))
     for n in range(100):
         harness.now += 5.0
         harness.end(every(harness.ask(f"o{n}"), Fetch)[0], wait=0.45)
-    assert not harness.router.waits.strained
+    assert not harness.router.latency.overloaded
 
 
 CALM = 3 * CALM_MEMORY  # answers until the calm wait is learned
@@ -183,15 +186,15 @@
 def test_a_rise_of_waits_is_a_jam_also_where_calm_ones_are_long() -> None:
     """Waits of six tenths of the aim that grow to nine tenths, many of them late, were held to be calm."""
     harness = RouterHarness()
-    aim = VIDEO.aim + VIDEO.aim_stretch * 0.4  # 1,600 KB at 4,000 a second
+    aim = VIDEO.latency_objective + VIDEO.objective_stretch * 0.4  # 1,600 KB at 4,000 a second
     waits = [0.6] * CALM + [0.4, 1.3] * 30
     for number, wait in enumerate(waits):
         harness.now += 5.0
         harness.end(every(harness.ask(f"o{number}"), Fetch)[0], wait=wait * aim)
-        assert number >= CALM or not harness.router.waits.strained
-    assert harness.router.waits.strained
+        assert number >= CALM or not harness.router.latency.overloaded
+    assert harness.router.latency.overloaded
 
 
 def test_an_aim_never_grows_beyond_the_deadline() -> None:
-    request = Request(Arrival("r", 5.0, "video"), replace(VIDEO, give_up=2.0), 0.0, 4.0)
-    assert request.aim == 2.0
+    request = Request(Arrival("r", 5.0, "video"), replace(VIDEO, time_limit=2.0), 0.0, 4.0)
+    assert request.latency_objective == 2.0
--- a/tests/test_fill_source.py
+++ b/tests/test_fill_source.py
@@ -42,7 +42,7 @@
     seen = 0
     for n in range(20):
         harness.now += 1.0
-        seen += len({harness.serve(f"o{n}", note=CacheStatus.FILLED).source for _ in range(100)})
+        seen += len({harness.serve(f"o{n}", cache_status=CacheStatus.FILLED).source for _ in range(100)})
     assert seen / 20 <= reached
 
 
@@ -139,7 +139,7 @@
 def test_window_opens_again() -> None:
     """What sums of parts leave in hand must not shut a source whose window is down to 1 for good."""
     harness = RouterHarness(members(parents=("hub-a",)))
-    [parent] = harness.router.rings[0]
+    [parent] = harness.router.parents_by_distance[0]
     parent.window, parent.in_flight = 1.0, 1e-15
     assert only(harness.ask(), Fetch).source == "parent-0"
 
@@ -151,7 +151,7 @@
 def test_errors_of_caches_alone(alone: bool, wait: float, blamed: bool, halved: bool) -> None:
     """Quick errors that caches make without a source are not its fault; only late ones halve a window."""
     harness = RouterHarness(members(parents=("hub-a",)))
-    [parent] = harness.router.rings[0]
+    [parent] = harness.router.parents_by_distance[0]
     harness.router.faults = 0.3 if alone else 0.0
     for n in range(3):
         harness.now += 1.0
@@ -172,22 +172,22 @@
 def test_cheap_errors_are_repeated() -> None:
     """An error that came at once leaves the budget for further attempts nearly whole."""
     harness = RouterHarness()
-    before = harness.router.retries
+    before = harness.router.retry_budget
     fetch = only(harness.ask(), Fetch)
     assert every(harness.end(fetch, AttemptResult.ERROR, wait=0.004), Fetch)
-    assert harness.router.retries > before - 0.1
+    assert harness.router.retry_budget > before - 0.1
 
 
 @pytest.mark.parametrize(
-    ("verdict", "out"), [(AttemptResult.BROKEN, False), (AttemptResult.UNREACHABLE, True)]
+    ("result", "out"), [(AttemptResult.BROKEN, False), (AttemptResult.UNREACHABLE, True)]
 )
-def test_one_connection_breaks(verdict: AttemptResult, out: bool) -> None:
+def test_one_connection_breaks(result: AttemptResult, out: bool) -> None:
     """All that was open on one connection ends at once: that alone must not take its cache out."""
     harness = RouterHarness(members(edges=2))
     open_there = [fetch for n in range(12) for fetch in every(harness.ask(f"o{n}"), Fetch)]
     for fetch in open_there:
         if fetch.server == "edge-0":
-            harness.end(fetch, verdict)
+            harness.end(fetch, result)
     assert bool(harness.router.servers["edge-0"].ejected_until) is out
 
 
@@ -204,7 +204,7 @@
         harness.serve(f"o{n}", size_kb=0.0)
     router = harness.router
     assert len(router.servers) == len(members()) + 1
-    assert max(len(router.heat), len(router.sizes.by_object), len(router.orders)) <= 51
+    assert max(len(router.popularity), len(router.sizes.by_object), len(router.orders)) <= 51
     assert "o199" in router.sizes.by_object and not router.attempts
 
 
@@ -227,7 +227,7 @@
                 harness.now = max(harness.now, timer.at)
                 harness.router.handle(TimerFired(timer.token), harness.now)
                 harness.router.servers["parent-0"].ejected_until = 0.0  # a fill that came puts it back
-            harness.end(fetch, note=CacheStatus.FILLED)
+            harness.end(fetch, cache_status=CacheStatus.FILLED)
         return seen / rounds
 
     assert drawn(200, late=False) > 0.35
@@ -241,6 +241,6 @@
     """A trial that had to win a draw for timely fills as well came once in hundreds of requests."""
     harness = RouterHarness(members(parents=("hub-a",)))
     parent = harness.router.servers["parent-0"]
-    parent.timely, parent.ejected_until, parent.gap = 0.01, 1.0, 1.0
+    parent.timeliness, parent.ejected_until, parent.gap = 0.01, 1.0, 1.0
     harness.now = 1.5
     assert only(harness.ask("clip", "video"), Fetch).source == "parent-0"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -114,9 +114,9 @@
         ledger.append(RecordType.CLAIM, "t1", ledger.me)
     old.look()
     new.look()
-    assert old.book.submits["t1"] == new.book.submits["t1"] == new.me
+    assert old.index.submits["t1"] == new.index.submits["t1"] == new.me
     new.close()
-    assert old.others == [] and old.book.submits["t1"] == new.me
+    assert old.others == [] and old.index.submits["t1"] == new.me
 
 
 def test_bounds(tmp_path: Path) -> None:
@@ -135,7 +135,7 @@
     assert (tmp_path / "x" / "ledger").stat().st_size < 500
     old.append(RecordType.CLAIM, "t", old.me)
     later = HandoverLog(tmp_path / "x", limits)
-    assert later.book.out == {"s-1": 5.0} and len(later.book.submits) == 5
+    assert later.index.out == {"s-1": 5.0} and len(later.index.submits) == 5
 
 
 def test_gone_ledger_is_written_again(tmp_path: Path) -> None:
@@ -144,7 +144,7 @@
     old.append(RecordType.ENTER, "s-1", "5.0")
     (tmp_path / "x" / "ledger").unlink()
     old.tend()
-    assert HandoverLog(tmp_path / "x", Limits()).book.out == {"s-1": 5.0}
+    assert HandoverLog(tmp_path / "x", Limits()).index.out == {"s-1": 5.0}
 
 
 # Two real processes
@@ -216,8 +216,8 @@
 class Load:
     """Clients that ask on without a pause, half of them on kept connections."""
 
-    def __init__(self, doorman: Program) -> None:
-        self._doorman, self.statuses, self.lost = doorman, [0] * 600, 0
+    def __init__(self, router_process: Program) -> None:
+        self._doorman, self.statuses, self.lost = router_process, [0] * 600, 0
         self.stop = trio.Event()
         self.stopped = trio.Event()
 
@@ -363,10 +363,10 @@
                 encode(Record(RecordType.BORN, ("0badcafe",)))
                 + encode(Record(RecordType.SERVES, ("0badcafe",)))
             )
-        async with here.process() as (doorman, ops):
+        async with here.process() as (router_process, ops):
             for n in range(8):
-                assert (await doorman.ask(obj=f"{n:016x}"))[0] == 200
+                assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
             assert bool(here.boxes[0].asked) is (left != "torn")  # what was whole is in force
             assert here.boxes[1].asked
             assert (await call(ops, f"/maintenance/enter/{OTHER}", "PUT"))[0] == 200
-            assert b"relieved" not in doorman.said
+            assert b"relieved" not in router_process.said
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -30,7 +30,7 @@
         fleet += [Member(f"parent-{n}", "hub-a", Role.PARENT, weight=20.0) for n in range(12)]
         fleet.append(Member("origin", "hub-a", Role.ORIGIN))
         self.harnesses = [
-            RouterHarness(fleet, n, 100.0, gateways=GATEWAYS, seats=(0, 0, 0, 6), weights_told=False)
+            RouterHarness(fleet, n, 100.0, router_count=GATEWAYS, seats=(0, 0, 0, 6), weights_known=False)
             for n in range(GATEWAYS)
         ]
         self.heap: list[tuple[float, int, Any]] = []
@@ -84,9 +84,11 @@
         number = self.sent[key] = self.sent.get(key, -1) + 1
         start = self.now
 
-        def end(verdict: AttemptResult, note: CacheStatus = CacheStatus.UNKNOWN, first: float = 0.0) -> None:
+        def end(
+            result: AttemptResult, cache_status: CacheStatus = CacheStatus.UNKNOWN, first: float = 0.0
+        ) -> None:
             wait = self.now - start
-            if verdict is AttemptResult.OK and key not in self.over and self.now - born < 0.7:
+            if result is AttemptResult.OK and key not in self.over and self.now - born < 0.7:
                 self.served.append(born)
             self.tell(
                 harness,
@@ -94,16 +96,16 @@
                     fetch.request_id,
                     number,
                     fetch.server,
-                    verdict,
+                    result,
                     wait,
-                    verdict is AttemptResult.OK,
-                    note,
+                    result is AttemptResult.OK,
+                    cache_status,
                     first,
                 ),
                 born,
             )
 
-        if fetch.source == fetch.server or fetch.held_only:
+        if fetch.source == fetch.server or fetch.only_if_cached:
             return self.at(start + 0.01, lambda: end(AttemptResult.MISS))
         if self.free - start > ROOM:
             return self.at(start + 0.05, lambda: end(AttemptResult.FULL))
@@ -149,11 +151,11 @@
     harness = RouterHarness(
         [Member("edge-0", "depot", weight=8.0), Member("origin", "hub-a", Role.ORIGIN)], now=100.0
     )
-    harness.serve(note=CacheStatus.FILLED)
+    harness.serve(cache_status=CacheStatus.FILLED)
     fetch = only(harness.ask("lost", "tiles", time_left=2.5, size_kb=0.0), Fetch)
     assert (fetch.server, fetch.source) == ("edge-0", "origin")
     harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=0.015 if quick else 1.265)
-    assert (harness.router.upstream.part(harness.now) == 1.0) is quick
+    assert (harness.router.origin_throttle.part(harness.now) == 1.0) is quick
 
 
 @pytest.mark.parametrize(("failing", "part"), [(0, 1.0), (1, 0.875), (2, 0.75), (4, 0.5)])
@@ -167,7 +169,7 @@
     for name in others[:failing]:
         harness.router.servers[name].failure_score = 1.0
     harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=3.0)
-    assert harness.router.upstream.part(harness.now) == pytest.approx(part)
+    assert harness.router.origin_throttle.part(harness.now) == pytest.approx(part)
 
 
 @pytest.mark.parametrize(("every", "low", "high"), [(5, 0.6, 1.0), (1, 0.0, 0.2)])
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -22,10 +22,10 @@
     return data(asked, b"" if asked.fields["queue"] == "sheet-submit" else b"bytes")
 
 
-async def ask(doorman: Program, found: Counter[tuple[str, int]], cls: str, number: int) -> None:
+async def ask(router_process: Program, found: Counter[tuple[str, int]], cls: str, number: int) -> None:
     """One request and what came of it."""
     body = b"signed" * (cls == "sheet-submit")
-    status, headers, _ = await doorman.ask(cls, f"{number:016x}", body, ttl=9000)
+    status, headers, _ = await router_process.ask(cls, f"{number:016x}", body, ttl=9000)
     found[cls, status] += 1
     assert status != 503 or int(headers["retry-after"]) > 0
 
@@ -38,23 +38,23 @@
             await Box(EDGE, answer=answer).open(nursery),
             await Box(ORIGIN, "origin", answer=answer).open(nursery),
         ]
-        async with platform(tmp_path, boxes, module="tests.slow_program", SLOW_MS="8") as doorman:
+        async with platform(tmp_path, boxes, module="tests.slow_program", SLOW_MS="8") as router_process:
             found: Counter[tuple[str, int]] = Counter()
-            silent = [await trio.open_tcp_stream("127.0.0.1", doorman.port) for _ in range(400)]
+            silent = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(400)]
             async with trio.open_nursery() as clients:
                 for number in range(300):
                     cls = "sheet-submit" if number % 50 == 0 else "video-parts"
-                    clients.start_soon(ask, doorman, found, cls, number)
+                    clients.start_soon(ask, router_process, found, cls, number)
             assert sum(found.values()) == 300 and found["sheet-submit", 200] == 6
             served, refused = found["video-parts", 200], found["video-parts", 503]
             assert served > 0 and refused > 0 and served + refused == 294, found
             # What was refused never reached a box, and no write did twice.
             asked = [one for box in boxes for one in box.asked]
             assert len(asked) == served + 6 == len({one.id for one in asked})
-            await doorman.says(b"short of CPU")
+            await router_process.says(b"short of CPU")
             # And it comes back by itself.
-            assert (await doorman.ask())[0] == 200
-            assert (await doorman.send("GET", "/-/healthy", {}))[0] == 200
+            assert (await router_process.ask())[0] == 200
+            assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
             for stream in silent:
                 await stream.aclose()
         nursery.cancel_scope.cancel()
@@ -71,13 +71,13 @@
         ]
         async with platform(
             tmp_path, [edge, other, origin], log, module="tests.slow_program", SLOW_MS="4"
-        ) as doorman:
+        ) as router_process:
             found: Counter[tuple[str, int]] = Counter()
 
             async def flood(start: int) -> None:
                 while True:
                     start += 100
-                    await ask(doorman, found, "video-parts", start)
+                    await ask(router_process, found, "video-parts", start)
 
             async with trio.open_nursery() as clients:
                 for number in range(100):
@@ -101,12 +101,12 @@
             await Box(EDGE, answer=answer).open(nursery),
             await Box(ORIGIN, "origin", answer=answer).open(nursery),
         ]
-        async with platform(tmp_path, boxes) as doorman:
+        async with platform(tmp_path, boxes) as router_process:
 
             def request(txn: str) -> bytes:
                 return f"{HEAD}X-Txn: {txn * 16}\r\nX-Ttl-Ms: 5000\r\nX-Shard: 1\r\n\r\n".encode()
 
-            async with await trio.open_tcp_stream("127.0.0.1", doorman.port) as stream:
+            async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
                 await stream.send_all(request("1") + request("2"))
                 got = b""
                 while got.count(b"bytes") < 2:
--- a/tests/test_overload_decisions.py
+++ b/tests/test_overload_decisions.py
@@ -56,11 +56,11 @@
 )
 def test_looks_that_find_nothing_leave_an_attempt_for_the_fill(attempts: int, asked: list[str]) -> None:
     """Before, a site that allows two attempts had both spent on looks, and refused what it could fill."""
-    harness = strained(max_attempts=attempts, direct=False)
+    harness = strained(max_attempts=attempts, may_bypass_caches=False)
     sent, found = only(harness.ask("clip"), Fetch), list[str]()
     while True:
         own = sent.source == sent.server
-        found.append("look at the cache" if own else "look at the parent" if sent.held_only else "fill")
+        found.append("look at the cache" if own else "look at the parent" if sent.only_if_cached else "fill")
         if found[-1] == "fill":
             break
         sent = only(harness.end(sent, AttemptResult.MISS, CacheStatus.UNKNOWN, attempt=len(found) - 1), Fetch)
@@ -72,7 +72,7 @@
     for server in harness.router.servers.values():
         server.window, server.in_flight = (
             1.0,
-            1.0 if server.me.server.startswith(("parent", "origin")) else 0.0,
+            1.0 if server.member.server.startswith(("parent", "origin")) else 0.0,
         )
     look = only(harness.ask("clip"), Fetch)
     assert only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN), Reject)
@@ -141,7 +141,7 @@
     harness = RouterHarness(members(parents=("hub-a", "hub-b")))
     for n in range(20):
         harness.now += 1
-        harness.serve(f"o{n}", note=CacheStatus.FILLED)
+        harness.serve(f"o{n}", cache_status=CacheStatus.FILLED)
     for n in range(6):
         actions = harness.ask(f"late{n}")
         fetch, timer = only(actions, Fetch), every(actions, SetTimer)[1]
@@ -152,15 +152,17 @@
         harness.now = max(harness.now, timer.at)
         harness.router.handle(TimerFired(timer.token), harness.now)
     assert harness.router.servers["parent-0"].ejected_until
-    assert not any(s.ejected_until for s in harness.router.servers.values() if s.me.server.startswith("edge"))
+    assert not any(
+        s.ejected_until for s in harness.router.servers.values() if s.member.server.startswith("edge")
+    )
     harness.router.servers["parent-0"].ejected_until = harness.now + 60  # no trial is due yet
-    harness.router.waits.strained, harness.router.servers["parent-1"].window = False, 8.0
+    harness.router.latency.overloaded, harness.router.servers["parent-1"].window = False, 8.0
     assert only(harness.ask("next"), Fetch).source == "parent-1"
 
 
 def test_with_many_gateways_one_attempt_more_does_not_spill() -> None:
     """The others are taken to have what this gateway usually has, not what it has right now."""
-    harness = RouterHarness(seats=(0, 0, 0, 10), gateways=10)
+    harness = RouterHarness(seats=(0, 0, 0, 10), router_count=10)
     for n in range(50):
         harness.now += 1
         harness.serve(f"o{n}")
@@ -188,11 +190,11 @@
     """What the parent lacks needs room in the origin's window, and its lateness is the origin's."""
     harness = strained()
     held = only(harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch)
-    assert held.held_only and held.source.startswith("parent")
+    assert held.only_if_cached and held.source.startswith("parent")
     origin, parent = (harness.router.servers[name] for name in ("origin", held.source))
     actions = harness.end(held, AttemptResult.MISS, CacheStatus.UNKNOWN, attempt=1)
     full, timer = only(actions, Fetch), every(actions, SetTimer)[0]
-    assert not full.held_only and full.source.startswith("parent") and origin.in_flight == 1
+    assert not full.only_if_cached and full.source.startswith("parent") and origin.in_flight == 1
     window = parent.window
     harness.now = timer.at
     harness.router.handle(TimerFired(timer.token), harness.now)
@@ -218,13 +220,13 @@
         )
         if fetch.source == held.source:
             break
-    assert fetch.source == held.source and not fetch.held_only
+    assert fetch.source == held.source and not fetch.only_if_cached
 
 
 @pytest.mark.parametrize("gateways", [3, 40])
 def test_the_first_fills_of_all_gateways_are_a_number_that_a_source_bears(gateways: int) -> None:
     """A start of its own for each gateway was 8 fills a source; of forty it was 320, and never came back."""
-    harnesses = [RouterHarness(members(edges=12), seed=n, gateways=gateways) for n in range(gateways)]
+    harnesses = [RouterHarness(members(edges=12), seed=n, router_count=gateways) for n in range(gateways)]
     sent = [
         f
         for harness in harnesses
@@ -236,12 +238,12 @@
 
 
 def test_what_the_parents_have_no_room_for_is_not_sent_to_the_origin_unless_they_are_out() -> None:
-    harness = RouterHarness(members(edges=12), gateways=40)
+    harness = RouterHarness(members(edges=12), router_count=40)
     fetches = [f for n in range(12) for f in every(harness.ask(f"o{n}", size_kb=40.0), Fetch)]
     assert {f.source for f in fetches if f.source != f.server} == {"parent-0", "parent-1"}
     assert any(f.source == f.server for f in fetches)  # looked for only
     for server in harness.router.servers.values():
-        if server.me.role is Role.PARENT:
+        if server.member.role is Role.PARENT:
             server.ejected_until = math.inf
     assert only(harness.ask("o99", size_kb=40.0), Fetch).source == "origin"
 
@@ -249,7 +251,7 @@
 @pytest.mark.parametrize(("seats", "counted"), [(1, 12.0), (9, 6.0)])
 def test_fills_that_wait_are_not_taken_for_a_jam_of_all_who_share_a_link(seats: int, counted: float) -> None:
     """With all copies void the caches' links stood idle, yet a ninth of the crowd, times nine, was a jam."""
-    harness = RouterHarness(members(edges=1), seats=(0, 0, 0, seats), gateways=3)
+    harness = RouterHarness(members(edges=1), seats=(0, 0, 0, seats), router_count=3)
     sent = 0
     while sent < 12:
         fetch = only(harness.ask(f"o{sent}", size_kb=40.0), Fetch)
@@ -274,16 +276,16 @@
     looked = only(harness.ask("fresh-one", group=7), Fetch)
     assert looked.source == looked.server
     fetch = only(harness.end(looked, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.01), Fetch)
-    assert fetch.source.startswith("parent") and fetch.held_only is not purged
+    assert fetch.source.startswith("parent") and fetch.only_if_cached is not purged
 
 
 def test_under_strain_nobody_looks_for_a_write() -> None:
     """It is kept nowhere: looks at a cache and a parent come back; then the origin's window ends it."""
-    submit = replace(VIDEO, name="submit", effect=Idempotency.NON_IDEMPOTENT, uncached=True)
+    submit = replace(VIDEO, name="submit", idempotency=Idempotency.NON_IDEMPOTENT, uncached=True)
     harness = strained(classes=(VIDEO, submit))
     sent = only(harness.ask("sheet", "submit", is_write=True), Fetch)
-    assert sent.source != sent.server and not sent.held_only
+    assert sent.source != sent.server and not sent.only_if_cached
     origin = harness.router.servers["origin"]
     origin.window, origin.in_flight = 1.0, 1.0  # with the origin's window full, a parent takes it there
     sent = only(harness.ask("sheet", "submit", is_write=True), Fetch)
-    assert sent.source.startswith("parent") and not sent.held_only
+    assert sent.source.startswith("parent") and not sent.only_if_cached
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -45,9 +45,9 @@
     """Class, object, part and tag pass on unchanged; bytes and tag come back."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await box.open(nursery) for box in fleet()]
-        async with platform(tmp_path, [edge, origin]) as doorman:
-            assert (await doorman.send("GET", "/-/healthy", {}))[0] == 200
-            status, headers, body = await doorman.ask(txn="9b1f03aa5c7e2d41")
+        async with platform(tmp_path, [edge, origin]) as router_process:
+            assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
+            status, headers, body = await router_process.ask(txn="9b1f03aa5c7e2d41")
             assert (status, headers["etag"], body) == (200, '"e1"', b"bytes")
             [asked] = edge.asked
             assert asked.id == "9b1f03aa5c7e2d41"
@@ -55,12 +55,12 @@
             assert (told["queue"], told["path"], told["blk"]) == ("video-parts", "7f3a9c21e0b4d655", "3")
             assert told["miss"] == ORIGIN and 0 < int(told["budget"]) <= 2000
             assert "uniq" not in told
-            await doorman.ask("sheet-submit", body=b"signed", X_Txn_Key="aad3d43f3c9565f6")
+            await router_process.ask("sheet-submit", body=b"signed", X_Txn_Key="aad3d43f3c9565f6")
             assert (edge.asked + origin.asked)[-1].fields["uniq"] == "aad3d43f3c9565f6"
-            assert (await doorman.ask(X_Txn_Key="a,b"))[0] == 400
+            assert (await router_process.ask(X_Txn_Key="a,b"))[0] == 400
             edge.asked = edge.asked[:1]
             edge.answer = lambda asked: data(asked, b"", "unchanged")
-            status, headers, body = await doorman.ask(If_None_Match='"e1"')
+            status, headers, body = await router_process.ask(If_None_Match='"e1"')
             assert (status, headers["etag"], body) == (304, '"e1"', b"")
             assert edge.asked[1].fields["mine"] == "e1"
         nursery.cancel_scope.cancel()
@@ -76,14 +76,14 @@
             return data(asked, b"", "unchanged", entity=named) if "mine" in asked.fields else data(asked)
 
         edge, origin = [await box.open(nursery) for box in fleet(answer)]
-        async with platform(tmp_path, [edge, origin], flow=1e6) as doorman:
-            assert (await doorman.ask(If_None_Match='"made-up"'))[0] not in (200, 304)
+        async with platform(tmp_path, [edge, origin], flow=1e6) as router_process:
+            assert (await router_process.ask(If_None_Match='"made-up"'))[0] not in (200, 304)
             named = "e1"
-            assert (await doorman.ask(If_None_Match='"e1"'))[0] == 304
-            assert (await doorman.ask())[0] == 200  # a copy of our own from now on
+            assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
+            assert (await router_process.ask())[0] == 200  # a copy of our own from now on
             asked = len(edge.asked) + len(origin.asked)
-            assert (await doorman.ask(If_None_Match='"e1"'))[0] == 304
-            status, headers, body = await doorman.ask(If_None_Match='"made-up"')
+            assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
+            status, headers, body = await router_process.ask(If_None_Match='"made-up"')
             assert (status, headers["etag"], body) == (200, '"e1"', b"bytes")
             assert len(edge.asked) + len(origin.asked) == asked
         nursery.cancel_scope.cancel()
@@ -114,11 +114,11 @@
     """What can't be read, is cut or too old is never served; the largest object is."""
     async with trio.open_nursery() as nursery:
         boxes = [await box.open(nursery) for box in fleet(answer)]
-        async with platform(tmp_path, boxes) as doorman:
-            status, headers, _ = await doorman.ask(cls)
+        async with platform(tmp_path, boxes) as router_process:
+            status, headers, _ = await router_process.ask(cls)
             assert (status == 200) is good
             assert "retry-after" in headers or status != 503
-            assert (await doorman.send("GET", "/-/healthy", {}))[0] == 200
+            assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
         nursery.cancel_scope.cancel()
 
 
@@ -142,14 +142,14 @@
 
     async with trio.open_nursery() as nursery:
         boxes = [await box.open(nursery) for box in fleet(answer)]
-        async with platform(tmp_path, boxes) as doorman:
-            found, headers, _ = await doorman.ask("sheet-submit", body=b"signed" * 8000, ttl=700)
+        async with platform(tmp_path, boxes) as router_process:
+            found, headers, _ = await router_process.ask("sheet-submit", body=b"signed" * 8000, ttl=700)
             asked = boxes[0].asked + boxes[1].asked
             assert found == (504 if not word else status)
             assert len(asked) <= runs and asked[0].body == b"signed" * 8000
             assert "retry-after" in headers or found != 503
             # The same id again is another try of what was refused, and else a repeat that must not run.
-            again = await doorman.ask("sheet-submit", body=b"signed" * 8000, ttl=700, txn=asked[0].id)
+            again = await router_process.ask("sheet-submit", body=b"signed" * 8000, ttl=700, txn=asked[0].id)
             assert again[0] == (503 if found == 503 else 409)
             assert found == 503 or len(boxes[0].asked + boxes[1].asked) == len(asked)
         nursery.cancel_scope.cancel()
@@ -204,12 +204,12 @@
     """A fault of the client's has an answer of its own, and the next client is served."""
     async with trio.open_nursery() as nursery:
         boxes = [await box.open(nursery) for box in fleet()]
-        async with platform(tmp_path, boxes) as doorman:
-            assert (await doorman.send(method, path, headers, body))[0] == status
-            async with await trio.open_tcp_stream("127.0.0.1", doorman.port) as stream:
+        async with platform(tmp_path, boxes) as router_process:
+            assert (await router_process.send(method, path, headers, body))[0] == status
+            async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
                 await stream.send_all(b"\x16\x03\x01 no HTTP\r\n\r\n")
                 assert (await stream.receive_some(100)).startswith(b"HTTP/1.1 400")
-            assert (await doorman.ask())[0] == 200
+            assert (await router_process.ask())[0] == 200
         nursery.cancel_scope.cancel()
 
 
@@ -238,9 +238,9 @@
     """Each gets its error or a close within 3 s of connecting, and nothing of it reaches a box."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await box.open(nursery) for box in fleet()]
-        async with platform(tmp_path, [edge, origin]) as doorman:
+        async with platform(tmp_path, [edge, origin]) as router_process:
             with trio.fail_after(3):
-                async with await trio.open_tcp_stream("127.0.0.1", doorman.port) as stream:
+                async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
                     await stream.send_all(sent.encode())
                     found = b""
                     while got := await stream.receive_some(65536):
@@ -255,13 +255,13 @@
     """More silent connections than descriptors, and a usual client that stays keeps its connection."""
     async with trio.open_nursery() as nursery:
         boxes = [await box.open(nursery) for box in fleet()]
-        async with platform(tmp_path, boxes, sockets=64) as doorman:
-            usual = await trio.open_tcp_stream("127.0.0.1", doorman.port)
+        async with platform(tmp_path, boxes, sockets=64) as router_process:
+            usual = await trio.open_tcp_stream("127.0.0.1", router_process.port)
             for _ in range(2):
                 await usual.send_all(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
                 assert (await usual.receive_some(1000)).startswith(b"HTTP/1.1 200")
-                silent = [await trio.open_tcp_stream("127.0.0.1", doorman.port) for _ in range(60)]
-                assert (await doorman.ask())[0] == 200
+                silent = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(60)]
+                assert (await router_process.ask())[0] == 200
                 assert await silent[0].receive_some(1) == b""
                 for stream in [*silent, *([] if _ == 0 else [usual])]:
                     await stream.aclose()
@@ -273,12 +273,12 @@
     """With work in hand on every connection that descriptors allow, one more is refused, not closed."""
     async with trio.open_nursery() as nursery:
         boxes = [await Box(f"s-0000000{n}", answer=lambda asked: None).open(nursery) for n in range(1, 7)]
-        async with platform(tmp_path, boxes, sockets=64) as doorman, trio.open_nursery() as clients:
+        async with platform(tmp_path, boxes, sockets=64) as router_process, trio.open_nursery() as clients:
             for n in range(25):
-                clients.start_soon(functools.partial(doorman.ask, obj=f"{n:016x}", ttl=5000))
+                clients.start_soon(functools.partial(router_process.ask, obj=f"{n:016x}", ttl=5000))
             while len({asked.id for box in boxes for asked in box.asked}) < 25:
                 await trio.sleep(0.01)
-            status, headers, _ = await doorman.ask()
+            status, headers, _ = await router_process.ask()
             assert status == 503 and headers["connection"] == "close"
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
@@ -289,9 +289,9 @@
     """A client that leaves takes its work back from the box."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await box.open(nursery) for box in fleet(lambda asked: None)]
-        async with platform(tmp_path, [edge, origin]) as doorman:
+        async with platform(tmp_path, [edge, origin]) as router_process:
             async with trio.open_nursery() as client:
-                client.start_soon(doorman.ask)
+                client.start_soon(router_process.ask)
                 await edge.until(lambda: bool(edge.asked))
                 client.cancel_scope.cancel()
             await edge.until(lambda: edge.dropped == [edge.asked[0].id])
@@ -305,8 +305,8 @@
         edge, origin = [await box.open(nursery) for box in fleet()]
         other = await Box("s-00000002").open(nursery)
         await edge.close()
-        async with platform(tmp_path, [edge, other, origin]) as doorman:
-            found = [await doorman.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)]
+        async with platform(tmp_path, [edge, other, origin]) as router_process:
+            found = [await router_process.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)]
             assert [status for status, _, _ in found] == [200] * 8
             assert len(other.asked) + len(origin.asked) == 8
         nursery.cancel_scope.cancel()
@@ -317,19 +317,19 @@
     """A machine that is cut off lets no connection come up; another box serves in time."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await box.open(nursery) for box in fleet()]
-        with socket.socket() as mute, contextlib.ExitStack() as full:
-            mute.bind(("127.0.0.1", 0))
-            mute.listen(0)
+        with socket.socket() as unresponsive, contextlib.ExitStack() as full:
+            unresponsive.bind(("127.0.0.1", 0))
+            unresponsive.listen(0)
             for _ in range(4):  # more than its queue takes: no further handshake is answered
                 waiting = full.enter_context(socket.socket())
                 waiting.setblocking(False)
-                waiting.connect_ex(mute.getsockname())
+                waiting.connect_ex(unresponsive.getsockname())
             silent = Box("s-00000002")
-            silent.port = mute.getsockname()[1]
-            async with platform(tmp_path, [edge, silent, origin]) as doorman:
-                found = [await doorman.ask(obj=f"{n:016x}", ttl=5000) for n in range(8)]
+            silent.port = unresponsive.getsockname()[1]
+            async with platform(tmp_path, [edge, silent, origin]) as router_process:
+                found = [await router_process.ask(obj=f"{n:016x}", ttl=5000) for n in range(8)]
                 assert [status for status, _, _ in found] == [200] * 8
-                found = [await doorman.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)]
+                found = [await router_process.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)]
                 assert [status for status, _, _ in found] == [200] * 8
         nursery.cancel_scope.cancel()
 
@@ -366,9 +366,9 @@
                 for known in SETTINGS["Classes"]
             ],
         }
-        async with platform(tmp_path, [edge, origin], settings=patient) as doorman:
+        async with platform(tmp_path, [edge, origin], settings=patient) as router_process:
             body = b"signed" * (cls == "sheet-submit")
-            assert (await doorman.ask(cls, body=body, ttl=2000 if alive else 20_000))[0] == status
+            assert (await router_process.ask(cls, body=body, ttl=2000 if alive else 20_000))[0] == status
             assert len(edge.asked) + len(origin.asked) == (2 if status == 200 else 1)
         nursery.cancel_scope.cancel()
 
@@ -378,9 +378,9 @@
     """What is open at a box stands on several connections: one that ends takes no more than its part."""
     async with trio.open_nursery() as nursery:
         boxes = [await box.open(nursery) for box in fleet(lambda asked: None)]
-        async with platform(tmp_path, boxes) as doorman, trio.open_nursery() as clients:
+        async with platform(tmp_path, boxes) as router_process, trio.open_nursery() as clients:
             for n in range(16):
-                clients.start_soon(doorman.ask, "video-parts", f"{n:016x}")
+                clients.start_soon(router_process.ask, "video-parts", f"{n:016x}")
                 await boxes[0].until(lambda n=n: len(boxes[0].asked) > n)  # type: ignore[misc]
             assert boxes[0].most < 12
             clients.cancel_scope.cancel()
@@ -395,12 +395,12 @@
         edge, origin = [await box.open(nursery) for box in fleet()]
         new = Box("s-00000005")
         new.port = edge.port
-        async with platform(tmp_path, [edge, origin], log) as doorman:
-            assert (await doorman.ask())[0] == 200
+        async with platform(tmp_path, [edge, origin], log) as router_process:
+            assert (await router_process.ask())[0] == 200
             await log.tell(2, 2, record(edge, 2) + record(new, 0))
             await log.cut()
             assert log.since == [1, 2]
-            assert (await doorman.ask())[0] == 200
+            assert (await router_process.ask())[0] == 200
             assert len(edge.asked) == 2 and not origin.asked
         nursery.cancel_scope.cancel()
 
@@ -412,7 +412,7 @@
         log = await Log().open(nursery)
         edge, origin = [await box.open(nursery) for box in fleet()]
         other = await Box("s-00000002").open(nursery)
-        async with platform(tmp_path, [edge, other, origin], log) as doorman:
+        async with platform(tmp_path, [edge, other, origin], log) as router_process:
             # The answer to a purge shows that the frames before it were taken in.
             await log.tell(2, 2, record(edge, 1))
             now = int(time.time() * 1000).to_bytes(8, "big")
@@ -420,13 +420,13 @@
             await log.cut()
             assert log.since == [1, 3]
             for n in range(12):
-                assert (await doorman.ask(obj=f"{n:016x}"))[0] == 200
+                assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
             assert not edge.asked and len(other.asked) == 12
-            await doorman.ask("video-parts", "7f3a9c21e0b4d655")
+            await router_process.ask("video-parts", "7f3a9c21e0b4d655")
             assert 0 < int(other.asked[-1].fields["within"]) < 6000
             await log.tell(4, 2, record(edge, 0) + record(other, 2))
             await log.cut()
-            assert (await doorman.ask())[0] == 200 and edge.asked
+            assert (await router_process.ask())[0] == 200 and edge.asked
         nursery.cancel_scope.cancel()
 
 
@@ -437,23 +437,23 @@
         log, other = await Log().open(nursery), await Log().open(nursery)
         edge, origin = [await box.open(nursery) for box in fleet()]
         path = tmp_path / "config.json"
-        async with platform(tmp_path, [edge, origin], log) as doorman:
+        async with platform(tmp_path, [edge, origin], log) as router_process:
             await log.tell(2, 2, record(edge, 0))
             await log.cut()
             good = path.read_bytes()
             path.write_bytes(good[:-1])
-            doorman.process.send_signal(signal.SIGHUP)
-            await doorman.says(b"the old configuration stays in force")
+            router_process.process.send_signal(signal.SIGHUP)
+            await router_process.says(b"the old configuration stays in force")
             edge.answer = lambda asked: None  # a request stays open meanwhile; its answer fails if it is lost
             async with trio.open_nursery() as client:
-                client.start_soon(doorman.ask)
+                client.start_soon(router_process.ask)
                 await edge.until(lambda: bool(edge.asked))
                 path.write_bytes(good.replace(str(log.port).encode(), str(other.port).encode()))
-                doorman.process.send_signal(signal.SIGHUP)
+                router_process.process.send_signal(signal.SIGHUP)
                 await other.tell(3, 2, record(edge, 1))
                 await other.cut()
             assert other.since == [2, 3] and log.since == [1, 2]
-            assert (await doorman.ask())[0] == 200
+            assert (await router_process.ask())[0] == 200
             assert len(edge.asked) == 1 and len(origin.asked) > 0
         nursery.cancel_scope.cancel()
 
@@ -470,10 +470,10 @@
         ]
         # However long the start takes, both purges still matter then.
         lasting = {"FamilyInfo": {**SETTINGS["FamilyInfo"], "GoneEverywhereS": 60.0}}
-        async with platform(tmp_path, boxes, purged=purges, settings=lasting) as doorman:
+        async with platform(tmp_path, boxes, purged=purges, settings=lasting) as router_process:
             for obj, purged in (("00000000000000aa", now - 500), ("00000000000000bb", now - 3000)):
                 seen = len(boxes[0].asked)
-                await doorman.ask("video-parts", obj)
+                await router_process.ask("video-parts", obj)
                 latest = time.time() * 1000 - purged
                 age = int(boxes[0].asked[seen].fields["within"])
                 # A purge known at the start may count as later by what the start took, never as earlier.
@@ -486,21 +486,21 @@
     """After SIGTERM it answers what still comes, finishes what it has taken, and exits 0."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await box.open(nursery) for box in fleet(lambda asked: None)]
-        async with platform(tmp_path, [edge, origin]) as doorman:
+        async with platform(tmp_path, [edge, origin]) as router_process:
             found: list[int] = []
 
             async def ask() -> None:
-                found.append((await doorman.ask())[0])
+                found.append((await router_process.ask())[0])
 
             async with trio.open_nursery() as clients:
                 clients.start_soon(ask)
                 await edge.until(lambda: bool(edge.asked))
-                doorman.process.send_signal(signal.SIGTERM)
+                router_process.process.send_signal(signal.SIGTERM)
                 edge.answer = data
                 clients.start_soon(ask)
                 await edge.until(lambda: len(edge.asked) > 1)
                 # The first one's client is served by the next attempt, or told that it failed: never cut off.
-            assert await doorman.process.wait() == 0
+            assert await router_process.process.wait() == 0
             assert 200 in found and len(found) == 2
         nursery.cancel_scope.cancel()
 
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -47,9 +47,9 @@
     """Where an epoll in an epoll is told nothing, the doorman would never hear of a client."""
     async with trio.open_nursery() as nursery:
         boxes = [await box.open(nursery) for box in (Box("s-00000001"), Box("s-00000009", "origin"))]
-        async with platform(tmp_path, boxes) as doorman:
-            assert (await doorman.ask())[0] == 200
-            assert nested(doorman.process.pid) == []
+        async with platform(tmp_path, boxes) as router_process:
+            assert (await router_process.ask())[0] == 200
+            assert nested(router_process.process.pid) == []
         nursery.cancel_scope.cancel()
 
 
@@ -57,13 +57,13 @@
 @with_trio
 async def test_wakes_for_sockets_tasks_and_signals(alone: bool) -> None:
     """A board that waits itself must not sleep through what trio's tasks are due for, nor a signal."""
-    board = Poller(16, alone)
+    poller = Poller(16, alone)
     ours, theirs = socket.socketpair()
     came: list[bytes] = []
-    board.add(ours.fileno(), lambda _: came.append(ours.recv(9)))
-    with SignalWatcher(board, signal.SIGUSR1) as told, trio.fail_after(20):
+    poller.add(ours.fileno(), lambda _: came.append(ours.recv(9)))
+    with SignalWatcher(poller, signal.SIGUSR1) as told, trio.fail_after(20):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(board.run)
+            nursery.start_soon(poller.run)
             start = time.monotonic()
             await trio.sleep(0.05)  # nothing is on any socket: only the task's own time ends the wait
             assert time.monotonic() - start < 10
@@ -80,7 +80,7 @@
 
 def test_what_was_ready_of_a_socket_that_ended_is_not_told_to_the_next_with_its_number() -> None:
     """A try to connect that took the number of a client's closed socket passed for one that had come up."""
-    board = Poller(16)
+    poller = Poller(16)
     pairs = [socket.socketpair() for _ in range(2)]
     told: list[str] = []
     fresh: list[socket.socket] = []
@@ -89,16 +89,16 @@
         told.append("old")
         other = pairs[1 - mine][0]
         number = other.fileno()
-        board.remove(number)
+        poller.remove(number)
         other.close()
         fresh.append(socket.socket())  # takes the lowest number free: that of the one just closed
         assert fresh[0].fileno() == number
-        board.add(number, lambda _: told.append("new"))
+        poller.add(number, lambda _: told.append("new"))
 
     for mine, (ours, theirs) in enumerate(pairs):
-        board.add(ours.fileno(), partial(lambda mine, _: end_the_other(mine), mine))
+        poller.add(ours.fileno(), partial(lambda mine, _: end_the_other(mine), mine))
         theirs.send(b"!")
-    board.turn()
+    poller.turn()
     assert told[:1] == ["old"] and told.count("old") == 1
     assert "new" not in told
     for sock in (*fresh, *(sock for pair in pairs for sock in pair)):
@@ -110,17 +110,17 @@
     """The handler that leaves in order stayed on, and whoever asked again had to wait for it."""
     async with trio.open_nursery() as nursery:
         origin = await Box("s-00000009", "origin").open(nursery)
-        mute = await Box("s-00000001", answer=lambda asked: None).open(nursery)
-        async with platform(tmp_path, [mute, origin]) as doorman:
-            client = await trio.open_tcp_stream("127.0.0.1", doorman.port)
+        unresponsive = await Box("s-00000001", answer=lambda asked: None).open(nursery)
+        async with platform(tmp_path, [unresponsive, origin]) as router_process:
+            client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
             await client.send_all(
                 b"GET /api/v2/video-parts/7f3a9c21e0b4d655/n-3 HTTP/1.1\r\nHost: a\r\n"
                 b"X-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 30000\r\nX-Shard: 1\r\n\r\n"
             )
-            while not mute.asked:
+            while not unresponsive.asked:
                 await trio.sleep(0.01)
-            doorman.process.send_signal(signal.SIGTERM)
+            router_process.process.send_signal(signal.SIGTERM)
             await trio.sleep(0.2)
-            doorman.process.send_signal(signal.SIGTERM)
-            assert await doorman.process.wait() == -signal.SIGTERM
+            router_process.process.send_signal(signal.SIGTERM)
+            assert await router_process.process.wait() == -signal.SIGTERM
         nursery.cancel_scope.cancel()
--- a/tests/test_portal_settings.py
+++ b/tests/test_portal_settings.py
@@ -27,14 +27,18 @@
 )
 from tests.router_harness import RouterHarness
 
-PAGE = RequestClass("page", aim=0.3, give_up=3.0, aim_stretch=2.0, late_worth=0.2, fresh=12.0)
-VIDEO = RequestClass("video", aim=0.6, give_up=6.0, aim_stretch=1.6, worth=2.0, in_parts=True)
+PAGE = RequestClass(
+    "page", latency_objective=0.3, time_limit=3.0, objective_stretch=2.0, late_value=0.2, fresh_for=12.0
+)
+VIDEO = RequestClass(
+    "video", latency_objective=0.6, time_limit=6.0, objective_stretch=1.6, value_weight=2.0, in_parts=True
+)
 SUBMIT = RequestClass(
     "submit",
-    aim=0.6,
-    give_up=3.0,
-    worth=3.0,
-    effect=Idempotency.IDEMPOTENT_WITH_KEY,
+    latency_objective=0.6,
+    time_limit=3.0,
+    value_weight=3.0,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
     repeat_window=6.0,
     uncached=True,
 )
@@ -51,16 +55,16 @@
         "location": location,
         "locations": ZONES,
         "classes": (VIDEO, PAGE, SUBMIT),
-        "gateways": 4,
+        "router_count": 4,
         "hub_of": (0, 1, 2, 0, 1, 2),
-        "seats": (0, 0, 0, 2, 1, 1),
+        "routers_by_location": (0, 0, 0, 2, 1, 1),
         "pace_kb_per_s": PACE,
         "edge_cold": EDGE_COLD,
         "parent_cold": PARENT_COLD,
         "max_hold_off": 0.5,
-        "direct": False,
-        "siblings": SiblingSources.ANY,
-        "notes": CacheStatusReporting.SILENT,
+        "may_bypass_caches": False,
+        "sibling_sources": SiblingSources.ANY,
+        "status_reporting": CacheStatusReporting.SILENT,
     }
     return told | changes
 
@@ -97,7 +101,7 @@
             self.work_off(at)
             number = next(self.order)
             self.born[f"q{number}"] = at
-            give_up = PAGE.give_up if cls == "page" else VIDEO.give_up
+            give_up = PAGE.time_limit if cls == "page" else VIDEO.time_limit
             arrival = Arrival(f"q{number}", give_up, cls, f"o{number}", size_kb=size_kb)
             self.take(self.harness.router.handle(arrival, at))
         self.work_off(until)
@@ -128,15 +132,15 @@
         self.sent.append((self.harness.now, fetch))
         number = self.number[fetch.request_id] = self.number.get(fetch.request_id, -1) + 1
         # All objects are new, so whoever is asked only for what it holds has nothing, if it answers at all.
-        wait, verdict = (LOOK, AttemptResult.MISS) if fetch.source == fetch.server else self.end(fetch)
-        if fetch.held_only and verdict is AttemptResult.OK:
-            wait, verdict = LOOK, AttemptResult.MISS
+        wait, result = (LOOK, AttemptResult.MISS) if fetch.source == fetch.server else self.end(fetch)
+        if fetch.only_if_cached and result is AttemptResult.OK:
+            wait, result = LOOK, AttemptResult.MISS
         if wait > fetch.timeout:
-            wait, verdict = fetch.timeout, AttemptResult.TIMEOUT
-        ok = verdict is AttemptResult.OK
+            wait, result = fetch.timeout, AttemptResult.TIMEOUT
+        ok = result is AttemptResult.OK
         if ok:
             self.ended.append((self.born[fetch.request_id], "served"))
-        outcome = Outcome(fetch.request_id, number, fetch.server, verdict, wait, ok, CacheStatus.UNKNOWN)
+        outcome = Outcome(fetch.request_id, number, fetch.server, result, wait, ok, CacheStatus.UNKNOWN)
         self.post(self.harness.now + wait, outcome)
 
     def share(self, since: float, until: float) -> float:
@@ -182,7 +186,7 @@
 @pytest.mark.parametrize("role", ["edge", "parent"])
 def test_without_its_cold_budget_it_is_pushed_over(monkeypatch: pytest.MonkeyPatch, role: str) -> None:
     """The fault that the check must find: a server that started is used as if it were warm."""
-    monkeypatch.setattr(Router, "_cold_room", lambda self, server, now: math.inf)
+    monkeypatch.setattr(Router, "_slow_start_capacity", lambda self, server, now: math.inf)
     assert overload(role, 2.0) > 1.0
 
 
@@ -206,7 +210,7 @@
 
 
 @pytest.mark.parametrize(
-    ("verdict", "wait"),
+    ("result", "wait"),
     [
         (AttemptResult.FULL, 0.02),  # it can't be reached: said at once
         (AttemptResult.ERROR, 0.03),  # it fails fast
@@ -216,7 +220,7 @@
 )
 @pytest.mark.parametrize("share", [1.0, 0.6])
 def test_a_hub_that_is_lost_hands_its_fills_to_the_next(
-    verdict: AttemptResult, wait: float, share: float
+    result: AttemptResult, wait: float, share: float
 ) -> None:
     """The branch is served by the next hub's parent within seconds, and no cache is shut for it."""
     branch = Branch()
@@ -225,7 +229,7 @@
 
     def end(fetch: Fetch) -> tuple[float, AttemptResult]:
         lost = fetch.source == "parent-0" and branch.random.random() < share
-        return (wait, verdict) if lost else (PAGE_WORK, AttemptResult.OK)
+        return (wait, result) if lost else (PAGE_WORK, AttemptResult.OK)
 
     branch.end = end  # type: ignore[method-assign]
     branch.run(130.0)
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -28,7 +28,7 @@
 from brackenlane.net.http_codec import RequestParser
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
-from brackenlane.net.request_codec import read_ask
+from brackenlane.net.request_codec import read_request
 from brackenlane.routing.actions import Action, Fetch
 from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus, Event, Membership, Outcome
 from tests.stand_ins import (
@@ -101,7 +101,7 @@
     assert reading
     settings, _ = read_settings(SETTINGS)
     classes = {c.name: c for c in settings.classes}
-    return read_ask(reading, classes, Limits(), "q0", 100.0).arrival
+    return read_request(reading, classes, Limits(), "q0", 100.0).arrival
 
 
 # Clients to the router
@@ -266,9 +266,9 @@
 ) -> None:
     """Worded without the request's being read: the time to stay away is bounded, and whole milliseconds."""
     settings, _ = read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})
-    door = HttpFront(RequestEngine(settings, 1, Limits(), lambda _: False), Limits(), Poller(1))
-    monkeypatch.setattr(door.admission, "hold_off", lambda now: waits)
-    head = door._refusal(time.time()).partition(b"\r\n\r\n")[0].decode()
+    front = HttpFront(RequestEngine(settings, 1, Limits(), lambda _: False), Limits(), Poller(1))
+    monkeypatch.setattr(front.admission, "hold_off", lambda now: waits)
+    head = front._refusal(time.time()).partition(b"\r\n\r\n")[0].decode()
     lines = dict(line.split(": ") for line in head.split("\r\n")[1:])
     assert int(lines["Retry-After"]) >= 1
     assert ("X-Throttle-Ms" in lines) is told
@@ -280,11 +280,11 @@
     limits = Limits()
     settings = [read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})[0] for most in (0.04, 0.02)]
     core = RequestEngine(settings[0], 1, limits, lambda _: False)
-    door = HttpFront(core, limits, Poller(1))
-    assert b"X-Throttle-Ms: 40\r\n" in door._refusal(time.time())
-    core.adopt(settings[1], 1, limits, 0.0, None)
-    door.adopt(limits)
-    assert b"X-Throttle-Ms: 20\r\n" in door._refusal(time.time())
+    front = HttpFront(core, limits, Poller(1))
+    assert b"X-Throttle-Ms: 40\r\n" in front._refusal(time.time())
+    core.reconfigure(settings[1], 1, limits, 0.0, None)
+    front.reconfigure(limits)
+    assert b"X-Throttle-Ms: 20\r\n" in front._refusal(time.time())
 
 
 @pytest.mark.parametrize(
@@ -335,9 +335,12 @@
         (replace(ATTEMPT, source=PARENT), {"miss": PARENT}),
         *[(replace(ATTEMPT, keep=rank), {"prio": str(rank)}) for rank in (1, 2, 3)],
         (replace(ATTEMPT, join=True), {"f": "coalesce"}),
-        (replace(ATTEMPT, renew=True), {"f": "freshen"}),
-        (replace(ATTEMPT, held_only=True), {"f": "shallow"}),
-        (replace(ATTEMPT, join=True, renew=True, held_only=True), {"f": "coalesce+shallow+freshen"}),
+        (replace(ATTEMPT, revalidate=True), {"f": "freshen"}),
+        (replace(ATTEMPT, only_if_cached=True), {"f": "shallow"}),
+        (
+            replace(ATTEMPT, join=True, revalidate=True, only_if_cached=True),
+            {"f": "coalesce+shallow+freshen"},
+        ),
     ],
 )
 @pytest.mark.parametrize(
@@ -385,7 +388,7 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "note"),
+    ("word", "cache_status"),
     [
         ("hit", CacheStatus.HIT),
         ("filled", CacheStatus.FILLED),
@@ -401,10 +404,10 @@
         ("", CacheStatus.UNKNOWN),
     ],
 )
-def test_detail(word: str, note: CacheStatus) -> None:
+def test_detail(word: str, cache_status: CacheStatus) -> None:
     """Each word has the number that the simulator gives it; none, and one not known, tell nothing."""
-    assert answered(f"detail={word}").note is note
-    assert list(CacheStatus).index(note) == note.value
+    assert answered(f"detail={word}").cache_status is cache_status
+    assert list(CacheStatus).index(cache_status) == cache_status.value
 
 
 @pytest.mark.parametrize(
@@ -418,16 +421,16 @@
 
 
 @pytest.mark.parametrize(
-    ("verdict", "told"),
+    ("result", "told"),
     [
-        (AttemptResult.OK, {"note": CacheStatus.FILLED_BY_ORIGIN, "delay": 0.07}),
-        (AttemptResult.ERROR, {"note": CacheStatus.SOURCE_FAILED, "delay": 0.09}),
+        (AttemptResult.OK, {"cache_status": CacheStatus.FILLED_BY_ORIGIN, "delay": 0.07}),
+        (AttemptResult.ERROR, {"cache_status": CacheStatus.SOURCE_FAILED, "delay": 0.09}),
         (AttemptResult.OK, {"report": (("inflight", 3.0), ("x0", 0.5))}),
         (AttemptResult.FULL, {"report": (("inflight", 9.0),)}),
     ],
 )
 def test_what_an_answer_tells_reaches_the_module(
-    monkeypatch: pytest.MonkeyPatch, verdict: AttemptResult, told: dict[str, Any]
+    monkeypatch: pytest.MonkeyPatch, result: AttemptResult, told: dict[str, Any]
 ) -> None:
     """Cache status, time waited for the source and load report, with every verdict."""
     settings, _ = read_settings({**SETTINGS, **site()})
@@ -446,10 +449,10 @@
     core = RequestEngine(settings, 1, Limits(), place)
     monkeypatch.setattr(core._router, "handle", decide)
     core.submit(PendingRequest(Arrival("q0", 1.0, "video-parts", "7f3a9c21e0b4d655"), time.time() + 1.0))
-    core.report(placed[0], AttemptReply(verdict, 0.1, **told))
+    core.report(placed[0], AttemptReply(result, 0.1, **told))
     [outcome] = heard
-    assert (outcome.verdict, outcome.wait) == (verdict, 0.1)
-    assert outcome.note is told.get("note", CacheStatus.UNKNOWN)
+    assert (outcome.result, outcome.wait) == (result, 0.1)
+    assert outcome.cache_status is told.get("cache_status", CacheStatus.UNKNOWN)
     assert outcome.first_byte == told.get("delay", 0.0) and outcome.report == told.get("report", ())
 
 
--- a/tests/test_purge_wave.py
+++ b/tests/test_purge_wave.py
@@ -39,7 +39,7 @@
         load=0.6,
         tells=tells,
         origin_falls=True,
-        direct=False,
+        may_bypass_caches=False,
         purges_per_second=0.0,
         troubles=(Trouble(TroubleKind.PURGE_GROUPS, PURGE_AT, 1.0, part=0.5),),
     )
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -68,10 +68,10 @@
     path.write_bytes(orjson.dumps(raw))
 
 
-async def put(doorman: Program, cls: str) -> int:
+async def put(router_process: Program, cls: str) -> int:
     """A write of any class."""
     told = {"X-Txn": "7" * 16, "X-Ttl-Ms": "1500", "X-Shard": "1"}
-    return (await doorman.send("PUT", f"/api/v2/{cls}/7f3a9c21e0b4d655/n-0", told, b"signed"))[0]
+    return (await router_process.send("PUT", f"/api/v2/{cls}/7f3a9c21e0b4d655/n-0", told, b"signed"))[0]
 
 
 @with_trio
@@ -81,31 +81,33 @@
         held: list[Asked] = []
         edge, origin = await fleet(nursery)
         log, path = await Log().open(nursery), tmp_path / "config.json"
-        async with platform(tmp_path, [edge, origin], log) as doorman:
-            assert (await doorman.ask())[0] == 200 and await put(doorman, "sheet-submit") == 200
+        async with platform(tmp_path, [edge, origin], log) as router_process:
+            assert (await router_process.ask())[0] == 200 and await put(router_process, "sheet-submit") == 200
             edge.answer = lambda asked: held.append(asked)
             found: list[int] = []
 
             async def ask() -> None:
-                found.append((await doorman.ask())[0])
+                found.append((await router_process.ask())[0])
 
             async with trio.open_nursery() as clients:
                 clients.start_soon(ask)
                 await edge.until(lambda: bool(held))
                 replaced(path, settings=OTHERS)
-                doorman.process.send_signal(signal.SIGHUP)
-                await doorman.says(b"other settings hold")
+                router_process.process.send_signal(signal.SIGHUP)
+                await router_process.says(b"other settings hold")
                 edge.answer = data
-                assert (await doorman.ask())[0] == 404 and await put(doorman, "sheet-submit") == 404
-                assert (await doorman.ask("plates"))[0] == 200
+                assert (await router_process.ask())[0] == 404 and await put(
+                    router_process, "sheet-submit"
+                ) == 404
+                assert (await router_process.ask("plates"))[0] == 200
                 assert edge.asked[-1].fields["queue"] == "plates"
                 assert int(edge.asked[-1].fields["budget"]) <= 2000
                 await edge.say(held[0].link, data(held[0]))
             assert found == [200]
             # An id whose submit may have run stays known whatever the settings.
-            assert await put(doorman, "filing") == 409
+            assert await put(router_process, "filing") == 409
             assert len([a for box in (edge, origin) for a in box.asked if a.id == "7" * 16]) == 1
-            assert (await doorman.send("GET", "/-/healthy", {}))[0] == 200
+            assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
         nursery.cancel_scope.cancel()
 
 
@@ -130,21 +132,23 @@
     async with trio.open_nursery() as nursery:
         edge, origin = await fleet(nursery)
         log, path = await Log().open(nursery), tmp_path / "config.json"
-        async with platform(tmp_path, [edge, origin], log) as doorman:
+        async with platform(tmp_path, [edge, origin], log) as router_process:
             raw = orjson.loads(path.read_bytes())
             path.write_bytes(orjson.dumps({**raw, "changelog": f"127.0.0.1:{free_port()}", **change}))
-            doorman.process.send_signal(signal.SIGHUP)
-            await doorman.says(b"the old configuration stays in force")
-            assert said in doorman.said
-            assert (await doorman.ask("plates"))[0] == 404 and (await doorman.ask())[0] == 200
+            router_process.process.send_signal(signal.SIGHUP)
+            await router_process.says(b"the old configuration stays in force")
+            assert said in router_process.said
+            assert (await router_process.ask("plates"))[0] == 404 and (await router_process.ask())[0] == 200
             await log.cut()  # it comes back to the old address
         nursery.cancel_scope.cancel()
 
 
 def test_nothing_learned_or_promised_under_old_settings_is_left() -> None:
     """Widths, blame and budgets begin anew; an old request keeps its rules and gets no cold box."""
-    old = RequestClass("a", aim=0.5, give_up=5.0, effect=Idempotency.NON_IDEMPOTENT, uncached=True)
-    new = RequestClass("a", aim=0.1, give_up=1.0)
+    old = RequestClass(
+        "a", latency_objective=0.5, time_limit=5.0, idempotency=Idempotency.NON_IDEMPOTENT, uncached=True
+    )
+    new = RequestClass("a", latency_objective=0.1, time_limit=1.0)
     now = time.time()
     placed: list[Attempt] = []
 
@@ -152,14 +156,18 @@
         placed.append(attempt)
         return True
 
-    core = RequestEngine(Settings("here", ("here",), (old,), direct=True, max_attempts=4), 1, Limits(), place)
+    core = RequestEngine(
+        Settings("here", ("here",), (old,), may_bypass_caches=True, max_attempts=4), 1, Limits(), place
+    )
     core.post(Membership(MembershipKind.FULL, (Member("box", "here"), Member("other", "here"))))
     core.post(Purged("thing", -1, 0.5))
     first = core._router
     first.servers["box"].width, first.servers["box"].ejected_until = 9.0, now + 60
     ask = PendingRequest(Arrival("q", 4.0, "a", "thing", is_write=True), now + 4.0, "1" * 16)
     core.submit(ask)
-    core.adopt(Settings("here", ("here",), (new,), direct=True, max_attempts=4), 1, Limits(), 0.0, None)
+    core.reconfigure(
+        Settings("here", ("here",), (new,), may_bypass_caches=True, max_attempts=4), 1, Limits(), 0.0, None
+    )
     assert core._router is not first and {s.width for s in core._router.servers.values()} == {0.0}
     assert not any(s.ejected_until for s in core._router.servers.values())
     assert core._router.purges.keys() == {"thing"}
@@ -171,9 +179,9 @@
     core.report(
         placed[0], AttemptReply(AttemptResult.ERROR, 0.1)
     )  # by the class of now it could be tried again
-    assert len(placed) == 1 and ask.over and not core._earlier
+    assert len(placed) == 1 and ask.is_finished and not core._earlier
     for _ in range(9):  # with no request in hand, settings that follow one another leave nothing behind
-        core.adopt(core.settings, 1, Limits(), 0.0, None)
+        core.reconfigure(core.settings, 1, Limits(), 0.0, None)
     assert not core._earlier
 
 
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -75,13 +75,13 @@
 
 
 @contextlib.asynccontextmanager
-async def still(doorman: Program) -> AsyncIterator[None]:
+async def still(router_process: Program) -> AsyncIterator[None]:
     """The doorman stands still, and finds all that was done meanwhile at once."""
-    doorman.process.send_signal(signal.SIGSTOP)
+    router_process.process.send_signal(signal.SIGSTOP)
     try:
         yield
     finally:
-        doorman.process.send_signal(signal.SIGCONT)
+        router_process.process.send_signal(signal.SIGCONT)
 
 
 @dataclass
@@ -108,27 +108,27 @@
 @contextlib.contextmanager
 def late_listener() -> Iterator[Late]:
     """A port where no handshake is answered until its queue is emptied."""
-    with socket.socket() as mute, contextlib.ExitStack() as full:
-        mute.bind(("127.0.0.1", 0))
-        mute.listen(0)
+    with socket.socket() as unresponsive, contextlib.ExitStack() as full:
+        unresponsive.bind(("127.0.0.1", 0))
+        unresponsive.listen(0)
         waiting = [full.enter_context(socket.socket()) for _ in range(4)]
         for sock in waiting:
             sock.setblocking(False)
-            sock.connect_ex(mute.getsockname())
+            sock.connect_ex(unresponsive.getsockname())
 
         def empty() -> socket.socket:
             for sock in waiting:
                 sock.close()
-            mute.listen(16)
+            unresponsive.listen(16)
             while True:
-                found, _ = mute.accept()
+                found, _ = unresponsive.accept()
                 found.settimeout(10)
                 if found.getpeername()[1] not in ports:
                     return found
                 found.close()
 
         ports = {sock.getsockname()[1] for sock in waiting}
-        yield Late(mute.getsockname()[1], ports, empty)
+        yield Late(unresponsive.getsockname()[1], ports, empty)
 
 
 @with_trio
@@ -137,19 +137,19 @@
     classes = [{**c, "GiveUpS": 2.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
         boxes = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: None)
-        async with platform(tmp_path, boxes, probe=True, settings={"Classes": classes}) as doorman:
+        async with platform(tmp_path, boxes, probe=True, settings={"Classes": classes}) as router_process:
             async with trio.open_nursery() as clients:
                 found: list[int] = []
 
                 async def ask() -> None:
-                    found.append((await doorman.ask(ttl=20_000))[0])
+                    found.append((await router_process.ask(ttl=20_000))[0])
 
                 clients.start_soon(ask)
                 await boxes[0].until(lambda: bool(boxes[0].asked))
-                doorman.process.send_signal(signal.SIGTERM)
+                router_process.process.send_signal(signal.SIGTERM)
                 with trio.move_on_after(2.7):
-                    assert await doorman.process.wait() == 0
-                doorman.process.kill()
+                    assert await router_process.process.wait() == 0
+                router_process.process.kill()
             assert found == [503]
         nursery.cancel_scope.cancel()
 
@@ -160,12 +160,12 @@
     """Request, what may come behind it, and the client's end stand unread together: no box hears of it."""
     async with trio.open_nursery() as nursery:
         boxes = await fleet(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, boxes) as doorman:
-            await doorman.ask()  # a connection to the box is up
-            async with still(doorman):
-                with socket.create_connection(("127.0.0.1", doorman.port)) as client:
+        async with platform(tmp_path, boxes) as router_process:
+            await router_process.ask()  # a connection to the box is up
+            async with still(router_process):
+                with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                     client.sendall(request("1" * 16) + more)
-            assert (await doorman.ask(txn="3" * 16))[0] == 200
+            assert (await router_process.ask(txn="3" * 16))[0] == 200
             ids = [asked.id for box in boxes for asked in box.asked]
             assert ids[1:] == ["3" * 16]
         nursery.cancel_scope.cancel()
@@ -184,21 +184,21 @@
 
         heard = trio.Event()
         boxes = await fleet(nursery, EDGE, OTHER, ORIGIN)
-        async with platform(tmp_path, boxes) as doorman:
+        async with platform(tmp_path, boxes) as router_process:
             for n in range(8):  # connections are up
-                await doorman.ask(obj=f"{n:016x}")
+                await router_process.ask(obj=f"{n:016x}")
             for box in boxes:
                 box.answer = hold
-            with socket.create_connection(("127.0.0.1", doorman.port)) as client:
+            with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                 client.sendall(request("1" * 16))
                 await heard.wait()
                 holder = next(box for box in boxes if first[0] in box.asked)
-                async with still(doorman):
+                async with still(router_process):
                     client.close()
                     await holder.say(first[0].link, data(first[0], b"", "failed"))
             for box in boxes:
                 box.answer = data
-            assert (await doorman.ask(txn="3" * 16))[0] == 200
+            assert (await router_process.ask(txn="3" * 16))[0] == 200
             assert [asked.id for box in boxes for asked in box.asked].count("1" * 16) == 1
         nursery.cancel_scope.cancel()
 
@@ -214,12 +214,12 @@
             slow.port = late.port
             async with platform(
                 tmp_path, [slow, origin], settings=limits(Cancel=cancel, DialTimeoutS=8.0)
-            ) as doorman:
-                gone = await trio.open_tcp_stream("127.0.0.1", doorman.port)
+            ) as router_process:
+                gone = await trio.open_tcp_stream("127.0.0.1", router_process.port)
                 await gone.send_all(request("1" * 16))
-                stays = await trio.open_tcp_stream("127.0.0.1", doorman.port)
+                stays = await trio.open_tcp_stream("127.0.0.1", router_process.port)
                 await stays.send_all(request("2" * 16).replace(b"3000", b"9000"))
-                await doorman.ask("sheet-submit", body=b"x", ttl=300)  # both have been read by now
+                await router_process.ask("sheet-submit", body=b"x", ttl=300)  # both have been read by now
                 await late.tried()
                 await gone.aclose()
                 box = await trio.to_thread.run_sync(late.empty)
@@ -246,11 +246,11 @@
 
     async with trio.open_nursery() as nursery:
         boxes = await fleet(nursery, ORIGIN, answer=answer)
-        async with platform(tmp_path, boxes) as doorman:
-            status, _, _ = await doorman.ask("sheet-submit", body=b"signed")
+        async with platform(tmp_path, boxes) as router_process:
+            status, _, _ = await router_process.ask("sheet-submit", body=b"signed")
             assert len(runs) == 1 and status == 200
-            await doorman.ask("sheet-submit", body=b"signed")  # answered twice, for nothing
-            await doorman.says(b"a box answers a second time")
+            await router_process.ask("sheet-submit", body=b"signed")  # answered twice, for nothing
+            await router_process.says(b"a box answers a second time")
         nursery.cancel_scope.cancel()
 
 
@@ -276,9 +276,9 @@
             ended.set()
 
         boxes = await fleet(nursery, EDGE, answer=answer)
-        async with platform(tmp_path, boxes, settings={"Classes": classes}) as doorman:
-            assert (await doorman.ask(txn="1" * 16, ttl=400))[0] in (503, 504)
-            assert (await doorman.ask(ttl=900))[0] == 200  # not behind what drips
+        async with platform(tmp_path, boxes, settings={"Classes": classes}) as router_process:
+            assert (await router_process.ask(txn="1" * 16, ttl=400))[0] in (503, 504)
+            assert (await router_process.ask(ttl=900))[0] == 200  # not behind what drips
             await ended.wait()
         nursery.cancel_scope.cancel()
 
@@ -302,12 +302,12 @@
             slow.port = late.port
             async with platform(
                 tmp_path, [edge, slow, origin], settings={**limits(DialTimeoutS=8.0), "Classes": classes}
-            ) as doorman:
+            ) as router_process:
                 status, heard = 0, b""
 
                 async def ask() -> None:
                     nonlocal status
-                    asked = doorman.ask("sheet-submit", obj, b"signed", ttl=8000, X_Txn_Key="2" * 16)
+                    asked = router_process.ask("sheet-submit", obj, b"signed", ttl=8000, X_Txn_Key="2" * 16)
                     status = (await asked)[0]
 
                 async with trio.open_nursery() as client:
@@ -330,15 +330,15 @@
         edge, other, origin = await fleet(nursery, EDGE, OTHER, ORIGIN)
         log = Log()
         log.port = free_port()
-        async with platform(tmp_path, [edge, other, origin], log, files=64) as doorman:
-            resting = [await trio.open_tcp_stream("127.0.0.1", doorman.port) for _ in range(80)]
-            doorman.said.clear()
-            await doorman.says(b"change log")  # it was tried while they rest
+        async with platform(tmp_path, [edge, other, origin], log, files=64) as router_process:
+            resting = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(80)]
+            router_process.said.clear()
+            await router_process.says(b"change log")  # it was tried while they rest
             await log.open(nursery)
             await log.tell(2, 2, record(edge, 1) + record(other, 0))
             await log.cut()  # what was told has been taken in
             assert log.since[-1] == 2
-            assert [(await doorman.ask(obj=f"{n:016x}"))[0] for n in range(8)] == [200] * 8
+            assert [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(8)] == [200] * 8
             assert not edge.asked and other.asked
             for stream in resting:
                 await stream.aclose()
@@ -352,21 +352,23 @@
     patient = [{**c, "TargetS": 20.0, "GiveUpS": 25.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
         boxes = await fleet(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, boxes, settings={"Classes": patient}) as doorman:
-            await doorman.ask()
-            doorman.process.send_signal(signal.SIGTERM)
-            await doorman.says(b"leaves")
+        async with platform(tmp_path, boxes, settings={"Classes": patient}) as router_process:
+            await router_process.ask()
+            router_process.process.send_signal(signal.SIGTERM)
+            await router_process.says(b"leaves")
             with contextlib.ExitStack() as clients:
-                async with still(doorman):
+                async with still(router_process):
                     asked = []
                     for n in range(40):
-                        client = clients.enter_context(socket.create_connection(("127.0.0.1", doorman.port)))
+                        client = clients.enter_context(
+                            socket.create_connection(("127.0.0.1", router_process.port))
+                        )
                         client.sendall(request(f"{n:016x}").replace(b"3000", b"25000"))
                         asked.append(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
                     await trio.sleep(Limits().leaving)  # by the doorman's clock it is time to shut
                 found = [await stream.receive_some(12) for stream in asked]
             assert found == [b"HTTP/1.1 200"] * 40
-            assert await doorman.process.wait() == 0
+            assert await router_process.process.wait() == 0
         nursery.cancel_scope.cancel()
 
 
@@ -376,10 +378,10 @@
     classes = [{**c, "GiveUpS": 1.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
         boxes = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: None)
-        async with platform(tmp_path, boxes, probe=True, settings={"Classes": classes}) as doorman:
-            whole, half = [await trio.open_tcp_stream("127.0.0.1", doorman.port) for _ in range(2)]
-            doorman.process.send_signal(signal.SIGTERM)
-            await doorman.says(b"leaves")
+        async with platform(tmp_path, boxes, probe=True, settings={"Classes": classes}) as router_process:
+            whole, half = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(2)]
+            router_process.process.send_signal(signal.SIGTERM)
+            await router_process.says(b"leaves")
             text = request("1" * 16).replace(b"3000", b"9000")
             await half.send_all(text[:40])
             await whole.send_all(text.replace(b"1" * 16, b"2" * 16))
@@ -387,7 +389,7 @@
             asked = sum(len(box.asked) for box in boxes)
             await half.send_all(text[40:])
             assert (await half.receive_some(12)) == b"HTTP/1.1 503"
-            assert await doorman.process.wait() == 0
+            assert await router_process.process.wait() == 0
             assert sum(len(box.asked) for box in boxes) == asked
         nursery.cancel_scope.cancel()
 
@@ -403,8 +405,8 @@
     core = RequestEngine(
         Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, limits, lambda _: False
     )
-    board = Poller(limits.batch)
-    door = HttpFront(core, limits, board)
+    poller = Poller(limits.batch)
+    front = HttpFront(core, limits, poller)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         peer = socket.create_connection(listener.getsockname())
         mine, _ = listener.accept()
@@ -421,24 +423,24 @@
                 raise
 
     with peer:
-        door._admit(Crossed(fileno=mine.detach()))
+        front._admit(Crossed(fileno=mine.detach()))
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
-        while not door._waiting[ClientState.NEXT]:
-            board.turn()
-        [client] = door._waiting[ClientState.NEXT]
+        while not front._waiting[ClientState.NEXT]:
+            poller.turn()
+        [client] = front._waiting[ClientState.NEXT]
         if how == "leave":
-            door.leave()
+            front.leave()
         else:
             client.expire()
         found = b""
         while got := peer.recv(4096):  # no reset
             found += got
         assert found.startswith(b"HTTP/1.1 503") and found.count(b"HTTP/1.1") == 1
-        board.turn()
-        assert not core.open_asks  # what came after the end is not sent on
+        poller.turn()
+        assert not core.open_request_count  # what came after the end is not sent on
         peer.close()
         while client.open:
-            board.turn()
+            poller.turn()
 
 
 @with_trio
@@ -446,9 +448,9 @@
     """Two megabytes come behind a request in hand: none is kept, the one answer is given, then the end."""
     async with trio.open_nursery() as nursery:
         (edge,) = await fleet(nursery, EDGE, answer=lambda asked: None)
-        async with platform(tmp_path, [edge]) as doorman:
-            before = resident(doorman)
-            async with await trio.open_tcp_stream("127.0.0.1", doorman.port) as client:
+        async with platform(tmp_path, [edge]) as router_process:
+            before = resident(router_process)
+            async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                 await client.send_all(request("1" * 16))
                 await edge.until(lambda: bool(edge.asked))
                 await client.send_all(request("2" * 16) * 16_000)  # 2.2 MB: read, or this does not end
@@ -460,16 +462,16 @@
             assert got.startswith(b"HTTP/1.1 200") and b"Connection: close" in got
             assert got.count(b"HTTP/1.1") == 1 and got.endswith(b"bytes")
             edge.answer = data
-            assert (await doorman.ask())[0] == 200
+            assert (await router_process.ask())[0] == 200
             assert [asked.id for asked in edge.asked].count("2" * 16) == 0
-            assert resident(doorman) - before < 1_000_000
-            assert doorman.said.count(b"sends on and on behind its request") == 1
+            assert resident(router_process) - before < 1_000_000
+            assert router_process.said.count(b"sends on and on behind its request") == 1
         nursery.cancel_scope.cancel()
 
 
-def resident(doorman: Program) -> int:
+def resident(router_process: Program) -> int:
     """Bytes of memory (proc(5))."""
-    pages = int(Path(f"/proc/{doorman.process.pid}/statm").read_text().split()[1])
+    pages = int(Path(f"/proc/{router_process.process.pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
@@ -478,10 +480,10 @@
     """Each of two hundred spoilt answers is no line of its own; how many were not told is."""
     async with trio.open_nursery() as nursery:
         boxes = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: data(asked, issued="soon"))
-        async with platform(tmp_path, boxes) as doorman:
+        async with platform(tmp_path, boxes) as router_process:
             for n in range(200):
-                await doorman.ask(obj=f"{n:016x}", ttl=300)
-            told = doorman.said.count(b"answered with what can't be served")
+                await router_process.ask(obj=f"{n:016x}", ttl=300)
+            told = router_process.said.count(b"answered with what can't be served")
             assert sum(len(box.asked) for box in boxes) >= 200 and 0 < told <= 100
         nursery.cancel_scope.cancel()
 
@@ -522,16 +524,16 @@
     async with trio.open_nursery() as nursery:
         boxes = await fleet(nursery, EDGE)
         log = await SlowLog(4.0, boxes).open(nursery)
-        async with platform(tmp_path, [], log, known=False) as doorman:
+        async with platform(tmp_path, [], log, known=False) as router_process:
             with trio.fail_after(10):
-                await ready(doorman)
-            assert (await doorman.ask())[0] == 200 and len(log.since) == 2
+                await ready(router_process)
+            assert (await router_process.ask())[0] == 200 and len(log.since) == 2
         nursery.cancel_scope.cancel()
 
 
-async def ready(doorman: Program) -> None:
+async def ready(router_process: Program) -> None:
     """Wait until it says so."""
-    while (await doorman.send("GET", "/-/healthy", {}))[0] != 200:
+    while (await router_process.send("GET", "/-/healthy", {}))[0] != 200:
         await trio.sleep(0.05)
 
 
@@ -547,12 +549,12 @@
             port = free_port()
             for life in range(2):
                 begun = trio.current_time()
-                async with platform(folder, [], log, known=False, port=port) as doorman:
-                    await ready(doorman)
+                async with platform(folder, [], log, known=False, port=port) as router_process:
+                    await ready(router_process)
                     if life:
                         in_time.append(trio.current_time() - begun < 10)
-                    doorman.process.send_signal(signal.SIGTERM)
-                    assert await doorman.process.wait() == 0
+                    router_process.process.send_signal(signal.SIGTERM)
+                    assert await router_process.process.wait() == 0
 
         async with trio.open_nursery() as starts:
             for place in range(10):
@@ -567,16 +569,16 @@
     """Half a head, then the end or a reset: nothing is sent on, and the next client is served."""
     async with trio.open_nursery() as nursery:
         boxes = await fleet(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, boxes) as doorman:
+        async with platform(tmp_path, boxes) as router_process:
             for reset in (False, True):
-                with socket.create_connection(("127.0.0.1", doorman.port)) as client:
+                with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                     client.sendall(request("1" * 16)[:-2])
                     if reset:
                         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            assert (await doorman.ask(txn="3" * 16))[0] == 200
+            assert (await router_process.ask(txn="3" * 16))[0] == 200
             assert [asked.id for box in boxes for asked in box.asked] == ["3" * 16]
-            assert (await doorman.ask("no-such-class"))[0] == 404
-            await doorman.says(b"a request that can't be served: no such class or object")
+            assert (await router_process.ask("no-such-class"))[0] == 404
+            await router_process.says(b"a request that can't be served: no such class or object")
         nursery.cancel_scope.cancel()
 
 
@@ -587,18 +589,18 @@
     body = bytes(range(256)) * 937
     async with trio.open_nursery() as nursery:
         boxes = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: data(asked, body))
-        async with platform(tmp_path, boxes) as doorman:
+        async with platform(tmp_path, boxes) as router_process:
             for n in range(1, 9):
                 with socket.socket() as client:
                     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                    client.connect(("127.0.0.1", doorman.port))
+                    client.connect(("127.0.0.1", router_process.port))
                     client.sendall(request(f"{n:016x}"))
                     one = trio.socket.from_stdlib_socket(client.dup())
                     assert (await one.recv(100)).startswith(b"HTTP/1.1 200")
                     one.close()
                     if reset:
                         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                assert (await doorman.ask())[2] == body
+                assert (await router_process.ask())[2] == body
         nursery.cancel_scope.cancel()
 
 
@@ -613,12 +615,12 @@
         with late_listener() as late:
             slow.port = late.port
             listed = [slow, parent, origin] if how == "source" else [slow, origin]
-            async with platform(tmp_path, listed, log, settings=limits(DialTimeoutS=8.0)) as doorman:
+            async with platform(tmp_path, listed, log, settings=limits(DialTimeoutS=8.0)) as router_process:
                 found: list[int] = []
 
                 async def ask() -> None:
                     ttl = 400 if how == "time" else 6000
-                    found.append((await doorman.ask(txn="1" * 16, ttl=ttl))[0])
+                    found.append((await router_process.ask(txn="1" * 16, ttl=ttl))[0])
 
                 async with trio.open_nursery() as client:
                     client.start_soon(ask)
@@ -649,8 +651,8 @@
     async with trio.open_nursery() as nursery:
         names = [f"s-000001{n:02x}" for n in range(24)]
         boxes = await fleet(nursery, *names, ORIGIN)
-        async with platform(tmp_path, boxes, files=64) as doorman:
-            found = [(await doorman.ask(obj=f"{n:016x}"))[0] for n in range(200)]
+        async with platform(tmp_path, boxes, files=64) as router_process:
+            found = [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(200)]
             assert found == [200] * 200 and all(box.asked for box in boxes[:-1])
             assert sum(box.links for box in boxes) > 30
         nursery.cancel_scope.cancel()
@@ -661,11 +663,11 @@
     """The settings tell after how long a box closes them; we close sooner, and ask on a new one."""
     async with trio.open_nursery() as nursery:
         (edge,) = await fleet(nursery, EDGE)
-        async with platform(tmp_path, [edge], settings=limits(KeepaliveS=0.6)) as doorman:
-            assert (await doorman.ask())[0] == 200
+        async with platform(tmp_path, [edge], settings=limits(KeepaliveS=0.6)) as router_process:
+            assert (await router_process.ask())[0] == 200
             with trio.fail_after(5):
                 await edge.until(lambda: edge.ended == 1)
-            assert (await doorman.ask())[0] == 200 and edge.links == 2
+            assert (await router_process.ask())[0] == 200 and edge.links == 2
         nursery.cancel_scope.cancel()
 
 
@@ -674,12 +676,12 @@
     """The box ends what rests in the moment in which a submit comes: it goes by another, and runs once."""
     async with trio.open_nursery() as nursery:
         (origin,) = await fleet(nursery, ORIGIN)
-        async with platform(tmp_path, [origin]) as doorman:
+        async with platform(tmp_path, [origin]) as router_process:
             for n in range(1, 6):
-                assert (await doorman.ask("sheet-submit", body=b"signed"))[0] == 200
+                assert (await router_process.ask("sheet-submit", body=b"signed"))[0] == 200
                 text = request(f"{n:016x}", "sheet-submit").replace(b"GET", b"PUT")
-                async with await trio.open_tcp_stream("127.0.0.1", doorman.port) as client:
-                    async with still(doorman):
+                async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
+                    async with still(router_process):
                         await origin.end(origin.links)
                         await client.send_all(text[:-2] + b"Content-Length: 6\r\n\r\nsigned")
                     assert (await client.receive_some(12)) == b"HTTP/1.1 200"
@@ -693,14 +695,14 @@
     async with trio.open_nursery() as nursery:
         edge, origin = await fleet(nursery, EDGE, ORIGIN)
         log = await Log().open(nursery)
-        async with platform(tmp_path, [edge, origin], log) as doorman:
+        async with platform(tmp_path, [edge, origin], log) as router_process:
             await log.tell(2, 0, b"")
             while len(log.since) < 2:
                 log.news = trio.Event()
                 await log.news.wait()
             await log.tell(3, 2, record(edge, 1))
             await log.cut()
-            assert log.since[-1] == 3 and (await doorman.ask())[0] == 200 and not edge.asked
+            assert log.since[-1] == 3 and (await router_process.ask())[0] == 200 and not edge.asked
         nursery.cancel_scope.cancel()
 
 
@@ -713,11 +715,11 @@
         slow = Box(EDGE)
         with late_listener() as late:
             slow.port = late.port
-            async with platform(tmp_path, [slow], log, settings=limits(DialTimeoutS=8.0)) as doorman:
+            async with platform(tmp_path, [slow], log, settings=limits(DialTimeoutS=8.0)) as router_process:
                 found: list[int] = []
 
                 async def ask() -> None:
-                    found.append((await doorman.ask())[0])
+                    found.append((await router_process.ask())[0])
 
                 async with trio.open_nursery() as client:
                     client.start_soon(ask)
@@ -732,12 +734,15 @@
     """The system lets us open no more: a request is refused, not cut off; the box is asked once it does."""
     async with trio.open_nursery() as nursery:
         (edge,) = await fleet(nursery, EDGE)
-        async with platform(tmp_path, [edge]) as doorman:
-            client = await trio.open_tcp_stream("127.0.0.1", doorman.port)
+        async with platform(tmp_path, [edge]) as router_process:
+            client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
             health = b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n"
             await client.send_all(health)
             assert (await client.receive_some(100)).startswith(b"HTTP/1.1 200")
-            process, open_now = doorman.process.pid, len(os.listdir(f"/proc/{doorman.process.pid}/fd"))
+            process, open_now = (
+                router_process.process.pid,
+                len(os.listdir(f"/proc/{router_process.process.pid}/fd")),
+            )
             usual = resource.prlimit(process, resource.RLIMIT_NOFILE)
             resource.prlimit(process, resource.RLIMIT_NOFILE, (open_now, usual[1]))
             await client.send_all(request("1" * 16))
@@ -753,8 +758,8 @@
     """A connection takes bytes again: the next in turn is out of time, and what follows from that is written
     there in part, in the midst of the turn. In one process, since the order is that of calls."""
     settings = Settings("here", ("here",), (RequestClass("a", 0.5, 9.0, uncached=True),))
-    limits, board, fleet_, now = Limits(), Poller(512), MembershipView(settings), time.time()
-    fleet_.hear(Membership(MembershipKind.FULL, (Member("box", "here"),)), now)
+    limits, poller, fleet_, now = Limits(), Poller(512), MembershipView(settings), time.time()
+    fleet_.apply(Membership(MembershipKind.FULL, (Member("box", "here"),)), now)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         mine = socket.socket()
         mine.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
@@ -774,7 +779,7 @@
         return DispatchedAttempt(Attempt(ask, 0, Fetch(name, "box", left, "box"), now), report)
 
     link = CacheConnection(
-        mine, board, fleet_, limits, False, lambda _: None, lambda _: None, ConnectionQuota(9)
+        mine, poller, fleet_, limits, False, lambda _: None, lambda _: None, ConnectionQuota(9)
     )
     link.send(slot("x", 9.0))  # more than the connection takes at once
     link.send(slot("y", -1.0, lambda: link.send(slot("z", 9.0))))
@@ -784,7 +789,7 @@
         while not got.endswith(b"z" * 2_000_000 + b"\r\n"):
             with contextlib.suppress(BlockingIOError):
                 got += peer.recv(65_536)
-            board.turn()
+            poller.turn()
             assert time.time() < now + 8, f"{len(got)} bytes came"
         assert ended == ["y"] and got.count(b"GET ") == 2
         assert b"x" * 2_000_000 + b"\r\nGET z " in got
@@ -799,28 +804,28 @@
     core = RequestEngine(
         Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, Limits(), lambda _: False
     )
-    board = Poller(512)
-    door = HttpFront(core, Limits(), board)
+    poller = Poller(512)
+    front = HttpFront(core, Limits(), poller)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         peer = socket.create_connection(listener.getsockname())
         mine, _ = listener.accept()
     with peer:
         mine.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        door._admit(mine)
-        [client] = door._waiting[ClientState.FIRST]
+        front._admit(mine)
+        [client] = front._waiting[ClientState.FIRST]
         client.wait(ClientState.NOT)
         client._room = Limits().head
         client.answer((200, {}, bytes(8_000_000)))
-        assert client in door._waiting[ClientState.TAKE]
+        assert client in front._waiting[ClientState.TAKE]
         peer.sendall(b"x" * 20_000)
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n" * 1000)
         peer.setblocking(False)
         got, end, latest = b"", False, time.time() + 20
         while not end:
             assert time.time() < latest, f"{got.count(b'HTTP/1.1')} answers"
-            board.turn()
+            poller.turn()
             with contextlib.suppress(BlockingIOError):
                 more = peer.recv(1_000_000)
                 got, end = got + more, not more
         assert got.count(b"HTTP/1.1") == 1 and len(got) > 8_000_000
-        door.board.remove(mine.fileno())
+        front.poller.remove(mine.fileno())
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -87,14 +87,14 @@
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, origin = [await box.open(nursery) for box in fleet()]
-        async with platform(tmp_path, [edge, origin], log, flow=100_000.0) as doorman:
+        async with platform(tmp_path, [edge, origin], log, flow=100_000.0) as router_process:
             for _ in range(3):
-                assert (await doorman.ask())[::2] == (200, b"bytes")
-            assert (await doorman.ask(If_None_Match='"e1"'))[::2] == (304, b"")
+                assert (await router_process.ask())[::2] == (200, b"bytes")
+            assert (await router_process.ask(If_None_Match='"e1"'))[::2] == (304, b"")
             assert len(edge.asked) == 1
             purged = int(time.time() * 1000).to_bytes(8, "big")
             await log.tell(2, 3, bytes.fromhex("7f3a9c21e0b4d655") + purged)
             await log.cut()
-            assert (await doorman.ask())[0] == 200
+            assert (await router_process.ask())[0] == 200
             assert len(edge.asked) == 2
         nursery.cancel_scope.cancel()
--- a/tests/test_routing_settings.py
+++ b/tests/test_routing_settings.py
@@ -17,12 +17,12 @@
         ({"location": "nowhere"}, "location"),
         ({"classes": ()}, "classes"),
         ({"classes": (VIDEO, VIDEO)}, "classes"),
-        ({"gateways": 0}, "gateways"),
+        ({"router_count": 0}, "router_count"),
         ({"tick": 0.0}, "tick"),
-        ({"purge_done": math.nan}, "purge_done"),
+        ({"purge_propagation_time": math.nan}, "purge_propagation_time"),
         ({"hub_of": (0,)}, "hub_of"),
         ({"hub_of": (9, 9, 9, 9)}, "hub_of"),
-        ({"seats": (0, 0, 0, -1)}, "seats"),
+        ({"routers_by_location": (0, 0, 0, -1)}, "routers_by_location"),
         ({"max_attempts": 0}, "max_attempts"),
         ({"pace_kb_per_s": "fast"}, "pace_kb_per_s"),
     ],
@@ -33,10 +33,10 @@
 
 
 def test_classes_and_cold_starts() -> None:
-    with pytest.raises(ValueError, match="aim"):
-        RequestClass("video", aim=0.0, give_up=1.0)
-    with pytest.raises(ValueError, match="fresh"):
-        RequestClass("video", aim=1.0, give_up=1.0, fresh=-1.0)
+    with pytest.raises(ValueError, match="latency_objective"):
+        RequestClass("video", latency_objective=0.0, time_limit=1.0)
+    with pytest.raises(ValueError, match="fresh_for"):
+        RequestClass("video", latency_objective=1.0, time_limit=1.0, fresh_for=-1.0)
     for wrong in ({"share": 0.0}, {"share": 1.5}, {"ramp": -1.0}, {"factor": 0.0}, {"span": 0.0}):
         with pytest.raises(ValueError, match="cold"):
             SlowStart(**wrong)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -34,29 +34,29 @@
 
 
 def keyed(scope: Scope) -> RequestClass:
-    return replace(VIDEO, effect=Idempotency.IDEMPOTENT_WITH_KEY, scope=scope, repeat_window=1.0)
+    return replace(VIDEO, idempotency=Idempotency.IDEMPOTENT_WITH_KEY, scope=scope, repeat_window=1.0)
 
 
-@pytest.mark.parametrize("verdict", [AttemptResult.BROKEN, AttemptResult.TIMEOUT, AttemptResult.ERROR])
-def test_unsafe_effect_is_never_sent_again_once_it_may_have_run(verdict: AttemptResult) -> None:
-    harness = RouterHarness(classes=(replace(VIDEO, effect=Idempotency.NON_IDEMPOTENT),))
-    actions = harness.end(only(harness.ask(), Fetch), verdict)
+@pytest.mark.parametrize("result", [AttemptResult.BROKEN, AttemptResult.TIMEOUT, AttemptResult.ERROR])
+def test_unsafe_effect_is_never_sent_again_once_it_may_have_run(result: AttemptResult) -> None:
+    harness = RouterHarness(classes=(replace(VIDEO, idempotency=Idempotency.NON_IDEMPOTENT),))
+    actions = harness.end(only(harness.ask(), Fetch), result)
     assert only(actions, Fail) and not every(actions, Fetch) and not every(actions, Reject)
 
 
-@pytest.mark.parametrize("verdict", [AttemptResult.BROKEN, AttemptResult.TIMEOUT, AttemptResult.ERROR])
+@pytest.mark.parametrize("result", [AttemptResult.BROKEN, AttemptResult.TIMEOUT, AttemptResult.ERROR])
 def test_keyed_effect_without_its_key_is_never_sent_again_once_it_may_have_run(
-    verdict: AttemptResult,
+    result: AttemptResult,
 ) -> None:
     """No cache can drop the repeat."""
     harness = RouterHarness(classes=(keyed(Scope.ALL),))
-    assert only(harness.end(only(harness.ask(), Fetch), verdict), Fetch)
-    actions = harness.end(only(harness.ask(has_key=False), Fetch), verdict)
+    assert only(harness.end(only(harness.ask(), Fetch), result), Fetch)
+    actions = harness.end(only(harness.ask(has_idempotency_key=False), Fetch), result)
     assert only(actions, Fail) and not every(actions, Fetch) and not every(actions, Reject)
 
 
 def test_unsafe_effect_may_go_elsewhere_when_it_never_ran() -> None:
-    harness = RouterHarness(classes=(replace(VIDEO, effect=Idempotency.NON_IDEMPOTENT),))
+    harness = RouterHarness(classes=(replace(VIDEO, idempotency=Idempotency.NON_IDEMPOTENT),))
     first = only(harness.ask(), Fetch)
     assert only(harness.end(first, AttemptResult.UNREACHABLE), Fetch).server != first.server
 
@@ -101,36 +101,38 @@
 @pytest.mark.parametrize(("role", "hub_locations"), [("edge", 1), ("parent", 1), ("parent", 6)])
 def test_cold_server_is_not_pushed_over_and_not_shut_for_its_ramp(role: str, hub_locations: int) -> None:
     """All gateways together stay under the rule; half-way up the ramp the server has some work again."""
-    depots = [f"depot-{n}" for n in range(hub_locations)] + ["elsewhere"]
+    pools = [f"depot-{n}" for n in range(hub_locations)] + ["elsewhere"]
     hubs = (0, 1, 2, *[0] * hub_locations, 1)
     harnesses = [
         RouterHarness(
             [replace(m, zone=depot if m.zone == "depot" else m.zone) for m in members()],
             seed=n,
             location=depot,
-            locations=("hub-a", "hub-b", "hub-c", *depots),
+            locations=("hub-a", "hub-b", "hub-c", *pools),
             hub_of=hubs,
-            seats=(0, 0, 0, *[5] * len(depots)),
-            gateways=5 * len(depots),
+            seats=(0, 0, 0, *[5] * len(pools)),
+            router_count=5 * len(pools),
         )
-        for depot in depots
+        for depot in pools
         for n in range(5)
     ]
     spent: list[tuple[float, float]] = []
-    rule = harnesses[0].router.s.edge_cold if role == "edge" else harnesses[0].router.s.parent_cold
+    rule = (
+        harnesses[0].router.settings.edge_cold if role == "edge" else harnesses[0].router.settings.parent_cold
+    )
     cold = [replace(m, started_at=100.0) for m in members() if m.server == f"{role}-0"]
     weight = cold[0].weight
     for harness in harnesses:
         harness.now = 100.0
-        harness.tell([replace(cold[0], zone=harness.router.s.location)] if role == "edge" else cold)
+        harness.tell([replace(cold[0], zone=harness.router.settings.location)] if role == "edge" else cold)
     watched = harnesses if role == "parent" else harnesses[:5]  # each location has an edge cache of its own
     for n in range(500):
         for harness in watched:
             harness.now += 0.04
-            fetch = harness.serve(f"o{n}", note=CacheStatus.FILLED)
+            fetch = harness.serve(f"o{n}", cache_status=CacheStatus.FILLED)
             if f"{role}-0" in (fetch.server, fetch.source):
                 assert (
-                    role == "edge" or harness.router.s.location != "elsewhere"
+                    role == "edge" or harness.router.settings.location != "elsewhere"
                 )  # its own hub's gateways alone
                 spent.append((harness.now, 0.4))
         now = watched[0].now
@@ -163,13 +165,13 @@
     cold = Member("edge-0", "depot", started_at=100.0)
     harnesses = [
         RouterHarness(
-            [*members()[1:], cold], seed=n, gateways=40, seats=(0, 0, 0, sharers), weights_told=False
+            [*members()[1:], cold], seed=n, router_count=40, seats=(0, 0, 0, sharers), weights_known=False
         )
         for n in range(sharers)
     ]
     for harness in harnesses:
-        harness.now, harness.router.cold.narrow = 100.0, 40.0
-    rule, spent = harnesses[0].router.s.edge_cold, []
+        harness.now, harness.router.slow_start_budget.narrow = 100.0, 40.0
+    rule, spent = harnesses[0].router.settings.edge_cold, []
     for n in range(4000):
         harness = harnesses[n % sharers]
         harness.now = 100.0 + n / 200
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -306,20 +306,27 @@
 def test_all_that_is_told_is_read() -> None:
     """Each value comes to its own place."""
     found = read_settings(WITH_HUBS)
-    assert found.classes[0].late_worth == 0.25 and found.classes[0].in_parts
-    assert found.classes[1].fresh == 12.0 and found.classes[1].grace == 45.0
-    assert found.classes[1].stale_worth == 0.4 and not found.classes[1].uncached
+    assert found.classes[0].late_value == 0.25 and found.classes[0].in_parts
+    assert found.classes[1].fresh_for == 12.0 and found.classes[1].grace == 45.0
+    assert found.classes[1].stale_value == 0.4 and not found.classes[1].uncached
     votes = found.classes[2]
-    assert (votes.effect, votes.scope, votes.repeat_window) == (
+    assert (votes.idempotency, votes.scope, votes.repeat_window) == (
         Idempotency.IDEMPOTENT_WITH_KEY,
         Scope.ZONE,
         2.0,
     )
     assert votes.uncached and not votes.in_parts
-    assert (found.gateway, found.gateways, found.hub_of, found.seats) == (1, 5, (0, 1, 0, 1), (0, 1, 2, 2))
+    assert (found.router_index, found.router_count, found.hub_of, found.routers_by_location) == (
+        1,
+        5,
+        (0, 1, 0, 1),
+        (0, 1, 2, 2),
+    )
     assert found.edge_cold == SlowStart(0.22, 16.0, 3.5, 1.5)
     assert found.parent_cold == SlowStart(0.12, 14.0, 2.5, 1.5)
-    assert found.weights_told and not found.must_ask and found.siblings is SiblingSources.LOCATION
+    assert (
+        found.weights_known and not found.must_subscribe and found.sibling_sources is SiblingSources.LOCATION
+    )
     assert (found.probe_price, found.max_hold_off, found.streams) == (0.02, 2.5, 64)
     assert (found.tick, found.keepalive, found.link_kb_per_s[2]) == (0.004, 25.0, 52000.0)
     assert kind_roles(WITH_HUBS) == {"relay": Role.PARENT, "vault": Role.ORIGIN}
@@ -407,21 +414,21 @@
     raw = changed(WITH_HUBS, *edits)
     told = read_settings(raw)
     assert told.may_probe is (("Limits", "MayProbe") not in [path for path, _ in edits])
-    assert Limits().suited(told).quiet > 0
+    assert Limits().suited(told).idle_probe_after > 0
     assert asked(started(raw, ("north",)), "films").server.startswith("edge-")
 
 
 def test_aim_beyond_the_deadline_is_the_deadline() -> None:
     """No answer comes after the deadline, so an aim beyond it is in effect the deadline."""
     raw = changed(WITH_HUBS, (("Classes", 1, "TargetS"), 3600))
-    assert read_settings(raw).classes[1].aim == 2.0
+    assert read_settings(raw).classes[1].latency_objective == 2.0
     assert Limits().suited(read_settings(raw)).longest_wait >= 2.0
     assert asked(started(raw, ("north",)), "maps").timeout <= 1.5
 
 
 def test_class_without_aim_stretch() -> None:
     """The key may be absent: the aim does not grow with the request."""
-    assert read_settings(WITHOUT_HUBS).classes[0].aim_stretch == 0.0
+    assert read_settings(WITHOUT_HUBS).classes[0].objective_stretch == 0.0
     raw = changed(WITH_HUBS, (("Classes", 0, "AimStretch"), DELETED))
     assert asked(started(raw, ("north",)), "films").server.startswith("edge-")
 
@@ -458,7 +465,9 @@
     )
     absent = read_settings(changed(WITH_HUBS, *[(info(name), DELETED) for name in names]))
     assert absent == read_settings(changed(WITH_HUBS, *[(info(name), []) for name in names]))
-    assert absent.hub_of == absent.seats == () and not any(cls.uncached for cls in absent.classes)
+    assert absent.hub_of == absent.routers_by_location == () and not any(
+        cls.uncached for cls in absent.classes
+    )
 
 
 def test_whole_numbers_may_be_written_as_fractions() -> None:
@@ -529,15 +538,15 @@
             for fetch in fetches:
                 attempt = attempts.get(fetch.request_id, -1) + 1
                 attempts[fetch.request_id] = attempt
-                verdict = next(verdicts)
+                result = next(verdicts)
                 wait = dice.choice((0.001, 0.2, 0.8))
                 ended = Outcome(
                     fetch.request_id,
                     attempt,
                     fetch.server,
-                    verdict,
+                    result,
                     wait,
-                    verdict is AttemptResult.OK,
+                    result is AttemptResult.OK,
                     dice.choice(list(CacheStatus)),
                     size_kb=size,
                 )
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -66,7 +66,7 @@
     tries: list[tuple[float, int]] = []
 
     def __init__(
-        self, endpoint: Any, board: Any, timers: Any, timeout: float, then: Any, keep: bool = True
+        self, endpoint: Any, poller: Any, timers: Any, timeout: float, then: Any, keep: bool = True
     ) -> None:
         self._timers, self._then = timers, then
 
@@ -166,9 +166,9 @@
             location=place,
             locations=("hub-a", *LOCATIONS),
             hub_of=(0,) * 34,
-            gateways=sum(self.seats),
+            router_count=sum(self.seats),
             seats=(0, *self.seats),
-            weights_told=False,
+            weights_known=False,
             classes=(VIDEO,),
         )
         harness.tell(
@@ -180,10 +180,10 @@
             MembershipKind.REMEMBERED,
         )
         if not self.shares:  # the fault that the check must find
-            budget = harness.router.cold
-            harness.router.seats = budget.seats = 1.0
-            budget.mates = budget.mates[:1]
-            budget.mates[0].me = Member("", place, weight=1.0)
+            budget = harness.router.slow_start_budget
+            harness.router.local_router_count = budget.local_router_count = 1.0
+            budget.peer_locations = budget.peer_locations[:1]
+            budget.peer_locations[0].member = Member("", place, weight=1.0)
         return harness
 
     def run(self, until: float, rate: float = 250.0) -> str:
@@ -193,7 +193,7 @@
             [harness] = self.random.choices(self.harnesses, self.load)
             harness.now = self.now
             for fetch in every(harness.ask(f"o{self.random.randrange(9999)}"), Fetch):
-                harness.end(fetch, note=CacheStatus.FILLED)
+                harness.end(fetch, cache_status=CacheStatus.FILLED)
                 for name in {fetch.server, fetch.source} & self.spent.keys():
                     if self.now >= self.started[name]:
                         self.spent[name].append(self.now)
@@ -236,7 +236,7 @@
     where nothing is told, and gateways restart, two or three a second, and forget what they have sent.
     """
     draw = random.Random(1)
-    cls = RequestClass("c", aim=aim, give_up=8.0, aim_stretch=2.0, in_parts=work > 0.3)
+    cls = RequestClass("c", latency_objective=aim, time_limit=8.0, objective_stretch=2.0, in_parts=work > 0.3)
     sizes = [work * draw.lognormvariate(-0.18, 0.6) for _ in range(3000)]
     cold, now, restart, told = Member("edge-0", "depot", weight=weight, started_at=100.0), 90.0, 100.5, False
     others = [m for m in members(edges=4) if m.server != "edge-0"]
@@ -246,9 +246,9 @@
             [*others, *[cold] * told],
             seed,
             now,
-            gateways=known,
+            router_count=known,
             seats=(0, 0, 0, known),
-            weights_told=False,
+            weights_known=False,
             classes=(cls,),
         )
 
@@ -315,7 +315,7 @@
     for start, now in ((90.0, 104.0), (104.3, 104.4)):
         for seed in range(6):
             harness = RouterHarness(
-                members()[1:], seed, start, gateways=6, seats=(0, 0, 0, 6), weights_told=False
+                members()[1:], seed, start, router_count=6, seats=(0, 0, 0, 6), weights_known=False
             )
             harness.now = now
             harness.tell([cold])
--- a/tests/test_simulated_caches.py
+++ b/tests/test_simulated_caches.py
@@ -27,13 +27,32 @@
 from brackenlane.routing.settings import Idempotency, RequestClass, SlowStart
 
 VIDEO = RequestClass(
-    "video", aim=0.5, give_up=6.0, aim_stretch=2.0, worth=2.0, late_worth=0.15, in_parts=True
+    "video",
+    latency_objective=0.5,
+    time_limit=6.0,
+    objective_stretch=2.0,
+    value_weight=2.0,
+    late_value=0.15,
+    in_parts=True,
+)
+PAGE = RequestClass(
+    "page",
+    latency_objective=0.3,
+    time_limit=2.5,
+    objective_stretch=2.0,
+    fresh_for=8.0,
+    grace=20.0,
+    stale_value=0.5,
 )
-PAGE = RequestClass("page", aim=0.3, give_up=2.5, aim_stretch=2.0, fresh=8.0, grace=20.0, stale_worth=0.5)
 SUBMIT = RequestClass(
-    "submit", aim=0.8, give_up=3.0, worth=3.0, effect=Idempotency.NON_IDEMPOTENT, uncached=True
+    "submit",
+    latency_objective=0.8,
+    time_limit=3.0,
+    value_weight=3.0,
+    idempotency=Idempotency.NON_IDEMPOTENT,
+    uncached=True,
 )
-KEYED = replace(SUBMIT, effect=Idempotency.IDEMPOTENT_WITH_KEY, repeat_window=0.05)
+KEYED = replace(SUBMIT, idempotency=Idempotency.IDEMPOTENT_WITH_KEY, repeat_window=0.05)
 
 
 def site(write: RequestClass = SUBMIT, **changes: Any) -> Site:
@@ -60,7 +79,7 @@
 
 def verdicts(record: Record) -> set[AttemptResult]:
     """All outcomes that were seen."""
-    return {ended.verdict for ended in record.ended}
+    return {ended.result for ended in record.ended}
 
 
 def test_worth_falls_after_the_aim_and_with_stale_copies() -> None:
@@ -84,7 +103,7 @@
     record = play(day, PlainPolicy)
     assert len(record.operations) > 200 and worth(record) > 0.95
     assert invariants.violations(day, record) == {}
-    notes = {ended.note for ended in record.ended}
+    notes = {ended.cache_status for ended in record.ended}
     assert {CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN} <= notes
 
 
@@ -173,7 +192,7 @@
 ) -> None:
     strikes = trouble(TroubleKind.FAST_ERRORS, parents=True, size=0.9)
     play(site(tells=tells, troubles=(strikes,), load=0.8), listener)
-    seen = {outcome.note for outcome in listener.outcomes}
+    seen = {outcome.cache_status for outcome in listener.outcomes}
     assert seen <= notes | {CacheStatus.UNKNOWN} and len(seen) >= min(3, len(notes))
 
 
@@ -189,10 +208,10 @@
 
 
 def test_a_streamed_answer_outlasts_its_deadline() -> None:
-    load = ClassLoad(replace(VIDEO, give_up=0.5), 0.5, 2.0, objects=50, streamed=True)
+    load = ClassLoad(replace(VIDEO, time_limit=0.5), 0.5, 2.0, objects=50, streamed=True)
     record = play(site(classes=(load,)), PlainPolicy)
     late = [r for r in record.ended if r.at > record.requests[r.request_id].deadline + 0.1]
-    assert any(ended.verdict is AttemptResult.OK for ended in late) and not record.overdue
+    assert any(ended.result is AttemptResult.OK for ended in late) and not record.overdue
 
 
 # Policies with one fault each, and the check that finds it.
@@ -249,7 +268,11 @@
 
     def _outcome(self, event: Outcome, now: float) -> list[Action]:
         request = self._requests.get(event.request_id)
-        if request and event.verdict is AttemptResult.ERROR and request.cls.effect is Idempotency.IDEMPOTENT:
+        if (
+            request
+            and event.result is AttemptResult.ERROR
+            and request.cls.idempotency is Idempotency.IDEMPOTENT
+        ):
             request.tried = []
             return self._send(request, now)
         return super()._outcome(event, now)
@@ -321,8 +344,8 @@
         ),
         (Refuser, "no_repeated_writes", ERRORS),
         (Stubborn, "attempts_bounded", {**ERRORS, "max_attempts": 3}),
-        (Doubler, "attempts_bounded", {"second_copies": False}),
-        (Straight, "servers_allowed", {"direct": False}),
+        (Doubler, "attempts_bounded", {"may_hedge": False}),
+        (Straight, "servers_allowed", {"may_bypass_caches": False}),
         (Stranger, "servers_allowed", {}),
         (Neighbour, "servers_allowed", {}),
         (Inventive, "servers_allowed", {}),
@@ -363,7 +386,7 @@
 
         def _arrive(self, ask: Arrival, now: float) -> list[Action]:
             fetches = [a for a in super()._arrive(ask, now) if isinstance(a, Fetch)]
-            return [Fail(ask.request_id)] if self._settings.gateway else [Fail(ask.request_id), *fetches]
+            return [Fail(ask.request_id)] if self._settings.router_index else [Fail(ask.request_id), *fetches]
 
     day = site()
     assert list(invariants.violations(day, play(day, Late))) == ["answered_once"]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -231,8 +231,8 @@
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     ledger = _ledger(config, Limits())
     assert isinstance(ledger, HandoverLog)
-    assert ledger.book.serving == {ledger.me: False}
-    assert ledger.book.out == {"s-00000001": 1_700_000_000.25}
-    assert ledger.book.submits == {"txn-1": "0a1b2c3d"}
+    assert ledger.index.serving == {ledger.me: False}
+    assert ledger.index.out == {"s-00000001": 1_700_000_000.25}
+    assert ledger.index.submits == {"txn-1": "0a1b2c3d"}
     assert set(os.listdir(folder)) == {"ledger", "starting", f"life.{ledger.me}"}
     ledger.close()
--- a/tests/test_unresponsive_caches.py
+++ b/tests/test_unresponsive_caches.py
@@ -28,7 +28,7 @@
     for n in range(20):
         harness.now += 0.5
         harness.serve(f"o{n}")
-    back = [s for s in harness.router.servers.values() if s.me.server.startswith("edge")]
+    back = [s for s in harness.router.servers.values() if s.member.server.startswith("edge")]
     assert not any(s.ejected_until for s in back) and all(s.born == 2.0 for s in back)
 
 
@@ -80,6 +80,9 @@
 @pytest.mark.parametrize(("price", "quiet"), [(0.0, 0.2), (0.011, 0.2), (0.05, 0.8), (0.9, 3.0)])
 def test_a_dear_probe_waits_for_what_comes_for_nothing(price: float, quiet: float) -> None:
     """Each silent connection was asked after one aim: where waits are longer, a probe for every request."""
-    classes = (RequestClass("a", aim=0.2, give_up=6.0), RequestClass("b", aim=0.5, give_up=2.0))
+    classes = (
+        RequestClass("a", latency_objective=0.2, time_limit=6.0),
+        RequestClass("b", latency_objective=0.5, time_limit=2.0),
+    )
     told = Limits().suited(settings(classes=classes, may_probe=True, probe_price=price))
-    assert told.quiet == pytest.approx(quiet) and told.quiet <= told.mute == 3.0
+    assert told.idle_probe_after == pytest.approx(quiet) and told.idle_probe_after <= told.unresponsive == 3.0
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -14,7 +14,12 @@
 from tests.stand_ins import SETTINGS
 
 SUBMIT = RequestClass(
-    "submit", aim=0.8, give_up=3.0, worth=3.0, effect=Idempotency.NON_IDEMPOTENT, uncached=True
+    "submit",
+    latency_objective=0.8,
+    time_limit=3.0,
+    value_weight=3.0,
+    idempotency=Idempotency.NON_IDEMPOTENT,
+    uncached=True,
 )
 FLEET = [
     Member("edge-0", "depot"),
@@ -26,14 +31,14 @@
 @pytest.mark.parametrize(("word", "told"), [("silent", False), ("nominal", True)])
 def test_read(word: str, told: bool) -> None:
     """The settings say whether weights mean anything."""
-    assert settings_codec.read_settings({**SETTINGS, "Weights": word}).weights_told is told
+    assert settings_codec.read_settings({**SETTINGS, "Weights": word}).weights_known is told
 
 
 @pytest.mark.parametrize(("told", "sent"), [(False, True), (True, False)])
 @pytest.mark.parametrize("cls", ["submit", "video"])
 def test_untold_weight(cls: str, told: bool, sent: bool) -> None:
     """A weight of 1 that tells nothing must not pass for a cache whose link bears one transfer."""
-    harness = RouterHarness(FLEET, weights_told=told, classes=(VIDEO, SUBMIT))
+    harness = RouterHarness(FLEET, weights_known=told, classes=(VIDEO, SUBMIT))
     found = [
         action
         for n in range(6)
@@ -53,7 +58,7 @@
 )
 def test_learned_width(seen: float, wait: float, wider: bool) -> None:
     """A link that bears more than is assumed must not be kept for a few: that refuses others for nothing."""
-    harness = RouterHarness(FLEET, weights_told=False, classes=(VIDEO, SUBMIT))
+    harness = RouterHarness(FLEET, weights_known=False, classes=(VIDEO, SUBMIT))
     crowds = []
     for _ in range(6):
         crowd = [f for n in range(100) for f in every(harness.ask(f"o{n}", size_kb=0.0), Fetch)]
@@ -80,7 +85,7 @@
 def test_cold_budget_of_learned_width(learned: bool) -> None:
     """A cache that starts where links have proved wide is not kept idle on the budget of an assumed one."""
     late = Member("edge-1", "depot", started_at=90.0)
-    harness = RouterHarness([*FLEET, late], weights_told=False, classes=(VIDEO, SUBMIT))
+    harness = RouterHarness([*FLEET, late], weights_known=False, classes=(VIDEO, SUBMIT))
     harness.now = 100.0
     harness.router.servers["edge-0"].width = 40.0
     if learned:
@@ -98,13 +103,13 @@
         )
     cold, plain = harness.router.servers["edge-1"], 4.0 * MARGIN * (0.18 + 0.82 * 10 / 18)
     cold.tokens = TokenBucket(0.0)
-    room = harness.router._cold_room(cold, harness.now)
+    room = harness.router._slow_start_capacity(cold, harness.now)
     assert room == pytest.approx(3 * plain * (5.0 if learned else 1.0))
 
 
 def test_sizes_are_learned_by_object_and_means_by_the_first_answers() -> None:
     """A guess of a quarter aim, mended by 2% an arrival, was a third of the truth for 10 s and more."""
-    harness = RouterHarness(classes=(VIDEO, TILES), weights_told=False)
+    harness = RouterHarness(classes=(VIDEO, TILES), weights_known=False)
     for n in range(12):
         fetch = only(harness.ask(f"o{n}", size_kb=0.0, part=0), Fetch)
         harness.router.handle(
@@ -122,11 +127,11 @@
         )
     assert harness.router.sizes.means["video"] == pytest.approx(0.4, rel=0.25)  # 1,600 KB at 4,000 a second
     harness.ask("o0", size_kb=0.0, part=7)  # another part of an object seen
-    assert next(reversed(harness.router.held.values())).work == pytest.approx(0.4)
+    assert next(reversed(harness.router.pending_requests.values())).work == pytest.approx(0.4)
 
 
 def test_an_answer_without_bytes_tells_of_no_size() -> None:
-    harness = RouterHarness(weights_told=False)
+    harness = RouterHarness(weights_known=False)
     for size, wait in ((1600.0, 0.6), (0.0, 0.01)):
         fetch = only(harness.ask("clip", size_kb=0.0), Fetch)
         harness.router.handle(
@@ -150,4 +155,4 @@
     harness = RouterHarness()
     before = harness.router.sizes.means["video"]
     harness.ask("huge", size_kb=999_999_999.0)
-    assert harness.router.sizes.means["video"] <= before + VIDEO.give_up
+    assert harness.router.sizes.means["video"] <= before + VIDEO.time_limit
