--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -31,10 +31,10 @@
     for line, match in zip(lines, found, strict=True):
         if match is None:
             raise Wrong(f"not 'TEST, CAUSE, issue N': {line!r}")
-    told = [(match[1], match[2], match[3]) for match in found if match]
-    if len({test for test, _, _ in told}) < len(told):
+    reported = [(match[1], match[2], match[3]) for match in found if match]
+    if len({test for test, _, _ in reported}) < len(reported):
         raise Wrong("a test stands twice")
-    return told
+    return reported
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
@@ -48,8 +48,8 @@
 def main(root: Path) -> int:
     """Check the file and print it."""
     try:
-        told = read(root)
-        if told:
+        reported = read(root)
+        if reported:
             done = subprocess.run(
                 [sys.executable, "-m", "pytest", "--collect-only", "-q", "-n0"],
                 cwd=root,
@@ -58,13 +58,13 @@
                 check=False,
             )
             known = set(done.stdout.splitlines())
-            for test, _, _ in told:
+            for test, _, _ in reported:
                 if test not in known:
                     raise Wrong(f"no such test: {test}")
     except Wrong as fault:
         print(f"KNOWN-RED.txt: {fault}", file=sys.stderr)
         return 1
-    for test, cause, issue in told:
+    for test, cause, issue in reported:
         print(f"known red, not run: {test}: {cause} ({issue})")
     return 0
 
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -26,9 +26,9 @@
     """One wants eight times the mean, the whole is what all want together: the part of it that is spent."""
     chance = random.Random(seed)
     wants = {f"m{n}": Want(chance.expovariate(1.0)) for n in range(members - 1)} | {"busy": Want(8.0)}
-    whole = sum(want.demand for want in wants.values())
-    equal = sum(min(whole / members, want.demand) for want in wants.values())
-    return {"max_min": sum(divide(whole, wants).values()) / whole, "equal": equal / whole}
+    complete = sum(want.demand for want in wants.values())
+    equal = sum(min(complete / members, want.demand) for want in wants.values())
+    return {"max_min": sum(divide(complete, wants).values()) / complete, "equal": equal / complete}
 
 
 def timed(call: Any, times: int) -> float:
@@ -42,18 +42,18 @@
     return best
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     """Measure; with --check, 1 where a bound is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true")
     parser.add_argument("--quick", action="store_true")
-    told = parser.parse_args(words)
+    reported = parser.parse_args(arguments)
     shares = [uneven(members, seed) for members in (8, 60, 500) for seed in range(20)]
     wants = {f"m{n}": Want(random.Random(n).random(), 1.0, 0.1) for n in range(500)}
     thousand = {f"m{n}": Want(random.Random(n).random(), 1.0, 0.1) for n in range(1000)}
     held = Held(5, 1, 100.0)
     models = []
-    for members, depth in ((2, 8), (3, 6)) if told.quick else ((2, 10), (3, 8)):
+    for members, depth in ((2, 8), (3, 6)) if reported.quick else ((2, 10), (3, 8)):
         model = Model(Rule(2, 3.0, 0.0), members)
         found = explore(model.first(), model.steps, model.holds, depth)
         models.append(
@@ -86,7 +86,7 @@
         if bad
     ]
     print(orjson.dumps({**result, "missed": missed}).decode())
-    return 1 if told.check and missed else 0
+    return 1 if reported.check and missed else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -1,4 +1,4 @@
-"""Power comes back: all doormans start within a second beside cold boxes; this version and an earlier one.
+"""Power comes back: all routers start within a second beside cold caches; this version and an earlier one.
 
 python benchmarks/coldstart.py [--check] [--quick] [--against REV]; one JSON object as the last line.
 """
@@ -37,14 +37,14 @@
 LEAST = {"served_of_landed": 1.2, "current": 1.0}
 
 
-def power_back(doormans: int, boxes: int, seconds: float, rate: float) -> script.Script:
-    """All run and are current, all lose power, boxes with them; all are started at second 3."""
+def power_back(routers: int, caches: int, seconds: float, rate: float) -> script.Script:
+    """All run and are current, all lose power, caches with them; all are started at second 3."""
     return script.read(
         f"""
 name = "power-back"
 seconds = {seconds + 3.0}
-doormans = {doormans}
-boxes = {boxes}
+doormans = {routers}
+boxes = {caches}
 parents = 4
 rate = {rate}
 objects = 400
@@ -78,12 +78,12 @@
     found = []
     for e in record.events:
         if e.at >= begun:
-            asked = {"asked": e.what["asked"] - begun} if "asked" in e.what else {}
-            found.append(Event(e.at - begun, e.kind, e.router, {**e.what, **asked}))
+            requested = {"asked": e.what["asked"] - begun} if "asked" in e.what else {}
+            found.append(Event(e.at - begun, e.kind, e.router, {**e.what, **requested}))
     return Record(0.0, 0.0, found)
 
 
-def measure(outcome: Outcome, doormans: int, seconds: float) -> dict[str, Any]:
+def measure(outcome: Outcome, routers: int, seconds: float) -> dict[str, Any]:
     """The figures of one version."""
     record = after(outcome.record)
     first: dict[str, dict[int, float]] = {"start": {}, "healthy": {}, "follow": {}}
@@ -98,7 +98,7 @@
         "started_within": round(max(first["start"].values()) - min(first["start"].values()), 2),
         "healthy_last": round(max(first["healthy"].values(), default=0.0), 2),
         "healthy": len(first["healthy"]),
-        "current": len(first["follow"]) / doormans,
+        "current": len(first["follow"]) / routers,
         "current_lag_worst": round(max(lag, default=0.0), 2),
         # Offered, what is refused among it: else a store that lets nobody in would look spared.
         "store_peak": invariants.heaviest(
@@ -119,14 +119,14 @@
     }
 
 
-def play(tree: Path, coldstart: bool, told: script.Script, seed: int) -> Outcome:
+def play(tree: Path, coldstart: bool, reported: script.Script, seed: int) -> Outcome:
     """One version's play."""
     with tempfile.TemporaryDirectory() as folder:
-        return trio.run(lambda: Scenario(told, seed, Path(folder), tree, coldstart, say=print).run())
+        return trio.run(lambda: Scenario(reported, seed, Path(folder), tree, coldstart, say=print).run())
 
 
 def virtual() -> dict[str, Any]:
-    """The last stretch, to 1,000 doormans, in virtual time; and the same decisions at 20 and 200."""
+    """The last stretch, to 1,000 routers, in virtual time; and the same decisions at 20 and 200."""
     found = {}
     for count in (20, 200, 1000):
         store = Store(script_capacity(count))
@@ -142,27 +142,27 @@
 
 
 def script_capacity(count: int) -> Any:
-    """What the doormans are told of the store."""
+    """What the routers are told of the store."""
     from brackenlane.coldstart.pacing import Capacity
 
     return Capacity(count, ASKS, LOADS)
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     """Measure; with --check, 1 where a bound is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true")
     parser.add_argument("--quick", action="store_true", help="40 doormans and 20 boxes, 12 s")
     parser.add_argument("--against", default=LANDED)
     parser.add_argument("--seed", type=int, default=1)
-    told = parser.parse_args(words)
-    count, boxes, seconds, rate = (40, 20, 10.0, 100.0) if told.quick else (200, 60, 30.0, 400.0)
-    power = power_back(count, boxes, seconds, rate)
-    ours = measure(play(site.ROOT, True, power, told.seed), count, seconds)
+    reported = parser.parse_args(arguments)
+    count, caches, seconds, rate = (40, 20, 10.0, 100.0) if reported.quick else (200, 60, 30.0, 400.0)
+    power = power_back(count, caches, seconds, rate)
+    ours = measure(play(site.ROOT, True, power, reported.seed), count, seconds)
     print(orjson.dumps(ours).decode(), flush=True)
     with contextlib.ExitStack() as stack:
-        tree = stack.enter_context(site.checkout(told.against))
-        theirs = measure(play(tree, False, power, told.seed), count, seconds)
+        tree = stack.enter_context(site.checkout(reported.against))
+        theirs = measure(play(tree, False, power, reported.seed), count, seconds)
     ratios = {
         "store_peak_of_stated": ours["store_peak"] / (COMMANDS + 2 * ASKS),
         "store_peak_of_landed": ours["store_peak"] / max(1, theirs["store_peak"]),
@@ -186,7 +186,7 @@
             }
         ).decode()
     )
-    return 1 if told.check and missed else 0
+    return 1 if reported.check and missed else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/customers.py
+++ b/benchmarks/customers.py
@@ -45,9 +45,9 @@
     parser.add_argument("--quick", action="store_true", help="within 50 s")
     parser.add_argument("--first", type=int, default=0, help="the first draw")
     parser.add_argument("--processes", type=int, default=2)
-    told = parser.parse_args()
-    numbers = range(told.first, told.first + (QUICK_DAYS if told.quick else DAYS))
-    with ProcessPoolExecutor(told.processes) as pool:
+    reported = parser.parse_args()
+    numbers = range(reported.first, reported.first + (QUICK_DAYS if reported.quick else DAYS))
+    with ProcessPoolExecutor(reported.processes) as pool:
         results = dict(zip(numbers, pool.map(play, numbers), strict=True))
     losing = {number: round(result.gain, 3) for number, result in results.items() if result.gain < -LOSS}
     for number, gain in losing.items():
@@ -63,7 +63,7 @@
         "worst_gain": min(gains),
         "losing_share": len(losing) / len(results),
     }
-    return conclude(figures, BOUNDS, told.check)
+    return conclude(figures, BOUNDS, reported.check)
 
 
 if __name__ == "__main__":
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -2,7 +2,7 @@
 
     python benchmarks/discovery.py [--check] [--quick]
 
-The real appliance, with a scripted DNS server and stand-in boxes in this process; the merge alone in memory.
+The real appliance, with a scripted DNS server and stand-in caches in this process; the merge alone in memory.
 """
 
 from __future__ import annotations
@@ -42,10 +42,10 @@
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault  # noqa: E402
 
 BOUNDS = {
-    "drain_worst_ms": at_most(500.0),  # from the drain to the last answer that names the box
+    "drain_worst_ms": at_most(500.0),  # from the drain to the last answer that names the cache
     "drain_broken": at_most(0),  # answers that name it later than that
     "srv_change_over_ttl_ms": at_most(1500.0),  # past lifetime (and grace, for a removal)
-    "merge_growth": at_most(1.6),  # cost for each box and its logarithm, 10,000 to 100 boxes
+    "merge_growth": at_most(1.6),  # cost for each cache and its logarithm, 10,000 to 100 caches
     "wrong_address_ratio": at_most(1.2),  # time at a wrong address, of the earlier follower's
     "queries_ratio": at_most(1.5),
     "served_share_away": at_least(0.99),  # with the resolver away, of that with it
@@ -56,7 +56,7 @@
 
 
 def merge_costs(sizes: tuple[int, ...]) -> dict[str, Any]:
-    """Seconds for one change of a merged list by size, and memory for each box."""
+    """Seconds for one change of a merged list by size, and memory for each cache."""
     found: dict[int, float] = {}
     memory = 0.0
     for size in sizes:
@@ -120,7 +120,7 @@
 
 
 class Rig:
-    """One appliance, its DNS server and its boxes."""
+    """One appliance, its DNS server and its caches."""
 
     def __init__(self, folder: Path, server: DnsServer, boxes: list[int], origin: int) -> None:
         self.server, self.boxes = server, boxes
@@ -141,13 +141,13 @@
         self.name(*range(len(boxes)))
 
     def name(self, *numbers: int, priority: int = 0, ttl: int = 1) -> None:
-        """Which boxes SRV names."""
+        """Which caches SRV names."""
         self.server.put(
             SRV, "SRV", *(f"{priority} 8 {self.boxes[n]} box-{n}.branch.test." for n in numbers), ttl=ttl
         )
 
     async def named(self, obj: str) -> str:
-        """The box that one answer names."""
+        """The cache that one answer names."""
         message = dns.message.make_query(f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
         found = await dns.asyncquery.udp(message, "127.0.0.1", port=self.dns, timeout=5)
         return found.answer[0][0].target.to_text().split(".")[0] if found.answer else ""
@@ -182,11 +182,11 @@
 
 
 async def drains(rig: Rig, count: int) -> dict[str, Any]:
-    """Drain and restore, one box after another, while four ask for names all the time."""
-    seen: dict[str, float] = {}  # when each box was named last
+    """Drain and restore, one cache after another, while four ask for names all the time."""
+    seen: dict[str, float] = {}  # when each cache was named last
     async with trio.open_nursery() as nursery:
 
-        async def ask(start: int) -> None:
+        async def request(start: int) -> None:
             number = start
             while True:
                 number += 1
@@ -196,7 +196,7 @@
                 await trio.sleep(max(0.0, 0.002 - (time.monotonic() - sent)))
 
         for start in range(4):
-            nursery.start_soon(ask, start)
+            nursery.start_soon(request, start)
         nursery.start_soon(churn, rig)
         console, worst, broken = await rig.console(), 0.0, 0
         for number in range(count):
@@ -232,19 +232,19 @@
 
 async def served(rig: Rig, seconds: float) -> float:
     """The share of reads by HTTP that were served."""
-    good = asked = 0
+    good = requested = 0
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        asked += 1
+        requested += 1
         stream = await trio.open_tcp_stream("127.0.0.1", rig.http)
         async with stream:
             await stream.send_all(
                 b"GET /api/v2/video-parts/%016x/n-0 HTTP/1.1\r\nHost: a\r\nX-Txn: %b\r\n"
-                b"X-Ttl-Ms: 2000\r\nX-Shard: 1\r\n\r\n" % (asked, os.urandom(8).hex().encode())
+                b"X-Ttl-Ms: 2000\r\nX-Shard: 1\r\n\r\n" % (requested, os.urandom(8).hex().encode())
             )
             good += (await stream.receive_some(100)).startswith(b"HTTP/1.1 200")
         await trio.sleep(0.005)
-    return good / asked
+    return good / requested
 
 
 async def play(quick: bool) -> dict[str, Any]:
@@ -288,15 +288,15 @@
 
 
 async def follow(tree: Path, moves: int) -> dict[str, float]:
-    """One box by host name, moved while the resolver fails now and then: how long the old address holds."""
+    """One cache by host name, moved while the resolver fails now and then: how long the old address holds."""
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
             server = await DnsServer().open(nursery)
             [origin, port, http, front] = free_ports(4)
-            box = Box("b")
-            box.host, box.port = "127.0.1.1", port
-            await box.open(nursery)
-            server.put("moving.branch.test", "A", box.host)
+            cache = Box("b")
+            cache.host, cache.port = "127.0.1.1", port
+            await cache.open(nursery)
+            server.put("moving.branch.test", "A", cache.host)
             file = Path(folder) / "a.toml"
             head = appliance_file(http, front, server.port, origin)
             file.write_text(f"""{head}[[box]]
@@ -316,18 +316,18 @@
                         console = await trio.open_unix_socket(str(file.parent / "c.sock"))
                         break
                     await trio.sleep(0.05)
-                while f"{box.host}:{port}" not in await command(console, "boxes"):
+                while f"{cache.host}:{port}" not in await command(console, "boxes"):
                     await trio.sleep(0.02)
                 wrong, start, begun = 0.0, len(server.asked), time.monotonic()
                 for number in range(moves):
-                    await box.close()
-                    box = Box("b")
-                    box.host, box.port = f"127.0.1.{number + 2}", port
-                    await box.open(nursery)
-                    server.put("moving.branch.test", "A", box.host)
+                    await cache.close()
+                    cache = Box("b")
+                    cache.host, cache.port = f"127.0.1.{number + 2}", port
+                    await cache.open(nursery)
+                    server.put("moving.branch.test", "A", cache.host)
                     server.fail(*[(), (Fault.LOST,), (Fault.SERVFAIL,), (Fault.SPOOFED,)][number % 4])
                     moved = time.monotonic()
-                    while f"{box.host}:{port}" not in await command(console, "boxes"):
+                    while f"{cache.host}:{port}" not in await command(console, "boxes"):
                         if time.monotonic() > moved + 2:
                             server.fail()
                         await trio.sleep(0.02)
@@ -369,9 +369,11 @@
     )
     parser.add_argument("--check", action="store_true", help="exit 1 when a bound is missed")
     parser.add_argument("--quick", action="store_true", help="within 50 s")
-    told = parser.parse_args()
-    result = merge_costs((100, 1000, 10_000)) | trio.run(play, told.quick) | against_follower(told.quick)
-    return conclude(result, BOUNDS, told.check)
+    reported = parser.parse_args()
+    result = (
+        merge_costs((100, 1000, 10_000)) | trio.run(play, reported.quick) | against_follower(reported.quick)
+    )
+    return conclude(result, BOUNDS, reported.check)
 
 
 if __name__ == "__main__":
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -23,20 +23,22 @@
 
 def main() -> int:
     """Play some seeds."""
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--check", action="store_true")
-    words.add_argument("--quick", action="store_true")
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--root", type=Path, default=site.ROOT)
-    told = words.parse_args()
-    plays, seconds = (3, 8.0) if told.quick else (10, 15.0)
+    arguments = argparse.ArgumentParser(description=__doc__)
+    arguments.add_argument("--check", action="store_true")
+    arguments.add_argument("--quick", action="store_true")
+    arguments.add_argument("--seed", type=int, default=1)
+    arguments.add_argument("--root", type=Path, default=site.ROOT)
+    reported = arguments.parse_args()
+    plays, seconds = (3, 8.0) if reported.quick else (10, 15.0)
     attempts = answers = 0
     found: list[str] = []
-    for seed in range(told.seed, told.seed + plays):
+    for seed in range(reported.seed, reported.seed + plays):
         gc.collect()
         gc.disable()  # a collection stops the peers for a tenth of a second, which would count as lateness
         with tempfile.TemporaryDirectory() as folder:
-            record = trio.run(Scenario(seed, seconds, Path(folder), seed % 3 != 0, told.root.resolve()).run)
+            record = trio.run(
+                Scenario(seed, seconds, Path(folder), seed % 3 != 0, reported.root.resolve()).run
+            )
         gc.enable()
         broken = violations(record)
         attempts, answers = attempts + len(record.gets), answers + len(record.answers)
@@ -46,7 +48,7 @@
             f"{len(record.left)} in all, {len(broken)} broken {broken[:4]}"
         )
     print(json.dumps({"plays": plays, "attempts": attempts, "answers": answers, "broken": len(found)}))
-    return 1 if told.check and (found or answers < 100 * plays) else 0
+    return 1 if reported.check and (found or answers < 100 * plays) else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,8 +1,8 @@
-"""Goodput of one doorman from a quarter of its load to four times it, beside the program that had no door.
+"""Goodput of one router from a quarter of its load to four times it, beside the program that had no door.
 
     python benchmarks/overload.py [--check] [--quick] [--baseline REV] [--core N]
 
-Open-loop load from other processes, whose clients are impatient and try again up to twice; the doorman gets
+Open-loop load from other processes, whose clients are impatient and try again up to twice; the router gets
 about half of one core, which it shares with a process that spins. The baseline is this project's own earlier
 program, checked out beside it and played in the same run; all bounds are ratios within that run.
 """
@@ -54,39 +54,39 @@
     def over(self, start: int, end: int) -> float:
         """The share in time of what was first asked for in these seconds."""
         spans = [self.by_second.get(n, (0, 0)) for n in range(start, end)]
-        return sum(good for _, good in spans) / max(1, sum(asked for asked, _ in spans))
+        return sum(good for _, good in spans) / max(1, sum(requested for requested, _ in spans))
 
 
 def play(tree: Path, phases: Sequence[tuple[float, float]], core: int, others: Sequence[int]) -> Run:
-    """One doorman from its start, under some phases of load."""
+    """One router from its start, under some phases of load."""
     with contextlib.ExitStack() as stack:
         ports, origin, seen = stack.enter_context(site.stand_in_boxes(4, [others[0]]))
         stack.enter_context(site.burner(core))
         running = stack.enter_context(site.doorman(tree, ports, origin, [core]))
         time.sleep(0.3)
         before = running.cpu()
-        told = site.collect(site.load(running.port, phases, others[1:]))
+        reported = site.collect(site.load(running.port, phases, others[1:]))
         cpu, memory = running.cpu() - before, running.memory()
         log = running.log.read_text()
         assert "Traceback" not in log, log
     seconds = sum(length for length, _ in phases)
-    asked = {int(k): v for k, v in told["asked"].items()}
-    good = {int(k): v for k, v in told["good"].items()}
+    requested = {int(k): v for k, v in reported["asked"].items()}
+    good = {int(k): v for k, v in reported["good"].items()}
     inner = range(1, int(seconds))  # the first second has cold caches and learned nothing
     span = len(inner) or 1
-    refusals = told["refusals"]
+    refusals = reported["refusals"]
     return Run(
         max(rate for _, rate in phases),
         sum(good.get(n, 0) for n in inner) / span,
-        sum(good.get(n, 0) for n in inner) / max(1, sum(asked.get(n, 0) for n in inner)),
-        told["tries"] / seconds,
-        told["statuses"].get("200", 0),
-        told["statuses"].get("503", 0),
+        sum(good.get(n, 0) for n in inner) / max(1, sum(requested.get(n, 0) for n in inner)),
+        reported["tries"] / seconds,
+        reported["statuses"].get("200", 0),
+        reported["statuses"].get("503", 0),
         refusals[len(refusals) // 2] * 1000 if refusals else 0.0,
         cpu,
         memory,
         seen["writes_twice"],
-        {n: (asked.get(n, 0), good.get(n, 0)) for n in asked},
+        {n: (requested.get(n, 0), good.get(n, 0)) for n in requested},
     )
 
 
@@ -116,29 +116,31 @@
     parser.add_argument("--quick", action="store_true", help="within 50 s")
     parser.add_argument("--baseline", default=BASELINE, help="the revision to compare with")
     parser.add_argument("--core", type=int, default=0, help="where the doorman runs")
-    told = parser.parse_args()
-    others = [n for n in sorted(os.sched_getaffinity(0)) if n != told.core][-6:]
-    length = 2.5 if told.quick else 8.0
-    calm = 2.0 if told.quick else 4.0
-    with site.checkout(told.baseline) as tree:
+    reported = parser.parse_args()
+    others = [n for n in sorted(os.sched_getaffinity(0)) if n != reported.core][-6:]
+    length = 2.5 if reported.quick else 8.0
+    calm = 2.0 if reported.quick else 4.0
+    with site.checkout(reported.baseline) as tree:
         old = [
-            show("baseline", play(tree, [(length, rate)], told.core, others))
-            for rate in ((260,) if told.quick else (120, 180, 220, 260, 300))
+            show("baseline", play(tree, [(length, rate)], reported.core, others))
+            for rate in ((260,) if reported.quick else (120, 180, 220, 260, 300))
         ]
         capacity = max(run.good for run in old)
-        factors = (4,) if told.quick else (0.25, 0.5, 1, 2, 4)
-        old += [show("baseline", play(tree, [(length, capacity * f)], told.core, others)) for f in factors]
-        ours = [show("ours", play(ROOT, [(length, capacity * f)], told.core, others)) for f in factors]
+        factors = (4,) if reported.quick else (0.25, 0.5, 1, 2, 4)
+        old += [
+            show("baseline", play(tree, [(length, capacity * f)], reported.core, others)) for f in factors
+        ]
+        ours = [show("ours", play(ROOT, [(length, capacity * f)], reported.core, others)) for f in factors]
     # Our own capacity: the most that is in time, sought upwards.
-    search = (3, 4.5) if told.quick else (3, 4, 5, 6, 7, 8)
-    ours += [show("ours", play(ROOT, [(length, capacity * f)], told.core, others)) for f in search]
+    search = (3, 4.5) if reported.quick else (3, 4, 5, 6, 7, 8)
+    ours += [show("ours", play(ROOT, [(length, capacity * f)], reported.core, others)) for f in search]
     peak = max(run.good for run in ours)
     full = [
-        show("ours", play(ROOT, [(length, peak * f)], told.core, others))
-        for f in ((2, 4, 8) if told.quick else (1.5, 2, 2.5, 3, 4, 8))
+        show("ours", play(ROOT, [(length, peak * f)], reported.core, others))
+        for f in ((2, 4, 8) if reported.quick else (1.5, 2, 2.5, 3, 4, 8))
     ]
     back = show(
-        "ours", play(ROOT, [(3, 0.6 * peak), (calm, 4 * peak), (2 + calm, 0.6 * peak)], told.core, others)
+        "ours", play(ROOT, [(3, 0.6 * peak), (calm, 4 * peak), (2 + calm, 0.6 * peak)], reported.core, others)
     )
     calmest = max((run for run in ours if run.refused < run.served / 20), key=lambda run: run.rate)
     served, refused = costs(calmest, full[-1])
@@ -160,7 +162,7 @@
         "share_after": back.over(after, after + int(calm)) / max(0.01, back.over(1, 3)),
         "writes_twice": sum(run.twice for run in (*ours, *full, back)),
     }
-    return conclude(result, BOUNDS, told.check)
+    return conclude(result, BOUNDS, reported.check)
 
 
 if __name__ == "__main__":
--- a/brackenlane/__init__.py
+++ b/brackenlane/__init__.py
@@ -1,1 +1,1 @@
-"""The doorman round the decisions of brackenlane.routing: real sockets in front, cache boxes behind."""
+"""The router round the decisions of brackenlane.routing: real sockets in front, caches behind."""
--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -1,4 +1,4 @@
-"""The doorman as a program: reads its configuration, starts its actors, leaves on SIGTERM."""
+"""The router as a program: reads its configuration, starts its actors, leaves on SIGTERM."""
 
 from __future__ import annotations
 
@@ -93,8 +93,8 @@
     """The response cache, copies of our own, where we are told what our link bears."""
     if not config.flow or not config.link:
         return None
-    room = limits.copies * config.memory_mb * 2**20
-    return ResponseCache(config.settings, room, config.flow, config.link, limits.age_slack)
+    capacity = limits.copies * config.memory_mb * 2**20
+    return ResponseCache(config.settings, capacity, config.flow, config.link, limits.age_slack)
 
 
 def _limits(config: Config) -> Limits:
@@ -116,8 +116,10 @@
         await hangups.next()
         try:
             new = load(os.environ.get("GW_CONFIG"), os.environ.get("GW_OPS", ""))
-            if told := [name for name in ("listen", "ops") if getattr(new, name) != getattr(config, name)]:
-                raise ConfigError(f"{', '.join(told)}: another address needs a new process")
+            if reported := [
+                name for name in ("listen", "ops") if getattr(new, name) != getattr(config, name)
+            ]:
+                raise ConfigError(f"{', '.join(reported)}: another address needs a new process")
             known = list(read_known(new.known, new.site, time.time()))  # all faults come before any change
             if any(getattr(new, name) != getattr(config, name) for name in APPLIED):
                 limits = _limits(new)
@@ -140,24 +142,24 @@
         log.info("SIGHUP: the change log is at %s, port %d", host, port)
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     """Run what the command line names; 2 for a configuration that can't be used."""
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     for handler in logging.getLogger().handlers:
         handler.addFilter(Throttle(Limits().log_lines, Limits().log_span))
     # Guards against a SIGHUP that ends the program, and against a new file whose SIGHUP comes between the
     # reading of the old one and the handler; before this line `run` in the deploy file has it ignored.
-    signal.signal(signal.SIGHUP, EarlySignal() if not words else signal.SIG_IGN)
+    signal.signal(signal.SIGHUP, EarlySignal() if not arguments else signal.SIG_IGN)
     status = 0
     try:
-        match words:
+        match arguments:
             case []:
                 config = load(os.environ.get("GW_CONFIG"), os.environ.get("GW_OPS", ""))
                 trio.run(serve, config, _limits(config))
             case _:
-                from brackenlane.cli.main import run  # the platform's doorman needs none of it
+                from brackenlane.cli.main import run  # the platform's router needs none of it
 
-                status = run(words)
+                status = run(arguments)
     except* (ConfigError, ListError) as faults:
         for line in str(_first(faults)).splitlines():
             print(f"brackenlane: {' '.join(line.split())}", file=sys.stderr)
--- a/brackenlane/admission/controller.py
+++ b/brackenlane/admission/controller.py
@@ -60,7 +60,7 @@
         for c in known:
             first = c.idempotency is Idempotency.NON_IDEMPOTENT
             # Worth for cost: a request costs us about the same in any class, so worth alone weighs.
-            stands = (
+            positions = (
                 LAST * c.latency_objective
                 if first
                 else self.target * max(0.5, min(2.0, c.value_weight / worth))
@@ -69,7 +69,7 @@
                 c.name,
                 first,
                 c.value_weight / best if best else 1.0,
-                {Phase.STANDING: stands, Phase.CALM: max(stands, self.interval)},
+                {Phase.STANDING: positions, Phase.CALM: max(positions, self.interval)},
                 deque(),
             )
         # What asks for no class: health, and what will be told its fault.
--- a/brackenlane/admission/figures.py
+++ b/brackenlane/admission/figures.py
@@ -1,4 +1,4 @@
-"""What a doorman knows of its own load: counted, for a console and for one log line a second.
+"""What a router knows of its own load: counted, for a console and for one log line a second.
 
 Pure: all times are handed in.
 """
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -73,64 +73,68 @@
     return adapt(load_appliance(path), Path(path).parent)
 
 
-def adapt(told: ApplianceFile, base: Path) -> ApplianceConfig:
+def adapt(reported: ApplianceFile, base: Path) -> ApplianceConfig:
     """The file's records as the parts take them; other files it names stand beside it."""
-    d = told.discovery
+    d = reported.discovery
     return ApplianceConfig(
-        told.name,
-        read_endpoint(told.http, "http"),
-        read_endpoint(told.dns, "dns"),
-        read_zone(told.zone),
-        told.module_settings(),
+        reported.name,
+        read_endpoint(reported.http, "http"),
+        read_endpoint(reported.dns, "dns"),
+        read_zone(reported.zone),
+        reported.module_settings(),
         tuple(
             CacheDefinition(b.id, b.host.rstrip(".").lower(), b.port, b.zone, Role(b.role), b.weight)
-            for b in told.boxes
+            for b in reported.boxes
         ),
         tuple(
             SrvWatch(w.srv.rstrip(".").lower(), w.zone, Role(w.role), w.weight_scale, w.enough)
-            for w in told.discover
+            for w in reported.discover
         ),
-        tuple(read_endpoint(at, "resolver") for at in told.resolvers),
-        read_endpoint(told.redis, "redis") if told.redis else None,
-        str(base / told.console),
+        tuple(read_endpoint(at, "resolver") for at in reported.resolvers),
+        read_endpoint(reported.redis, "redis") if reported.redis else None,
+        str(base / reported.console),
         Policy(d.grace, d.most_gone, d.confirm, d.settle, d.remembered, d.warm),
         Lifetimes(floor=d.floor, ceiling=d.ceiling, negative=d.negative, stale=d.stale),
         base / d.last_list if d.last_list else None,
         Capacity(
-            told.coldstart.doormans or told.settings.gateways, told.coldstart.asks, told.coldstart.loads
+            reported.coldstart.doormans or reported.settings.gateways,
+            reported.coldstart.asks,
+            reported.coldstart.loads,
         ),
-        told.coldstart,
+        reported.coldstart,
     )
 
 
 def start_merge(
-    config: ApplianceConfig, roster: Registry, kept: snapshot.Snapshot | None, phases: StartupPhases
+    config: ApplianceConfig, roster: Registry, retained: snapshot.Snapshot | None, phases: StartupPhases
 ) -> bool:
-    """What is known before anybody is asked: the last list's orders and boxes, then the file's own.
+    """What is known before anybody is asked: the last list's orders and caches, then the file's own.
 
     False: the last list is too old to be trusted before the store is asked; its orders hold all the same.
     """
     now, trusted = time.time(), True
-    # Who lost power can't know that the boxes kept it, nor what has become of them since long ago.
-    if config.last_list and not (kept and kept.left and 0 <= now - kept.saved <= config.policy.warm):
+    # Who lost power can't know that the caches kept it, nor what has become of them since long ago.
+    if config.last_list and not (
+        retained and retained.left and 0 <= now - retained.saved <= config.policy.warm
+    ):
         roster.apply(roster.merge.chill(now))
-    if kept:
-        trusted = config.redis is None or 0 <= now - kept.saved <= config.coldstart.trust
+    if retained:
+        trusted = config.redis is None or 0 <= now - retained.saved <= config.coldstart.trust
         if trusted:
-            recall(roster, phases, kept)
+            recall(roster, phases, retained)
         else:
-            roster.apply(roster.merge.recall(RememberedMembers(orders=kept.memory.orders), now, now))
-    for box in config.boxes:
-        roster.define(DefinitionSource.FILE, box)
+            roster.apply(roster.merge.recall(RememberedMembers(orders=retained.memory.orders), now, now))
+    for cache in config.boxes:
+        roster.define(DefinitionSource.FILE, cache)
     return trusted
 
 
-def recall(roster: Registry, phases: StartupPhases, kept: snapshot.Snapshot) -> None:
+def recall(roster: Registry, phases: StartupPhases, retained: snapshot.Snapshot) -> None:
     """Serve from a last list."""
     now = time.time()
-    roster.apply(roster.merge.recall(kept.memory, kept.saved, now))
+    roster.apply(roster.merge.recall(retained.memory, retained.saved, now))
     phases.step(StartupEvent.RECALL, now)
-    log.info("the last list, of %.0f s ago: %d boxes", now - kept.saved, len(roster.merge.boxes))
+    log.info("the last list, of %.0f s ago: %d boxes", now - retained.saved, len(roster.merge.boxes))
 
 
 async def unheard(
@@ -145,7 +149,7 @@
     if phases.heard:
         return
     # Which purges were told while we were away is unknown: each object counts as purged, for as long as a
-    # purge takes at the boxes themselves.
+    # purge takes at the caches themselves.
     log.warning("the store was not heard yet: no copy from before now is served")
     for group in range(-1, GROUPS):
         roster.purge("", group, time.time())
@@ -162,7 +166,7 @@
 
     def notice(server: str, result: AttemptResult) -> None:
         health[server] = result, time.time()
-        if len(health) > 2 * len(roster.merge.boxes) + 64:  # boxes come and go: those gone must not add up
+        if len(health) > 2 * len(roster.merge.boxes) + 64:  # caches come and go: those gone must not add up
             for gone in health.keys() - roster.merge.boxes.keys():
                 del health[gone]
         if result in (AttemptResult.UNREACHABLE, AttemptResult.BROKEN):
@@ -180,8 +184,8 @@
         nursery.start_soon(core.run)
         nursery.start_soon(poller.run)
         phases = StartupPhases(time.time())
-        kept = snapshot.load(config.last_list) if config.last_list else None
-        trusted = start_merge(config, roster, kept, phases)
+        retained = snapshot.load(config.last_list) if config.last_list else None
+        trusted = start_merge(config, roster, retained, phases)
         if config.resolvers:
             resolver = Resolver(
                 config.resolvers,
@@ -212,16 +216,16 @@
                 limits,
                 config.capacity,
                 phases,
-                kept.place if kept and trusted else NOWHERE,
+                retained.place if retained and trusted else NOWHERE,
             )
             if config.redis
             else None
         )
         if shared:
-            if kept:
-                shared.recall({(obj, group): at for obj, group, at in kept.purges})
+            if retained:
+                shared.recall({(obj, group): at for obj, group, at in retained.purges})
             nursery.start_soon(shared.run, list(config.boxes))
-            nursery.start_soon(unheard, config, roster, phases, None if trusted else kept, limits)
+            nursery.start_soon(unheard, config, roster, phases, None if trusted else retained, limits)
         else:
             phases.step(StartupEvent.READ, time.time())  # nobody else knows more
         keeper = (
--- a/brackenlane/budgets/division.py
+++ b/brackenlane/budgets/division.py
@@ -18,14 +18,14 @@
     floor: float = 0.0  # it gets so much of its demand before anybody gets more than a floor
 
 
-def divide(whole: float, wants: Mapping[str, Want], reserve: float = 0.0) -> dict[str, float]:
+def divide(complete: float, wants: Mapping[str, Want], reserve: float = 0.0) -> dict[str, float]:
     """Shares of what is left of the whole beside the reserve for newcomers; O(n log n).
 
     No member gets more than its demand; none can get more but by one that has less, by weight, getting less
     still (max-min fairness; Bertsekas and Gallager 1992, 6.5.2). Floors that sum to more than the whole
     shrink alike.
     """
-    left = max(0.0, whole - reserve)
+    left = max(0.0, complete - reserve)
     floors = {name: max(0.0, min(want.floor, want.demand)) for name, want in wants.items()}
     if (total := sum(floors.values())) > left:
         return {name: floor * left / total for name, floor in floors.items()}
@@ -52,19 +52,19 @@
 
 
 def settled(
-    old: Mapping[str, float], new: Mapping[str, float], whole: float, least: float = 0.02
+    old: Mapping[str, float], new: Mapping[str, float], complete: float, least: float = 0.02
 ) -> dict[str, float]:
     """New shares, but that a small change (a part of the whole for each of them) is not made.
 
     Nobody is kept above its new share unless there is room: a share that stays makes none smaller than its
     due.
     """
-    bar = least * whole / max(1, len(new))
+    bar = least * complete / max(1, len(new))
     found = {
         name: old[name] if name in old and abs(share - old[name]) < bar else share
         for name, share in new.items()
     }
-    over = sum(found.values()) - max(whole, sum(new.values()))
+    over = sum(found.values()) - max(complete, sum(new.values()))
     for name in sorted(found, key=lambda n: new[n] - found[n]):  # those kept furthest above it first
         if over <= 0:
             break
--- a/brackenlane/budgets/leases.py
+++ b/brackenlane/budgets/leases.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """What the store keeps of one member (one incarnation of a doorman)."""
+    """What the store keeps of one member (one incarnation of a router)."""
 
     now: Grant
     before: Grant | None = None  # a larger one that was not confirmed to be given up
@@ -62,8 +62,8 @@
     entry = entries.get(name)
     if run <= rule.lease * (1 + rule.drift):
         return None
-    room = free(rule, entries, at, but=name)
-    amount = max(0, min(wanted, room))
+    capacity = free(rule, entries, at, but=name)
+    amount = max(0, min(wanted, capacity))
     if entry is None or entry.now.until <= at and committed(entry, at) == 0:
         number = entry.now.number + 1 if entry else 1
         return Entry(Grant(amount, number, at + rule.lease), None, entry.confirmed if entry else 0)
@@ -90,12 +90,12 @@
     until: float = 0.0  # by its own clock
 
 
-def hold(rule: Rule, held: Held, grant: Grant, left: float, asked: float) -> Held:
+def hold(rule: Rule, held: Held, grant: Grant, left: float, requested: float) -> Held:
     """Take in an answer: a grant, the seconds it had left by the store's clock, and when we asked, by ours.
 
     An older answer than one taken in changes nothing.
     """
-    until = asked + left * (1 - rule.drift)
+    until = requested + left * (1 - rule.drift)
     if grant.number < held.number or (grant.number == held.number and until <= held.until):
         return held
     return Held(grant.amount, grant.number, until)
--- a/brackenlane/cli/__init__.py
+++ b/brackenlane/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line. The platform's doorman is the bare call and never comes here.
+"""The command line. The platform's router is the bare call and never comes here.
 
 It turns words into calls and faults into exit codes; it decides nothing. Entry point: `run`.
 """
--- a/brackenlane/cli/main.py
+++ b/brackenlane/cli/main.py
@@ -22,7 +22,7 @@
     callback=lambda context, _, on: _say_version(context) if on else None,
 )
 def cli() -> None:
-    """A doorman in front of cache boxes.
+    """A router in front of caches.
 
     Without a command it is the platform's, set up by its environment (GW_CONFIG).
     """
@@ -36,7 +36,7 @@
 @cli.command()
 @click.argument("file")
 def appliance(file: str) -> None:
-    """Run a small site's doorman, set up by the operator's FILE, until SIGTERM."""
+    """Run a small site's router, set up by the operator's FILE, until SIGTERM."""
     import resource
 
     import trio
@@ -96,12 +96,12 @@
 
 @cli.group()
 def lab() -> None:
-    """Measurements with real doormans and stand-ins on this machine's loopback."""
+    """Measurements with real routers and stand-ins on this machine's loopback."""
 
 
 @lab.command()
 @click.argument("script", type=click.Path(path_type=Path))
-@click.option("--doormans", type=click.IntRange(1, 1000), help="so many instead of the script's")
+@click.option("--doormans", "routers", type=click.IntRange(1, 1000), help="so many instead of the script's")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
     "--out",
@@ -110,20 +110,20 @@
     show_default=True,
     help="folder for files, logs, the record and its plots",
 )
-def fleet(script: Path, doormans: int | None, seed: int, out: Path) -> None:
-    """Start doormans as processes, make the system break under them as SCRIPT says, and check invariants."""
+def fleet(script: Path, routers: int | None, seed: int, out: Path) -> None:
+    """Start routers as processes, make the system break under them as SCRIPT says, and check invariants."""
     import trio
 
     from brackenlane.lab.cluster import report, scenario
     from brackenlane.lab.cluster.script import load
 
-    told = load(script)
-    if doormans:
-        told = told.model_copy(update={"doormans": doormans})
+    reported = load(script)
+    if routers:
+        reported = reported.model_copy(update={"doormans": routers})
     out.mkdir(parents=True, exist_ok=True)
-    outcome = trio.run(lambda: scenario.play(told, seed, out, say=click.echo))
+    outcome = trio.run(lambda: scenario.play(reported, seed, out, say=click.echo))
     click.echo(report.table(outcome))
-    report.save(outcome, out, told.name)
+    report.save(outcome, out, reported.name)
     if not outcome.well:
         sys.exit(1)
 
@@ -168,10 +168,10 @@
         return str(tomllib.loads(path.read_text())["project"]["version"]) if path.exists() else "unknown"
 
 
-def run(words: list[str]) -> int:
+def run(arguments: list[str]) -> int:
     """Run one command line; its exit code."""
     try:
-        return int(cli.main(words, prog_name="brackenlane", standalone_mode=False) or 0)
+        return int(cli.main(arguments, prog_name="brackenlane", standalone_mode=False) or 0)
     except click.ClickException as fault:
         fault.show()
         return 2
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -73,24 +73,24 @@
             for name in sorted(roster.merge.hosts):
                 hosts.start_soon(host, name)
         nursery.cancel_scope.cancel()
-    boxes = [
+    caches = [
         {
-            "id": box.what.id,
-            "role": box.what.role.value,
-            "zone": box.what.zone,
-            "address": f"{box.endpoint[0]}:{box.endpoint[1]}" if box.endpoint else None,
-            "host": None if fixed(box.what.host) else box.what.host,
-            "weight": box.what.weight,
-            "state": box.standing.value,
-            "by": [origin.name.lower() for origin in box.sources],
-            "also": list(box.also),
-            "why": box.reason,
+            "id": cache.what.id,
+            "role": cache.what.role.value,
+            "zone": cache.what.zone,
+            "address": f"{cache.endpoint[0]}:{cache.endpoint[1]}" if cache.endpoint else None,
+            "host": None if fixed(cache.what.host) else cache.what.host,
+            "weight": cache.what.weight,
+            "state": cache.standing.value,
+            "by": [origin.name.lower() for origin in cache.sources],
+            "also": list(cache.also),
+            "why": cache.reason,
         }
-        for box in sorted(roster.merge.boxes.values(), key=lambda box: box.what.id)
+        for cache in sorted(roster.merge.boxes.values(), key=lambda cache: cache.what.id)
     ]
     return {
         "answers": sorted(answers, key=lambda a: (a["kind"] != "SRV", a["name"])),
-        "boxes": boxes,
+        "boxes": caches,
         "failed": [a["name"] for a in answers if "fault" in a],
     }
 
@@ -104,20 +104,22 @@
     """The view for a reader."""
     text = ""
     for answer in view["answers"]:
-        told = answer.get("fault") or f"from {answer['upstream']}: {'; '.join(answer['records']) or 'none'}"
-        text += f"{answer['name']} {answer['kind']}: {told}\n"
+        reported = (
+            answer.get("fault") or f"from {answer['upstream']}: {'; '.join(answer['records']) or 'none'}"
+        )
+        text += f"{answer['name']} {answer['kind']}: {reported}\n"
     rows = [("BOX", "ROLE", "ADDRESS", "WEIGHT", "STATE", "BY", "WHY")]
     rows += [
         (
-            box["id"],
-            box["role"],
-            box["address"] or box["host"] or "",
-            f"{box['weight']:g}",
-            box["state"],
-            ", ".join(box["by"]),
-            box["why"],
+            cache["id"],
+            cache["role"],
+            cache["address"] or cache["host"] or "",
+            f"{cache['weight']:g}",
+            cache["state"],
+            ", ".join(cache["by"]),
+            cache["why"],
         )
-        for box in view["boxes"]
+        for cache in view["boxes"]
     ]
     widths = [max(len(row[n]) for row in rows) for n in range(len(rows[0]))]
     lines = ("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)) for row in rows)
--- a/brackenlane/coldstart/pacing.py
+++ b/brackenlane/coldstart/pacing.py
@@ -1,7 +1,7 @@
-"""When one doorman of many goes to the shared store, so that all together stay within what it bears.
+"""When one router of many goes to the shared store, so that all together stay within what it bears.
 
 Pure: times are Unix seconds handed in, chance is a `random.Random` handed in. Nothing is known of the other
-doormans but how many there are.
+routers but how many there are.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from hashlib import blake2b
 
-FIRST = 0.3  # seconds: the bound of the wait after a first failure, of a doorman alone
+FIRST = 0.3  # seconds: the bound of the wait after a first failure, of a router alone
 MOST = 5.0  # seconds: the longest bound of a wait, unless the fleet is so large that it takes longer windows
 WINDOWS = 2.0  # windows that a grown bound spans at least: tries of all come at half of what is stated
 STRETCH, EASE = 2.0, 2 / 3  # of the windows after a refusal or a slow answer, and after one in time
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """What the store bears a second from all doormans together, as the operator states it: both at once."""
+    """What the store bears a second from all routers together, as the operator states it: both at once."""
 
     doormans: int = 1
     asks: float = 500.0  # small questions: what is new since a place; connections count as such
@@ -27,7 +27,7 @@
 
     @property
     def window(self) -> float:
-        """Seconds in which every doorman may ask once."""
+        """Seconds in which every router may ask once."""
         return self.doormans / self.asks
 
     @property
@@ -76,7 +76,7 @@
 
     @property
     def window(self) -> float:
-        """Seconds over which this doorman holds the fleet's questions to be spread now."""
+        """Seconds over which this router holds the fleet's questions to be spread now."""
         return self.capacity.window * self.stretch
 
     def first(self) -> float:
--- a/brackenlane/coldstart/phases.py
+++ b/brackenlane/coldstart/phases.py
@@ -16,7 +16,7 @@
 
 
 class StartupEvent(Enum):
-    """What moves a doorman on."""
+    """What moves a router on."""
 
     RECALL = "the last list was taken"
     ASKED = "the store answered, and the whole list is needed"
--- a/brackenlane/config.py
+++ b/brackenlane/config.py
@@ -1,4 +1,4 @@
-"""What the doorman is told at start: read once, into the few values that are used."""
+"""What the router is told at start: read once, into the few values that are used."""
 
 from __future__ import annotations
 
--- a/brackenlane/console.py
+++ b/brackenlane/console.py
@@ -38,7 +38,7 @@
     StartupPhase.CURRENT: "all is known",
     StartupPhase.BEHIND: "all that the store told until it was lost",
 }
-Health = dict[str, tuple[AttemptResult, float]]  # the last outcome at each box, and when
+Health = dict[str, tuple[AttemptResult, float]]  # the last outcome at each cache, and when
 
 
 class AdminConsole:
@@ -67,12 +67,12 @@
             case ["why", server]:
                 lines = self._roster.merge.explain(server, time.time())
                 return "".join(line + "\n" for line in lines) or f"no such box: {server}\n"
-            case ["drain" | "restore" as word, server]:
-                order = self._roster.drain(server, word == "drain", f"the console of {self._name}")
+            case ["drain" | "restore" as command, server]:
+                order = self._roster.drain(server, command == "drain", f"the console of {self._name}")
                 if order is None:
                     return f"no such box: {server}\n"
                 return await self._shown(
-                    f"{server} {'drained' if word == 'drain' else 'restored'}\n",
+                    f"{server} {'drained' if command == 'drain' else 'restored'}\n",
                     lambda shared: shared.order(server, order),
                 )
             case ["purge", "object", obj]:
@@ -95,7 +95,7 @@
         )
 
     async def _shown(self, text: str, share: Callable[[SharedStore], Awaitable[bool]]) -> str:
-        """What was done here, and whether the other doormans hear of it."""
+        """What was done here, and whether the other routers hear of it."""
         if self._shared and not await share(self._shared):
             return text + "the store is away: the others hear of it when it is back\n"
         return text
@@ -105,19 +105,19 @@
         rows: list[tuple[str, ...]] = [
             ("BOX", "ROLE", "ADDRESS", "STATE", "HEALTH", *(("BY", "SINCE", "WHY") if verbose else ()))
         ]
-        for box in sorted(merge.boxes.values(), key=lambda b: b.what.id):
-            at = box.endpoint
-            where = f"{at[0]}:{at[1]}" if at else box.what.host
+        for cache in sorted(merge.boxes.values(), key=lambda b: b.what.id):
+            at = cache.endpoint
+            where = f"{at[0]}:{at[1]}" if at else cache.what.host
             row: tuple[str, ...] = (
-                box.what.id,
-                box.what.role.value,
+                cache.what.id,
+                cache.what.role.value,
                 where,
-                box.standing.value,
-                self._health(box.what.id),
+                cache.standing.value,
+                self._health(cache.what.id),
             )
             if verbose:
-                cold = f"cold, {max(0.0, now - box.started):.0f} s" if box.started else "warm"
-                row += (", ".join(origin.name.lower() for origin in box.sources), cold, box.reason)
+                cold = f"cold, {max(0.0, now - cache.started):.0f} s" if cache.started else "warm"
+                row += (", ".join(origin.name.lower() for origin in cache.sources), cold, cache.reason)
             rows.append(row)
         widths = [max(len(row[n]) for row in rows) for n in range(len(rows[0]))]
         text = "".join(
@@ -201,7 +201,7 @@
     return trio.SocketListener(trio.socket.from_stdlib_socket(sock))
 
 
-async def talk(path: str, words: list[str], limits: Limits) -> int:
+async def talk(path: str, arguments: list[str], limits: Limits) -> int:
     """The operator's side: one command from the command line, or a prompt."""
     try:
         stream = await trio.open_unix_socket(path)
@@ -209,8 +209,8 @@
         print(f"brackenlane console: {path}: {fault.strerror or fault}", file=sys.stderr)
         return 1
     async with stream:
-        if words:
-            return await _command(stream, " ".join(words))
+        if arguments:
+            return await _command(stream, " ".join(arguments))
         while True:
             print("brackenlane> ", end="", flush=True)
             line = await trio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True)
--- a/brackenlane/core/claims.py
+++ b/brackenlane/core/claims.py
@@ -1,4 +1,4 @@
-"""Whether a submit is ours to run: what the doormans of one site, or two processes of one, agree on."""
+"""Whether a submit is ours to run: what the routers of one site, or two processes of one, agree on."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ClaimStore(Protocol):
-    """Keeps a submit from being run by two doormans."""
+    """Keeps a submit from being run by two routers."""
 
     async def claim(self, txn: str) -> ClaimResult:
         """Claim a submit before it runs."""
--- a/brackenlane/core/engine.py
+++ b/brackenlane/core/engine.py
@@ -1,6 +1,6 @@
 """The actor round the Router: its clock, its timers, the requests in hand and their attempts.
 
-Events come in by the mailbox, actions go out to the boxes and to the waiting requests. It knows no wire:
+Events come in by the mailbox, actions go out to the caches and to the waiting requests. It knows no wire:
 what a front hands in with a request (id, tag, body) is passed on unread. Whoever puts a message in has it
 worked off before going on, without a task switch; what comes of a message while one is worked off waits in
 the mailbox for its turn.
@@ -105,7 +105,7 @@
         for key, at in self.membership.purges.items():
             obj, group = (key, -1) if isinstance(key, str) else ("", key)
             router.handle(Purged(obj, group, max(0.0, now - at)), now)
-        # All that could fail is done. What the last one was still to send cold boxes is the new one's.
+        # All that could fail is done. What the last one was still to send cold caches is the new one's.
         self._router.since = math.inf  # also those that it is yet to hear of
         for server in self._router.servers.values():
             server.tokens = TokenBucket(math.inf)
@@ -219,7 +219,7 @@
                 self._handle(message, now, router)
 
     def _own(self, request: PendingRequest, now: float) -> Answer | None:
-        """The answer by a copy of our own, which spares the boxes and the link in."""
+        """The answer by a copy of our own, which spares the caches and the link in."""
         if not self._cache or request.connect_only:
             return None
         copy = self._cache.find(request.arrival, request.tag, now)
--- a/brackenlane/core/membership_view.py
+++ b/brackenlane/core/membership_view.py
@@ -1,4 +1,4 @@
-"""What we were told of boxes and purges, for the last check as something is written."""
+"""What we were told of caches and purges, for the last check as something is written."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         self.has_list = True
 
     def serving(self, server: str) -> bool:
-        """Whether new work may go to a box."""
+        """Whether new work may go to a cache."""
         member = self.members.get(server)
         return member is not None and member.state is ServerState.SERVING
 
--- a/brackenlane/core/metrics.py
+++ b/brackenlane/core/metrics.py
@@ -44,7 +44,7 @@
                 kind.errors += 1
 
     def tried(self, cls: str) -> None:
-        """An attempt for a request of a class was written whole to a box."""
+        """An attempt for a request of a class was written whole to a cache."""
         if kind := self.kinds.get(cls):
             kind.tries += 1
 
@@ -54,7 +54,7 @@
     """What stands at this moment."""
 
     active: int = 0  # requests taken and not yet ended
-    pool_size: int = 0  # boxes on the list, parents and origin among them
+    pool_size: int = 0  # caches on the list, parents and origin among them
     pool_ejected: int = 0  # of these, avoided by hand or by choice
 
 
--- a/brackenlane/core/requests.py
+++ b/brackenlane/core/requests.py
@@ -35,7 +35,7 @@
     tag: str = ""
     hold_off: float = 0.0
     late: bool = False  # failed since its time was up
-    server: str = ""  # the box that answered
+    server: str = ""  # the cache that answered
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,7 +50,7 @@
     unchanged: bool = False
     issued: float | None = None  # Unix time at which the origin gave out this copy
     delay: float = 0.0  # seconds that a fill waited for its source; 0: not told
-    report: tuple[tuple[str, float], ...] = ()  # the load of the box, by the names of the report's fields
+    report: tuple[tuple[str, float], ...] = ()  # the load of the cache, by the names of the report's fields
 
 
 @dataclass(slots=True, eq=False)
@@ -62,8 +62,8 @@
     wire_id: str = ""
     tag: str = ""
     body: bytes = b""
-    key: str = ""  # by which boxes drop the repeats of a keyed request
-    connect_only: bool = False  # the box is wanted, not the object: reach it and no more
+    key: str = ""  # by which caches drop the repeats of a keyed request
+    connect_only: bool = False  # the cache is wanted, not the object: reach it and no more
     on_answer: Callable[[Answer], None] | None = None  # called once, with the final answer
     is_client_connected: Callable[[], bool] | None = (
         None  # whether its client is still there, looked at when called
@@ -82,7 +82,7 @@
 
     @property
     def must_run_once(self) -> bool:
-        """Whether it must never run twice: boxes drop repeats of a keyed request by its key alone."""
+        """Whether it must never run twice: caches drop repeats of a keyed request by its key alone."""
         if self.cls is None:
             return False
         return self.cls.idempotency is Idempotency.NON_IDEMPOTENT or (
@@ -91,25 +91,25 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt may have run at a box: nothing proves the contrary."""
+        """Whether an attempt may have run at a cache: nothing proves the contrary."""
         return any(a.written and not (a.reply and a.reply.result.is_proven_not_run) for a in self.attempts)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt at a box, from the decision to its outcome."""
+    """One attempt at a cache, from the decision to its outcome."""
 
     request: PendingRequest
     number: int
     fetch: Fetch
     started: float
     stop: Callable[[], None] | None = None  # of whoever performs it: takes it back at once
-    written: bool = False  # a byte of it may have reached the box
+    written: bool = False  # a byte of it may have reached the cache
     cancelled: bool = False
     reply: AttemptReply | None = None
 
     def remaining_time(self, membership: MembershipView, now: float) -> float:
-        """The time its box has for it, if its first byte may go out at this very moment; else at most 0.
+        """The time its cache has for it, if its first byte may go out at this very moment; else at most 0.
 
         The one check of all that may have changed since it was decided, however long it waited, and for what.
         """
--- a/brackenlane/core/response_cache.py
+++ b/brackenlane/core/response_cache.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Copy:
-    """One part of an object, as a box gave it out."""
+    """One part of an object, as a cache gave it out."""
 
     arrival: Arrival  # of the request that it was fetched for: object, part and group
     body: bytes
@@ -22,8 +22,8 @@
 class ResponseCache:
     """Bounded in bytes; what was used longest ago goes first."""
 
-    def __init__(self, settings: Settings, room: float, flow: float, link: float, slack: float) -> None:
-        self.most = self._room = room
+    def __init__(self, settings: Settings, capacity: float, flow: float, link: float, slack: float) -> None:
+        self.most = self._room = capacity
         self._flow, self._link, self._slack = flow, link, slack
         self._classes = {c.name: c for c in settings.classes if not c.uncached}
         self._kept: OrderedDict[tuple[str, str], Copy] = OrderedDict()
@@ -31,7 +31,7 @@
         self._free = 0.0  # when all that our link carries now has gone out
 
     def keep(self, copy: Copy) -> None:
-        """Keep what a box has answered."""
+        """Keep what a cache has answered."""
         size = len(copy.body)
         key = copy.arrival.cls, copy.arrival.cache_key
         if copy.arrival.cls not in self._classes or not 0 < size <= self._room / 8:
@@ -47,9 +47,9 @@
         """Which part of all room may be used."""
         return self._room / self.most if self.most else 0.0
 
-    def allow(self, room: float) -> None:
+    def allow(self, capacity: float) -> None:
         """Keep no more bytes than so many from now on."""
-        self._room = room
+        self._room = capacity
         while self._bytes > self._room:
             self._drop(next(iter(self._kept)))
 
@@ -62,7 +62,7 @@
         cls, copy = self._classes.get(request.cls), self._kept.get((request.cls, request.cache_key))
         if cls is None or copy is None:
             return None
-        # In the last fifth of its fresh time the boxes are asked, which renew theirs behind an answer.
+        # In the last fifth of its fresh time the caches are asked, which renew theirs behind an answer.
         if cls.fresh_for and now - copy.issued > 0.8 * cls.fresh_for - self._slack:
             self._drop((request.cls, request.cache_key))
             return None
@@ -75,7 +75,7 @@
         """Whether our link sends it about as soon as one flow can; transfers share it in their order."""
         free = max(self._free, now) + size / self._link
         alone = size / self._flow
-        if free - now > alone + cls.latency_objective / 8:  # a box would send it sooner
+        if free - now > alone + cls.latency_objective / 8:  # a cache would send it sooner
             return False
         self._free = free
         return True
--- a/brackenlane/discovery/dns_cache.py
+++ b/brackenlane/discovery/dns_cache.py
@@ -44,33 +44,37 @@
     def put(self, question: Question, reply: Reply, upstream: str, now: float) -> CachedAnswer:
         """Keep an answer; its lifetime is held between floor and ceiling."""
         most = self._lifetimes.negative if reply.says is Says.NONE else self._lifetimes.ceiling
-        kept = CachedAnswer(reply, upstream, now, now + min(most, max(self._lifetimes.floor, reply.ttl)))
-        self._kept[question] = kept
+        retained = CachedAnswer(reply, upstream, now, now + min(most, max(self._lifetimes.floor, reply.ttl)))
+        self._kept[question] = retained
         self._kept.move_to_end(question)
         self._failed.pop(question, None)
         while len(self._kept) > self._lifetimes.entries:
             self._kept.popitem(last=False)
-        return kept
+        return retained
 
     def fresh(self, question: Question, now: float) -> CachedAnswer | None:
         """An answer within its lifetime."""
-        kept = self._kept.get(question)
-        if kept is None or not kept.at <= now < kept.until:
+        retained = self._kept.get(question)
+        if retained is None or not retained.at <= now < retained.until:
             return None
         self._kept.move_to_end(question)
-        return kept
+        return retained
 
     def stale(self, question: Question, now: float) -> CachedAnswer | None:
         """An answer past its lifetime that will do while nobody gives a better one; never a "none"."""
-        kept = self._kept.get(question)
-        if kept is None or kept.reply.says is Says.NONE or now - kept.until > self._lifetimes.stale:
+        retained = self._kept.get(question)
+        if (
+            retained is None
+            or retained.reply.says is Says.NONE
+            or now - retained.until > self._lifetimes.stale
+        ):
             return None
-        return kept
+        return retained
 
     def expire(self, question: Question, now: float) -> None:
         """What is kept has been found wanting: ask anew, but keep it in case nobody answers."""
-        if kept := self._kept.get(question):
-            self._kept[question] = replace(kept, until=min(kept.until, now))
+        if retained := self._kept.get(question):
+            self._kept[question] = replace(retained, until=min(retained.until, now))
 
     def fail(self, question: Question, why: str, now: float) -> None:
         """All have failed at a question: for a moment it is not put again."""
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -44,7 +44,7 @@
         name: str = "",
         window: float = 0.0,
     ) -> None:
-        """name: of this doorman; window: seconds in which the whole fleet asks for one name."""
+        """name: of this router; window: seconds in which the whole fleet asks for one name."""
         self._name, self._window, self._chance = name, window, random.Random()
         self._roster, self._merge, self._resolver = roster, roster.merge, resolver
         self._limits, self._connect_timeout, self._nursery = limits, connect_timeout, nursery
@@ -68,10 +68,10 @@
             await trio.sleep(self._limits.resolver_least / 10)  # changes that come in a burst are one
 
     def doubt(self, server: str) -> None:
-        """An attempt did not reach a box: its address may be that of a dead one."""
-        box = self._merge.boxes.get(server)
-        if box and box.endpoint and (watcher := self._hosts.get(box.what.host)):
-            if changes := self._merge.doubt(box.what.host, box.endpoint[0], time.time()):
+        """An attempt did not reach a cache: its address may be that of a dead one."""
+        cache = self._merge.boxes.get(server)
+        if cache and cache.endpoint and (watcher := self._hosts.get(cache.what.host)):
+            if changes := self._merge.doubt(cache.what.host, cache.endpoint[0], time.time()):
                 self._roster.apply(changes)
             watcher.again.set()
 
@@ -138,18 +138,18 @@
         spot = self._merge.places.get(host)
         known = spot.address if spot else None
         if known is not None and found.addresses == (known,):
-            # Told again what is in use: no look, or all doormans dial all boxes each lifetime.
+            # Told again what is in use: no look, or all routers dial all caches each lifetime.
             self._roster.apply(self._merge.locate(host, found.addresses, time.time()))
             watcher.failures = 0
             return self._wait(found)
-        # Guards against a stale cached answer: an address is taken only if a box answers there.
-        ports = {box.what.port for box in self._merge.boxes.values() if box.what.host == host}
+        # Guards against a stale cached answer: an address is taken only if a cache answers there.
+        ports = {cache.what.port for cache in self._merge.boxes.values() if cache.what.host == host}
         alive = [address for address in found.addresses if await self._alive(address, ports)]
         if found.addresses and not alive:
             self._merge.locate_failed(host, f"nobody answers at {', '.join(found.addresses)}")
             self._resolver.doubt(host)
             return self._retry(watcher.failures)
-        # A box that has left its old address moves at once; two that both answer move it once in a while.
+        # A cache that has left its old address moves at once; two that both answer move it once in a while.
         old = spot.address if spot and spot.address not in alive else None
         dead = old is not None and not await self._alive(old, ports)
         self._roster.apply(self._merge.locate(host, alive, time.time(), dead))
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -1,7 +1,7 @@
-"""One list of boxes out of all that is told of them, by one stated rule (docs/design/discovery.md).
+"""One list of caches out of all that is told of them, by one stated rule (docs/design/discovery.md).
 
 A decision module: no I/O, no clock of its own. Every source says what it knows; the merge keeps all of it,
-with its age, and works out for each box its state, its address and the reason.
+with its age, and works out for each cache its state, its address and the reason.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class MembershipMerge:
-    """All that is told of boxes, and the one list of it. Each method returns what changed, in order."""
+    """All that is told of caches, and the one list of it. Each method returns what changed, in order."""
 
     def __init__(self, policy: Policy, watches: Iterable[SrvWatch] = ()) -> None:
         self.policy = policy
@@ -45,7 +45,7 @@
             o: {} for o in DefinitionSource if o is not DefinitionSource.SRV
         }
         self._recalled = 0.0  # from when what memory alone names counts as cold; 0: it is warm still
-        self._cold = 0.0  # from when all boxes count as cold; 0: they don't
+        self._cold = 0.0  # from when all caches count as cold; 0: they don't
         self._published: dict[str, Change] = {}
         self._alias: dict[str, str] = {}  # ids that are another box's as well
         self._due = False  # a drain or a restore may have changed who stands by
@@ -53,7 +53,7 @@
     # What is told
 
     def define(self, origin: DefinitionSource, what: CacheDefinition, now: float) -> list[Change]:
-        """A console, the store or the file describes a box; what it said before is replaced."""
+        """A console, the store or the file describes a cache; what it said before is replaced."""
         said = self._said[origin]
         if said.get(what.id) == what:
             return []
@@ -64,11 +64,11 @@
         return self._renew(now)
 
     def remove(self, origin: DefinitionSource, server: str, now: float) -> list[Change]:
-        """That source names the box no more."""
+        """That source names the cache no more."""
         return self._renew(now) if self._said[origin].pop(server, None) else []
 
     def order(self, server: str, order: OperatorOrder, now: float) -> list[Change]:
-        """An operator drains or restores a box, known or not: the last word holds over any answer."""
+        """An operator drains or restores a cache, known or not: the last word holds over any answer."""
         if not order.beats(self.orders.get(server)):
             return []
         if server not in self.orders and len(self.orders) >= self.policy.drains:
@@ -81,7 +81,7 @@
                 return []
             del self.orders[spare]
         self.orders[server] = order
-        # One box changes by it, whoever else is on the list: a drain waits for no merge of thousands.
+        # One cache changes by it, whoever else is on the list: a drain waits for no merge of thousands.
         known = self.boxes.get(self._alias.get(server, server))
         if known is None:
             return []
@@ -94,28 +94,28 @@
         entry = self.entries[srv]
         # At a start with nothing remembered nobody can tell who is new: all are taken as warm.
         first = entry.answered == NEVER and not entry.listed
-        told: dict[str, CacheDefinition] = {}
+        reported: dict[str, CacheDefinition] = {}
         for target in targets:
             host = target.host.rstrip(".").lower()
             if not host or not 0 < target.port < 65536:
                 continue
             server = box_id(host, target.port)
-            if server in told and told[server].priority <= target.priority:
+            if server in reported and reported[server].priority <= target.priority:
                 continue
             # RFC 2782: weight 0 is there for when there is nothing to choose; the module needs more than 0.
             weight = entry.watch.weight_scale * max(target.weight, 0.1)
-            told[server] = CacheDefinition(
+            reported[server] = CacheDefinition(
                 server, host, target.port, entry.watch.zone, entry.watch.role, weight, target.priority
             )
         entry.left_out = 0
-        for server, what in told.items():
+        for server, what in reported.items():
             if listed := entry.listed.get(server):
                 listed.what, listed.last, listed.missing = what, now, None
             elif self._count() < self.policy.boxes:
                 entry.listed[server] = SrvMember(what, now, now, cold=not first)
             else:
                 entry.left_out += 1
-        self._missing(entry, frozenset(entry.listed.keys() - told.keys()), upstream, now)
+        self._missing(entry, frozenset(entry.listed.keys() - reported.keys()), upstream, now)
         entry.answered, entry.fault = now, ""
         return self._renew(now)
 
@@ -131,7 +131,7 @@
         self.places.setdefault(host, HostAddresses()).fault = why
 
     def locate(self, host: str, addresses: Iterable[str], now: float, dead: bool = False) -> list[Change]:
-        """A whole answer for a host name. No address at all takes the box away after the grace period.
+        """A whole answer for a host name. No address at all takes the cache away after the grace period.
 
         dead: nobody answers at the address in use, so that a move need not wait.
         """
@@ -181,12 +181,12 @@
         )
 
     def chill(self, now: float) -> list[Change]:
-        """Nobody can tell whether the boxes were running before now: all count as cold from now."""
+        """Nobody can tell whether the caches were running before now: all count as cold from now."""
         self._cold = now
         return self._renew(now)
 
     def recall(self, memory: RememberedMembers, saved: float, now: float) -> list[Change]:
-        """The last list, weighed by its age: too old, its boxes are left out; the orders never are."""
+        """The last list, weighed by its age: too old, its caches are left out; the orders never are."""
         for server, order in memory.orders.items():
             if order.beats(self.orders.get(server)):
                 self.orders[server] = order
@@ -194,9 +194,9 @@
             return self._renew(now)
         self._recalled = now if now - saved > self.policy.warm else 0.0
         self._said[DefinitionSource.MEMORY] = {what.id: what for what in memory.others}
-        for srv, boxes in memory.listed.items():
+        for srv, caches in memory.listed.items():
             if entry := self.entries.get(srv):
-                for what in boxes:
+                for what in caches:
                     entry.listed.setdefault(what.id, SrvMember(what, now, saved, cold=self._recalled > 0))
         for host, address in memory.places.items():
             if host not in self.places:
@@ -210,10 +210,10 @@
 
     def confirm(self, now: float) -> list[Change]:
         """The store stands behind what memory kept of it: these are its words now."""
-        kept = self._said[DefinitionSource.MEMORY]
-        if not kept:
+        retained = self._said[DefinitionSource.MEMORY]
+        if not retained:
             return []
-        self._said[DefinitionSource.STORE] = {**kept, **self._said[DefinitionSource.STORE]}
+        self._said[DefinitionSource.STORE] = {**retained, **self._said[DefinitionSource.STORE]}
         self._said[DefinitionSource.MEMORY] = {}
         return self._renew(now)
 
@@ -281,7 +281,7 @@
                 place.address = None
                 return self._renew(now)
             return []
-        # Hysteresis: answers that alternate move a box once in a while, not each time.
+        # Hysteresis: answers that alternate move a cache once in a while, not each time.
         if place.address and now - place.moved < self.policy.settle:
             return []
         self._move(place, place.addresses[0], now)
@@ -315,7 +315,7 @@
         return (address, what.port) if address else None
 
     def _renew(self, now: float) -> list[Change]:
-        """The whole list anew, by the table: who is one box, whose words hold, who serves."""
+        """The whole list anew, by the table: who is one cache, whose words hold, who serves."""
         self._due = False
         found: dict[str, MergedCache] = {}
         names: dict[tuple[str, int], str] = {}  # host and port, as told
@@ -344,12 +344,12 @@
                     what, MergedState.LOST, endpoint, self._started(origin, what), (origin,)
                 )
         self.boxes = {}
-        changed = [self._stand(box) for box in found.values()]
+        changed = [self._stand(cache) for cache in found.values()]
         for entry in self.entries.values():
             changed += self._stand_by(entry)
         changed += [
-            replace(box, standing=MergedState.LOST, endpoint=None)
-            for box in (
+            replace(cache, standing=MergedState.LOST, endpoint=None)
+            for cache in (
                 MergedCache(
                     CacheDefinition(
                         server, "", 0, change.member.zone, change.member.role, change.member.weight
@@ -363,11 +363,11 @@
                 if server not in self.boxes
             )
         ]
-        final = {box.what.id: box for box in changed}  # the last word on each, so that nobody flaps
+        final = {cache.what.id: cache for cache in changed}  # the last word on each, so that nobody flaps
         return self._publish(final.values())
 
     def _started(self, origin: DefinitionSource, what: CacheDefinition) -> float:
-        """From when a box counts as cold: since it was added or has moved; 0 if it is warm."""
+        """From when a cache counts as cold: since it was added or has moved; 0 if it is warm."""
         place = self.places.get(what.host)
         moved = place.moved if place and place.moved > 0 else 0.0
         added = self._cold
@@ -384,85 +384,91 @@
             added = max(added, self._recalled)
         return max(moved, added)
 
-    def _drain(self, box: MergedCache) -> OperatorOrder | None:
-        """The order that keeps a box out, under whichever of its ids it was given."""
-        orders = [self.orders[server] for server in (box.what.id, *box.also) if server in self.orders]
+    def _drain(self, cache: MergedCache) -> OperatorOrder | None:
+        """The order that keeps a cache out, under whichever of its ids it was given."""
+        orders = [self.orders[server] for server in (cache.what.id, *cache.also) if server in self.orders]
         return next((order for order in orders if order.drained), None)
 
-    def _stand(self, box: MergedCache) -> MergedCache:
-        """A box by its own merits: drains first, then whether it can be reached at all."""
-        if order := self._drain(box):
+    def _stand(self, cache: MergedCache) -> MergedCache:
+        """A cache by its own merits: drains first, then whether it can be reached at all."""
+        if order := self._drain(cache):
             standing, reason = MergedState.DRAINING, f"drained by {order.by}"
-        elif box.endpoint is None:
-            place = self.places.get(box.what.host)
+        elif cache.endpoint is None:
+            place = self.places.get(cache.what.host)
             why = place.fault if place and place.fault else "no address told"
-            standing, reason = MergedState.LOST, f"{box.what.host}: {why}"
+            standing, reason = MergedState.LOST, f"{cache.what.host}: {why}"
         else:
             standing, reason = (
                 MergedState.SERVING,
-                f"named by {', '.join(o.name.lower() for o in box.sources)}",
+                f"named by {', '.join(o.name.lower() for o in cache.sources)}",
             )
-        if standing is MergedState.DRAINING and box.endpoint is None:
+        if standing is MergedState.DRAINING and cache.endpoint is None:
             standing = MergedState.LOST  # drained and nowhere: off the list, the order stays
-        self.boxes[box.what.id] = found = replace(box, standing=standing, reason=reason)
+        self.boxes[cache.what.id] = found = replace(cache, standing=standing, reason=reason)
         return found
 
-    def _watched(self, box: MergedCache, entry: SrvEntry) -> bool:
-        return box.sources[0] is DefinitionSource.SRV and box.what.id in entry.listed
+    def _watched(self, cache: MergedCache, entry: SrvEntry) -> bool:
+        return cache.sources[0] is DefinitionSource.SRV and cache.what.id in entry.listed
 
     def _stand_by(self, entry: SrvEntry) -> list[MergedCache]:
         """RFC 2782: a target of lower priority is used only while too few better ones serve."""
         mine = sorted(
-            (box for server in entry.listed if (box := self.boxes.get(server)) and self._watched(box, entry)),
-            key=lambda box: (box.what.priority, box.what.id),
+            (
+                cache
+                for server in entry.listed
+                if (cache := self.boxes.get(server)) and self._watched(cache, entry)
+            ),
+            key=lambda cache: (cache.what.priority, cache.what.id),
         )
         better, level, serving = 0, None, 0
         changed: list[MergedCache] = []
-        for box in mine:
-            if box.what.priority != level:
-                better, level = better + serving, box.what.priority
+        for cache in mine:
+            if cache.what.priority != level:
+                better, level = better + serving, cache.what.priority
                 serving = 0
-            if box.standing is not MergedState.SERVING:
+            if cache.standing is not MergedState.SERVING:
                 continue
             if better >= entry.watch.enough:
                 found = replace(
-                    box, standing=MergedState.STANDBY, reason=f"standby: {better} of a better priority serve"
+                    cache,
+                    standing=MergedState.STANDBY,
+                    reason=f"standby: {better} of a better priority serve",
                 )
-                self.boxes[box.what.id] = found
+                self.boxes[cache.what.id] = found
                 changed.append(found)
             else:
                 serving += 1
         return changed
 
-    def _publish(self, boxes: Iterable[MergedCache]) -> list[Change]:
-        """The real changes among these boxes, one for each."""
+    def _publish(self, caches: Iterable[MergedCache]) -> list[Change]:
+        """The real changes among these caches, one for each."""
         changes: list[Change] = []
-        for box in boxes:
-            on = box.standing in (MergedState.SERVING, MergedState.DRAINING)
-            change = Change(box.member, box.endpoint if on else None)
-            known = self._published.get(box.what.id)
+        for cache in caches:
+            on = cache.standing in (MergedState.SERVING, MergedState.DRAINING)
+            change = Change(cache.member, cache.endpoint if on else None)
+            known = self._published.get(cache.what.id)
             if known == change or (known is None and not on):
                 continue
             changes.append(change)
             if on:
-                self._published[box.what.id] = change
+                self._published[cache.what.id] = change
             else:
-                del self._published[box.what.id]
+                del self._published[cache.what.id]
         return changes
 
     # What an operator sees
 
     def explain(self, server: str, now: float) -> list[str]:
-        """Why a box stands as it does, and what each source says of it; nothing if nobody names it."""
+        """Why a cache stands as it does, and what each source says of it; nothing if nobody names it."""
         server = self._alias.get(server, server)
-        box, lines = self.boxes.get(server), []
-        if box:
-            at = f" at {box.endpoint[0]}, port {box.endpoint[1]}" if box.endpoint else ""
-            lines.append(f"{server} is {box.standing.value}{at}: {box.reason}")
-            if box.started:
-                lines.append(f"  cold since {max(0.0, now - box.started):.0f} s")
-            lines += [f"  the same box as {other}" for other in box.also]
-        ids = {server, *(box.also if box else ())}
+        cache, lines = self.boxes.get(server), []
+        if cache:
+            at = f" at {cache.endpoint[0]}, port {cache.endpoint[1]}" if cache.endpoint else ""
+            lines.append(f"{server} is {cache.standing.value}{at}: {cache.reason}")
+            if cache.started:
+                lines.append(f"  cold since {max(0.0, now - cache.started):.0f} s")
+            lines += [f"  the same box as {other}" for other in cache.also]
+        ids = {server, *(cache.also if cache else ())}
         for origin, what in self._all():
             if what.id in ids:
                 lines.append(
@@ -483,13 +489,13 @@
                     )
                 if entry.fault:
                     lines.append(f"  {entry.watch.srv}: the last look-up failed: {entry.fault}")
-        if box and (place := self.places.get(box.what.host)):
+        if cache and (place := self.places.get(cache.what.host)):
             fault = f", {place.fault}" if place.fault else ""
             lines.append(
-                f"  {box.what.host}: {', '.join(place.addresses) or 'nowhere'}, "
+                f"  {cache.what.host}: {', '.join(place.addresses) or 'nowhere'}, "
                 f"told {max(0.0, now - place.told):.0f} s ago{fault}"
             )
-        if not box and self.orders.get(server):
+        if not cache and self.orders.get(server):
             lines.append(f"{server} is named by nobody now; the order stays for when it is again")
         for name in sorted(ids & self.orders.keys()):
             order = self.orders[name]
--- a/brackenlane/discovery/records.py
+++ b/brackenlane/discovery/records.py
@@ -1,4 +1,4 @@
-"""The records of which discovery's one list of boxes is made: what is told, by whom, and what follows.
+"""The records of which discovery's one list of caches is made: what is told, by whom, and what follows.
 
 Pure. Times are Unix seconds. The rule that joins them: merge.py, docs/design/discovery.md.
 """
@@ -18,7 +18,7 @@
 
 
 class DefinitionSource(IntEnum):
-    """Who says that there is a box; where two describe the same one, the lower number's words hold."""
+    """Who says that there is a cache; where two describe the same one, the lower number's words hold."""
 
     CONSOLE = 0
     STORE = 1
@@ -28,7 +28,7 @@
 
 
 class MergedState(Enum):
-    """What has become of a box. Only SERVING gets new work, only the first two are on the list."""
+    """What has become of a cache. Only SERVING gets new work, only the first two are on the list."""
 
     SERVING = "serving"
     DRAINING = "draining"  # by an operator
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheDefinition:
-    """One box as one source describes it. weight: in transfers, as the module takes it."""
+    """One cache as one source describes it. weight: in transfers, as the module takes it."""
 
     id: str
     host: str  # an address or a name
@@ -74,19 +74,19 @@
 class Policy:
     """Seconds, and shares of a list."""
 
-    grace: float = 5.0  # for which a box that a whole answer lacks stays
+    grace: float = 5.0  # for which a cache that a whole answer lacks stays
     most_gone: float = 0.5  # of a list that one answer may take away unconfirmed
     confirm: float = 2.0  # after which a later answer of the same upstream confirms
-    settle: float = 5.0  # between two moves of one box to another address, unless it is dead there
+    settle: float = 5.0  # between two moves of one cache to another address, unless it is dead there
     remembered: float = 7 * 86_400.0  # the oldest last list that is used
-    warm: float = 600.0  # a last list younger than this names boxes that are warm still
+    warm: float = 600.0  # a last list younger than this names caches that are warm still
     boxes: int = 10_000  # known at once; more are left out, and said to be
     drains: int = 10_000  # ids whose drain or restore is kept; restored ones go first
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorOrder:
-    """What an operator last said of a box: drain or restore. The later holds; at one time, the drain."""
+    """What an operator last said of a cache: drain or restore. The later holds; at one time, the drain."""
 
     drained: bool
     at: float
@@ -144,14 +144,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedCache:
-    """One box of the merged list, and why it stands as it does."""
+    """One cache of the merged list, and why it stands as it does."""
 
     what: CacheDefinition
     standing: MergedState
     endpoint: Endpoint | None
     started: float  # Unix time from which it counts as cold; 0: warm
     sources: tuple[DefinitionSource, ...]
-    also: tuple[str, ...] = ()  # other ids that name the same box
+    also: tuple[str, ...] = ()  # other ids that name the same cache
     reason: str = ""
 
     @property
@@ -185,11 +185,11 @@
     others: tuple[CacheDefinition, ...] = ()  # from the store and consoles
     listed: dict[str, tuple[CacheDefinition, ...]] = field(default_factory=dict)  # by SRV owner name
     places: dict[str, str] = field(default_factory=dict)  # addresses by host name
-    orders: dict[str, OperatorOrder] = field(default_factory=dict)  # by box
+    orders: dict[str, OperatorOrder] = field(default_factory=dict)  # by cache
 
 
 def box_id(host: str, port: int) -> str:
-    """The id of an SRV target, the same for good: a renumbered box is the same box elsewhere."""
+    """The id of an SRV target, the same for good: a renumbered cache is the same cache elsewhere."""
     label = re.sub(r"[^0-9a-z-]", "-", host.split(".")[0].lower())[:40].strip("-") or "box"
     return f"{label}-{blake2b(f'{host}:{port}'.encode(), digest_size=4).hexdigest()}"
 
--- a/brackenlane/discovery/registry.py
+++ b/brackenlane/discovery/registry.py
@@ -1,4 +1,4 @@
-"""The appliance's list of boxes: what the merge makes of all sources, told to core and boxes' actors."""
+"""The appliance's list of caches: what the merge makes of all sources, told to core and boxes' actors."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def read_box(raw: Any) -> CacheDefinition:
-    """A box from the store or the last list; ValueError if it is none."""
+    """A cache from the store or the last list; ValueError if it is none."""
     try:
         what = CacheDefinition(
             str(raw["id"]).lower(),
@@ -38,7 +38,7 @@
 
 
 def box_json(what: CacheDefinition) -> dict[str, Any]:
-    """A box as the store and the last list keep it."""
+    """A cache as the store and the last list keep it."""
     return {
         "id": what.id,
         "host": what.host,
@@ -83,7 +83,7 @@
 
     def __init__(self, merge: MembershipMerge, core: Callable[[Event], None], pools: Follow) -> None:
         self.merge = merge
-        self.endpoints: dict[str, Endpoint] = {}  # of boxes on the list now
+        self.endpoints: dict[str, Endpoint] = {}  # of caches on the list now
         self.changed: list[Callable[[], None]] = []  # called after each change of anything that is kept
         self._told = Subscribers(core, pools)
 
@@ -103,7 +103,7 @@
             call()
 
     def define(self, origin: DefinitionSource, what: CacheDefinition) -> None:
-        """A source describes a box."""
+        """A source describes a cache."""
         self.apply(self.merge.define(origin, what, time.time()))
 
     def order(self, server: str, order: OperatorOrder) -> None:
@@ -111,7 +111,7 @@
         self.apply(self.merge.order(server, order, time.time()))
 
     def drain(self, server: str, drained: bool, by: str) -> OperatorOrder | None:
-        """The operator takes a box out of service or back; None if nobody names such a box."""
+        """The operator takes a cache out of service or back; None if nobody names such a cache."""
         if (
             server not in self.merge.boxes
             and server not in self.merge.orders
--- a/brackenlane/discovery/resolver.py
+++ b/brackenlane/discovery/resolver.py
@@ -96,8 +96,8 @@
     async def _one(self, question: Question) -> tuple[Found, Reply]:
         """One question, without following aliases."""
         now = time.time()
-        if kept := self.cache.fresh(question, now):
-            return _found(kept), kept.reply
+        if retained := self.cache.fresh(question, now):
+            return _found(retained), retained.reply
         if why := self.cache.failing(question, now):
             return self._past(question, why, now)
         flight = self._flights.get(question)
@@ -107,13 +107,13 @@
             self._nursery.start_soon(self._fly, question, flight)
         await flight.done.wait()
         now = time.time()
-        if kept := self.cache.fresh(question, now):
-            return _found(kept), kept.reply
+        if retained := self.cache.fresh(question, now):
+            return _found(retained), retained.reply
         return self._past(question, flight.fault or "no answer", now)
 
     def _past(self, question: Question, why: str, now: float) -> tuple[Found, Reply]:
-        if kept := self.cache.stale(question, now):
-            return _found(kept, why), kept.reply
+        if retained := self.cache.stale(question, now):
+            return _found(retained, why), retained.reply
         raise LookUpFailed(f"{question.name} {question.kind.name}: {why}")
 
     async def _fly(self, question: Question, flight: Flight) -> None:
@@ -209,14 +209,14 @@
         return reply if reply.says is not Says.NOT_OURS else Reply(Says.LAME, why=reply.why)
 
 
-def _found(kept: CachedAnswer, why: str = "") -> Found:
-    reply = kept.reply
+def _found(retained: CachedAnswer, why: str = "") -> Found:
+    reply = retained.reply
     return Found(
         reply.targets,
         reply.addresses,
         tuple(sorted(reply.beside.items())),
-        kept.until,
-        kept.upstream,
+        retained.until,
+        retained.upstream,
         bool(why),
         why,
     )
--- a/brackenlane/discovery/snapshot.py
+++ b/brackenlane/discovery/snapshot.py
@@ -1,7 +1,7 @@
 """The last list on disk: whole or not at all, and never trusted when damaged.
 
 One JSON document: version, checksum, time, the place in the shared store's log up to which it is true,
-whether the doorman left in order, and what the merge remembers. It is replaced atomically (a new file,
+whether the router left in order, and what the merge remembers. It is replaced atomically (a new file,
 synced, renamed over the old one), so a crash at any point leaves the old list or the new one.
 """
 
@@ -42,19 +42,19 @@
     memory: RememberedMembers
     saved: float  # Unix time
     place: str = NOWHERE  # in the log of the shared store: all up to it is in this list
-    left: bool = False  # written as the doorman left in order; else power or the program was lost
+    left: bool = False  # written as the router left in order; else power or the program was lost
     purges: tuple[tuple[str, int, float], ...] = ()  # told lately: object, group, Unix time
 
 
-def dump(kept: Snapshot) -> bytes:
+def dump(retained: Snapshot) -> bytes:
     """A last list as it is written."""
-    memory = kept.memory
+    memory = retained.memory
     body = orjson.dumps(
         {
-            "saved": kept.saved,
-            "place": kept.place,
-            "left": kept.left,
-            "purges": kept.purges,
+            "saved": retained.saved,
+            "place": retained.place,
+            "left": retained.left,
+            "purges": retained.purges,
             "others": [box_json(what) for what in memory.others],
             "listed": {srv: [box_json(what) for what in listed] for srv, listed in memory.listed.items()},
             "places": memory.places,
@@ -80,11 +80,13 @@
         if hashlib.sha256(body).hexdigest() != outer["sha256"]:
             raise ValueError("the checksum does not fit")
         raw: dict[str, Any] = orjson.loads(body)
-        listed = {str(srv): tuple(read_box(box) for box in boxes) for srv, boxes in raw["listed"].items()}
+        listed = {
+            str(srv): tuple(read_box(cache) for cache in caches) for srv, caches in raw["listed"].items()
+        }
         place = str(raw.get("place", NOWHERE))
         read_place(place)
         memory = RememberedMembers(
-            tuple(read_box(box) for box in raw["others"]),
+            tuple(read_box(cache) for cache in raw["others"]),
             listed,
             {str(host): str(at) for host, at in raw["places"].items()},
             dict(read_order(order) for order in raw["orders"]),
@@ -155,10 +157,10 @@
 
     async def keep(self, left: bool = False) -> None:
         """Write what is remembered now, unless that stands there; left: for the last time, in order."""
-        kept = Snapshot(self._roster.merge.memory(), 0.0, left=left)
+        retained = Snapshot(self._roster.merge.memory(), 0.0, left=left)
         if self._store:
             purges = tuple((obj, group, at) for (obj, group), at in self._store.purges.items())
-            kept = replace(kept, place=self._store.place, purges=purges)
-        if (same := dump(kept)) != self._written:
-            await trio.to_thread.run_sync(save, self._path, dump(replace(kept, saved=time.time())))
+            retained = replace(retained, place=self._store.place, purges=purges)
+        if (same := dump(retained)) != self._written:
+            await trio.to_thread.run_sync(save, self._path, dump(replace(retained, saved=time.time())))
             self._written = same
--- a/brackenlane/dns/names.py
+++ b/brackenlane/dns/names.py
@@ -1,8 +1,8 @@
 """What a name under the operator's zone asks for; pure, apart from any socket.
 
-[g-GROUP.][n-PART.]OBJECT.CLASS.ZONE    the box to read from; of a write, the doorman itself
-BOX.boxes.ZONE                          one box, while it takes new work
-doorman.ZONE                            the doorman itself
+[g-GROUP.][n-PART.]OBJECT.CLASS.ZONE    the cache to read from; of a write, the router itself
+BOX.boxes.ZONE                          one cache, while it takes new work
+router.ZONE                            the router itself
 _http._tcp. before any of these         the same with its port, as SRV
 """
 
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheQuestion:
-    """One box by its id."""
+    """One cache by its id."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
 class RouterQuestion:
-    """The doorman itself, or the zone's top."""
+    """The router itself, or the zone's top."""
 
     apex: bool = False
 
--- a/brackenlane/dns/server.py
+++ b/brackenlane/dns/server.py
@@ -34,13 +34,13 @@
 
 
 class Whereabouts(Protocol):
-    """Where boxes are, by id."""
+    """Where caches are, by id."""
 
     endpoints: dict[str, Endpoint]
 
 
 class GiveUp(Exception):
-    """No box can be named in time."""
+    """No cache can be named in time."""
 
 
 class Responder:
@@ -73,8 +73,8 @@
         response = dns.message.make_response(query, our_payload=self._limits.dns_payload)
         response.flags &= ~dns.flags.RA
         await self._fill(query, response)
-        room = min(max(query.payload, 512), self._limits.dns_payload) if udp else 65535
-        return pack(response, room)
+        capacity = min(max(query.payload, 512), self._limits.dns_payload) if udp else 65535
+        return pack(response, capacity)
 
     def _malformed(self, wire: bytes) -> bytes | None:
         """FORMERR under the query's id, if there is one to be read."""
@@ -94,30 +94,36 @@
         if len(query.question) != 1:
             response.set_rcode(dns.rcode.FORMERR)
             return
-        asked = query.question[0]
+        requested = query.question[0]
         if (
-            asked.rdclass != dns.rdataclass.IN
-            or not asked.name.is_subdomain(self._zone)
-            or (dns.rdatatype.is_metatype(asked.rdtype) and asked.rdtype != ANY)
+            requested.rdclass != dns.rdataclass.IN
+            or not requested.name.is_subdomain(self._zone)
+            or (dns.rdatatype.is_metatype(requested.rdtype) and requested.rdtype != ANY)
         ):
             response.set_rcode(dns.rcode.REFUSED)
             return
         response.flags |= dns.flags.AA
         try:
             with trio.fail_after(self._limits.dns_query):
-                await self._look_up(asked, response)
+                await self._look_up(requested, response)
         except (GiveUp, trio.TooSlowError):
             response.answer.clear()
             response.additional.clear()
             response.set_rcode(dns.rcode.SERVFAIL)
             response.flags &= ~dns.flags.AA
 
-    async def _look_up(self, asked: dns.rrset.RRset, response: dns.message.Message) -> None:
-        found = names.read_name(asked.name, self._zone, frozenset(self._classes))
+    async def _look_up(self, requested: dns.rrset.RRset, response: dns.message.Message) -> None:
+        found = names.read_name(requested.name, self._zone, frozenset(self._classes))
         if found is None:
             return self._deny(response, dns.rcode.NXDOMAIN)
         question, service = found
-        kind = A if asked.rdtype == ANY and not service else SRV if asked.rdtype == ANY else asked.rdtype
+        kind = (
+            A
+            if requested.rdtype == ANY and not service
+            else SRV
+            if requested.rdtype == ANY
+            else requested.rdtype
+        )
         match question:
             case names.RouterQuestion(apex=True) if kind in (dns.rdatatype.SOA, dns.rdatatype.NS):
                 response.answer.append(
@@ -133,18 +139,18 @@
         if service != (kind == SRV) or kind not in (A, AAAA, SRV):
             return self._deny(response, dns.rcode.NOERROR)
         if isinstance(question, names.CacheQuestion):
-            # Guards against naming a box that drains: its own name has no address then.
+            # Guards against naming a cache that drains: its own name has no address then.
             if not self._core.membership.serving(question.server):
                 return self._deny(response, dns.rcode.NOERROR)
-            return self._name(response, asked.name, kind, question.server)
+            return self._name(response, requested.name, kind, question.server)
         own = isinstance(question, names.RouterQuestion) or self._classes[question.cls].uncached
         # A write's name has our own address only: the submit comes to us by HTTP and runs once.
         if own:
-            return self._name(response, asked.name, kind, None)
+            return self._name(response, requested.name, kind, None)
         if kind != SRV and not any(kind == _family(at) for at in self._roster.endpoints.values()):
             return self._deny(response, dns.rcode.NOERROR)
         assert isinstance(question, names.ObjectQuestion)
-        await self._pick(question, response, asked.name, kind)
+        await self._pick(question, response, requested.name, kind)
 
     async def _pick(
         self,
@@ -153,10 +159,10 @@
         name: dns.name.Name,
         kind: dns.rdatatype.RdataType,
     ) -> None:
-        """The box that the module picks, if it still takes new work as the answer is written."""
+        """The cache that the module picks, if it still takes new work as the answer is written."""
         deadline = self._clock() + self._limits.dns_query
         cls = self._classes[wanted.cls]
-        # The transfer goes from box to client, unseen by us: it counts as a usual one. Untold, the module
+        # The transfer goes from cache to client, unseen by us: it counts as a usual one. Untold, the module
         # would learn the moment that a connection takes as the time to send the object.
         size = max(self._core.settings.pace_kb_per_s, 1.0) * cls.latency_objective / 4
         while (left := deadline - self._clock()) > 0:
@@ -166,7 +172,7 @@
             answer = await self._core.request(PendingRequest(arrival, deadline, connect_only=True))
             if answer.disposition is not Disposition.SERVED:
                 raise GiveUp
-            # Guards against a drain heard between the connection to the box and this answer.
+            # Guards against a drain heard between the connection to the cache and this answer.
             if self._core.membership.serving(answer.server) and answer.server in self._roster.endpoints:
                 return self._name(response, name, kind, answer.server)
         raise GiveUp
@@ -178,7 +184,7 @@
         kind: dns.rdatatype.RdataType,
         server: str | None,
     ) -> None:
-        """The records that name a box, or us; a client may keep them for no time at all."""
+        """The records that name a cache, or us; a client may keep them for no time at all."""
         endpoint = self._roster.endpoints[server] if server else self._own
         family = _family(endpoint)
         if kind == SRV:
@@ -208,15 +214,15 @@
         return dns.rrset.from_text(name, 0, dns.rdataclass.IN, kind, text)
 
 
-def pack(response: dns.message.Message, room: int) -> bytes:
+def pack(response: dns.message.Message, capacity: int) -> bytes:
     """The bytes of an answer; one too long for its way asks for TCP by its TC bit."""
     try:
-        return response.to_wire(max_size=room)
+        return response.to_wire(max_size=capacity)
     except dns.exception.TooBig:
         response.flags |= dns.flags.TC
         for section in (response.answer, response.authority, response.additional):
             section.clear()
-        return response.to_wire(max_size=room)
+        return response.to_wire(max_size=capacity)
 
 
 def _family(endpoint: Endpoint) -> dns.rdatatype.RdataType:
--- a/brackenlane/lab/budget_model.py
+++ b/brackenlane/lab/budget_model.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One doorman."""
+    """One router."""
 
     life: int = 0  # incarnation
     held: Held = Held()
@@ -95,8 +95,8 @@
                         replace(world, entries=_put(entries, name, leases.confirm(mine, member.held.number))),
                     )
             if f := member.flight:
-                asked = self.clock(n, world.at) if self.fault == "expiry from the answer" else f.asked
-                held = leases.hold(self.rule, member.held, f.grant, f.left, asked)
+                requested = self.clock(n, world.at) if self.fault == "expiry from the answer" else f.asked
+                held = leases.hold(self.rule, member.held, f.grant, f.left, requested)
                 yield (
                     f"{n} takes in {f.grant.amount}",
                     self._with(world, n, replace(member, held=held, flight=None)),
--- a/brackenlane/lab/cache_servers.py
+++ b/brackenlane/lab/cache_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in cache boxes on loopback, quick enough to stand behind a doorman at its limit.
+"""Stand-in caches on loopback, quick enough to stand behind a router at its limit.
 
 They speak the platform's protocol (lines and bodies), answer each GET after a drawn time, keep no copies, and
 count what they are sent: by class, and each write's id, so that a write run twice shows.
@@ -25,7 +25,7 @@
 
 @dataclass
 class Behaviour:
-    """How the boxes answer."""
+    """How the caches answer."""
 
     delay: float = 0.02  # mean time to an answer, seconds
     sizes: dict[str, int] = field(
@@ -35,7 +35,7 @@
 
 
 class Seen:
-    """What the boxes were sent."""
+    """What the caches were sent."""
 
     def __init__(self) -> None:
         self.asked: Counter[str] = Counter()
@@ -53,7 +53,7 @@
 
 
 class Conn:
-    """One connection of a doorman to a box."""
+    """One connection of a router to a cache."""
 
     def __init__(
         self,
@@ -83,20 +83,20 @@
             return self._end()
         self._in += data
         while (end := self._in.find(b"\r\n")) >= 0:
-            words = self._in[:end].decode().split(" ")
-            if words[0] in ("DROP", "PING"):
+            arguments = self._in[:end].decode().split(" ")
+            if arguments[0] in ("DROP", "PING"):
                 del self._in[: end + 2]
-                if words[0] == "PING":
-                    self._send(f"{words[1]} well - 0\r\n\r\n".encode())
+                if arguments[0] == "PING":
+                    self._send(f"{arguments[1]} well - 0\r\n\r\n".encode())
                 else:
                     self._seen.dropped += 1
-                    self._open.discard(words[1])
+                    self._open.discard(arguments[1])
                 continue
-            _, wire_id, told, size = words
+            _, wire_id, reported, size = arguments
             if len(self._in) < end + 4 + int(size):
                 return
             del self._in[: end + 4 + int(size)]
-            fields = dict(pair.split("=", 1) for pair in told.split(","))
+            fields = dict(pair.split("=", 1) for pair in reported.split(","))
             self._seen.asked[fields["queue"]] += 1
             if fields["queue"] in self._how.writes:
                 self._seen.writes[wire_id] += 1
@@ -140,7 +140,7 @@
 
 
 async def serve(ports: list[int], how: Behaviour, seed: int, seen: Seen) -> None:
-    """Serve boxes at some ports of 127.0.0.1 until cancelled."""
+    """Serve caches at some ports of 127.0.0.1 until cancelled."""
     poller, timers, rng = Poller(256), Timers(), random.Random(seed)
     payload = bytes(max(how.sizes.values()) * 2)
     listeners = [socket.create_server(("127.0.0.1", port), backlog=512) for port in ports]
@@ -163,18 +163,18 @@
         nursery.start_soon(poller.run)
 
 
-def main(words: list[str]) -> None:
+def main(arguments: list[str]) -> None:
     """Serve until standard input ends, then print what was seen as one JSON line."""
     parser = argparse.ArgumentParser(prog="python -m brackenlane.lab.cache_servers", description=__doc__)
     parser.add_argument("ports", type=int, nargs="+")
     parser.add_argument("--delay", type=float, default=0.02, help="mean seconds to an answer")
     parser.add_argument("--seed", type=int, default=1)
-    told = parser.parse_args(words)
+    reported = parser.parse_args(arguments)
     seen = Seen()
 
     async def until_told() -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(serve, told.ports, Behaviour(delay=told.delay), told.seed, seen)
+            nursery.start_soon(serve, reported.ports, Behaviour(delay=reported.delay), reported.seed, seen)
             await trio.to_thread.run_sync(sys.stdin.read, abandon_on_cancel=True)
             nursery.cancel_scope.cancel()
 
--- a/brackenlane/lab/cluster/cache_servers.py
+++ b/brackenlane/lab/cluster/cache_servers.py
@@ -1,6 +1,6 @@
-"""Stand-in cache boxes of a fleet: they keep copies, fill them from a source, start cold, and record all.
+"""Stand-in caches of a fleet: they keep copies, fill them from a source, start cold, and record all.
 
-A body names its object, the box, and when the origin gave the copy out, so that a client's record can be
+A body names its object, the cache, and when the origin gave the copy out, so that a client's record can be
 judged.
 """
 
@@ -20,13 +20,13 @@
 from brackenlane.lab.stand_ins.cache_server import CacheListener
 
 FILL = 0.02  # seconds that a fill takes besides its transfer
-FACTOR = 3.0  # times its ability, beyond which, with the slack of chance, a cold box falls
+FACTOR = 3.0  # times its ability, beyond which, with the slack of chance, a cold cache falls
 DOWN = 5.0  # seconds for which one that fell is away
 
 
 @dataclass(frozen=True, slots=True)
 class Strength:
-    """What a box does: transfers at a time, and how it warms (shares, seconds)."""
+    """What a cache does: transfers at a time, and how it warms (shares, seconds)."""
 
     link: float = 40.0
     work: float = 0.02  # seconds of one transfer alone
@@ -65,7 +65,7 @@
     chance: random.Random = field(default_factory=lambda: random.Random(1))
 
     def _falls(self) -> bool:
-        """Whether a request more pushes it over: by far more in a second than a cold box works off."""
+        """Whether a request more pushes it over: by far more in a second than a cold cache works off."""
         now, s = time.monotonic(), self.strength
         if now < self.fallen + DOWN:
             return True
@@ -143,7 +143,7 @@
         await self._say(stream, turn, head.encode() + body + b"\r\n")
 
     async def supply(self, obj: str, by: str) -> bool:
-        """Give one copy to another box; False if it can't now."""
+        """Give one copy to another cache; False if it can't now."""
         self.record.add("fill", box=self.id, obj=obj, by=by)
         capacity_by_age = self.strength.capacity_by_age(time.monotonic() - self.started)
         if self._falls() or self.busy >= 4 * capacity_by_age:
--- a/brackenlane/lab/cluster/clients.py
+++ b/brackenlane/lab/cluster/clients.py
@@ -51,13 +51,15 @@
                 await stream.send_all(head.encode() + body)
                 while got := await stream.receive_some(65_536):
                     data += got
-        words = data.split(b" ", 2)
-        if len(words) < 3 or b"\r\n\r\n" not in data:
+        arguments = data.split(b" ", 2)
+        if len(arguments) < 3 or b"\r\n\r\n" not in data:
             return self._record.add("broken", router, id=txn)
-        told = data.partition(b"\r\n\r\n")[2].split(b" ")
-        issued = int(told[2]) if words[1] == b"200" and len(told) == 3 and told[2].isdigit() else 0
+        reported = data.partition(b"\r\n\r\n")[2].split(b" ")
+        issued = (
+            int(reported[2]) if arguments[1] == b"200" and len(reported) == 3 and reported[2].isdigit() else 0
+        )
         self._record.add(
-            "answer", router, id=txn, status=int(words[1]), cls=cls, obj=obj, asked=asked, issued=issued
+            "answer", router, id=txn, status=int(arguments[1]), cls=cls, obj=obj, asked=asked, issued=issued
         )
 
 
--- a/brackenlane/lab/cluster/invariants.py
+++ b/brackenlane/lab/cluster/invariants.py
@@ -7,7 +7,7 @@
 
 from brackenlane.lab.cluster.record import Event, Record
 
-DRAIN = 0.5  # seconds after the news within which a box may still be sent something new
+DRAIN = 0.5  # seconds after the news within which a cache may still be sent something new
 PURGE = 1.0  # after which no older copy is served
 SLACK = 0.1  # of the test cluster's own clock and queues
 Faults = list[str]
@@ -52,7 +52,7 @@
 
 
 def drained(record: Record) -> Faults:
-    """Nothing new to a box, as request or source, 500 ms after its drain was told to that router."""
+    """Nothing new to a cache, as request or source, 500 ms after its drain was told to that router."""
     faults: Faults = []
     out: dict[tuple[int, str], float] = {}
     for event in record.of("told_order", "start", "kill", "sent"):
@@ -65,21 +65,21 @@
             else:
                 out.pop(key, None)
         else:
-            for box in {event.what["box"], event.what["miss"]} - {""}:
-                at = out.get((event.router, box))
+            for cache in {event.what["box"], event.what["miss"]} - {""}:
+                at = out.get((event.router, cache))
                 if at is not None and event.at > at + DRAIN + SLACK:
-                    faults.append(f"router {event.router} used {box} {event.at - at:.2f} s after its drain")
+                    faults.append(f"router {event.router} used {cache} {event.at - at:.2f} s after its drain")
     return faults
 
 
 def purged(record: Record) -> Faults:
     """No answer from a copy older than a purge, 1 s after it was told to that router."""
-    faults, told = [], defaultdict(list)
+    faults, reported = [], defaultdict(list)
     for event in record.of("told_purge", "answer"):
         if event.kind == "told_purge":
-            told[event.router, event.what["obj"]].append((event.at, event.what["time"]))
+            reported[event.router, event.what["obj"]].append((event.at, event.what["time"]))
         elif event.what.get("issued"):
-            for at, time in told[event.router, event.what["obj"]]:
+            for at, time in reported[event.router, event.what["obj"]]:
                 if event.what["asked"] > at + PURGE and event.what["issued"] < time:
                     faults.append(
                         f"router {event.router} served {event.what['obj']} from a copy "
@@ -112,12 +112,12 @@
 
 
 def standing(record: Record) -> Faults:
-    """No box was pushed over, by its own account of what it got."""
+    """No cache was pushed over, by its own account of what it got."""
     return [f"{event.what['box']} fell at {event.at:.2f} s" for event in record.of("fall")]
 
 
 def spared(record: Record, share: float, ramp: float, factor: float, per_second: dict[str, float]) -> Faults:
-    """No box that started lately gets more in any second than it bears, with the slack of chance.
+    """No cache that started lately gets more in any second than it bears, with the slack of chance.
 
     share, ramp: of its ability at its start, seconds to the whole; per_second: requests that it does a second
     when warm; factor: by how many times that may be passed.
@@ -126,24 +126,26 @@
     started: dict[str, float] = {}
     got: dict[str, list[float]] = defaultdict(list)
     for event in record.of("box_start", "got", "fill"):
-        box = event.what["box"]
+        cache = event.what["box"]
         if event.kind == "box_start":
-            started[box], got[box] = event.at, []
+            started[cache], got[cache] = event.at, []
             continue
-        if box not in started or box not in per_second or event.at > started[box] + ramp:
+        if cache not in started or cache not in per_second or event.at > started[cache] + ramp:
             continue
-        times = got[box]
+        times = got[cache]
         times.append(event.at)
         recent = sum(at > event.at - 1.0 for at in times[-4000:])
-        n = factor * per_second[box] * (share + (1 - share) * (event.at - started[box]) / ramp)
+        n = factor * per_second[cache] * (share + (1 - share) * (event.at - started[cache]) / ramp)
         if recent > n + 3 * n**0.5 + 3:
-            age = event.at - started[box]
-            faults.append(f"{box} got {recent} in a second at age {age:.1f} s; it bears {n:.0f}")
-            started.pop(box)
+            age = event.at - started[cache]
+            faults.append(f"{cache} got {recent} in a second at age {age:.1f} s; it bears {n:.0f}")
+            started.pop(cache)
     return faults
 
 
 def shaken(record: Record, routers: int, each: float = 2.0) -> Faults:
-    """Handshakes at a box: at most so many for each router."""
+    """Handshakes at a cache: at most so many for each router."""
     seen = Counter(event.what["box"] for event in record.of("handshake"))
-    return [f"{box}: {n} handshakes of {routers} routers" for box, n in seen.items() if n > each * routers]
+    return [
+        f"{cache}: {n} handshakes of {routers} routers" for cache, n in seen.items() if n > each * routers
+    ]
--- a/brackenlane/lab/cluster/links.py
+++ b/brackenlane/lab/cluster/links.py
@@ -42,8 +42,8 @@
     def __init__(
         self,
         target: int,
-        words: re.Pattern[bytes] | None = None,
-        heard: Heard = lambda *_: None,
+        arguments: re.Pattern[bytes] | None = None,
+        received: Heard = lambda *_: None,
         owner: Callable[[int], int] = lambda _: ALL,
     ) -> None:
         """words: what is looked for in passing; heard(who, up, match) is told of each as it arrives.
@@ -51,7 +51,7 @@
         owner: whose a connection is, by the port that it comes from.
         """
         self.target, self.port = target, 0
-        self._words, self._heard, self._owner = words, heard, owner
+        self._words, self._heard, self._owner = arguments, received, owner
         self._faults: dict[int, Fault] = {}
         self._open: dict[trio.SocketStream, int] = {}
         self._changed = trio.Event()
--- a/brackenlane/lab/cluster/on_shared_clock.py
+++ b/brackenlane/lab/cluster/on_shared_clock.py
@@ -42,9 +42,9 @@
     trio.to_thread.run_sync = report.counting_threads(trio.to_thread.run_sync)  # type: ignore[assignment]
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
     """Run the program of the remaining words."""
-    path, slot, wake, *clock = words[:6]
+    path, slot, wake, *clock = arguments[:6]
     begun, off, rate = map(float, clock)
     shared = SharedClock(Path(path))
     keep_time(shared, int(slot), int(wake))
@@ -52,7 +52,7 @@
         # Imported late: default arguments in the program hold on to `time.time` as it is by then.
         from brackenlane.__main__ import main as program
 
-        return program(words[6:])
+        return program(arguments[6:])
 
 
 if __name__ == "__main__":
--- a/brackenlane/lab/cluster/record.py
+++ b/brackenlane/lab/cluster/record.py
@@ -59,5 +59,5 @@
 def load(path: Path) -> Record:
     """A saved record."""
     head, *lines = path.read_bytes().splitlines()
-    told = orjson.loads(head)
-    return Record(0.0, told["unix"], [Event(*orjson.loads(line)) for line in lines], told["lost"])
+    reported = orjson.loads(head)
+    return Record(0.0, reported["unix"], [Event(*orjson.loads(line)) for line in lines], reported["lost"])
--- a/brackenlane/lab/cluster/report.py
+++ b/brackenlane/lab/cluster/report.py
@@ -55,13 +55,13 @@
 
 
 def plot(record: Record, path: Path) -> Path | None:
-    """One page: starts by router, load at store and boxes, answers by second; None without the library."""
+    """One page: starts by router, load at store and caches, answers by second; None without the library."""
     try:
         from matplotlib.figure import Figure
     except ImportError:
         return None
     page = Figure(figsize=(10, 12), layout="constrained")
-    starts, store, boxes, answers = page.subplots(4, 1)
+    starts, store, caches, answers = page.subplots(4, 1)
     began: dict[int, float] = {}
     seen: set[tuple[int, str]] = set()  # since its latest start
     for event in record.of("start", "healthy", "follow"):
@@ -79,7 +79,7 @@
     )
     for axes, kinds, title in (
         (store, ("store_command", "store_connect", "store_refuse"), "at the store"),
-        (boxes, ("got", "handshake", "fill"), "at boxes"),
+        (caches, ("got", "handshake", "fill"), "at boxes"),
         (answers, ("ask", "answer", "broken"), "of clients"),
     ):
         for kind in kinds:
--- a/brackenlane/lab/cluster/routers.py
+++ b/brackenlane/lab/cluster/routers.py
@@ -109,7 +109,7 @@
 
     def write(
         self,
-        boxes: list[tuple[str, str, int]],
+        caches: list[tuple[str, str, int]],
         store: int,
         *,
         routers: int,
@@ -118,7 +118,7 @@
         wider: float,
         coldstart: str,
     ) -> None:
-        """The operator's file: boxes as (id, role, port)."""
+        """The operator's file: caches as (id, role, port)."""
         lines = [
             f'name = "{self.name}"',
             f'http = "127.0.0.1:{self.http}"',
@@ -143,10 +143,10 @@
             "parent_cold = { share = 0.3, ramp = 18.0, factor = 3.0, span = 1.0 }",
             CLASSES,
         ]
-        for box, role, port in boxes:
+        for cache, role, port in caches:
             zone = "branch" if role == "edge" else "head-office"
             lines.append(
-                f'[[box]]\nid = "{box}"\nhost = "127.0.0.1"\nport = {port}\nzone = "{zone}"\n'
+                f'[[box]]\nid = "{cache}"\nhost = "127.0.0.1"\nport = {port}\nzone = "{zone}"\n'
                 f'role = "{role}"\nweight = {weight * (1 if role == "edge" else wider)}'
             )
         lines.append(f'[discovery]\nlast_list = "{self.last_list.name}"\n{coldstart}')
@@ -155,10 +155,10 @@
     def start(self) -> None:
         """A new process."""
         assert not self.alive
-        words = ["appliance", str(self.folder / f"{self.name}.toml")]
+        arguments = ["appliance", str(self.folder / f"{self.name}.toml")]
         with self.log.open("ab") as out:
             self.process = subprocess.Popen(
-                [sys.executable, *self._program(), *words],
+                [sys.executable, *self._program(), *arguments],
                 cwd=self.tree,
                 stderr=out,
                 stdin=subprocess.DEVNULL,
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -98,14 +98,14 @@
             )
             for n in range(script.doormans)
         ]
-        self.ways: dict[str, Link] = {}  # to each box, for all
+        self.ways: dict[str, Link] = {}  # to each cache, for all
         self.stores: dict[int, Link] = {}  # each router's own to the store
         self._coldstart = coldstart
         self._told: dict[int, dict[str, bool]] = {}
 
     def _clock(self, n: int) -> tuple[float, float] | None:
-        told = self.script.clocks.get(str(n))
-        return (told[0], told[1]) if told else None
+        reported = self.script.clocks.get(str(n))
+        return (reported[0], reported[1]) if reported else None
 
     def _of_store(self, kind: str, who: int, **what: Any) -> None:
         self.record.add(f"store_{kind}", **what)
@@ -157,19 +157,19 @@
             if self._coldstart
             else ""
         )
-        boxes = []
+        caches = []
         for box in self.boxes.values():
             if self.script.pairs:  # one address for all, as the store tells it; whose it is shows as it comes
                 self.ways[box.id] = await Link(
                     box.port, BOX_WORDS, self._heard(box.id), lambda port: owner(port, self.routers)
                 ).open(nursery)
-            boxes.append((box.id, box.role, self.ways[box.id].port if self.script.pairs else box.port))
+            caches.append((box.id, box.role, self.ways[box.id].port if self.script.pairs else box.port))
         for router in self.routers:
             way = self.stores[router.number] = await Link(
                 self.store.port, STORE_WORDS, self._heard("store"), partial(_own, router.number)
             ).open(nursery)
             router.write(
-                boxes,
+                caches,
                 way.port,
                 routers=self.script.doormans,
                 coldstart=cold,
@@ -182,19 +182,19 @@
         return self.stores[router.number] if other == "store" else self.ways[other]
 
     def _heard(self, other: str) -> Callable[[int, bool, re.Match[bytes]], None]:
-        def heard(who: int, up: bool, match: re.Match[bytes]) -> None:
-            told = {name: text.decode() for name, text in match.groupdict().items() if text}
-            if "id" in told:
-                fields = dict(pair.split("=", 1) for pair in told["fields"].split(","))
-                self.record.add("sent", who, box=other, id=told["id"], miss=fields.get("miss", ""))
-            elif "follow" in told and up:
+        def received(who: int, up: bool, match: re.Match[bytes]) -> None:
+            reported = {name: text.decode() for name, text in match.groupdict().items() if text}
+            if "id" in reported:
+                fields = dict(pair.split("=", 1) for pair in reported["fields"].split(","))
+                self.record.add("sent", who, box=other, id=reported["id"], miss=fields.get("miss", ""))
+            elif "follow" in reported and up:
                 self.record.add("follow", who)
-            elif "box" in told and not up:
-                self.record.add("told_order", who, box=told["box"], drained=told["drained"] == "true")
-            elif "time" in told and not up:
-                self.record.add("told_purge", who, obj=told.get("obj", ""), time=int(told["time"]))
+            elif "box" in reported and not up:
+                self.record.add("told_order", who, box=reported["box"], drained=reported["drained"] == "true")
+            elif "time" in reported and not up:
+                self.record.add("told_purge", who, obj=reported.get("obj", ""), time=int(reported["time"]))
 
-        return heard
+        return received
 
     async def _start(self, routers: list[RouterProcess]) -> None:
         for router in routers:
--- a/brackenlane/lab/cluster/script.py
+++ b/brackenlane/lab/cluster/script.py
@@ -57,7 +57,7 @@
     second: Seconds
     do: Do
     who: Literal["all", "odd", "even"] | list[Annotated[int, Field(ge=0)]] = "all"  # routers
-    way: Annotated[str, Field(max_length=63)] = "store"  # the other end of a link: "store" or a box
+    way: Annotated[str, Field(max_length=63)] = "store"  # the other end of a link: "store" or a cache
     box: Annotated[str, Field(max_length=63)] = ""
     object: Annotated[str, Field(max_length=63)] = ""
     state: Literal["stale", "torn", "missing", "foreign"] = "missing"  # of a last list
@@ -76,9 +76,9 @@
     parents: Annotated[int, Field(ge=0, le=50)] = 1
     rate: Annotated[float, Field(ge=0, le=10_000)] = 40.0  # requests a second at all routers together
     objects: Annotated[int, Field(ge=1, le=100_000)] = 200
-    pairs: bool = True  # a link of its own from each router to each box; else to the store alone
+    pairs: bool = True  # a link of its own from each router to each cache; else to the store alone
     started: bool = True  # all routers are started first, and the clients once all follow the store
-    link: Annotated[float, Field(gt=0, le=1000)] = 8.0  # transfers at a time that a warm box does
+    link: Annotated[float, Field(gt=0, le=1000)] = 8.0  # transfers at a time that a warm cache does
     wider: Annotated[float, Field(ge=1, le=100)] = 5.0  # times as many that a parent and the origin do
     work: Annotated[float, Field(gt=0, le=10)] = 0.04  # seconds of one transfer alone
     purge_propagation_time: Seconds = 6.0
--- a/brackenlane/lab/cluster/time_coordinator.py
+++ b/brackenlane/lab/cluster/time_coordinator.py
@@ -83,7 +83,7 @@
     def run(self, main: Callable[[], Awaitable[Result]]) -> Result:
         """Run the test cluster in a loop of its own, by the shared time. To be called once."""
 
-        async def kept() -> Result:
+        async def retained() -> Result:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._keep)
                 result = await main()
@@ -92,7 +92,7 @@
 
         try:
             with ProcessTime(self.shared, lambda now: self.begun + now):
-                return trio.run(kept, clock=VirtualClock(self.shared))
+                return trio.run(retained, clock=VirtualClock(self.shared))
         finally:
             for process in self.processes:
                 os.close(process.wake)
--- a/brackenlane/lab/cluster/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -29,15 +29,15 @@
     refused: int = 0
     tickets: dict[int, int] = field(default_factory=dict)
 
-    def ask(self, now: float, whole: bool) -> float | None:
+    def ask(self, now: float, complete: bool) -> float | None:
         """Seconds until the answer; None: refused."""
-        (self.loaded if whole else self.asked).append(now)
-        cost = 1 / (self.capacity.loads if whole else self.capacity.asks)
-        begin = max(self.free[whole], now)
+        (self.loaded if complete else self.asked).append(now)
+        cost = 1 / (self.capacity.loads if complete else self.capacity.asks)
+        begin = max(self.free[complete], now)
         if self.away(now) or self.refuses(now) or begin - now > self.patience:
             self.refused += 1
             return None
-        self.free[whole] = begin + cost
+        self.free[complete] = begin + cost
         return begin + cost - now
 
     def ticket(self, bucket: int) -> int:
--- a/brackenlane/lab/load.py
+++ b/brackenlane/lab/load.py
@@ -282,7 +282,7 @@
         }
 
 
-def main(words: list[str]) -> None:
+def main(arguments: list[str]) -> None:
     """Play one process's part and print its report as one JSON line."""
     parser = argparse.ArgumentParser(prog="python -m brackenlane.lab.load", description=__doc__)
     parser.add_argument("port", type=int)
@@ -290,9 +290,9 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--connections", type=int, default=80, help="open at once, at most")
     parser.add_argument("--objects", type=int, default=100_000)
-    told = parser.parse_args(words)
-    phases = [(float(a), float(b)) for a, _, b in (text.partition(":") for text in told.phases)]
-    load = Load(("127.0.0.1", told.port), phases, told.seed, told.connections, told.objects)
+    reported = parser.parse_args(arguments)
+    phases = [(float(a), float(b)) for a, _, b in (text.partition(":") for text in reported.phases)]
+    load = Load(("127.0.0.1", reported.port), phases, reported.seed, reported.connections, reported.objects)
     trio.run(load.run)
     print(orjson.dumps(load.report(), option=orjson.OPT_NON_STR_KEYS).decode())
 
--- a/brackenlane/lab/model.py
+++ b/brackenlane/lab/model.py
@@ -30,7 +30,7 @@
     """Follow all steps from the first state; each state is looked at once."""
     came: dict[S, tuple[S, str] | None] = {first: None}
     queue: deque[tuple[S, int]] = deque([(first, 0)])
-    reached, whole = 0, True
+    reached, complete = 0, True
     while queue:
         state, level = queue.popleft()
         reached = max(reached, level)
@@ -39,14 +39,14 @@
             while (back := came[state]) is not None:
                 state, said = back
                 way.append(said)
-            return Found(len(came), reached, whole, tuple(reversed(way)))
+            return Found(len(came), reached, complete, tuple(reversed(way)))
         if level == depth:
             continue
         for said, after in steps(state):
             if after not in came:
                 if len(came) >= most:
-                    whole = False
+                    complete = False
                     break
                 came[after] = state, said
                 queue.append((after, level + 1))
-    return Found(len(came), reached, whole)
+    return Found(len(came), reached, complete)
--- a/brackenlane/lab/races.py
+++ b/brackenlane/lab/races.py
@@ -1,7 +1,7 @@
 """Random races against one real router on loopback, and invariants checked by its peers' records alone.
 
-Boxes answer well, twice, spoilt, in part, for ever, late or not at all, and cut connections; clients leave
-at any moment, flood, or send half; the list drains boxes and lets them go; SIGHUP brings other settings or no
+Caches answer well, twice, spoilt, in part, for ever, late or not at all, and cut connections; clients leave
+at any moment, flood, or send half; caches drain and leave; SIGHUP brings other settings or no
 good file; the process may stand still for some milliseconds; at the end comes SIGTERM, while requests arrive.
 """
 
@@ -36,13 +36,13 @@
 
 @dataclass
 class ReceivedAttempt:
-    """One attempt as a box received it."""
+    """One attempt as a cache received it."""
 
     at: float
     box: str
     id: str
     write: bool
-    ran: bool = True  # or the box said, in truth, that it did not
+    ran: bool = True  # or the cache said, in truth, that it did not
 
 
 @dataclass
@@ -63,7 +63,7 @@
     gets: list[ReceivedAttempt] = field(default_factory=list)
     left: dict[str, float] = field(default_factory=dict)  # id of a request: when its client had gone
     answers: dict[str, ClientAnswer] = field(default_factory=dict)
-    told: list[tuple[float, str, bool]] = field(default_factory=list)  # when, box, whether it serves
+    told: list[tuple[float, str, bool]] = field(default_factory=list)  # when, cache, whether it serves
     exit: int | None = None
     said: bytes = b""
 
@@ -75,19 +75,19 @@
         gone = record.left.get(got.id)
         if gone is not None and got.at > gone + LEFT:
             found.append(f"sent {got.at - gone:.3f} s after its client had left: {got.id}")
-        last = [(at, serves) for at, box, serves in record.told if box == got.box and at <= got.at]
+        last = [(at, serves) for at, cache, serves in record.told if cache == got.box and at <= got.at]
         if last and not last[-1][1] and got.at > last[-1][0] + DRAINED + SLACK:
             found.append(f"sent {got.at - last[-1][0]:.3f} s after its box was told to drain: {got.id}")
     runs = Counter(got.id for got in record.gets if got.write and got.ran)
     found += [f"a write ran {count} times: {name}" for name, count in runs.items() if count > 1]
-    for name, told in record.answers.items():
-        if not told.status:
+    for name, reported in record.answers.items():
+        if not reported.status:
             found.append(f"no whole answer: {name}")
-        elif told.took > told.ttl + SLACK:
-            found.append(f"answered {told.took - told.ttl:.3f} s late: {name}")
-        if told.more:
-            found.append(f"more than one answer: {name}: {told.more!r}")
-        if told.write and told.status == 503 and runs[name]:
+        elif reported.took > reported.ttl + SLACK:
+            found.append(f"answered {reported.took - reported.ttl:.3f} s late: {name}")
+        if reported.more:
+            found.append(f"more than one answer: {name}: {reported.more!r}")
+        if reported.write and reported.status == 503 and runs[name]:
             found.append(f"refused though it may have run: {name}")
     if record.exit != 0:
         found.append(f"exit {record.exit}")
@@ -97,7 +97,7 @@
 
 
 class WildBox(Box):
-    """A box whose answers are drawn."""
+    """A cache whose answers are drawn."""
 
     def __init__(self, name: str, model: str, draw: random.Random, record: Record) -> None:
         super().__init__(name, model)
@@ -108,11 +108,11 @@
         self.links = link = self.links + 1
         async with trio.open_nursery() as nursery:
 
-            def take(asked: Asked) -> None:
-                write = asked.fields["queue"] == "sheet-submit"
-                got = ReceivedAttempt(time.time(), self.id, asked.id, write)
+            def take(requested: Asked) -> None:
+                write = requested.fields["queue"] == "sheet-submit"
+                got = ReceivedAttempt(time.time(), self.id, requested.id, write)
                 self._record.gets.append(got)
-                nursery.start_soon(self._reply, stream, asked, got)
+                nursery.start_soon(self._reply, stream, requested, got)
 
             with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 await self._read(stream, link, take, nursery)
@@ -129,28 +129,28 @@
                         nursery.start_soon(self._say, stream, command.reply)
 
     async def _say(self, stream: trio.SocketStream, *texts: bytes) -> None:
-        """Say it, unless something else is being said there: then some bytes are lost, as by a bad box."""
+        """Say it, unless something else is being said there: then some bytes are lost, as by a bad cache."""
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
             for n, text in enumerate(texts):
                 if n:
                     await trio.sleep(self._draw.choice([0, 0.001, 0.005, 0.02]))
                 await stream.send_all(text)
 
-    async def _reply(self, stream: trio.SocketStream, asked: Asked, got: ReceivedAttempt) -> None:
+    async def _reply(self, stream: trio.SocketStream, requested: Asked, got: ReceivedAttempt) -> None:
         await trio.sleep(self._draw.choice([0, 0, 0.005, 0.02, 0.1, 0.3]))
-        good = data(asked, b"" if got.write else bytes(self._draw.choice([5, 5, 500, 100_000])))
-        full, large = data(asked, b"", "full"), data(asked, bytes(200_000))
+        good = data(requested, b"" if got.write else bytes(self._draw.choice([5, 5, 500, 100_000])))
+        full, large = data(requested, b"", "full"), data(requested, bytes(200_000))
         match self._draw.choices(range(10), (55, 7, 5, 6, 5, 4, 4, 4, 3, 7))[0]:
             case 0:
                 await self._say(stream, good)
             case 1:
                 got.ran = False
-                await self._say(stream, data(asked, b"", self._draw.choice(["full", "absent", "moot"])))
+                await self._say(stream, data(requested, b"", self._draw.choice(["full", "absent", "moot"])))
             case 2:
                 got.ran = False
                 await self._say(stream, full, full)
             case 3:
-                await self._say(stream, data(asked, b"", "failed"))
+                await self._say(stream, data(requested, b"", "failed"))
             case 4:
                 await self._say(stream, good, good)
             case 5:
@@ -193,13 +193,13 @@
     async def run(self) -> Record:
         """Play it; what the peers saw."""
         async with trio.open_nursery() as nursery:
-            boxes = [
+            caches = [
                 await WildBox(name, model, self.draw, self.record).open(nursery)
                 for name, model in BOXES.items()
             ]
             log = await List().open(nursery)
             path = self.folder / "config.json"
-            path.write_bytes(orjson.dumps(self._config(boxes, log.port)))
+            path.write_bytes(orjson.dumps(self._config(caches, log.port)))
             said = self.folder / "log"
             with said.open("wb") as out:
                 process = await trio.lowlevel.open_process(
@@ -215,7 +215,7 @@
                 async with trio.open_nursery() as peers:
                     for _ in range(40):
                         peers.start_soon(self._client)
-                    peers.start_soon(self._lists, boxes, log)
+                    peers.start_soon(self._lists, caches, log)
                     peers.start_soon(self._signals, process, path)
                     await trio.sleep(self.seconds - 1.0)
                     self.end = time.time() + 0.45  # requests come on for a moment after SIGTERM
@@ -230,26 +230,26 @@
             nursery.cancel_scope.cancel()
         return self.record
 
-    def _config(self, boxes: list[WildBox], log: int) -> dict[str, Any]:
+    def _config(self, caches: list[WildBox], log: int) -> dict[str, Any]:
         raw: dict[str, Any] = orjson.loads(site.platform_config(self.port, [], 0, flow=1e6))
         raw["settings"]["Limits"] |= {"Cancel": self.cancel, "KeepaliveS": 1.0}
         raw["settings"]["Classes"] = [{**c, "GiveUpS": 2.0} for c in raw["settings"]["Classes"]]
         raw["known"]["results"][0]["fleet"]["targets"] = [
             {
-                "uid": box.id,
-                "endpoint": f"127.0.0.1:{box.port}",
+                "uid": cache.id,
+                "endpoint": f"127.0.0.1:{cache.port}",
                 "az": "edge-1",
-                "model": box.model,
+                "model": cache.model,
                 "pod_group": 0,
                 "state": "in_service",
                 "capacity_hint": 8,
                 "boot_ms": 0,
             }
-            for box in boxes
+            for cache in caches
         ]
         return {**raw, "changelog": f"127.0.0.1:{log}"}
 
-    async def _lists(self, boxes: list[WildBox], log: List) -> None:
+    async def _lists(self, caches: list[WildBox], log: List) -> None:
         number = 1
         while time.time() < self.end:
             await trio.sleep(self.draw.choice([0.1, 0.3, 0.6]))
@@ -260,18 +260,18 @@
                     await log.latest.aclose()
                     continue
                 number += 1
-                box, state = self.draw.choice(boxes[:-1]), self.draw.choice([0, 0, 1, 2])
-                kind, host = site.SETTINGS["Skus"].index(box.model), socket.inet_aton("127.0.0.1")
+                cache, state = self.draw.choice(caches[:-1]), self.draw.choice([0, 0, 1, 2])
+                kind, host = site.SETTINGS["Skus"].index(cache.model), socket.inet_aton("127.0.0.1")
                 entry = (
-                    int(box.id[2:], 16).to_bytes(4, "big")
+                    int(cache.id[2:], 16).to_bytes(4, "big")
                     + host
-                    + box.port.to_bytes(2, "big")
+                    + cache.port.to_bytes(2, "big")
                     + bytes([state, 1, kind, 0, 0, 0, 0, 31, 64])
                     + bytes(8)
                 )
                 head = (9 + len(entry)).to_bytes(4, "big") + number.to_bytes(8, "big") + b"\x02"
                 await log.latest.send_all(head + entry)
-                self.record.told.append((time.time(), box.id, state == 0))
+                self.record.told.append((time.time(), cache.id, state == 0))
 
     async def _signals(self, process: trio.Process, path: Path) -> None:
         good, count = orjson.loads(path.read_bytes()), 0
@@ -316,12 +316,12 @@
                 await trio.sleep(draw.choice([0, 0.001, 0.01]))
                 text = text[cut:]
             await stream.send_all(text)
-            sent, told = time.time(), ClientAnswer(write, ttl, 0.0)
+            sent, reported = time.time(), ClientAnswer(write, ttl, 0.0)
             with trio.move_on_after(leaves) as left, contextlib.suppress(trio.BrokenResourceError):
-                told.status, told.more = await _answer(stream)
-            told.took = time.time() - sent
+                reported.status, reported.more = await _answer(stream)
+            reported.took = time.time() - sent
             if how >= 0.5 or not left.cancelled_caught:
-                self.record.answers[name] = told
+                self.record.answers[name] = reported
             elif draw.random() < 0.5:
                 stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         finally:
--- a/brackenlane/lab/simulation/clients.py
+++ b/brackenlane/lab/simulation/clients.py
@@ -54,7 +54,7 @@
         client.tries += 1
         name = f"{client.operation.name}-try-{client.tries}"
         router = world.routers[world.random.choice(self._by_location[client.first.location])]
-        ask = Arrival(
+        send_request = Arrival(
             name,
             left,
             cls.name,
@@ -70,7 +70,7 @@
         )
         router.take(
             request,
-            ask,
+            send_request,
             obj.work,
             lambda disposition, cache_status: self._ended(client, disposition, cache_status),
         )
--- a/brackenlane/lab/simulation/edge.py
+++ b/brackenlane/lab/simulation/edge.py
@@ -53,35 +53,35 @@
         self._waiting.clear()
         super().stop()
 
-    def take(self, ask: CacheRequest, reply: Reply) -> None:
+    def take(self, request: CacheRequest, reply: Reply) -> None:
         """One attempt."""
-        if not self.admit(ask, reply):
+        if not self.admit(request, reply):
             return
         if len(self._active) < self.slots:
-            self._begin(ask, reply)
+            self._begin(request, reply)
         elif len(self._waiting) < self.slots:
-            self._waiting.append((ask, reply))
+            self._waiting.append((request, reply))
         else:
             reply.fail(Failure.FULL)
 
-    def provide(self, ask: CacheRequest, oldest: float, stream: Stream) -> None:
+    def provide(self, request: CacheRequest, oldest: float, stream: Stream) -> None:
         """A sibling asks: it is given what is held, or what is on its way if it may join."""
-        if not self.admit(ask, stream):
+        if not self.admit(request, stream):
             return
-        copy = self.memory.get(ask.copy)
-        fill = self._joinable(ask, oldest)
+        copy = self.memory.get(request.copy)
+        fill = self._joinable(request, oldest)
         if copy and copy.issued >= oldest:
             stream.start(copy.issued, False)
             stream.finish()
         elif fill:
-            relay(self.world.queue, fill.stream, stream, [self.link], ask.work, self.world.site.fill_pace)
+            relay(self.world.queue, fill.stream, stream, [self.link], request.work, self.world.site.fill_pace)
         else:
             stream.fail(Failure.LACKING)
 
-    def _begin(self, ask: CacheRequest, reply: Reply) -> None:
+    def _begin(self, request: CacheRequest, reply: Reply) -> None:
         self._active[reply] = None
         reply.listen(lambda: None, lambda: self._leave(reply))
-        self._look_up(ask, reply)
+        self._look_up(request, reply)
 
     def _leave(self, reply: Reply) -> None:
         self._active.pop(reply, None)
@@ -89,66 +89,66 @@
             hit = reply.cache_status in (CacheStatus.HIT, CacheStatus.STALE)
             self.hit_share += (hit - self.hit_share) * HIT_SHARE_WEIGHT
         while self._waiting and len(self._active) < self.slots:
-            ask, waiting = self._waiting.popleft()
+            request, waiting = self._waiting.popleft()
             if not waiting.ended:
-                self._begin(ask, waiting)
+                self._begin(request, waiting)
 
-    def _look_up(self, ask: CacheRequest, reply: Reply) -> None:
+    def _look_up(self, request: CacheRequest, reply: Reply) -> None:
         now = self.world.queue.now
-        oldest = oldest_allowed(ask, now)
-        copy = None if ask.cls.uncached else self.memory.get(ask.copy)
+        oldest = oldest_allowed(request, now)
+        copy = None if request.cls.uncached else self.memory.get(request.copy)
         if copy and copy.issued >= oldest:
-            return self._hit(ask, reply, copy, now - copy.issued)
-        fill = self._joinable(ask, oldest)
-        if ask.source == self.name:
+            return self._hit(request, reply, copy, now - copy.issued)
+        fill = self._joinable(request, oldest)
+        if request.source == self.name:
             reply.cache_status = CacheStatus.JOINED if fill else CacheStatus.UNKNOWN
             return reply.fail(Failure.LACKING)
-        if fill and ask.join:
+        if fill and request.join:
             reply.cache_status = CacheStatus.JOINED
-            return self._deliver(fill, ask, reply)
+            return self._deliver(fill, request, reply)
         if len(self._fills) >= self.world.site.fills_per_cache:
             return reply.fail(Failure.NO_PLACE)
         reply.cache_status = CacheStatus.FILLED
-        self._deliver(self._fill(ask, oldest), ask, reply)
+        self._deliver(self._fill(request, oldest), request, reply)
 
-    def _hit(self, ask: CacheRequest, reply: Reply, copy: StoredCopy, age: float) -> None:
-        self.memory.use(copy, ask.keep)
-        fresh = ask.cls.fresh_for
+    def _hit(self, request: CacheRequest, reply: Reply, copy: StoredCopy, age: float) -> None:
+        self.memory.use(copy, request.keep)
+        fresh = request.cls.fresh_for
         reply.cache_status = CacheStatus.STALE if fresh and age > fresh else CacheStatus.HIT
-        relay(self.world.queue, held(copy.issued), reply, [self.link], ask.work, 1.0)
-        ageing = ask.renew and fresh and age > RENEW_FROM * fresh and ask.source != self.name
-        room = len(self._fills) < self.world.site.fills_per_cache
-        if ageing and room and ask.copy not in self._fills.values():
-            self._fill(ask, copy.issued + LEAST_NEWER)
-
-    def _joinable(self, ask: CacheRequest, oldest: float) -> Fetch | None:
-        if ask.cls.uncached:
+        relay(self.world.queue, held(copy.issued), reply, [self.link], request.work, 1.0)
+        ageing = request.renew and fresh and age > RENEW_FROM * fresh and request.source != self.name
+        capacity = len(self._fills) < self.world.site.fills_per_cache
+        if ageing and capacity and request.copy not in self._fills.values():
+            self._fill(request, copy.issued + LEAST_NEWER)
+
+    def _joinable(self, request: CacheRequest, oldest: float) -> Fetch | None:
+        if request.cls.uncached:
             return None
-        fills = (fill for fill, name in self._fills.items() if name == ask.copy)
+        fills = (fill for fill, name in self._fills.items() if name == request.copy)
         return next((fill for fill in fills if fill.may_join(oldest)), None)
 
-    def _deliver(self, fill: Fetch, ask: CacheRequest, reply: Reply) -> None:
+    def _deliver(self, fill: Fetch, request: CacheRequest, reply: Reply) -> None:
         def started() -> None:
             if fill.stream.from_origin and reply.cache_status is CacheStatus.FILLED:
                 reply.cache_status = CacheStatus.FILLED_BY_ORIGIN
 
         fill.stream.listen(started, lambda: None)
-        relay(self.world.queue, fill.stream, reply, [self.link], ask.work, 1.0)
+        relay(self.world.queue, fill.stream, reply, [self.link], request.work, 1.0)
         reply.listen(lambda: None, lambda: self._abandon(fill))
 
     def _abandon(self, fill: Fetch) -> None:
         if self.world.site.abort_fill and not fill.stream.consumers and not fill.stream.ended:
             fill.stream.fail(Failure.CANCELLED)
 
-    def _fill(self, ask: CacheRequest, oldest: float) -> Fetch:
+    def _fill(self, request: CacheRequest, oldest: float) -> Fetch:
         fill = Fetch(Stream(), oldest)
-        self._fills[fill] = ask.copy
-        collect(self.memory, ask, fill.stream, ask.keep, lambda: self._done(fill))
+        self._fills[fill] = request.copy
+        collect(self.memory, request, fill.stream, request.keep, lambda: self._done(fill))
         self.carry(fill.stream)
         arriving = Stream()
-        work = fetch_work(self.world, self.memory, ask)
+        work = fetch_work(self.world, self.memory, request)
         _translate(arriving, fill.stream)
-        self.world.fill(self, ask, oldest, arriving, work)
+        self.world.fill(self, request, oldest, arriving, work)
         self.world.queue.after(
             self.world.site.fill_timeout,
             lambda: None if fill.stream.started else fill.stream.fail(Failure.SLOW),
--- a/brackenlane/lab/simulation/invariants.py
+++ b/brackenlane/lab/simulation/invariants.py
@@ -37,13 +37,13 @@
 
 def drains_kept(site: Site, record: Record) -> Violations:
     """No new attempt or source at a server for longer than the grace after its drain was told."""
-    told: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
+    reported: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
     for listed in record.listed:
-        told[listed.router, listed.server].append((listed.at, listed.state is ServerState.SERVING))
+        reported[listed.router, listed.server].append((listed.at, listed.state is ServerState.SERVING))
     found = []
     for sent in record.sent:
         for server in sorted({sent.server, sent.source}):
-            since = _out_since(told[sent.router, server], sent.at)
+            since = _out_since(reported[sent.router, server], sent.at)
             if since is not None and sent.at > since + site.drain_grace + SLACK:
                 found.append(
                     f"{sent.request_id}: {server} named {sent.at - since:.3f} s after its drain was told"
@@ -51,10 +51,10 @@
     return found
 
 
-def _out_since(told: list[tuple[float, bool]], now: float) -> float | None:
+def _out_since(reported: list[tuple[float, bool]], now: float) -> float | None:
     """Since when a router knows that a server does not serve; None if it serves for all it knows."""
     since: float | None = None
-    for at, serves in told:
+    for at, serves in reported:
         if at > now:
             break
         if serves:
@@ -66,9 +66,9 @@
 
 def purges_kept(site: Site, record: Record) -> Violations:
     """No answer from a copy older than a purge that the router had been told of for the grace."""
-    told: dict[tuple[int, str | int], list[tuple[float, float]]] = defaultdict(list)
+    reported: dict[tuple[int, str | int], list[tuple[float, float]]] = defaultdict(list)
     for purge in record.purges_told:
-        told[purge.router, purge.key].append((purge.at, purge.purged_at))
+        reported[purge.router, purge.key].append((purge.at, purge.purged_at))
     sent_at = {(sent.request_id, sent.number): sent.at for sent in record.sent}
     found = []
     for ended in record.ended:
@@ -77,10 +77,10 @@
         request = record.requests[ended.request_id]
         at = sent_at[ended.request_id, ended.number]
         for key in (request.obj, request.group):
-            for heard, purged in told[request.router, key]:
-                if at > heard + site.purge_grace + SLACK and ended.issued < purged - SLACK:
+            for received, purged in reported[request.router, key]:
+                if at > received + site.purge_grace + SLACK and ended.issued < purged - SLACK:
                     found.append(
-                        f"{ended.request_id}: a copy older than a purge told {at - heard:.3f} s before"
+                        f"{ended.request_id}: a copy older than a purge told {at - received:.3f} s before"
                     )
     return found
 
--- a/brackenlane/lab/simulation/plain_policy.py
+++ b/brackenlane/lab/simulation/plain_policy.py
@@ -71,22 +71,22 @@
         if event.kind in (MembershipKind.FULL, MembershipKind.REMEMBERED):
             self._members = {}
         self._members.update({m.server: m for m in event.members})
-        asks = self._settings.must_subscribe and event.kind in (
+        requests = self._settings.must_subscribe and event.kind in (
             MembershipKind.REMEMBERED,
             MembershipKind.REJECTED,
         )
-        return [Subscribe()] if asks else []
+        return [Subscribe()] if requests else []
 
     def _serving(self, role: Role) -> list[Member]:
         return [m for m in self._members.values() if m.role is role and m.state is ServerState.SERVING]
 
-    def _arrive(self, ask: Arrival, now: float) -> list[Action]:
-        request = PlainRequest(ask, self._classes[ask.cls], now + ask.time_left)
-        self._requests[ask.request_id] = request
+    def _arrive(self, send_request: Arrival, now: float) -> list[Action]:
+        request = PlainRequest(send_request, self._classes[send_request.cls], now + send_request.time_left)
+        self._requests[send_request.request_id] = request
         token = len(self._deadlines) + 1
         while token in self._deadlines:
             token += 1
-        self._deadlines[token] = ask.request_id
+        self._deadlines[token] = send_request.request_id
         return [SetTimer(token, request.deadline), *self._send(request, now)]
 
     def _send(self, request: PlainRequest, now: float) -> list[Action]:
--- a/brackenlane/lab/simulation/routers.py
+++ b/brackenlane/lab/simulation/routers.py
@@ -50,10 +50,14 @@
     """A request that a router has taken."""
 
     def __init__(
-        self, request: Request, ask: Arrival, work: float, ended: Callable[[Disposition, CacheStatus], None]
+        self,
+        request: Request,
+        send_request: Arrival,
+        work: float,
+        ended: Callable[[Disposition, CacheStatus], None],
     ) -> None:
         """ended: told of the final answer."""
-        self.request, self.ask, self.work, self.ended = request, ask, work, ended
+        self.request, self.ask, self.work, self.ended = request, send_request, work, ended
         self.attempts: list[Attempt] = []
         self.over = False
         self.streaming: Attempt | None = None
@@ -79,14 +83,18 @@
         self._requests: dict[str, OpenRequest] = {}
 
     def take(
-        self, request: Request, ask: Arrival, work: float, ended: Callable[[Disposition, CacheStatus], None]
+        self,
+        request: Request,
+        send_request: Arrival,
+        work: float,
+        ended: Callable[[Disposition, CacheStatus], None],
     ) -> None:
         """A client's try."""
-        self._requests[request.name] = OpenRequest(request, ask, work, ended)
+        self._requests[request.name] = OpenRequest(request, send_request, work, ended)
         self.world.record.requests[request.name] = request
         latest = request.deadline + self.world.site.answer_slack + SLACK
         self.world.queue.at(latest, lambda: self._overdue(self._requests[request.name]))
-        self.deliver(ask)
+        self.deliver(send_request)
 
     def deliver(self, event: Event) -> None:
         """Tell the policy of an event and carry out what it wants."""
@@ -130,18 +138,20 @@
                 world.site.connect_timeout, lambda: self._end(attempt, AttemptResult.UNREACHABLE)
             )
             return
-        ask = self._ask(opened, action)
-        world.queue.after(world.latency(self.zone, server), lambda: self._reach(server, ask, attempt))
+        send_request = self._ask(opened, action)
+        world.queue.after(
+            world.latency(self.zone, server), lambda: self._reach(server, send_request, attempt)
+        )
 
     def _ask(self, opened: OpenRequest, action: Fetch) -> CacheRequest:
-        ask = opened.ask
+        send_request = opened.ask
         return CacheRequest(
             opened.request.operation,
             self.number,
             opened.request.cls,
-            ask.cache_key,
-            ask.obj,
-            ask.group,
+            send_request.cache_key,
+            send_request.obj,
+            send_request.group,
             opened.work,
             action.source,
             action.keep,
@@ -151,27 +161,27 @@
             action.only_if_cached,
         )
 
-    def _reach(self, server: Server, ask: CacheRequest, attempt: Attempt) -> None:
+    def _reach(self, server: Server, send_request: CacheRequest, attempt: Attempt) -> None:
         if attempt.over:
             return
         if isinstance(server, EdgeCache):
-            return server.take(ask, attempt.reply)
-        self._direct(server, ask, attempt.reply)
+            return server.take(send_request, attempt.reply)
+        self._direct(server, send_request, attempt.reply)
 
-    def _direct(self, server: Server, ask: CacheRequest, reply: Reply) -> None:
+    def _direct(self, server: Server, send_request: CacheRequest, reply: Reply) -> None:
         """Straight to a parent or the origin, over the location's link."""
         upstream = Stream()
         links = [server.link, self.world.location_links[self.zone]]
         server.carry(reply)
         latency = self.world.latency(self.zone, server)
-        relay(self.world.queue, upstream, reply, links, ask.work, 1.0, latency)
+        relay(self.world.queue, upstream, reply, links, send_request.work, 1.0, latency)
 
         def started() -> None:
             fetched = upstream.from_origin and server is not self.world.origin
             reply.cache_status = CacheStatus.FILLED_BY_ORIGIN if fetched else CacheStatus.HIT
 
         upstream.listen(started, lambda: None)
-        server.provide(ask, oldest_allowed(ask, self.world.queue.now), upstream)
+        server.provide(send_request, oldest_allowed(send_request, self.world.queue.now), upstream)
 
     def _started(self, attempt: Attempt) -> None:
         """A streamed answer belongs to the client from its first byte on."""
@@ -270,11 +280,11 @@
         self.deliver(ClientDisconnected(opened.request.name))
 
 
-def told_note(tells: Tells, cache_status: CacheStatus, verdict: AttemptResult) -> CacheStatus:
+def told_note(reporting: Tells, cache_status: CacheStatus, verdict: AttemptResult) -> CacheStatus:
     """What the router is told of how an answer came about."""
-    if tells is Tells.ALL:
+    if reporting is Tells.ALL:
         return cache_status
-    if tells is Tells.SILENT:
+    if reporting is Tells.SILENT:
         return CacheStatus.UNKNOWN
     if cache_status is CacheStatus.FILLED_BY_ORIGIN:
         return CacheStatus.FILLED
--- a/brackenlane/lab/simulation/servers.py
+++ b/brackenlane/lab/simulation/servers.py
@@ -85,19 +85,21 @@
     def mean_work(self, cls: RequestClass) -> float:
         """The mean sending time of a class."""
 
-    def fill(self, asker: Server, ask: CacheRequest, oldest: float, into: Stream, work: float) -> None:
+    def fill(
+        self, requester: Server, request: CacheRequest, oldest: float, into: Stream, work: float
+    ) -> None:
         """Get a copy from the source that an ask names."""
 
     def pressed(self, server: Server, router: int, work: float) -> None:
         """Work reached a server that started lately."""
 
 
-def oldest_allowed(ask: CacheRequest, now: float) -> float:
+def oldest_allowed(request: CacheRequest, now: float) -> float:
     """The moment before which no copy may have left the origin."""
-    cls = ask.cls
+    cls = request.cls
     if cls.fresh_for:
-        return now - min(ask.max_age or cls.fresh_for, cls.fresh_for + cls.grace)
-    return now - ask.max_age if ask.max_age else 0.0
+        return now - min(request.max_age or cls.fresh_for, cls.fresh_for + cls.grace)
+    return now - request.max_age if request.max_age else 0.0
 
 
 class Server:
@@ -139,10 +141,10 @@
     def _drop(self, stream: Stream) -> None:
         self.outgoing.pop(stream, None)
 
-    def admit(self, ask: CacheRequest, stream: Stream) -> bool:
+    def admit(self, request: CacheRequest, stream: Stream) -> bool:
         """Whether a request is to be worked on; if not, how it ends is settled."""
         if self.cold and self.health is not Health.DOWN:
-            self.world.pressed(self, ask.router, self.world.mean_work(ask.cls))
+            self.world.pressed(self, request.router, self.world.mean_work(request.cls))
         if self.health is Health.DOWN:
             stream.fail(Failure.UNREACHABLE)
             return False
@@ -154,7 +156,7 @@
             return False
         return True
 
-    def provide(self, ask: CacheRequest, oldest: float, stream: Stream) -> None:
+    def provide(self, request: CacheRequest, oldest: float, stream: Stream) -> None:
         """Be the source of a fill; the stream holds the bytes as they are here, before the link."""
         raise NotImplementedError
 
@@ -176,22 +178,24 @@
 
 
 def collect(
-    memory: RankedMemory, ask: CacheRequest, stream: Stream, rank: int, done: Callable[[], None]
+    memory: RankedMemory, request: CacheRequest, stream: Stream, rank: int, done: Callable[[], None]
 ) -> None:
     """Keep what a fill brings once it is whole, and call back at its end."""
 
     def ended() -> None:
-        if stream.complete and rank and not ask.cls.uncached:
-            memory.store(StoredCopy(ask.copy, ask.obj, ask.group, stream.issued, ask.work, rank))
+        if stream.complete and rank and not request.cls.uncached:
+            memory.store(
+                StoredCopy(request.copy, request.obj, request.group, stream.issued, request.work, rank)
+            )
         done()
 
     stream.listen(_nothing, ended)
 
 
-def fetch_work(world: Surroundings, memory: RankedMemory, ask: CacheRequest) -> float:
+def fetch_work(world: Surroundings, memory: RankedMemory, request: CacheRequest) -> float:
     """The work of a fill: little where a copy that was not purged only has to be renewed."""
-    copy = memory.get(ask.copy)
-    return ask.work * (RENEWAL if copy and world.is_current(copy) else 1.0)
+    copy = memory.get(request.copy)
+    return request.work * (RENEWAL if copy and world.is_current(copy) else 1.0)
 
 
 class Parent(Server):
@@ -202,36 +206,36 @@
         self.memory = RankedMemory(memory)
         self._fetches: dict[str, Fetch] = {}
 
-    def provide(self, ask: CacheRequest, oldest: float, stream: Stream) -> None:
+    def provide(self, request: CacheRequest, oldest: float, stream: Stream) -> None:
         """Give a copy, fetched from the origin if need be."""
-        if not self.admit(ask, stream):
+        if not self.admit(request, stream):
             return
-        copy = self.memory.get(ask.copy)
-        if copy and copy.issued >= oldest and not ask.cls.uncached:
+        copy = self.memory.get(request.copy)
+        if copy and copy.issued >= oldest and not request.cls.uncached:
             self.memory.use(copy, 0)
             stream.start(copy.issued, False)
             return stream.finish()
-        if ask.only_if_cached:
+        if request.only_if_cached:
             return stream.fail(Failure.LACKING)
-        fetch = self._fetches.get(ask.copy)
-        if fetch is None or ask.cls.uncached or not fetch.may_join(oldest):
+        fetch = self._fetches.get(request.copy)
+        if fetch is None or request.cls.uncached or not fetch.may_join(oldest):
             if len(self._fetches) >= PARENT_FETCHES:
                 return stream.fail(Failure.FULL)
-            fetch = self._fetch(ask, oldest)
+            fetch = self._fetch(request, oldest)
         _follow(fetch.stream, stream)
 
-    def _fetch(self, ask: CacheRequest, oldest: float) -> Fetch:
+    def _fetch(self, request: CacheRequest, oldest: float) -> Fetch:
         fetch = Fetch(Stream(), oldest)
-        key = ask.operation if ask.cls.uncached else ask.copy
+        key = request.operation if request.cls.uncached else request.copy
         self._fetches[key] = fetch
 
         def done() -> None:
             if self._fetches.get(key) is fetch:
                 del self._fetches[key]
 
-        collect(self.memory, ask, fetch.stream, 1, done)
+        collect(self.memory, request, fetch.stream, 1, done)
         self.carry(fetch.stream)
-        self.world.fill(self, ask, oldest, fetch.stream, fetch_work(self.world, self.memory, ask))
+        self.world.fill(self, request, oldest, fetch.stream, fetch_work(self.world, self.memory, request))
         self.world.queue.after(
             PARENT_FETCH_TIMEOUT, lambda: None if fetch.stream.started else fetch.stream.fail(Failure.SLOW)
         )
@@ -269,24 +273,24 @@
         self.slowdown = factor
         self.link.set_width(self.full_width / factor)
 
-    def provide(self, ask: CacheRequest, oldest: float, stream: Stream) -> None:
+    def provide(self, request: CacheRequest, oldest: float, stream: Stream) -> None:
         """Work on a request when a worker is free."""
         self._watch_overload()
-        if not self.admit(ask, stream):
+        if not self.admit(request, stream):
             return
         if len(self._queue) >= self._places:
             return stream.fail(Failure.FULL)
-        self._queue.append((ask, stream))
+        self._queue.append((request, stream))
         self._next()
 
     def _next(self) -> None:
         while self._queue and self._busy < self.world.site.origin_workers:
-            ask, stream = self._queue.popleft()
+            request, stream = self._queue.popleft()
             if stream.ended:
                 continue
             self._busy += 1
-            if ask.cls.uncached:
-                self.world.executed(ask.operation)
+            if request.cls.uncached:
+                self.world.executed(request.operation)
             mean = self.world.site.origin_seconds * self.slowdown
             self.world.queue.after(mean * self.world.random.uniform(0.5, 1.5), partial(self._done, stream))
 
--- a/brackenlane/lab/simulation/site.py
+++ b/brackenlane/lab/simulation/site.py
@@ -160,8 +160,8 @@
     @property
     def mean_work(self) -> float:
         """Of one request, in transfer-seconds."""
-        whole = sum(load.share for load in self.classes)
-        return sum(load.share * load.mean_work for load in self.classes) / whole
+        complete = sum(load.share for load in self.classes)
+        return sum(load.share * load.mean_work for load in self.classes) / complete
 
     def request_rate(self, location: int) -> float:
         """Requests a second at one location."""
--- a/brackenlane/lab/simulation/slow_start.py
+++ b/brackenlane/lab/simulation/slow_start.py
@@ -29,7 +29,7 @@
         warmed = min(1.0, max(0.0, now - self.started_at) / self._warm_after)
         return self._start_share + (1 - self._start_share) * warmed
 
-    def add(self, now: float, work: float, told: bool, unit: float) -> float | None:
+    def add(self, now: float, work: float, reported: bool, unit: float) -> float | None:
         """Count work that arrives; if that pushes the server over, the share from routers told of its start.
 
         unit: the mean work of the largest class, by which chance is judged.
@@ -37,11 +37,11 @@
         share = self.share(now)
         if share >= 1:
             return None
-        self._recent.append((now, work, told))
+        self._recent.append((now, work, reported))
         while self._recent[0][0] < now - self._rule.span:
             self._recent.popleft()
-        asked = sum(work for _, work, _ in self._recent)
+        requested = sum(work for _, work, _ in self._recent)
         budget = self._rule.factor * self._width * share * self._rule.span
-        if asked <= budget + CHANCE * (math.sqrt(budget * unit) + unit):
+        if requested <= budget + CHANCE * (math.sqrt(budget * unit) + unit):
             return None
-        return sum(work for _, work, told in self._recent if told) / asked
+        return sum(work for _, work, reported in self._recent if reported) / requested
--- a/brackenlane/lab/simulation/value.py
+++ b/brackenlane/lab/simulation/value.py
@@ -20,5 +20,5 @@
 
 def worth(record: Record) -> float:
     """The share of all worth asked for that was served."""
-    asked = sum(operation.cls.value_weight for operation in record.operations.values())
-    return sum(map(earned, record.operations.values())) / asked if asked else 1.0
+    requested = sum(operation.cls.value_weight for operation in record.operations.values())
+    return sum(map(earned, record.operations.values())) / requested if requested else 1.0
--- a/brackenlane/lab/simulation/workload.py
+++ b/brackenlane/lab/simulation/workload.py
@@ -96,8 +96,8 @@
         return sorted(tries, key=lambda one: one.at)
 
     def _of_class(self, location: int, load: ClassLoad) -> Iterator[FirstTry]:
-        whole = sum(other.share for other in self._site.classes)
-        rate = self._site.request_rate(location) * load.share / whole
+        complete = sum(other.share for other in self._site.classes)
+        rate = self._site.request_rate(location) * load.share / complete
         expected = sum(STAY**n for n in range(load.parts))
         begin, end = self._start, self._start + self._site.seconds
         at = begin - (load.parts - 1) * load.gap
@@ -157,10 +157,10 @@
                     for chance, obj in zip(catalogue.chances, catalogue.objects, strict=True)
                 ]
         found.sort(key=lambda item: item[0], reverse=True)
-        whole = sum(rate * obj.work * obj.parts for rate, obj, _ in found)
+        complete = sum(rate * obj.work * obj.parts for rate, obj, _ in found)
         chosen, covered = [], 0.0
         for rate, obj, cls in found:
-            if covered >= share * whole:
+            if covered >= share * complete:
                 break
             covered += rate * obj.work * obj.parts
             chosen.append((obj, cls))
--- a/brackenlane/lab/simulation/world.py
+++ b/brackenlane/lab/simulation/world.py
@@ -113,24 +113,26 @@
         """Whether answers of a class belong to the client from the first byte on."""
         return cls.name in self._streamed
 
-    def fill(self, asker: Server, ask: CacheRequest, oldest: float, into: Stream, work: float) -> None:
+    def fill(
+        self, requester: Server, request: CacheRequest, oldest: float, into: Stream, work: float
+    ) -> None:
         """Get a copy from the source that an ask names; a parent asks the origin."""
-        source = self.origin if isinstance(asker, Parent) else self.server(ask.source)
+        source = self.origin if isinstance(requester, Parent) else self.server(request.source)
         if source is None:
             self.queue.after(self.site.connect_timeout, lambda: into.fail(Failure.UNREACHABLE))
             return
         upstream = Stream()
-        latency = self.latency(asker.zone, source)
+        latency = self.latency(requester.zone, source)
         links = [source.link]
         pace = self.site.fill_pace
-        if asker.zone in self.location_links and source.zone != asker.zone:
-            links.append(self.location_links[asker.zone])
-            pace = max(1.0, pace / (1 + self._steps(asker.zone, source.zone)))
+        if requester.zone in self.location_links and source.zone != requester.zone:
+            links.append(self.location_links[requester.zone])
+            pace = max(1.0, pace / (1 + self._steps(requester.zone, source.zone)))
 
         def reach() -> None:
             if not into.ended:
                 source.carry(into)
-                source.provide(ask, oldest, upstream)
+                source.provide(request, oldest, upstream)
 
         relay(self.queue, upstream, into, links, work, pace, latency)
         self.queue.after(latency, reach)
@@ -139,8 +141,8 @@
         """Work reached a server that started lately; too much pushes it over for good."""
         if server.cold is None:
             return
-        told = self._told_starts.get((router, server.name), 0.0) >= server.cold.started_at
-        share = server.cold.add(self.queue.now, work, told, max(self._means.values()))
+        reported = self._told_starts.get((router, server.name), 0.0) >= server.cold.started_at
+        share = server.cold.add(self.queue.now, work, reported, max(self._means.values()))
         if share is not None:
             self.record.fell_over.append(FellOver(server.name, share, self.queue.now))
             server.stop()
@@ -169,7 +171,7 @@
     def announce(self, name: str, state: ServerState, started_at: float | None = None) -> None:
         """Routers hear of a change, each after its own delay."""
         known = self.members[name]
-        told = Member(
+        reported = Member(
             name,
             known.zone,
             known.role,
@@ -177,13 +179,13 @@
             weight=known.weight,
             started_at=known.started_at if started_at is None else started_at,
         )
-        self.members[name] = told
+        self.members[name] = reported
         for router in self.routers:
             delay = self.site.list_notice * self.random.uniform(0.5, 1.5)
             # Delivery is ordered: what was announced later is heard later.
             at = max(self.queue.now + delay, router.list_heard)
             router.list_heard = at
-            self.queue.at(at, partial(self._tell, router, MembershipKind.CHANGES, (told,)))
+            self.queue.at(at, partial(self._tell, router, MembershipKind.CHANGES, (reported,)))
 
     def add_cache(self, name: str, like: str) -> None:
         """A new machine stands in for another."""
@@ -258,9 +260,9 @@
     def _memory(self, zone: str, width: float) -> float:
         """What one cache holds, its part of what its location's caches need for the site's share of hits."""
         location = self.site.zones.index(zone) - self.site.hubs
-        kept = self.workload.popular(location, self.site.hits)
-        whole = sum(obj.work * obj.parts for obj, _ in kept)
-        return MEMORY_ROOM * whole * width / sum(self.site.locations[location].widths)
+        retained = self.workload.popular(location, self.site.hits)
+        complete = sum(obj.work * obj.parts for obj, _ in retained)
+        return MEMORY_ROOM * complete * width / sum(self.site.locations[location].widths)
 
     def _parent_memory(self) -> float:
         return sum(obj.work * obj.parts for obj, _ in self.workload.popular(None, PARENT_KEEPS))
--- a/brackenlane/lab/site.py
+++ b/brackenlane/lab/site.py
@@ -1,4 +1,4 @@
-"""A doorman of any checkout of this project as a process, in front of stand-in boxes, for measurements."""
+"""A router of any checkout of this project as a process, in front of stand-in caches, for measurements."""
 
 from __future__ import annotations
 
@@ -65,14 +65,14 @@
 
 def platform_config(
     port: int,
-    boxes: Sequence[int],
+    caches: Sequence[int],
     origin: int,
     *,
     weight: float = 1000.0,
     memory_mb: int = 128,
     flow: float = 0.0,
 ) -> bytes:
-    """A platform's configuration: edge boxes at some ports, and the origin; flow in bytes a second."""
+    """A platform's configuration: edge caches at some ports, and the origin; flow in bytes a second."""
     targets = [
         {
             "uid": f"s-{n + 1:08x}",
@@ -84,7 +84,7 @@
             "capacity_hint": weight,
             "boot_ms": 0,
         }
-        for n, (at, model) in enumerate([*((at, "type-a") for at in boxes), (origin, "origin")])
+        for n, (at, model) in enumerate([*((at, "type-a") for at in caches), (origin, "origin")])
     ]
     return orjson.dumps(
         {
@@ -105,7 +105,7 @@
 
 @dataclass
 class Running:
-    """A doorman that serves."""
+    """A router that serves."""
 
     process: subprocess.Popen[bytes]
     port: int
@@ -113,8 +113,8 @@
 
     def cpu(self) -> float:
         """CPU seconds used so far (proc(5), utime and stime)."""
-        words = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+        arguments = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(arguments[11]) + int(arguments[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory(self) -> float:
         """Resident MB."""
@@ -122,9 +122,9 @@
         return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-def pinned(words: list[str], cores: Sequence[int], **more: Any) -> subprocess.Popen[bytes]:
+def pinned(arguments: list[str], cores: Sequence[int], **more: Any) -> subprocess.Popen[bytes]:
     """A process on these cores alone."""
-    return subprocess.Popen(words, preexec_fn=lambda: os.sched_setaffinity(0, cores), **more)
+    return subprocess.Popen(arguments, preexec_fn=lambda: os.sched_setaffinity(0, cores), **more)
 
 
 @contextlib.contextmanager
@@ -141,17 +141,17 @@
 @contextlib.contextmanager
 def doorman(
     tree: Path,
-    boxes: Sequence[int],
+    caches: Sequence[int],
     origin: int,
     cores: Sequence[int],
     env: dict[str, str] | None = None,
     **config: Any,
 ) -> Iterator[Running]:
-    """The doorman of a checkout, from its start to its end."""
+    """The router of a checkout, from its start to its end."""
     [port] = free_ports(1)
     with tempfile.TemporaryDirectory() as folder:
         path, log = Path(folder) / "config.json", Path(folder) / "log"
-        path.write_bytes(platform_config(port, boxes, origin, **config))
+        path.write_bytes(platform_config(port, caches, origin, **config))
         with log.open("wb") as out:
             process = pinned(
                 [sys.executable, "-m", "brackenlane"],
@@ -190,8 +190,8 @@
     try:
         assert process.stdout and process.stdout.readline() == b"ready\n"
         yield ports[:-1], ports[-1], seen
-        told, _ = process.communicate(timeout=10)
-        seen.update(orjson.loads(told))
+        reported, _ = process.communicate(timeout=10)
+        seen.update(orjson.loads(reported))
     finally:
         process.kill()
         process.wait()
@@ -234,8 +234,8 @@
     """The reports of all load processes as one."""
     total: dict[str, Any] = {}
     for process in loads:
-        told, _ = process.communicate()
-        for name, value in orjson.loads(told).items():
+        reported, _ = process.communicate()
+        for name, value in orjson.loads(reported).items():
             if isinstance(value, dict):
                 mine = total.setdefault(name, {})
                 for key, number in value.items():
--- a/brackenlane/lab/stand_ins/cache_commands.py
+++ b/brackenlane/lab/stand_ins/cache_commands.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One GET as a box received it."""
+    """One GET as a cache received it."""
 
     id: str
     fields: dict[str, str]
@@ -63,19 +63,19 @@
             case ["DROP", wire_id]:
                 self._buffer = rest
                 return Dropped(wire_id)
-            case ["PING", word]:
+            case ["PING", text]:
                 self._buffer = rest
-                return Pinged(word)
-            case ["GET", wire_id, told, length]:
+                return Pinged(text)
+            case ["GET", wire_id, reported, length]:
                 size = int(length)
                 if len(rest) < size + len(LINE_END):
                     return None
                 self._buffer = rest[size + len(LINE_END) :]
-                return Asked(wire_id, _read_fields(told), rest[:size], self._link)
+                return Asked(wire_id, _read_fields(reported), rest[:size], self._link)
         raise ValueError(f"no command: {line[:80]!r}")
 
 
-def _read_fields(told: str) -> dict[str, str]:
-    if told == NO_FIELDS:
+def _read_fields(reported: str) -> dict[str, str]:
+    if reported == NO_FIELDS:
         return {}
-    return dict(pair.split("=", 1) for pair in told.split(","))
+    return dict(pair.split("=", 1) for pair in reported.split(","))
--- a/brackenlane/lab/stand_ins/cache_server.py
+++ b/brackenlane/lab/stand_ins/cache_server.py
@@ -1,4 +1,4 @@
-"""A scripted cache box, parent or origin on loopback: lines and bodies as the platform's protocol has them.
+"""A scripted cache, parent or origin on loopback: lines and bodies as the platform's protocol has them.
 
 What it answers is a script's to set, and may be changed while it runs. It counts what it is asked.
 """
@@ -46,16 +46,16 @@
         raise NotImplementedError
 
 
-def data(asked: Asked, body: bytes = b"bytes", word: str = "data", **more: str) -> bytes:
+def data(requested: Asked, body: bytes = b"bytes", token: str = "data", **more: str) -> bytes:
     """A box's answer."""
     fields = {"entity": "e1", "issued": str(int(time.time() * 1000)), "detail": "hit", **more}
-    told = ",".join(f"{k}={v}" for k, v in fields.items())
-    return f"{asked.id} {word} {told} {len(body)}\r\n".encode() + body + b"\r\n"
+    reported = ",".join(f"{k}={v}" for k, v in fields.items())
+    return f"{requested.id} {token} {reported} {len(body)}\r\n".encode() + body + b"\r\n"
 
 
 @dataclass
 class Box(CacheListener):
-    """A cache box, parent or the origin. None is no answer; one that ends no line ends the connection."""
+    """A cache, parent or the origin. None is no answer; one that ends no line ends the connection."""
 
     id: str
     model: str = "type-a"
@@ -70,7 +70,7 @@
     _streams: list[trio.SocketStream] = field(default_factory=list)
 
     async def until(self, true: Callable[[], bool]) -> None:
-        """Wait until what this box has seen makes something true."""
+        """Wait until what this cache has seen makes something true."""
         while not true():
             self.news = trio.Event()
             await self.news.wait()
--- a/brackenlane/lab/stand_ins/dns.py
+++ b/brackenlane/lab/stand_ins/dns.py
@@ -160,8 +160,8 @@
                     await stream.send_all(struct.pack("!H", len(reply)) + reply)
 
     def _note(self, query: dns.message.Message, port: int, tcp: bool) -> set[Fault]:
-        [asked] = query.question
-        name, kind = asked.name.to_text(omit_final_dot=True), dns.rdatatype.to_text(asked.rdtype)
+        [requested] = query.question
+        name, kind = requested.name.to_text(omit_final_dot=True), dns.rdatatype.to_text(requested.rdtype)
         self.asked.append(Asked(name, kind, tcp, query.edns >= 0, port, query.id))
         self.news.set()
         keys = ((name.lower(), kind), (name.lower(), ""), ("", kind), ("", ""))
@@ -178,8 +178,8 @@
 
     def _reply(self, query: dns.message.Message, faults: set[Fault], tcp: bool) -> bytes:
         response = dns.message.make_response(query)
-        asked = query.question[0]
-        name, kind = asked.name.to_text(omit_final_dot=True), dns.rdatatype.to_text(asked.rdtype)
+        requested = query.question[0]
+        name, kind = requested.name.to_text(omit_final_dot=True), dns.rdatatype.to_text(requested.rdtype)
         if Fault.FORMERR in faults and query.edns >= 0:
             return struct.pack("!HHHHHH", query.id, 0x8001, 0, 0, 0, 0)
         if Fault.NOISE in faults:
@@ -211,9 +211,9 @@
         if Fault.CUT in faults and not tcp:
             response.flags |= dns.flags.TC
         if Fault.WRONG_NAME in faults:
-            response.question = [_renamed(asked, "else.test.")]
+            response.question = [_renamed(requested, "else.test.")]
         if Fault.WRONG_CASE in faults:
-            response.question = [_renamed(asked, name.lower() + ".")]
+            response.question = [_renamed(requested, name.lower() + ".")]
         wire = response.to_wire(max_size=65_535)
         if not tcp and len(wire) > max(512, query.payload):
             response.flags |= dns.flags.TC
@@ -237,6 +237,6 @@
             await self._sock.sendto(forged.to_wire(), peer)
 
 
-def _renamed(asked: dns.rrset.RRset, name: str) -> dns.rrset.RRset:
+def _renamed(requested: dns.rrset.RRset, name: str) -> dns.rrset.RRset:
     """The same question of another name; the query's own is shared with its answers, so it stays as it is."""
-    return dns.rrset.RRset(dns.name.from_text(name), asked.rdclass, asked.rdtype)
+    return dns.rrset.RRset(dns.name.from_text(name), requested.rdclass, requested.rdtype)
--- a/brackenlane/lab/stand_ins/redis.py
+++ b/brackenlane/lab/stand_ins/redis.py
@@ -1,4 +1,4 @@
-"""A scripted Redis on loopback: as much of it as the doormans use, with a stated capacity and failures.
+"""A scripted Redis on loopback: as much of it as the routers use, with a stated capacity and failures.
 
 It keeps strings, hashes and streams. Beyond its capacity it slows down, then refuses, as real ones do. At a
 restart it may have lost its latest writes, or all.
@@ -57,7 +57,7 @@
             self._undo.clear()
 
     def order(self, zone: str, order: dict[str, Any]) -> None:
-        """What a doorman elsewhere would write of an order."""
+        """What a router elsewhere would write of an order."""
         self._write(f"brackenlane:{zone}:orders", order["id"], orjson.dumps(order).decode())
         self._add(f"brackenlane:{zone}:events", 10_000, ["event", orjson.dumps({"order": order}).decode()])
 
@@ -199,15 +199,15 @@
                 return _resp(found[: int(count[1])] if count else found)
             case ["XREVRANGE", key, "+", "-", "COUNT", "1"]:
                 return _resp([[_place(p), f] for p, f in self.keys.get(key, [])[-1:]])
-            case ["XREAD", *words, "STREAMS", key, after]:
-                told = dict(zip(words[::2], words[1::2], strict=True))
+            case ["XREAD", *arguments, "STREAMS", key, after]:
+                reported = dict(zip(arguments[::2], arguments[1::2], strict=True))
                 self.seen.set()
-                if "BLOCK" in told:
-                    with trio.move_on_after(int(told["BLOCK"]) / 1000):
+                if "BLOCK" in reported:
+                    with trio.move_on_after(int(reported["BLOCK"]) / 1000):
                         while not self._behind(key, after):
                             self.news = self.news if not self.news.is_set() else trio.Event()
                             await self.news.wait()
-                found = self._behind(key, after)[: int(told.get("COUNT", 1 << 30))]
+                found = self._behind(key, after)[: int(reported.get("COUNT", 1 << 30))]
                 return _resp([[key, found]] if found else None)
         return b"-ERR unknown command\r\n"
 
--- a/brackenlane/lifecycle.py
+++ b/brackenlane/lifecycle.py
@@ -123,7 +123,7 @@
     """Serve clients; after SIGTERM go on for a moment, then end once all that was taken is answered.
 
     A second signal meanwhile does what it does by itself: it ends the program. `beside` tells how many
-    earlier processes of this doorman serve at the same address (None: none may); `serving` is called once it
+    earlier processes of this router serve at the same address (None: none may); `serving` is called once it
     serves.
     """
     with SignalWatcher(front.poller, signal.SIGTERM, signal.SIGINT) as leave:
