--- a/brackenlane/limits.py
+++ b/brackenlane/limits.py
@@ -14,7 +14,7 @@
     # Clients
     head: int = 16_384  # request line and headers
     upload: int = 48_000  # body of a write
-    clients: int = 400  # connections at once; of the 1,024 descriptors the boxes need the rest
+    clients: int = 400  # connections at once; of the 1,024 descriptors the caches need the rest
     refused: int = 16  # more, told so while all have work in hand; what comes then is closed unread
     submits: int = 20_000  # ids of writes remembered, so that none runs twice
     first_request: float = 2.5  # from the connection to the end of its first request
@@ -37,7 +37,7 @@
     ops_head: int = 4_096  # of a call, and of what may follow it
     ops_calls: int = 16  # callers at once; who comes then takes the place of who has waited longest
     ops_time: float = 5.0  # from a caller's connection to its end
-    taken_out: int = 1_024  # boxes taken out by hand at once; one more gets a no
+    taken_out: int = 1_024  # caches taken out by hand at once; one more gets a no
 
     # Handover log of the processes of one router
     ledger: int = 2_097_152  # past it no submit is claimed, so none runs; of a foreign one no more is read
@@ -48,19 +48,19 @@
     ledger_look: float = 0.2  # between two looks at who lives
     claims: int = 4_000  # submits remembered there: a quarter of an hour of them at 4 a second
 
-    # Cache boxes
+    # Cache caches
     object_size: int = 240_000  # the largest body of an answer
     line: int = 2_048  # the longest line of an answer
     link_waiting: int = 100  # open requests on one connection
-    links: int = 4  # connections to one box
-    cache_connections: int = 400  # to all boxes together; past it a connection that rests gives way
-    keepalive_part: float = 0.8  # of the time after which a box closes what is idle: then we have done so
+    links: int = 4  # connections to one cache
+    cache_connections: int = 400  # to all caches together; past it a connection that rests gives way
+    keepalive_part: float = 0.8  # of the time after which a cache closes what is idle: then we have done so
     link_share: int = 6  # open requests on each, from which one more connection is opened
     given_up: int = 512  # ids remembered per connection, whose late or second answers are ignored
     redispatches: int = 1  # of an attempt to another connection, as one ends before a byte of it is out
     answer_time: float = 6.0  # a connection whose answer takes longer is closed: no client waits so long
     write_stall: float = 1.0  # a connection that takes no byte for so long is closed
-    watch: float = 0.05  # between two looks at the connections to boxes while anything is open on one
+    watch: float = 0.05  # between two looks at the connections to caches while anything is open on one
     watch_idle: float = 0.5  # while nothing is; and nothing there is closed before it was idle for longer
     keepalive: float = 24.0  # own idle connections are closed, where the settings tell of no time
     idle_probe_after: float = (
@@ -71,7 +71,7 @@
     )
     pulse: float = 0.25  # for its answer to that; then the connection is given up
     unresponsive: float = (
-        3.0  # the same where boxes may not be probed: with a request open and no byte for so long
+        3.0  # the same where caches may not be probed: with a request open and no byte for so long
     )
 
     # Log
@@ -89,7 +89,7 @@
     accept_pause: float = 0.1  # where there is no descriptor for one more
     peer_mail: int = 512  # attempts that wait for one box's connection; what comes then was never sent
 
-    # List of boxes
+    # List of caches
     frame: int = 1_048_576  # the longest frame of the change log
     log_silence: float = 3.5  # it sends something each second; silent for longer, it is asked anew
     log_silence_most: float = 8.0  # to which that doubles while a log that is slow to begin has said nothing
@@ -119,7 +119,7 @@
     resolver_retry: float = 0.3  # after one that did not
 
     # Discovery
-    discovery_dials: int = 64  # connections at once, to see whether a box answers where it is said to be
+    discovery_dials: int = 64  # connections at once, to see whether a cache answers where it is said to be
     look_up: float = 3.0  # for one look-up, over all upstreams
     look_ups: int = 256  # at once
     last_list: float = 1.0  # between two writes of the last list
@@ -128,11 +128,11 @@
     store_wait: float = 0.3  # for one command, so that a submit is refused while it can still be sent again
     store_block: float = 5.0  # for which the store may hold back a reply when there is no news
     store_log: int = 10_000  # events kept there
-    store_piece: int = 500  # entries or boxes asked for at once
+    store_piece: int = 500  # entries or caches asked for at once
     store_unshared: int = 1_000  # changes that wait for the store to come back, or to be read back
     store_purges: int = 2_000  # kept over a restart; of more the first are
     store_tickets: int = 600  # for which the tickets of a span are remembered
-    store_filing: int = 10  # seconds for which one doorman alone writes the boxes of a file
+    store_filing: int = 10  # seconds for which one router alone writes the caches of a file
     store_filed: int = 2_592_000  # for which it is remembered that they are written; then it is done anew
     unknown_purges: float = 0.8  # after a start; the store not heard by then, all objects count as purged
     claim_lifetime: int = 3_600  # whole seconds for which the id of a submit is remembered
@@ -144,7 +144,7 @@
     def within(self, sockets: int) -> Limits:
         """With no more connections than so many descriptors allow; clients use a third of them at most.
 
-        The parts add up to less than all: whoever rests, boxes, change log and operators have theirs.
+        The parts add up to less than all: whoever rests, caches, change log and operators have theirs.
         """
         clients = min(self.clients, sockets * 2 // 5)
         refused, ops_calls = min(self.refused, sockets // 24), min(self.ops_calls, sockets // 24)
--- a/brackenlane/net/__init__.py
+++ b/brackenlane/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's front: clients on HTTP, cache boxes on lines, the change log on frames."""
+"""The platform's front: clients on HTTP, caches on lines, the change log on frames."""
--- a/brackenlane/net/cache_codec.py
+++ b/brackenlane/net/cache_codec.py
@@ -1,4 +1,4 @@
-"""The lines between a doorman and a cache box, apart from any socket."""
+"""The lines between a router and a cache, apart from any socket."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class WireError(Exception):
-    """Bytes that are no answer of a cache box."""
+    """Bytes that are no answer of a cache."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,7 +77,7 @@
 
     @property
     def report(self) -> LoadReport:
-        """The load of the box by the names of its fields; what is no figure is left out."""
+        """The load of the cache by the names of its fields; what is no figure is left out."""
         return read_load_report(self.fields.get("use", ""), REPORT_SEPARATOR)
 
 
@@ -116,8 +116,8 @@
     if max_age > 0:
         fields["within"] = str(max(1, int(max_age * 1000)))
     how = [
-        word
-        for word, on in (
+        command
+        for command, on in (
             ("coalesce", fetch.join),
             ("shallow", fetch.only_if_cached),
             ("freshen", fetch.revalidate),
@@ -175,20 +175,20 @@
                 return
             if self._buffer[length : length + 2] != b"\r\n":
                 raise WireError("a body not as long as announced")
-            wire_id, word, fields, _ = self._head
+            wire_id, command, fields, _ = self._head
             with memoryview(self._buffer) as view:
                 body = bytes(view[:length])  # copied once
             del self._buffer[: length + 2]
             self._head = None
-            yield CacheResponse(wire_id, word, fields, body)
+            yield CacheResponse(wire_id, command, fields, body)
 
     def _read_head(self, line: bytes) -> tuple[str, str, dict[str, str], int]:
         try:
-            wire_id, word, told, size = line.decode("ascii").split(" ")
+            wire_id, command, reported, size = line.decode("ascii").split(" ")
             length = int(size)
         except ValueError:
             raise WireError(f"no answer: {line[:60]!r}") from None
         if not 0 <= length <= self._limits.object_size:
             raise WireError(f"a body of {length} bytes")
-        pairs = (pair.partition("=") for pair in told.split(",")) if told != "-" else ()
-        return wire_id, word, {name: value for name, _, value in pairs}, length
+        pairs = (pair.partition("=") for pair in reported.split(",")) if reported != "-" else ()
+        return wire_id, command, {name: value for name, _, value in pairs}, length
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a cache box, parent or the origin, and the attempts that are open on it."""
+"""One connection to a cache, parent or the origin, and the attempts that are open on it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class DispatchedAttempt:
-    """One attempt at a box, from its placing to its outcome."""
+    """One attempt at a cache, from its placing to its outcome."""
 
     __slots__ = ("attempt", "id", "sent", "link", "timer", "redispatches", "_report")
 
@@ -66,7 +66,7 @@
 
 
 class ConnectionQuota:
-    """The descriptors that connections to boxes may have, all boxes together; the others are kept for the
+    """The descriptors that connections to caches may have, all caches together; the others are kept for the
     change log, operators and clients. One is taken as a connect begins, given back as its connection ends.
     """
 
@@ -87,7 +87,7 @@
 
 
 class CacheConnection:
-    """One connection to a box: answers arrive in any order."""
+    """One connection to a cache: answers arrive in any order."""
 
     def __init__(
         self,
@@ -166,7 +166,7 @@
         self._waiting.pop(slot.id, None)
 
     def give_up(self, slot: DispatchedAttempt) -> None:
-        """Tell the box that an attempt is wanted no more."""
+        """Tell the cache that an attempt is wanted no more."""
         if not self.open:
             return
         self._remember(slot.id, answered=False)
@@ -330,17 +330,17 @@
                 log.warning("a box ends its connection within an answer, %d open", len(self._waiting))
             return self.close()
         self._heard, self._asked, self._reading = time.time(), False, True
-        whole = False
+        complete = False
         try:
             for answer in self._parser.feed(data):
-                whole = True
+                complete = True
                 self._answer(answer)
         except cache_codec.WireError as fault:
             log.warning("a box that can't be read: %s", fault)
             self.close()
         finally:
             self._reading = False
-        if whole or not self._parser.partial:
+        if complete or not self._parser.partial:
             self._begun = self._heard if self._parser.partial else 0.0
         elif not self._begun:
             self._begun = self._heard
--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -1,4 +1,4 @@
-"""The actor that follows the change log: boxes and purges, to the core and to the boxes' actors."""
+"""The actor that follows the change log: caches and purges, to the core and to the boxes' actors."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
         site: Site,
         limits: Limits,
         pools: ConnectionPools,
-        tell: Callable[[Event], None],
+        notify: Callable[[Event], None],
         poller: Poller,
         timers: Timers,
         seed: int = 0,
     ) -> None:
         self._endpoint, self._site, self._limits = endpoint, site, limits
-        self._pools, self._tell, self._poller, self._timers = pools, tell, poller, timers
+        self._pools, self._tell, self._poller, self._timers = pools, notify, poller, timers
         self._dial: Connector | None = None
         self._sock: socket.socket | None = None
         self._heard = 0.0  # when the connection said something last, or came up
@@ -126,7 +126,7 @@
         """What was missed while away comes first on the next connection."""
         log.warning("change log: %s", why)
         self._close()
-        # Guards the log against all doormans, which lose it at one moment and would come back at one.
+        # Guards the log against all routers, which lose it at one moment and would come back at one.
         wait = self._wait * self._random.uniform(0.5, 1.5)
         self._again = self._timers.at(time.time() + wait, self._connect)
         self._wait = min(2 * self._wait, self._limits.log_retry_most)
--- a/brackenlane/net/change_log_codec.py
+++ b/brackenlane/net/change_log_codec.py
@@ -36,9 +36,9 @@
     endpoints: dict[str, Endpoint] = field(default_factory=dict)
 
 
-def _change(number: int, whole: bool, found: list[tuple[Member, Endpoint]]) -> Change:
+def _change(number: int, complete: bool, found: list[tuple[Member, Endpoint]]) -> Change:
     members = tuple(member for member, _ in found)
-    kind = MembershipKind.FULL if whole else MembershipKind.CHANGES
+    kind = MembershipKind.FULL if complete else MembershipKind.CHANGES
     return Change(
         number,
         Membership(kind, members),
@@ -56,13 +56,13 @@
                 found = [_read_target(target, site) for target in membership["targets"]]
                 yield _change(number, bool(membership.get("all")), found)
             elif "invalidate" in item:
-                told = item["invalidate"]
+                reported = item["invalidate"]
                 yield Change(
                     number,
                     Purged(
-                        str(told.get("object", "")),
-                        int(told.get("bucket", -1)),
-                        max(0.0, now - told["time"] / 1000),
+                        str(reported.get("object", "")),
+                        int(reported.get("bucket", -1)),
+                        max(0.0, now - reported["time"] / 1000),
                     ),
                 )
     except (KeyError, TypeError, ValueError, AttributeError) as fault:
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -137,7 +137,7 @@
             for _ in range(4):  # what stands before that end has a bound too
                 if not self.open or not self._receive():
                     break
-        except Exception:  # one client must not end the connection to a box, nor another's request
+        except Exception:  # one client must not end the connection to a cache, nor another's request
             log.exception("a client's connection failed")
             self.close()
         return self.open
--- a/brackenlane/net/connection_pool.py
+++ b/brackenlane/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""One actor for each cache box, parent and the origin: its connections and the attempts at it."""
+"""One actor for each cache, parent and the origin: its connections and the attempts at it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ConnectionPool:
-    """The actor of one box: it performs attempts, as they are posted, on connections of its own."""
+    """The actor of one cache: it performs attempts, as they are posted, on connections of its own."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self.connect_timeout, self._may_probe = settings.connect_timeout, settings.may_probe
         self._links: list[CacheConnection] = []
         self._dial: Connector | None = None
-        self._old: list[CacheConnection] = []  # to an address that the box has left
+        self._old: list[CacheConnection] = []  # to an address that the cache has left
         self._mail: deque[DispatchedAttempt] = deque()  # waits for a connection
         self._leaving = False
 
@@ -74,7 +74,7 @@
             link.reconfigure(limits, settings.may_probe)
 
     def move(self, endpoint: Endpoint) -> None:
-        """Follow the box to another address; what is open on the old one ends there."""
+        """Follow the cache to another address; what is open on the old one ends there."""
         if endpoint != self.endpoint:
             self.endpoint, self._old, self._links = endpoint, [*self._old, *self._links], []
             self._dial = None  # what comes of it is let go
@@ -83,16 +83,16 @@
 
     def recheck(self) -> None:
         """Give back what waits for a connection and may go there no more, instead of when that comes up."""
-        kept: deque[DispatchedAttempt] = deque()
-        waiting, self._mail = self._mail, kept
+        retained: deque[DispatchedAttempt] = deque()
+        waiting, self._mail = self._mail, retained
         for slot in waiting:
             if self._membership.allows(slot.attempt.fetch):
-                kept.append(slot)
+                retained.append(slot)
             else:
                 slot.settle(NEVER_SENT)
 
     def leave(self) -> None:
-        """The box is gone: finish what is out, take nothing more."""
+        """The cache is gone: finish what is out, take nothing more."""
         self._leaving = True
 
     @property
@@ -122,14 +122,14 @@
             return self._want_link(slot)
         links = [at for at in self._links if at.takes(slot.id)]
         few = sum(at.open for at in self._links) < self._limits.links
-        room = few and self._membership.allows(slot.attempt.fetch)
+        capacity = few and self._membership.allows(slot.attempt.fetch)
         if links:
             link = min(links, key=lambda at: at.load)
-            # Guards against losing all that is open at a box with one connection that ends or goes mute.
-            if room and link.load >= self._limits.link_share:
+            # Guards against losing all that is open at a cache with one connection that ends or goes mute.
+            if capacity and link.load >= self._limits.link_share:
                 self._start_dial(needed=False)
             link.send(slot)
-        elif room or self._end_known(slot):
+        elif capacity or self._end_known(slot):
             self._want_link(slot)
         else:
             slot.settle(NEVER_SENT)
@@ -143,7 +143,7 @@
         return False
 
     def _want_link(self, slot: DispatchedAttempt) -> None:
-        """Wait for a new connection. For a name's answer, that the box takes one is all that is wanted."""
+        """Wait for a new connection. For a name's answer, that the cache takes one is all that is wanted."""
         if not self._membership.allows(slot.attempt.fetch):
             return slot.settle(AttemptReply(AttemptResult.UNREACHABLE, time.time() - slot.attempt.started))
         self._mail.append(slot)
@@ -154,7 +154,7 @@
             self._dial.keep |= keep
         elif not self._quota.take(needed):
             waiting, self._mail = self._mail, deque()
-            for slot in waiting:  # our own want says nothing of the box
+            for slot in waiting:  # our own want says nothing of the cache
                 slot.settle(NEVER_SENT)
         else:
             self._dial = Connector(
@@ -164,7 +164,7 @@
 
     def dialled(self, dial: Connector, sock: socket.socket | None) -> None:
         """A try to connect has ended."""
-        if dial is not self._dial:  # the box has moved meanwhile
+        if dial is not self._dial:  # the cache has moved meanwhile
             self._quota.give()
             return sock.close() if sock else None
         self._dial = None
@@ -205,7 +205,7 @@
 
 
 class ConnectionPools:
-    """The actors of all boxes on the list, by id: a new box may have a gone one's address."""
+    """The actors of all caches on the list, by id: a new cache may have a gone one's address."""
 
     def __init__(
         self,
@@ -257,7 +257,7 @@
         return peer.post(attempt)
 
     def recheck(self) -> None:
-        """The list has changed: what waits for a box that takes nothing new is tried elsewhere at once."""
+        """The list has changed: what waits for a cache that takes nothing new is tried elsewhere at once."""
         for peer in [*self._peers.values(), *self._gone]:
             peer.recheck()
 
@@ -274,9 +274,9 @@
             min(resting, key=lambda link: link.heard).close()
         return bool(resting)
 
-    def follow(self, endpoints: dict[str, Endpoint], gone: set[str], whole: bool) -> None:
+    def follow(self, endpoints: dict[str, Endpoint], gone: set[str], complete: bool) -> None:
         """Follow the list's addresses."""
-        if whole:
+        if complete:
             gone = gone | (self._endpoints.keys() - endpoints.keys())
             self._endpoints = {}
         for server in gone:
@@ -293,14 +293,14 @@
     def _look_after(peer: ConnectionPool, now: float, lag: float) -> bool:
         try:
             return peer.watch(now, lag)
-        except Exception:  # one box must not end the looks at all others
+        except Exception:  # one cache must not end the looks at all others
             log.exception("a box's connections could not be looked after")
             return True
 
     def _watch(self, due: float) -> None:
         """Look after all connections, time and again."""
         now = time.time()
-        # Guards against holding our own slowness against the boxes: what we could not read is not silence.
+        # Guards against holding our own slowness against the caches: what we could not read is not silence.
         lag = max(0.0, now - due)
         self._idle = False  # guards against a second chain of looks, should one below place an attempt
         for peer in list(self._peers.values()):
--- a/brackenlane/net/connector.py
+++ b/brackenlane/net/connector.py
@@ -1,4 +1,4 @@
-"""Connections that we open: to boxes and the change log on the board, to a store or a resolver as streams."""
+"""Outgoing connections: sockets of the poller to caches and the change log, streams to store or resolver."""
 
 from __future__ import annotations
 
--- a/brackenlane/net/http_codec.py
+++ b/brackenlane/net/http_codec.py
@@ -61,9 +61,9 @@
 
 def encode_answer(status: int, headers: Mapping[str, str], body: bytes, close: bool) -> bytes:
     """The head of an answer; its body goes out behind it. A 304 has no body and tells no length."""
-    told = b"".join([b"%b: %b\r\n" % (name.encode(), value.encode()) for name, value in headers.items()])
+    reported = b"".join([b"%b: %b\r\n" % (name.encode(), value.encode()) for name, value in headers.items()])
     length = b"" if status == 304 else b"Content-Length: %d\r\n" % len(body)
-    return STATUS[status] + told + length + (b"Connection: close\r\n\r\n" if close else b"\r\n")
+    return STATUS[status] + reported + length + (b"Connection: close\r\n\r\n" if close else b"\r\n")
 
 
 def read_plain(data: bytes) -> tuple[str, bool] | None:
@@ -177,26 +177,26 @@
     def on_headers_complete(self) -> None:
         """What must hold before any body is read."""
         self._in_head = False
-        told = self._headers
+        reported = self._headers
         if self._head_size > self._limits.head:
             raise BadRequest(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         if self._parser.get_http_version() not in ("1.1", "1.0"):
             raise BadRequest(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here")
-        if "host" not in told and self._parser.get_http_version() == "1.1":
+        if "host" not in reported and self._parser.get_http_version() == "1.1":
             raise BadRequest(HTTPStatus.BAD_REQUEST, "Host is missing")
         # Guards against a request hidden in the body of another: readers differ in which they follow.
-        if "content-length" in told and "transfer-encoding" in told:
+        if "content-length" in reported and "transfer-encoding" in reported:
             raise BadRequest(
                 HTTPStatus.BAD_REQUEST, "Content-Length and Transfer-Encoding: one of them at most"
             )
-        if told.get("transfer-encoding", "chunked").lower() != "chunked":
+        if reported.get("transfer-encoding", "chunked").lower() != "chunked":
             raise BadRequest(HTTPStatus.NOT_IMPLEMENTED, "of all encodings only chunked is known")
-        length = told.get("content-length", "0")
+        length = reported.get("content-length", "0")
         if not LENGTH.fullmatch(length):
             raise BadRequest(HTTPStatus.BAD_REQUEST, "Content-Length must be a number")
         if int(length) > self._limits.upload:
             raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
-        self.wants_continue = told.get("expect", "").lower() == "100-continue"
+        self.wants_continue = reported.get("expect", "").lower() == "100-continue"
 
     def on_body(self, data: bytes) -> None:
         """A part of its body."""
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -41,7 +41,7 @@
 
 
 class HttpFront:
-    """All client connections of one doorman."""
+    """All client connections of one router."""
 
     def __init__(
         self,
@@ -266,9 +266,9 @@
         """Close what has waited too long."""
         now = time.time()
         self._core.timers.at(now + self.limits.look, self._watch, now + self.limits.look)
-        told = self.figures.tick(now, max(0.0, now - due), time.process_time())
-        if told and told.shedding:
-            log.warning("short of CPU: %s", told.line())
+        reported = self.figures.tick(now, max(0.0, now - due), time.process_time())
+        if reported and reported.shedding:
+            log.warning("short of CPU: %s", reported.line())
         for waits in (
             ClientState.FIRST,
             ClientState.NEXT,
@@ -290,9 +290,9 @@
         if not self.admission.size:
             return False
         now = time.time()
-        stood = self.admission.shed(now)
+        queued = self.admission.shed(now)
         self.refusal = self._refusal(now)
-        for client in stood:
+        for client in queued:
             self._guard(client, client.refuse, now)
         end, count = now + self.limits.turn, 0
         # At least a few: on a core that others use too, time passes in which we do not run.
@@ -397,7 +397,7 @@
                 self._submits.popitem(last=False)
 
     async def _claim(self, client: ClientConnection, request: PendingRequest, claims: ClaimStore) -> None:
-        """Run a submit that other doormans could be given too: claimed before it runs."""
+        """Run a submit that other routers could be given too: claimed before it runs."""
         claim = await claims.claim(request.wire_id)
         if client.request is not request:
             return  # the client has left; what it claimed may be thought to have run, which is safe
--- a/brackenlane/net/poller.py
+++ b/brackenlane/net/poller.py
@@ -29,7 +29,7 @@
 
 
 class Poller:
-    """Two queues: what the boxes say comes before what clients ask, however much that is.
+    """Two queues: what the caches say comes before what clients ask, however much that is.
 
     Handlers are called with epoll's event bits. They must not wait; one that raises is logged, and its socket
     is taken off the board. `alone`: no actor waits on a socket but by the board.
@@ -89,11 +89,11 @@
         self._all.poll(None if due == math.inf else max(0.0, due), 1)
 
     def handle_urgent(self) -> None:
-        """Handle what the boxes have said so far."""
+        """Handle what the caches have said so far."""
         self._handle(self._urgent, 4 * self._batch)
 
     def turn(self) -> bool:
-        """One round: all that the boxes say, then a batch of the rest; whether there may be more."""
+        """One round: all that the caches say, then a batch of the rest; whether there may be more."""
         more = self._handle(self._urgent, 4 * self._batch)
         self.polled = time.time()
         more |= self._handle(self._all, self._batch)
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -16,7 +16,7 @@
 TXN = re.compile(r"[0-9a-fA-F]{16}")
 KEY = re.compile(r"[\w.:-]{1,64}", re.ASCII)  # likewise
 SIZE = re.compile(r"\d{1,9}(?:\.\d{1,9})?", re.ASCII)
-TAG = re.compile(r'(?:W/)?"([\w.:-]{1,64})"', re.ASCII)  # goes into a line to a box
+TAG = re.compile(r'(?:W/)?"([\w.:-]{1,64})"', re.ASCII)  # goes into a line to a cache
 HEALTHY = "/-/healthy"
 EncodedResponse = tuple[int, Headers, bytes]
 REFUSED = b"refused, nothing ran: try again\n"
@@ -33,7 +33,7 @@
     method = "PUT" if cls.uncached else "GET"
     if reading.method != method:
         raise BadRequest(HTTPStatus.METHOD_NOT_ALLOWED, f"this class takes {method}", {"Allow": method})
-    # Guards the boxes, which close on what they can't read, whatever else is open on that connection.
+    # Guards the caches, which close on what they can't read, whatever else is open on that connection.
     if bool(reading.body) is not cls.uncached:
         raise BadRequest(HTTPStatus.BAD_REQUEST, "a write has a body, a read has none")
     txn, again = reading.headers.get("x-txn", ""), reading.headers.get("x-second-try")
--- a/brackenlane/observe/__init__.py
+++ b/brackenlane/observe/__init__.py
@@ -1,4 +1,4 @@
-"""What the doorman says of itself: so far the rate at which its log may grow.
+"""What the router says of itself: so far the rate at which its log may grow.
 
 It never decides anything, and costs no request its time. Entry point: `throttle.Throttle`.
 """
--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -29,7 +29,7 @@
 class AdminApi:
     """All callers at the operators' address.
 
-    ready: whether this process can serve; figures: all of them as text; order: takes a box out (True) or lets
+    ready: whether this process can serve; figures: all as text; order: takes a cache out (True) or lets
     it serve again, and gives the status and a line to say.
     """
 
--- a/brackenlane/ops/admin_service.py
+++ b/brackenlane/ops/admin_service.py
@@ -1,4 +1,4 @@
-"""What operators' calls come to, and how this process stands to the others of its doorman.
+"""What operators' calls come to, and how this process stands to the others of its router.
 
 Lists for the core, figures read from it, what the ledger tells carried out. Nothing in here waits.
 """
@@ -35,27 +35,27 @@
     """Stands between the change log and the core, and answers the calls."""
 
     def __init__(
-        self, core: RequestEngine, door: HttpFront, limits: Limits, ledger: HandoverLog | None = None
+        self, core: RequestEngine, front: HttpFront, limits: Limits, ledger: HandoverLog | None = None
     ) -> None:
         """Without a ledger, what is ordered is known to this process alone."""
-        self._core, self._front, self._limits, self._ledger = core, door, limits, ledger
+        self._core, self._front, self._limits, self._ledger = core, front, limits, ledger
         self._maintenance = Maintenance(limits.taken_out)
         self._stand = HandoverState.ALONE
         if ledger:
             self._maintenance.out.update(ledger.index.out)
             ledger.hear = self._heard
             core.membership.catch_up = ledger.look
-            door.claim, door.release = partial(self._claim, ledger), partial(self._release, ledger)
+            front.claim, front.release = partial(self._claim, ledger), partial(self._release, ledger)
             self._tend(ledger)
 
     # The change log, the calls
 
     def hear(self, event: Event) -> None:
-        """An event of the change log's, to the core; boxes taken out by hand stay out."""
+        """An event of the change log's, to the core; caches taken out by hand stay out."""
         self._core.post(self._maintenance.apply(event) if isinstance(event, Membership) else event)
 
     def order(self, server: str, out: bool) -> tuple[int, str]:
-        """Take a box out, or let it serve again. In force as this returns: status and line of the answer."""
+        """Take a cache out, or let it serve again, before this returns: status and line of the answer."""
         now = time.time()
         if self._ledger is None:
             return self._carry_out(server, out, now)
@@ -89,11 +89,11 @@
         ejected = sum(name in avoided or name in self._maintenance.out for name in listed)
         return expose(self._front.counts, Gauges(self._front.active, len(listed), ejected))
 
-    # The other processes of this doorman
+    # The other processes of this router
 
     @property
     def beside(self) -> int:
-        """Earlier processes of this doorman that live."""
+        """Earlier processes of this router that live."""
         return len(self._ledger.others) if self._ledger else 0
 
     def serving(self) -> None:
@@ -142,7 +142,7 @@
         self._front.stand(behavior.share, behavior.is_handing_over)
         self._core.keep_copies(1.0 if behavior.cold else 0.0)
         if behavior.cold != was.value.cold:
-            # What a cold box bears is spent by the later process. Coming back to it, this one starts anew.
+            # What a cold cache bears is spent by the later process. Coming back to it, this one starts anew.
             self._core.spend_cold(now)
             self._tell(self._maintenance.shade(partial(self._cold, now) if not behavior.cold else _none))
 
--- a/brackenlane/ops/handover_log.py
+++ b/brackenlane/ops/handover_log.py
@@ -1,4 +1,4 @@
-"""The ledger in `$TMPDIR` that the processes of one doorman append to, and the locks that tell who lives.
+"""The ledger in `$TMPDIR` that the processes of one router append to, and the locks that tell who lives.
 
 Nothing in here waits for another process once this one serves: an append is one write, a look is one fstat.
 """
@@ -90,7 +90,7 @@
 
     @property
     def others(self) -> list[str]:
-        """The other processes of this doorman that live, in the order of their births."""
+        """The other processes of this router that live, in the order of their births."""
         return [p for p in self.index.serving if p != self.me and self.is_alive(p)]
 
     # The file
@@ -120,8 +120,8 @@
         """Append a record and take in all up to it. Raises HandoverLogError where it can't be kept."""
         data = encode(Record(kind, fields))
         try:
-            room = self._limits.ledger + (0 if kind is RecordType.CLAIM else self._limits.ledger_orders)
-            if os.fstat(self._file).st_size + len(data) > room:
+            capacity = self._limits.ledger + (0 if kind is RecordType.CLAIM else self._limits.ledger_orders)
+            if os.fstat(self._file).st_size + len(data) > capacity:
                 raise HandoverLogError("the ledger is full")
             if os.write(self._file, data) < len(data):
                 raise HandoverLogError("the ledger took a part of a record")
--- a/brackenlane/ops/handover_records.py
+++ b/brackenlane/ops/handover_records.py
@@ -1,4 +1,4 @@
-"""The lines of the ledger that the processes of one doorman share, and what they add up to.
+"""The lines of the ledger that the processes of one router share, and what they add up to.
 
 Codec and fold, pure. A line is `CRC KIND WORDS...`, with an empty line before it: what a crash or a full disk
 left torn spoils itself alone.
@@ -18,8 +18,8 @@
 
     BORN = "*"  # process: it starts
     SERVES = "="  # process: it serves clients from now on
-    ENTER = "+"  # box, Unix time: taken out by hand
-    EXIT = "-"  # box, Unix time: may serve again
+    ENTER = "+"  # cache, Unix time: taken out by hand
+    EXIT = "-"  # cache, Unix time: may serve again
     CLAIM = "!"  # id of a submit, process: it may run from now on
     RELEASE = "~"  # id of a submit: it provably never ran
 
@@ -92,13 +92,13 @@
 
 
 class HandoverIndex:
-    """What the records add up to: who serves, which boxes are out, which submits may have run."""
+    """What the records add up to: who serves, which caches are out, which submits may have run."""
 
     def __init__(self, submits: int) -> None:
         """submits: ids remembered, at most; the oldest are forgotten first."""
         self._most = submits
         self.serving: dict[str, bool] = {}  # by process, in the order of their births
-        self.out: dict[str, float] = {}  # by box: the Unix time from which it is out
+        self.out: dict[str, float] = {}  # by cache: the Unix time from which it is out
         self.submits: OrderedDict[str, str] = OrderedDict()  # by id: the process that claimed it first
 
     def take(self, record: Record) -> None:
@@ -108,10 +108,10 @@
                 self.serving.setdefault(process, False)
             case RecordType.SERVES, (process,):
                 self.serving[process] = True
-            case RecordType.ENTER, (box, _):
-                self.out.setdefault(box, record.at)
-            case RecordType.EXIT, (box, _):
-                self.out.pop(box, None)
+            case RecordType.ENTER, (cache, _):
+                self.out.setdefault(cache, record.at)
+            case RecordType.EXIT, (cache, _):
+                self.out.pop(cache, None)
             case RecordType.CLAIM, (txn, process):
                 self.submits.setdefault(txn, process)
                 if len(self.submits) > self._most:
@@ -129,7 +129,7 @@
             yield Record(RecordType.BORN, (process,))
             if serves:
                 yield Record(RecordType.SERVES, (process,))
-        for box, at in self.out.items():
-            yield Record(RecordType.ENTER, (box, repr(at)))
+        for cache, at in self.out.items():
+            yield Record(RecordType.ENTER, (cache, repr(at)))
         for txn, process in self.submits.items():
             yield Record(RecordType.CLAIM, (txn, process))
--- a/brackenlane/ops/handover_state.py
+++ b/brackenlane/ops/handover_state.py
@@ -1,4 +1,4 @@
-"""How a process stands to the others of its doorman. Pure.
+"""How a process stands to the others of its router. Pure.
 
 | this process | others that live | stand |
 | --- | --- | --- |
@@ -22,7 +22,7 @@
     name: str
     share: float  # of the clients' places
     is_handing_over: bool  # answers ask clients to come back on a new connection, which the successor gets
-    cold: bool  # may send to boxes that started lately
+    cold: bool  # may send to caches that started lately
 
 
 class HandoverState(Enum):
--- a/brackenlane/ops/maintenance.py
+++ b/brackenlane/ops/maintenance.py
@@ -1,6 +1,6 @@
 """Boxes taken out by hand, laid over whatever the change log says of them.
 
-Pure: lists in, lists out. A box that is out is told to the core as draining, so every rule on drains holds
+Pure: lists in, lists out. A cache that is out is told to the core as draining, so every rule on drains holds
 for it; whatever the log says meanwhile is noted and told once it may serve again.
 """
 
@@ -18,7 +18,7 @@
     """What came of a call."""
 
     DONE = "done"
-    UNKNOWN = "unknown"  # no box of this name is listed, and none is out
+    UNKNOWN = "unknown"  # no cache of this name is listed, and none is out
     FULL = "full"  # as many are out as may be
 
 
@@ -26,7 +26,7 @@
     """The list as the log tells it, and who is out of it by hand."""
 
     def __init__(self, most: int) -> None:
-        """At most so many boxes are out at once."""
+        """At most so many caches are out at once."""
         self._most = most
         self.listed: dict[str, Member] = {}  # as told by the log, gone ones left out
         self.out: dict[str, float] = {}  # by id: the Unix time from which it is out
@@ -44,7 +44,7 @@
         return Membership(event.kind, tuple(self._masked(member) for member in event.members))
 
     def enter(self, server: str, now: float) -> tuple[MaintenanceResult, Membership | None]:
-        """Take a box out; told again, nothing changes. The list that makes it so, if any must be told."""
+        """Take a cache out; told again, nothing changes. The list that makes it so, if any must be told."""
         if server in self.out:
             return MaintenanceResult.DONE, None
         member = self.listed.get(server)
@@ -56,10 +56,10 @@
         return MaintenanceResult.DONE, Membership(MembershipKind.CHANGES, (self._masked(member),))
 
     def leave(self, server: str, now: float) -> tuple[MaintenanceResult, Membership | None]:
-        """Let a box serve again, however often it was taken out.
+        """Let a cache serve again, however often it was taken out.
 
-        Guards a box that was restarted while it was out, of which the log (late) does not tell yet: unless it
-        has told of a start since, the box counts as started now, so as cold.
+        Guards a cache that was restarted while it was out, which the (late) log does not tell yet: unless it
+        has told of a start since, the cache counts as started now, so as cold.
         """
         since = self.out.pop(server, None)
         member = self.listed.get(server)
@@ -72,7 +72,7 @@
         return MaintenanceResult.DONE, Membership(MembershipKind.CHANGES, (self._masked(back),))
 
     def shade(self, shaded: Callable[[Member], bool]) -> Membership:
-        """Leave alone, from now on, whatever box this says, as if it were out; the list that makes it so."""
+        """Treat the caches that this selects as out of service from now on; return the list that does so."""
         self._shaded = shaded
         return Membership(
             MembershipKind.CHANGES, tuple(self._masked(member) for member in self.listed.values())
--- a/brackenlane/placement/model.py
+++ b/brackenlane/placement/model.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Box:
-    """One cache box."""
+    """One cache."""
 
     id: str
     zone: str
@@ -74,7 +74,7 @@
     constraints: tuple[Constraint, ...] = ()
     cold: SlowStart = field(default_factory=SlowStart)
     now: float = 0.0
-    in_force: dict[tuple[str, str, str], float] = field(default_factory=dict)  # zone, class, box: share
+    in_force: dict[tuple[str, str, str], float] = field(default_factory=dict)  # zone, class, cache: share
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,10 +94,10 @@
 class Plan:
     """Shares that may be put in force once they are verified."""
 
-    shares: dict[tuple[str, str, str], float]  # zone, class, box
+    shares: dict[tuple[str, str, str], float]  # zone, class, cache
     unplaced: dict[tuple[str, str], float]  # zone, class: share of its demand that nobody bears
     gave_way: tuple[GaveWay, ...]
     worth_per_s: float  # of what is placed
     link_bytes_per_s: float  # over all links in
-    peak: float  # the most that any box carries, of what it bears now
+    peak: float  # the most that any cache carries, of what it bears now
     binding: tuple[str, ...]  # limits that are used up
--- a/brackenlane/placement/solve.py
+++ b/brackenlane/placement/solve.py
@@ -1,7 +1,7 @@
 """Placements by linear programming, one goal after the other (HiGHS).
 
-Goals, each kept while the next is sought: rules (what boxes bear now, links, origin) never give way;
-operators' wishes, the first of the list last; worth placed; bytes over links; the highest load of a box, to
+Goals, each kept while the next is sought: rules (what caches bear now, links, origin) never give way;
+operators' wishes, the first of the list last; worth placed; bytes over links; the highest load of a cache, to
 within a tenth; least movement from the shares in force. Deterministic: one thread, in the problem's order.
 """
 
@@ -65,8 +65,8 @@
         if values is None:
             raise ValueError(f"no placement at all: {name}")
         reached = sum(cost * values[number] for number, cost in goal.items())
-        room = TINY * max(1.0, abs(reached)) + slack * abs(reached)
-        self.rows.append(Row(f"goal: {name}", dict(goal), -math.inf, reached + room))
+        capacity = TINY * max(1.0, abs(reached)) + slack * abs(reached)
+        self.rows.append(Row(f"goal: {name}", dict(goal), -math.inf, reached + capacity))
         return values
 
 
@@ -78,10 +78,10 @@
     scale = max([d.per_s * kinds[d.kind].mean_bytes for d in problem.demands], default=1.0) or 1.0
     weight = {(d.zone, d.kind): d.per_s * kinds[d.kind].mean_bytes / scale for d in problem.demands}
     x = {
-        (d.zone, d.kind, box.id): program.variable(1.0)
+        (d.zone, d.kind, cache.id): program.variable(1.0)
         for d in problem.demands
-        for box in problem.boxes
-        if box.zone == d.zone
+        for cache in problem.boxes
+        if cache.zone == d.zone
     }
     out = {(d.zone, d.kind): program.variable(1.0) for d in problem.demands}
     for key, variable in out.items():
@@ -89,11 +89,11 @@
         program.rows.append(Row("all of a demand", {**mine, variable: 1.0}, 1.0, 1.0))
     peak = program.variable()
     limits: list[Row] = []
-    for box in problem.boxes:
-        load = {number: weight[zone, kind] for (zone, kind, name), number in x.items() if name == box.id}
-        bears = box.bears(problem.cold, problem.now) / scale
-        cold = "cold budget" if bears < box.bytes_per_s / scale else "capacity"
-        limits.append(Row(f"{box.id}'s {cold}", load, -math.inf, bears))
+    for cache in problem.boxes:
+        load = {number: weight[zone, kind] for (zone, kind, name), number in x.items() if name == cache.id}
+        bears = cache.bears(problem.cold, problem.now) / scale
+        cold = "cold budget" if bears < cache.bytes_per_s / scale else "capacity"
+        limits.append(Row(f"{cache.id}'s {cold}", load, -math.inf, bears))
         if load and bears:
             program.rows.append(Row("peak", {**load, peak: -bears}, -math.inf, 0.0))
     missed = {key: weight[key] * (1 - kinds[key[1]].hit) for key in out}
@@ -117,12 +117,12 @@
             )
         )
     program.rows += limits
-    wishes = _wishes(problem, program, x)
+    options = _wishes(problem, program, x)
     # What can't be kept in full gives way from the end of the list: the first wishes are settled first.
     values: list[float] = []
-    for name, slack in wishes:
+    for name, slack in options:
         values = program.settle(name, {slack: 1.0})
-    gave = {name: values[slack] for name, slack in wishes if values[slack] > 10 * TINY}
+    gave = {name: values[slack] for name, slack in options if values[slack] > 10 * TINY}
     worth = {
         key: kinds[key[1]].worth * next(d.per_s for d in problem.demands if (d.zone, d.kind) == key)
         for key in out
@@ -138,13 +138,13 @@
         x,
         out,
         weight,
-        {box.id: box.bears(problem.cold, problem.now) / scale for box in problem.boxes},
+        {cache.id: cache.bears(problem.cold, problem.now) / scale for cache in problem.boxes},
     )
     return Plan(
         shares,
         unplaced,
         tuple(
-            GaveWay(name, by, _conflict(problem, program, limits, wishes, name)) for name, by in gave.items()
+            GaveWay(name, by, _conflict(problem, program, limits, options, name)) for name, by in gave.items()
         ),
         sum(value * (1 - unplaced[key]) for key, value in worth.items()),
         scale * sum(miss * (1 - unplaced[key]) for key, miss in missed.items()),
@@ -160,15 +160,15 @@
 def _wishes(problem: Problem, program: Program, x: dict[tuple[str, str, str], int]) -> list[tuple[str, int]]:
     """Each wish as a row with a variable by which it may give way."""
     found: list[tuple[str, int]] = []
-    for wish in problem.constraints:
-        for (_, kind, box), number in x.items():
-            if (kind, box) == (wish.kind, wish.box):
-                slack, name = program.variable(), f"wish: {wish.name}"
-                found.append((wish.name, slack))
+    for option in problem.constraints:
+        for (_, kind, cache), number in x.items():
+            if (kind, cache) == (option.kind, option.box):
+                slack, name = program.variable(), f"wish: {option.name}"
+                found.append((option.name, slack))
                 program.rows.append(
-                    Row(name, {number: 1.0, slack: 1.0}, wish.share, math.inf)
-                    if wish.wish is Wish.AT_LEAST
-                    else Row(name, {number: 1.0, slack: -1.0}, -math.inf, wish.share)
+                    Row(name, {number: 1.0, slack: 1.0}, option.share, math.inf)
+                    if option.wish is Wish.AT_LEAST
+                    else Row(name, {number: 1.0, slack: -1.0}, -math.inf, option.share)
                 )
     return found
 
@@ -179,10 +179,10 @@
     x: dict[tuple[str, str, str], int],
     weight: dict[tuple[str, str], float],
 ) -> dict[int, float]:
-    """Bytes that change their box, as a goal."""
+    """Bytes that change their cache, as a goal."""
     goal: dict[int, float] = {}
-    for (zone, kind, box), number in x.items():
-        old, moved = problem.in_force.get((zone, kind, box), 0.0), program.variable()
+    for (zone, kind, cache), number in x.items():
+        old, moved = problem.in_force.get((zone, kind, cache), 0.0), program.variable()
         program.rows.append(Row("moved", {number: 1.0, moved: -1.0}, -math.inf, old))
         program.rows.append(Row("moved", {number: 1.0, moved: 1.0}, old, math.inf))
         goal[moved] = weight[zone, kind]
@@ -194,22 +194,22 @@
     x: dict[tuple[str, str, str], int],
     out: dict[tuple[str, str], int],
     weight: dict[tuple[str, str], float],
-    room: dict[str, float],
+    capacity: dict[str, float],
 ) -> tuple[dict[tuple[str, str, str], float], dict[tuple[str, str], float]]:
     """Millionths that sum to one: rounded down, what is left goes where there is room, else unplaced."""
     units = {name: math.floor(max(0.0, values[number]) * UNITS + 1e-4) for name, number in x.items()}
-    for (zone, kind, box), unit in units.items():
-        room[box] -= weight[zone, kind] * unit / UNITS
+    for (zone, kind, cache), unit in units.items():
+        capacity[cache] -= weight[zone, kind] * unit / UNITS
     unplaced: dict[tuple[str, str], float] = {}
     for key in out:
         mine = [name for name in units if name[:2] == key]
         spare = UNITS - sum(units[name] for name in mine)
-        widest = max(mine, key=lambda name: room[name[2]], default=None)
+        widest = max(mine, key=lambda name: capacity[name[2]], default=None)
         rounding = values[out[key]] * UNITS < 0.5 * len(mine) + 0.5  # else it is left out on purpose
-        # Guards a box that is full against the crumbs of forty others.
-        if widest and rounding and weight[key] * spare / UNITS <= room[widest[2]]:
+        # Guards a cache that is full against the crumbs of forty others.
+        if widest and rounding and weight[key] * spare / UNITS <= capacity[widest[2]]:
             units[widest] += spare
-            room[widest[2]] -= weight[key] * spare / UNITS
+            capacity[widest[2]] -= weight[key] * spare / UNITS
             spare = 0
         unplaced[key] = spare / UNITS
     return {name: unit / UNITS for name, unit in units.items()}, unplaced
@@ -220,19 +220,19 @@
 
 
 def _conflict(
-    problem: Problem, program: Program, limits: list[Row], wishes: list[tuple[str, int]], name: str
+    problem: Problem, program: Program, limits: list[Row], options: list[tuple[str, int]], name: str
 ) -> tuple[str, ...]:
     """An irreducible set of wishes and limits that can't hold together with this wish (deletion filter)."""
     hard = Program(list(program.upper), [row for row in program.rows if not row.name.startswith("goal")])
-    for _, slack in wishes:
+    for _, slack in options:
         hard.upper[slack] = 0.0  # no wish may give way
     mine = f"wish: {name}"
     candidates = dict.fromkeys(
-        [*(row.name for row in limits), *(f"wish: {wish.name}" for wish in reversed(problem.constraints))]
+        [*(row.name for row in limits), *(f"wish: {option.name}" for option in reversed(problem.constraints))]
     )
     without: frozenset[str] = frozenset()
     for candidate in candidates:
         if candidate != mine and hard.best({}, without | {candidate}) is None:
             without |= {candidate}  # it fails without this one too, which so has no part in it
-    kept = [candidate for candidate in candidates if candidate not in without]
-    return tuple(candidate.removeprefix("wish: ") for candidate in kept)
+    retained = [candidate for candidate in candidates if candidate not in without]
+    return tuple(candidate.removeprefix("wish: ") for candidate in retained)
--- a/brackenlane/placement/verify.py
+++ b/brackenlane/placement/verify.py
@@ -10,7 +10,7 @@
 def verify(problem: Problem, plan: Plan) -> list[str]:
     """All that is wrong with a plan; nothing: it may be put in force."""
     faults: list[str] = []
-    zones = {box.id: box.zone for box in problem.boxes}
+    zones = {cache.id: cache.zone for cache in problem.boxes}
     load = dict.fromkeys(zones, 0.0)
     over: dict[str, float] = {}
     for demand in problem.demands:
@@ -29,22 +29,22 @@
         over[demand.zone] = over.get(demand.zone, 0.0) + (1 - left) * demand.per_s * kind.mean_bytes * (
             1 - kind.hit
         )
-    for box in problem.boxes:
-        bears, age = box.bytes_per_s, problem.now - box.started
-        if box.started and age < problem.cold.ramp:
+    for cache in problem.boxes:
+        bears, age = cache.bytes_per_s, problem.now - cache.started
+        if cache.started and age < problem.cold.ramp:
             bears *= problem.cold.share + (1 - problem.cold.share) * max(age, 0.0) / problem.cold.ramp
-        if load[box.id] > bears + SMALL * max(1.0, box.bytes_per_s):
-            faults.append(f"{box.id} is given {load[box.id]:.0f} bytes a second and bears {bears:.0f}")
+        if load[cache.id] > bears + SMALL * max(1.0, cache.bytes_per_s):
+            faults.append(f"{cache.id} is given {load[cache.id]:.0f} bytes a second and bears {bears:.0f}")
     for zone, link in problem.link_bytes_per_s.items():
         if over.get(zone, 0.0) > link + SMALL * max(1.0, link):
             faults.append(f"the link into {zone} is given {over[zone]:.0f} bytes a second of {link:.0f}")
     if sum(over.values()) > problem.origin_bytes_per_s * (1 + SMALL):
         faults.append(f"the origin is asked for {sum(over.values()):.0f} bytes a second")
     said = {gave.name: gave.by for gave in plan.gave_way}
-    for wish in problem.constraints:
+    for option in problem.constraints:
         for (_, name, server), share in plan.shares.items():
-            if (name, server) == (wish.kind, wish.box):
-                short = wish.share - share if wish.wish is Wish.AT_LEAST else share - wish.share
-                if short > said.get(wish.name, 0.0) + SMALL:
-                    faults.append(f"{wish.name} gave way by {short:.6f}, and that is not said")
+            if (name, server) == (option.kind, option.box):
+                short = option.share - share if option.wish is Wish.AT_LEAST else share - option.share
+                if short > said.get(option.name, 0.0) + SMALL:
+                    faults.append(f"{option.name} gave way by {short:.6f}, and that is not said")
     return faults
--- a/brackenlane/routing/__init__.py
+++ b/brackenlane/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a gateway in front of caches of large objects behind thin links."""
+"""Decisions of a router in front of caches of large objects behind thin links."""
 
 from brackenlane.routing.router import Router
 
--- a/brackenlane/routing/actions.py
+++ b/brackenlane/routing/actions.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer(Action):
-    """Wake this gateway at a time."""
+    """Wake this router at a time."""
 
     token: int
     at: float
--- a/brackenlane/routing/attempts.py
+++ b/brackenlane/routing/attempts.py
@@ -52,12 +52,12 @@
 
     __slots__ = ("asked", "edge", "held", "source")
 
-    def __init__(self, edge: Server, source: Server | None, asked: Server | None, held: bool) -> None:
+    def __init__(self, edge: Server, source: Server | None, requested: Server | None, held: bool) -> None:
         """asked: the source that the cache is told, none for a look at the cache; held: for what it holds.
 
         The source is the one that is judged by the fill: the origin, where a parent has to ask it first.
         """
-        self.edge, self.source, self.asked, self.held = edge, source, asked, held
+        self.edge, self.source, self.asked, self.held = edge, source, requested, held
 
     @property
     def servers(self) -> list[Server]:
--- a/brackenlane/routing/checked_json.py
+++ b/brackenlane/routing/checked_json.py
@@ -171,9 +171,9 @@
             raise SettingsError(self.path_of(name), fault, self._values[name])
         return found
 
-    def word(self, name: str, words: Mapping[str, T], absent: str) -> T:
+    def word(self, name: str, arguments: Mapping[str, T], absent: str) -> T:
         """What the word of a key stands for, out of those that are allowed."""
         value = self._values.get(name, absent)
-        if not isinstance(value, str) or value not in words:
-            raise SettingsError(self.path_of(name), f"must be one of {', '.join(words)}", value)
-        return words[value]
+        if not isinstance(value, str) or value not in arguments:
+            raise SettingsError(self.path_of(name), f"must be one of {', '.join(arguments)}", value)
+        return arguments[value]
--- a/brackenlane/routing/concurrency_limit.py
+++ b/brackenlane/routing/concurrency_limit.py
@@ -5,7 +5,7 @@
 What a list tells of a link is rough, and where it tells nothing a width is assumed. But whether answers
 come in time is seen, and the limit follows it as TCP's window does: a slow start until the first late answer,
 then additive increase and multiplicative decrease (Chiu and Jain 1989; Jacobson 1988). A width that is told
-is its bound: servers that many gateways gave more than that fail together when one of them is lost.
+is its bound: servers that many routers gave more than that fail together when one of them is lost.
 """
 
 from __future__ import annotations
--- a/brackenlane/routing/latency.py
+++ b/brackenlane/routing/latency.py
@@ -1,4 +1,4 @@
-"""How long answers take, as one gateway sees it, and whether that is a jam.
+"""How long answers take, as one router sees it, and whether that is a jam.
 
 Pure. Waits are in spans: of a request's aim, or of its own sending time where that is longer. Mean and
 deviation are learned as TCP learns its round trips (Jacobson, "Congestion Avoidance and Control", 1988).
--- a/brackenlane/routing/origin_throttle.py
+++ b/brackenlane/routing/origin_throttle.py
@@ -4,7 +4,7 @@
 
 An origin that falls behind serves a queue, oldest first. Once that queue is longer than a fill may wait, all
 that it still works off was given up before: it works, and nobody is served (docs/design/fleet.md, "The origin
-falls behind"). One gateway of hundreds sees it answer a second or two, so it can't learn by counts: the part
+falls behind"). One router of hundreds sees it answer a second or two, so it can't learn by counts: the part
 that it lets through is halved by a late or failed answer, once for each crowd, grows with each one in time,
 and by itself with time (additive increase, multiplicative decrease; Chiu and Jain 1989).
 """
--- a/brackenlane/routing/popularity.py
+++ b/brackenlane/routing/popularity.py
@@ -24,13 +24,13 @@
 
     def add(self, copy: str, work: float, now: float) -> float:
         """Count a request; the load that the copy brings, in transfers at a time."""
-        asked, at = self._asked.get(copy, (0.0, now))
-        asked = asked * math.exp((at - now) / DECAY_SECONDS) + work
-        self._asked[copy] = (asked, now)
+        requested, at = self._asked.get(copy, (0.0, now))
+        requested = requested * math.exp((at - now) / DECAY_SECONDS) + work
+        self._asked[copy] = (requested, now)
         self._asked.move_to_end(copy)
         if len(self._asked) > self._most:
             self._asked.popitem(last=False)
-        return asked / DECAY_SECONDS
+        return requested / DECAY_SECONDS
 
     def is_repeated(self, copy: str, work: float) -> bool:
         """Whether more than one request of this work was counted for a copy."""
--- a/brackenlane/routing/router.py
+++ b/brackenlane/routing/router.py
@@ -1,4 +1,4 @@
-"""All decisions of one gateway: events in, actions out (types: brackenlane.routing/interface.py).
+"""All decisions of one router: events in, actions out (types: brackenlane.routing/interface.py).
 
 Ordinary path: the edge cache by weighted rendezvous hash of the object, widened for hot ones; the source by
 a draw from a geometric ladder of origin and hub parents. All else is an exception and says what it guards.
@@ -44,7 +44,7 @@
 WIDEST = 3  # caches that a hot object is spread over, at most
 HOT = 1 / 8  # of a cache's link, wanted by one object: spread it over one cache more
 SLOW_LASTS = 10.0  # seconds for which a parent late with what it holds is asked for whole fills only
-START, STARTS = 8.0, 80.0  # fills that a source is given at once, by one gateway and by all, until learned
+START, STARTS = 8.0, 80.0  # fills that a source is given at once, by one router and by all, until learned
 MAX_REMEMBERED = 4000  # objects remembered, at most
 WAITS = 0.5  # of its time that a fill waits for its source, at least, where more than a few share a link
 LEAST = 0.2  # of its turns (squared) that a parent keeps however late its fills: it may have mended
@@ -57,7 +57,7 @@
 
 
 class Router:
-    """The decisions of one gateway."""
+    """The decisions of one router."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -90,7 +90,7 @@
         self.retry_budget = 1 / RETRIES
         self.actions: list[Action] = []
         self.topology = Topology(settings)
-        self.local_router_count = self.topology.local_router_count  # gateways of this location
+        self.local_router_count = self.topology.local_router_count  # routers of this location
         self.hub_router_count = sum(peer_index.weight for peer_index in self.topology.peer_locations)
         self.slow_start_budget = SlowStartBudget(settings, self.topology, self.sizes, MAX_REMEMBERED)
         here = settings.locations.index(settings.location)
@@ -140,7 +140,7 @@
                 # A new start: cold, and nothing known of it.
                 known = self.servers[m.server] = self._new(m)
             known.member = m if self.settings.weights_known else replace(m, weight=DEFAULT_WIDTH[m.role])
-        # Boxes are replaced all day long: those that are gone must not add up.
+        # Caches are replaced all day long: those that are gone must not add up.
         self.servers = {name: s for name, s in self.servers.items() if s.member.state is not ServerState.GONE}
         serving = [s for s in self.servers.values() if s.member.state is ServerState.SERVING]
         self.edges = [
@@ -232,7 +232,7 @@
             sharers = self.settings.router_count if step else self.hub_router_count
             best = max((s.timeliness for s in ring if not s.ejected_until), default=1.0)
             # One whose fills come late, but not all, is never out for long, and one fill in flight at each
-            # gateway is many at it: it is offered as often as its fills deserve, also if the others are full.
+            # router is many at it: it is offered as often as its fills deserve, also if the others are full.
             candidates = candidates or [
                 s
                 for s in self.orders.order(f"{request.arrival.obj}|{step}", ring)
@@ -242,7 +242,7 @@
             ]
         origin = self.origin if self.origin and self._usable(self.origin, request, now) else None
         # Fills for which the parents have no room are not the origin's: it bears a part of them at most, and
-        # every gateway would send it theirs at once. It stands in for parents that are out.
+        # every router would send it theirs at once. It stands in for parents that are out.
         full = not request.cls.uncached and any(
             not s.ejected_until and self._slow_start_capacity(s, now) > 0
             for s in chain(*self.parents_by_distance)
--- a/brackenlane/routing/settings.py
+++ b/brackenlane/routing/settings.py
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that one gateway is told at start."""
+    """All that one router is told at start."""
 
     location: str
     locations: tuple[str, ...]
--- a/brackenlane/routing/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -40,7 +40,7 @@
 SCOPES = {scope.value: scope for scope in Scope}
 SIBLINGS = {"silent": SiblingSources.NONE, "location": SiblingSources.LOCATION, "any": SiblingSources.ANY}
 NOTES = {notes.value: notes for notes in CacheStatusReporting}
-REPORT_WAYS = {word: word for word in ("piggyback", "pull", "silent")}
+REPORT_WAYS = {command: command for command in ("piggyback", "pull", "silent")}
 WEIGHT_REPORTING = {"silent": False, "nominal": True, "rough": True, "live": True}
 DISCOVERY_MODES = {"push": False, "ask": True}
 
--- a/brackenlane/routing/sizes.py
+++ b/brackenlane/routing/sizes.py
@@ -15,11 +15,11 @@
 
 
 class Sizes:
-    """What one gateway has learned of sizes; objects that were seen longest ago are forgotten first."""
+    """What one router has learned of sizes; objects that were seen longest ago are forgotten first."""
 
-    def __init__(self, classes: Sequence[RequestClass], tick: float, kept: int) -> None:
+    def __init__(self, classes: Sequence[RequestClass], tick: float, retained: int) -> None:
         """tick: the least time told apart; kept: objects remembered, at most."""
-        self._tick, self._kept = tick, kept
+        self._tick, self._kept = tick, retained
         # By object: its parts are of one size.
         self.by_object: OrderedDict[str, float] = OrderedDict()
         # Means by class: what comes in parts is large, and an aim is cut to it.
--- a/brackenlane/routing/slow_start.py
+++ b/brackenlane/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""Cold budgets: what all gateways together may send a server that started lately, with no word between them.
+"""Cold budgets: what all routers together may send a server that started lately, with no word between them.
 
 Pure: times are handed in, in Unix seconds; work is in transfer-seconds, a server's weight in transfers. The
 rule is the platform's fourth (a cold server that is sent more than `factor` times what it can do, for `span`
@@ -30,10 +30,10 @@
 
 
 def joined(capacity: float, unit: float, peer_locations: Iterable[tuple[str, float]], zone: str) -> float:
-    """By how many gateways a burst is shared now; 0: those of this zone have not joined yet.
+    """By how many routers a burst is shared now; 0: those of this zone have not joined yet.
 
-    Split over all, no share pays for a request. So zones join in the order of `mates` (zone, gateways), which
-    all work out alike, as the burst grows to one request (`unit`, of work) for each of their gateways.
+    Split over all, no share pays for a request. So zones join in the order of `mates` (zone, routers), which
+    all work out alike, as the burst grows to one request (`unit`, of work) for each of their routers.
     """
     sharers, mine = 0.0, False
     for name, router_count in peer_locations:
@@ -44,7 +44,7 @@
 
 
 def turn_order(capacity: float, unit: float, peer_index: int, peer_locations: int, server: str) -> int:
-    """By how many gateways of one location a burst is shared now; 0: it is not yet this one's turn.
+    """By how many routers of one location a burst is shared now; 0: it is not yet this one's turn.
 
     Where each knows its place among its mates (from 0), they join one by one as the burst grows to one
     request (`unit`, of work) for each, from a place that the server's name gives: at each server others are
--- a/brackenlane/routing/slow_start_budget.py
+++ b/brackenlane/routing/slow_start_budget.py
@@ -1,7 +1,7 @@
 """One gateway's part of what servers bear that started lately.
 
 Pure. Times are Unix seconds, work is in transfer-seconds. The rule itself and how a budget is shared among
-gateways: brackenlane.routing/cold.py.
+routers: brackenlane.routing/cold.py.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 class SlowStartBudget:
-    """What this gateway may send to cold servers."""
+    """What this router may send to cold servers."""
 
-    def __init__(self, settings: Settings, topology: Topology, sizes: Sizes, kept: int) -> None:
+    def __init__(self, settings: Settings, topology: Topology, sizes: Sizes, retained: int) -> None:
         """kept: cold servers remembered, at most."""
-        self.local_router_count = topology.local_router_count  # gateways that share a cache
+        self.local_router_count = topology.local_router_count  # routers that share a cache
         self.peer_locations = [
             Server(peer_index) for peer_index in topology.peer_locations
         ]  # locations that share the hub's parents
@@ -30,7 +30,7 @@
         self._settings = settings
         self._steps = topology.hub_distance
         self._sizes = sizes
-        self._orders = HashOrders(kept)
+        self._orders = HashOrders(retained)
         self._request = max(c.latency_objective for c in settings.classes)  # the work of about one request
 
     def capacity(self, server: Server, now: float) -> float:
@@ -50,7 +50,7 @@
         return server.tokens.fill(now, can / sharers, most / sharers)
 
     def _sharers(self, server: Server, most: float) -> float:
-        """By how many gateways the burst of a server is shared now; 0: it is not yet this one's turn."""
+        """By how many routers the burst of a server is shared now; 0: it is not yet this one's turn."""
         peer_index = self._settings.peer_index
         if peer_index >= 0 and (len(self.peer_locations) < 2 or server.member.role is Role.EDGE):
             return turn_order(
--- a/brackenlane/routing/topology.py
+++ b/brackenlane/routing/topology.py
@@ -1,4 +1,4 @@
-"""Where one gateway stands: its hub, the steps from there to the other hubs, and who shares its links.
+"""Where one router stands: its hub, the steps from there to the other hubs, and who shares its links.
 
 Pure; all of it follows from the settings. Hubs form a ring by the places of their locations in the settings.
 """
@@ -10,7 +10,7 @@
 
 
 class Topology:
-    """The place of one gateway among locations and hubs."""
+    """The place of one router among locations and hubs."""
 
     __slots__ = ("hub_count", "hub_distance", "local_router_count", "peer_locations")
 
@@ -26,11 +26,11 @@
         for place, hub in enumerate(ring):
             gap = place - ring.index(own_hub)
             self.hub_distance[settings.locations[hub]] = min(gap % self.hub_count, -gap % self.hub_count)
-        # The gateways of this location: they share its caches and its link in.
+        # The routers of this location: they share its caches and its link in.
         self.local_router_count = max(
             1.0, settings.routers_by_location[here] if settings.routers_by_location else settings.router_count
         )
-        # The locations of this hub with gateways, weighed by how many: they share its parents.
+        # The locations of this hub with routers, weighed by how many: they share its parents.
         places = zip(settings.locations, settings.routers_by_location, settings.hub_of, strict=False)
         self.peer_locations = [
             Member(zone, zone, weight=count) for zone, count, hub in places if count and hub == own_hub
--- a/brackenlane/settings/appliance.py
+++ b/brackenlane/settings/appliance.py
@@ -67,7 +67,7 @@
 
 
 class Cold(Record):
-    """How a box that has just started is spared."""
+    """How a cache that has just started is spared."""
 
     share: Annotated[float, Field(gt=0, le=1)] = 1.0
     ramp: Seconds = 0.0
@@ -123,7 +123,7 @@
 
 
 class BoxRecord(Record):
-    """One box, by address or by a host name that is looked up."""
+    """One cache, by address or by a host name that is looked up."""
 
     id: Id
     host: Host
@@ -134,7 +134,7 @@
 
 
 class Discover(Record):
-    """One SRV entry whose targets are boxes."""
+    """One SRV entry whose targets are caches."""
 
     srv: Service
     zone: Zone
@@ -160,7 +160,7 @@
 
 
 class ColdStarts(Record):
-    """How a start spares the shared store and the resolver; figures a second are of all doormans."""
+    """How a start spares the shared store and the resolver; figures a second are of all routers."""
 
     doormans: Annotated[int, Field(ge=1, le=10_000)] | None = None  # that share the store; settings.gateways
     asks: Annotated[float, Field(ge=0.1, le=1e6)] = 500.0  # small questions that the store bears a second
@@ -269,7 +269,7 @@
         told: dict[str, Any] = _renamed(self.settings.model_dump(), SETTING_FIELDS)
         s = self.settings
         seats = s.seats[s.locations.index(s.location)] if s.seats else s.gateways
-        if s.mate is None:  # where all doormans are of one location, it is the place among all
+        if s.mate is None:  # where all routers are of one location, it is the place among all
             told["peer_index"] = (
                 s.gateway if s.gateway < seats == sum(s.seats or [seats]) == s.gateways else -1
             )
--- a/brackenlane/store/__init__.py
+++ b/brackenlane/store/__init__.py
@@ -1,1 +1,1 @@
-"""What the doormans of one appliance share, in Redis."""
+"""What the routers of one appliance share, in Redis."""
--- a/brackenlane/store/connection.py
+++ b/brackenlane/store/connection.py
@@ -32,16 +32,16 @@
 
     async def call(self, *commands: list[str | int], wait: float | None = None) -> list[Any]:
         """The replies to some commands sent together."""
-        whole = False
+        complete = False
         try:
             with trio.fail_after(wait or self._wait):
                 async with self._turn:
                     try:
                         replies = await self._exchange(commands)
-                        whole = True
+                        complete = True
                     finally:
                         # Guards against the late reply to one command passing for that to the next.
-                        if not whole:
+                        if not complete:
                             await self.close()
         except (trio.TooSlowError, trio.BrokenResourceError, OSError, hiredis.ProtocolError) as fault:
             away = StoreUnavailableError(str(fault) or type(fault).__name__)
--- a/brackenlane/store/replica.py
+++ b/brackenlane/store/replica.py
@@ -1,7 +1,7 @@
-"""The box list, drains, purges and claims that an appliance's doormans share.
+"""The cache list, drains, purges and claims that an appliance's routers share.
 
-Redis holds a hash of the boxes, one of the orders, a stream of the events since, and a key for each claimed
-submit. A doorman that remembers a place in the stream reads what came behind it; else it loads the hashes, in
+Redis holds a hash of the caches, one of the orders, a stream of the events since, and a key for each claimed
+submit. A router that remembers a place in the stream reads what came behind it; else it loads the hashes, in
 pieces, when it is its turn, and then follows the stream from the place it had before, so it misses nothing in
 between.
 """
@@ -93,15 +93,17 @@
         except (StoreUnavailableError, StoreError) as fault:
             log.warning("a claim stays: %s", fault)
 
-    async def change(self, box: CacheDefinition) -> bool:
-        """Share what has changed about a box; False if the store is away."""
-        text = orjson.dumps(box_json(box)).decode()
-        return await self._share(["HSET", self._boxes, box.id, text], {"box": box_json(box)})
+    async def change(self, cache: CacheDefinition) -> bool:
+        """Share what has changed about a cache; False if the store is away."""
+        text = orjson.dumps(box_json(cache)).decode()
+        return await self._share(["HSET", self._boxes, cache.id, text], {"box": box_json(cache)})
 
     async def order(self, server: str, order: OperatorOrder) -> bool:
         """Share a drain or a restore; False if the store is away."""
-        told = order_json(server, order)
-        return await self._share(["HSET", self._orders, server, orjson.dumps(told).decode()], {"order": told})
+        reported = order_json(server, order)
+        return await self._share(
+            ["HSET", self._orders, server, orjson.dumps(reported).decode()], {"order": reported}
+        )
 
     async def purge(self, obj: str, group: int, at: float) -> bool:
         """Share a purge; False if the store is away."""
@@ -183,19 +185,19 @@
             if not await self._send(self._unshared[0]):
                 raise StoreUnavailableError("what changed meanwhile can't be shared yet")
             self._unshared.popleft()
-        asked = time.monotonic()
+        requested = time.monotonic()
         begin = self.place if self.place != NOWHERE else "+"  # behind all: nothing is asked for
         mine = sorted(self._roster.merge.orders)[: self._limits.store_piece]
         orders: list[list[str | int]] = [["HMGET", self._orders, *mine]] if mine else []
-        entries, [hint, filed], told, *texts = await self._follows.call(
+        entries, [hint, filed], reported, *texts = await self._follows.call(
             ["XRANGE", self._events, begin, "+", "COUNT", self._limits.store_piece],
             ["MGET", self._hint, filing.key],
             ["TIME"],
             *orders,
         )
-        self._ahead = int(told[0]) + int(told[1]) / 1e6 - time.monotonic()
+        self._ahead = int(reported[0]) + int(reported[1]) / 1e6 - time.monotonic()
         # Over half of what a submit would wait, the store is slow: all should spread more.
-        self.pace.answered(time.monotonic() - asked, self._limits.store_wait / 2)
+        self.pace.answered(time.monotonic() - requested, self._limits.store_wait / 2)
         self._obey(hint)
         filing.done = not filing.own or filed == "done"  # it may have lost them since
         page = entries
@@ -218,10 +220,12 @@
 
     def _obey(self, hint: Any) -> None:
         """What the store bears, if it says so itself."""
-        told = _read_json(hint) if hint else None
-        if isinstance(told, dict):
+        reported = _read_json(hint) if hint else None
+        if isinstance(reported, dict):
             try:
-                self.pace.capacity = self.pace.capacity.hinted(float(told["asks"]), float(told["loads"]))
+                self.pace.capacity = self.pace.capacity.hinted(
+                    float(reported["asks"]), float(reported["loads"])
+                )
             except (KeyError, TypeError, ValueError) as fault:
                 log.warning("%s can't be obeyed: %s", self._hint, fault)
 
@@ -242,7 +246,7 @@
         newest = (await self._follows.call(["XREVRANGE", self._events, "+", "-", "COUNT", 1]))[0]
         place = str(newest[0][0]) if newest else NOWHERE
         self._there = {}
-        async for text in self._scan(self._orders):  # before the boxes: a drained one never serves
+        async for text in self._scan(self._orders):  # before the caches: a drained one never serves
             self._take({"order": _read_json(text)})
         async for text in self._scan(self._boxes):
             self._take({"box": _read_json(text)})
@@ -277,11 +281,11 @@
 
     async def _news(self, place: str, *block: str | int) -> list[Any]:
         """Entries behind a place; block: how long the store may hold back a reply while there are none."""
-        [news] = await self._follows.call(
+        [updates] = await self._follows.call(
             ["XREAD", "COUNT", self._limits.store_piece, *block, "STREAMS", self._events, place],
             wait=(int(block[1]) / 1000 if block else 0.0) + self._limits.store_wait,
         )
-        return [entry for _, entries in news or () for entry in entries]
+        return [entry for _, entries in updates or () for entry in entries]
 
     async def _follow(self) -> None:
         """Wait for news and take them in."""
@@ -311,20 +315,20 @@
                 raise StoreUnavailableError("orders that the store has lost can't be shared again yet")
 
     async def _file(self, filing: FileRegistration) -> None:
-        """Write those boxes of our file that the store has not, unless another is about to."""
+        """Write those caches of our file that the store has not, unless another is about to."""
         mine, value = await self._follows.call(
             ["SET", filing.key, self._name, "NX", "EX", self._limits.store_filing], ["GET", filing.key]
         )
         filing.done = value == "done"
         if mine != "OK":
             return
-        [there] = await self._follows.call(["HMGET", self._boxes, *(box.id for box in filing.own)])
+        [there] = await self._follows.call(["HMGET", self._boxes, *(cache.id for cache in filing.own)])
         writes: list[list[str | int]] = []
-        for box, known in zip(filing.own, there, strict=True):
+        for cache, known in zip(filing.own, there, strict=True):
             if known is None:
-                what = box_json(box)
+                what = box_json(cache)
                 writes += [
-                    ["HSET", self._boxes, box.id, orjson.dumps(what).decode()],
+                    ["HSET", self._boxes, cache.id, orjson.dumps(what).decode()],
                     [
                         "XADD",
                         self._events,
@@ -336,7 +340,7 @@
                         orjson.dumps({"box": what}).decode(),
                     ],
                 ]
-        # All or nothing: who dies between two boxes would leave one that nobody ever tells the others of.
+        # All or nothing: who dies between two caches would leave one that nobody ever tells the others of.
         await self._follows.call(
             ["MULTI"],
             *writes,
@@ -357,10 +361,10 @@
                     self._there[server] = order
                 self._roster.order(server, order)
             elif "purge" in event:
-                told = event["purge"]
+                reported = event["purge"]
                 # By the store's clock: with ours minutes ahead, news would look too old to matter.
                 age = max(0.0, time.monotonic() + self._ahead - read_place(place)[0] / 1000)
-                self._purge(str(told["object"]), int(told["group"]), time.time() - age)
+                self._purge(str(reported["object"]), int(reported["group"]), time.time() - age)
         except (ValueError, KeyError, TypeError) as fault:
             log.warning("an event that can't be read: %s", fault)
 
@@ -373,11 +377,11 @@
 
 
 class FileRegistration:
-    """The operator's file in the store: its boxes are written by one of all who have the same file."""
+    """The operator's file in the store: its caches are written by one of all who have the same file."""
 
     def __init__(self, own: list[CacheDefinition], prefix: str) -> None:
         self.own, self.done = own, not own
-        self.key = prefix + hashlib.sha256(orjson.dumps([box_json(box) for box in own])).hexdigest()[:32]
+        self.key = prefix + hashlib.sha256(orjson.dumps([box_json(cache) for cache in own])).hexdigest()[:32]
 
 
 def _event_text(fields: list[Any]) -> str:
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -29,7 +29,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of a depot at hub-a with one gateway of its own."""
+    """Settings of a cache at hub-a with one router of its own."""
     base: dict[str, Any] = {
         "location": "depot",
         "locations": ZONES,
@@ -56,7 +56,7 @@
 def members(
     edges: int = 3, parents: tuple[str, ...] = ("hub-a", "hub-a"), origin: bool = True
 ) -> list[Member]:
-    """Edge caches of the depot, a parent for each named hub, and the origin."""
+    """Edge caches of the cache, a parent for each named hub, and the origin."""
     found = [Member(f"edge-{n}", "depot", weight=8.0) for n in range(edges)]
     found += [Member(f"parent-{n}", hub, Role.PARENT, weight=20.0) for n, hub in enumerate(parents)]
     return found + [Member("origin", "hub-a", Role.ORIGIN)] * origin
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -94,13 +94,13 @@
 }
 
 
-def target(box: Box, state: str = "in_service") -> dict[str, Any]:
-    """A box in the JSON list."""
+def target(cache: Box, state: str = "in_service") -> dict[str, Any]:
+    """A cache in the JSON list."""
     return {
-        "uid": box.id,
-        "endpoint": f"127.0.0.1:{box.port}",
+        "uid": cache.id,
+        "endpoint": f"127.0.0.1:{cache.port}",
         "az": "edge-1",
-        "model": box.model,
+        "model": cache.model,
         "pod_group": 0,
         "state": state,
         "capacity_hint": 8,
@@ -108,13 +108,13 @@
     }
 
 
-def record(box: Box, state: int) -> bytes:
-    """A box in a frame."""
-    kind = SETTINGS["Skus"].index(box.model)
+def record(cache: Box, state: int) -> bytes:
+    """A cache in a frame."""
+    kind = SETTINGS["Skus"].index(cache.model)
     return (
-        int(box.id[2:], 16).to_bytes(4, "big")
+        int(cache.id[2:], 16).to_bytes(4, "big")
         + socket.inet_aton("127.0.0.1")
-        + box.port.to_bytes(2, "big")
+        + cache.port.to_bytes(2, "big")
         + bytes([state, 1, kind, 0, 0, 0, 0, 31, 64])
         + bytes(8)
     )
@@ -147,10 +147,10 @@
         **headers: str,
     ) -> tuple[int, dict[str, str], bytes]:
         """One request on a connection of its own."""
-        told = {"X-Txn": txn or os.urandom(8).hex(), "X-Ttl-Ms": str(ttl), "X-Shard": "17"}
-        told |= {k.replace("_", "-"): v for k, v in headers.items()}
+        reported = {"X-Txn": txn or os.urandom(8).hex(), "X-Ttl-Ms": str(ttl), "X-Shard": "17"}
+        reported |= {k.replace("_", "-"): v for k, v in headers.items()}
         method = "PUT" if cls == "sheet-submit" else "GET"
-        return await self.send(method, f"/api/v2/{cls}/{obj}/n-3", told, body)
+        return await self.send(method, f"/api/v2/{cls}/{obj}/n-3", reported, body)
 
     async def send(
         self, method: str, path: str, headers: dict[str, str], body: bytes = b""
@@ -178,12 +178,12 @@
 
 @contextlib.asynccontextmanager
 async def program(
-    port: int, *words: str, module: str = "brackenlane", files: int = 0, **env: str
+    port: int, *arguments: str, module: str = "brackenlane", files: int = 0, **env: str
 ) -> AsyncIterator[Program]:
     """Start it, wait until it serves, end it; files: the descriptors that it may have at the most."""
     bound = ["prlimit", f"--nofile={files}"] if files else []
     process = await trio.lowlevel.open_process(
-        [*bound, sys.executable, "-m", module, *words],
+        [*bound, sys.executable, "-m", module, *arguments],
         cwd=ROOT,
         env={**os.environ, **env},
         stderr=subprocess.PIPE,
@@ -216,7 +216,7 @@
 @contextlib.asynccontextmanager
 async def platform(
     tmp_path: Path,
-    boxes: list[Box],
+    caches: list[Box],
     log: Log | None = None,
     purged: list[dict[str, Any]] | None = None,
     sockets: int = 1024,
@@ -231,7 +231,7 @@
 ) -> AsyncIterator[Program]:
     """The program on the platform, with a list in its configuration; settings: what differs."""
     port = port or free_port()
-    events = [{"seq": 1, "fleet": {"rev": 1, "all": True, "targets": [target(box) for box in boxes]}}]
+    events = [{"seq": 1, "fleet": {"rev": 1, "all": True, "targets": [target(cache) for cache in caches]}}]
     events += [{"seq": 2 + n, "invalidate": item} for n, item in enumerate(purged or [])]
     config = {
         "name": "n0",
@@ -256,14 +256,14 @@
 @contextlib.asynccontextmanager
 async def appliance(
     tmp_path: Path,
-    boxes: list[Box],
+    caches: list[Box],
     resolver: DnsServer | None = None,
     redis: Redis | None = None,
     name: str = "a1",
     hosts: dict[str, str] | None = None,
     extra: str = "",
 ) -> AsyncIterator[tuple[Program, int, Path]]:
-    """A small site's doorman, by an operator's file made from the one in deploy/."""
+    """A small site's router, by an operator's file made from the one in deploy/."""
     http, dns_port = free_port(), free_port()
     text = (ROOT / "deploy" / "appliance.toml").read_text()
     settings = text[text.index("[settings]") : text.index("[[box]]")]
@@ -277,12 +277,12 @@
     head |= {"resolver": f"127.0.0.1:{resolver.port}"} if resolver else {}
     head |= {"redis": f"127.0.0.1:{redis.port}"} if redis else {}
     lines = [f'{k} = "{v}"' for k, v in head.items()] + [settings]
-    for box in boxes:
-        role = "origin" if box.model == "origin" else "edge"
-        zone = "head-office" if box.model == "origin" else "branch"
+    for cache in caches:
+        role = "origin" if cache.model == "origin" else "edge"
+        zone = "head-office" if cache.model == "origin" else "branch"
         lines.append(
-            f'[[box]]\nid = "{box.id}"\nhost = "{(hosts or {}).get(box.id, "127.0.0.1")}"\n'
-            f'port = {box.port}\nzone = "{zone}"\nrole = "{role}"\nweight = 8.0'
+            f'[[box]]\nid = "{cache.id}"\nhost = "{(hosts or {}).get(cache.id, "127.0.0.1")}"\n'
+            f'port = {cache.port}\nzone = "{zone}"\nrole = "{role}"\nweight = 8.0'
         )
     path = tmp_path / f"{name}.toml"
     path.write_text("\n".join([*lines, extra]))
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' address: the real program, its callers, and counts made at client and box."""
+"""The operators' address: the real program, its callers, and counts made at client and cache."""
 
 from __future__ import annotations
 
@@ -59,34 +59,36 @@
 
 
 def test_maintenance_over_lists() -> None:
-    """A box that is out stays so through every list; once back, it counts as cold unless the log told so."""
+    """A cache that is out stays so through every list; back, it counts as cold unless the log told so."""
     known = Maintenance(most=1)
-    box, other = Member("a", "z", started_at=5.0), Member("b", "z")
+    cache, other = Member("a", "z", started_at=5.0), Member("b", "z")
 
-    def told(event: Membership | None) -> list[tuple[str, ServerState, float]]:
+    def reported(event: Membership | None) -> list[tuple[str, ServerState, float]]:
         assert event is not None
         return [(m.server, m.state, m.started_at) for m in event.members]
 
     assert known.enter("a", 10.0) == (MaintenanceResult.UNKNOWN, None)
-    known.apply(Membership(MembershipKind.FULL, (box, other)))
-    assert told(known.enter("a", 10.0)[1]) == [("a", ServerState.DRAINING, 5.0)]
+    known.apply(Membership(MembershipKind.FULL, (cache, other)))
+    assert reported(known.enter("a", 10.0)[1]) == [("a", ServerState.DRAINING, 5.0)]
     assert known.enter("a", 11.0) == (MaintenanceResult.DONE, None)
     assert known.enter("b", 11.0) == (MaintenanceResult.FULL, None)
     for kind in (MembershipKind.CHANGES, MembershipKind.FULL):
-        assert told(known.apply(Membership(kind, (box, other)))) == [
+        assert reported(known.apply(Membership(kind, (cache, other)))) == [
             ("a", ServerState.DRAINING, 5.0),
             ("b", ServerState.SERVING, 0.0),
         ]
-    assert told(known.leave("a", 20.0)[1]) == [("a", ServerState.SERVING, 20.0)]  # no start told since: cold
+    assert reported(known.leave("a", 20.0)[1]) == [
+        ("a", ServerState.SERVING, 20.0)
+    ]  # no start told since: cold
     assert known.leave("a", 21.0) == (MaintenanceResult.DONE, None)
     assert known.leave("c", 21.0) == (MaintenanceResult.UNKNOWN, None)
     known.enter("a", 30.0)
     known.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", state=ServerState.GONE),)))
     assert known.leave("a", 31.0) == (MaintenanceResult.DONE, None)
-    known.apply(Membership(MembershipKind.CHANGES, (box,)))
+    known.apply(Membership(MembershipKind.CHANGES, (cache,)))
     known.enter("a", 40.0)
     known.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", started_at=44.0),)))
-    assert told(known.leave("a", 50.0)[1]) == [("a", ServerState.SERVING, 44.0)]
+    assert reported(known.leave("a", 50.0)[1]) == [("a", ServerState.SERVING, 44.0)]
 
 
 @pytest.mark.parametrize(
@@ -107,9 +109,9 @@
 async def test_calls(tmp_path: Path, raw: bytes, status: int) -> None:
     """Each call gets its answer; what can't be read or is not known changes nothing."""
     async with trio.open_nursery() as nursery:
-        boxes = [await box.open(nursery) for box in (Box(EDGE), Box(ORIGIN, "origin"))]
+        caches = [await cache.open(nursery) for cache in (Box(EDGE), Box(ORIGIN, "origin"))]
         ops = free_port()
-        async with platform(tmp_path, boxes, ops=ops) as router_process:
+        async with platform(tmp_path, caches, ops=ops) as router_process:
             found, _ = await call(ops, "", raw=raw)
             assert found == status or (status >= 400 and 400 <= found < 500 and b"\xff" in raw)
             assert (await figures(ops))["gw_pool_ejected"] == 0
@@ -121,9 +123,9 @@
 async def test_callers_who_finish_nothing(tmp_path: Path) -> None:
     """More callers than may stand there, idle or half-way, and a caller that calls is answered at once."""
     async with trio.open_nursery() as nursery:
-        boxes = [await box.open(nursery) for box in (Box(EDGE), Box(ORIGIN, "origin"))]
+        caches = [await cache.open(nursery) for cache in (Box(EDGE), Box(ORIGIN, "origin"))]
         ops = free_port()
-        async with platform(tmp_path, boxes, ops=ops):
+        async with platform(tmp_path, caches, ops=ops):
             idle = [await trio.open_tcp_stream("127.0.0.1", ops) for _ in range(40)]
             for stream in idle[::2]:
                 await stream.send_all(b"GET /status HT")
@@ -137,7 +139,7 @@
 
 @with_trio
 async def test_true_figures(tmp_path: Path) -> None:
-    """Every way a request may end is counted as its client saw it, each attempt as its box did."""
+    """Every way a request may end is counted as its client saw it, each attempt as its cache did."""
     ways: dict[str, ScriptedReply] = {
         "00000000000000a0": b"%b absent - 0\r\n\r\n",
         "00000000000000a1": b"%b failed - 0\r\n\r\n",
@@ -145,26 +147,26 @@
         "00000000000000a3": None,
     }
 
-    def answer(asked: Asked) -> ScriptedReply:
-        worded = ways.get(asked.fields["path"], b"")
-        if asked.fields["path"] == "00000000000000a4":
-            return data(asked, b"", "unchanged")
-        return data(asked) if worded == b"" else worded and worded % asked.id.encode()
+    def answer(requested: Asked) -> ScriptedReply:
+        worded = ways.get(requested.fields["path"], b"")
+        if requested.fields["path"] == "00000000000000a4":
+            return data(requested, b"", "unchanged")
+        return data(requested) if worded == b"" else worded and worded % requested.id.encode()
 
     async with trio.open_nursery() as nursery:
-        boxes = [
-            await box.open(nursery)
-            for box in (Box(EDGE, answer=answer), Box(ORIGIN, "origin", answer=answer))
+        caches = [
+            await cache.open(nursery)
+            for cache in (Box(EDGE, answer=answer), Box(ORIGIN, "origin", answer=answer))
         ]
         ops = free_port()
-        async with platform(tmp_path, boxes, ops=ops) as router_process:
+        async with platform(tmp_path, caches, ops=ops) as router_process:
             seen = {
                 (name, cls): 0
                 for name in ("ok", "shed", "errors")
                 for cls in ("video-parts", "sheet-pages", "sheet-submit")
             }
 
-            async def ask(cls: str, obj: str, **headers: str) -> None:
+            async def request(cls: str, obj: str, **headers: str) -> None:
                 found = (
                     await router_process.ask(cls, obj, b"signed" * (cls == "sheet-submit"), 600, **headers)
                 )[0]
@@ -173,23 +175,23 @@
 
             for n in range(5):
                 for cls in ("video-parts", "sheet-pages", "sheet-submit"):
-                    await ask(cls, f"00000000000000a{n}", If_None_Match='"e1"')
-            await ask("video-parts", "00000000000000b0", X_Second_Try="7")  # malformed, of a class
+                    await request(cls, f"00000000000000a{n}", If_None_Match='"e1"')
+            await request("video-parts", "00000000000000b0", X_Second_Try="7")  # malformed, of a class
             await router_process.ask("no-such-class")
             with socket.create_connection(("127.0.0.1", router_process.port)) as gone:  # a client that leaves
                 gone.send(
                     b"GET /api/v2/sheet-pages/00000000000000a3/n-1 HTTP/1.1\r\nHost: o\r\nX-Txn: "
                     b"9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 9000\r\nX-Shard: 1\r\n\r\n"
                 )
-                before = len(boxes[0].asked)
-                await boxes[0].until(lambda: len(boxes[0].asked) > before)
+                before = len(caches[0].asked)
+                await caches[0].until(lambda: len(caches[0].asked) > before)
                 assert (await figures(ops))["gw_active"] == 1
             now = await figures(ops)
             while now["gw_active"]:
                 now = await figures(ops)
             assert {(n, c): now[f'gw_{n}{{kind="{c}"}}'] for n, c in seen} == seen
             for cls in ("video-parts", "sheet-pages", "sheet-submit"):
-                written = sum(a.fields["queue"] == cls for box in boxes for a in box.asked)
+                written = sum(a.fields["queue"] == cls for cache in caches for a in cache.asked)
                 assert now[f'gw_tries{{kind="{cls}"}}'] == written > 0
             assert now["gw_pool_size"] == 2
         nursery.cancel_scope.cancel()
@@ -201,7 +203,7 @@
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, other, origin = [
-            await box.open(nursery) for box in (Box(EDGE), Box(OTHER), Box(ORIGIN, "origin"))
+            await cache.open(nursery) for cache in (Box(EDGE), Box(OTHER), Box(ORIGIN, "origin"))
         ]
         ops = free_port()
         async with platform(tmp_path, [edge, other, origin], log, ops=ops) as router_process:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -147,19 +147,19 @@
     """Whatever happens in whatever order, each request leaves the queue once, and its size is told truly."""
     front: Admission[int] = Admission(CLASSES)
     now, waiting, lanes = 0.0, set(), {}
-    for number, (word, lane, again, wait) in enumerate(steps):
+    for number, (command, lane, again, wait) in enumerate(steps):
         now += wait
-        if word == "offer":
+        if command == "offer":
             front.offer(number, lane, again, now)
             waiting.add(number)
             lanes[number] = lane, again
-        elif word == "take":
+        elif command == "take":
             taken = front.take(now)
             assert (taken is None) is (not waiting)
             if taken:
                 assert rank(lanes[taken[0]]) == min(rank(lanes[n]) for n in waiting)
                 waiting.remove(taken[0])
-        elif word == "shed":
+        elif command == "shed":
             for item in front.shed(now):
                 assert lanes[item][0] != "health"
                 waiting.remove(item)
@@ -179,9 +179,14 @@
         figures.take(wait)
     figures.refuse(Reason.STOOD)
     assert figures.tick(10.5, 0.2, 1.3) is None
-    told = figures.tick(11.0, 0.1, 1.5)
-    assert told and told.shedding and told == figures.last
-    assert (told.taken, told.shed, told.wait, told.lag) == (2, ((Reason.STOOD, 1),), 0.03, 0.2)
-    assert told.cpu == pytest.approx(0.5)
+    reported = figures.tick(11.0, 0.1, 1.5)
+    assert reported and reported.shedding and reported == figures.last
+    assert (reported.taken, reported.shed, reported.wait, reported.lag) == (
+        2,
+        ((Reason.STOOD, 1),),
+        0.03,
+        0.2,
+    )
+    assert reported.cpu == pytest.approx(0.5)
     again = figures.tick(12.0, 0.0, 1.5)
     assert again and not again.shedding and figures.taken == 2 and figures.shed[Reason.STOOD] == 1
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -1,4 +1,4 @@
-"""The DNS front: the real program, with clients, boxes, a resolver and a Redis that these tests play."""
+"""The DNS front: the real program, with clients, caches, a resolver and a Redis that these tests play."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 ) -> dns.message.Message:
     """One query."""
     message = dns.message.make_query(name, kind, **more)  # type: ignore[arg-type]
-    ask = dns.asyncquery.tcp if tcp else dns.asyncquery.udp
-    return await ask(message, "127.0.0.1", port=port, timeout=5)
+    request = dns.asyncquery.tcp if tcp else dns.asyncquery.udp
+    return await request(message, "127.0.0.1", port=port, timeout=5)
 
 
 def texts(message: dns.message.Message) -> list[str]:
@@ -40,10 +40,10 @@
     return [record.to_text() for rrset in message.answer for record in rrset]
 
 
-async def console(path: Path, *words: str) -> str:
+async def console(path: Path, *arguments: str) -> str:
     """One command at the operator's terminal."""
     done = await trio.run_process(
-        [sys.executable, "-m", "brackenlane", "console", str(path), *words], capture_stdout=True, cwd=ROOT
+        [sys.executable, "-m", "brackenlane", "console", str(path), *arguments], capture_stdout=True, cwd=ROOT
     )
     return done.stdout.decode()
 
@@ -131,7 +131,7 @@
 
 @with_trio
 async def test_drain(tmp_path: Path) -> None:
-    """No answer names a drained box once 500 ms have passed; a restored one is named again."""
+    """No answer names a drained cache once 500 ms have passed; a restored one is named again."""
     async with trio.open_nursery() as nursery:
         first, second, origin = await boxes_at(nursery, "box-1", "box-2")
         async with appliance(tmp_path, [first, second, origin]) as (_, port, path):
@@ -157,7 +157,7 @@
 
 @with_trio
 async def test_give_up(tmp_path: Path) -> None:
-    """With no box left to name the answer is SERVFAIL, at once."""
+    """With no cache left to name the answer is SERVFAIL, at once."""
     async with trio.open_nursery() as nursery:
         box, origin = await boxes_at(nursery, "box-1")
         async with appliance(tmp_path, [box, origin]) as (_, port, _path):
@@ -170,14 +170,14 @@
 
 @with_trio
 async def test_dead_box(tmp_path: Path) -> None:
-    """A stale answer naming a dead box: the next query names another, and a read at the doorman works."""
+    """A stale answer naming a dead cache: the next query names another, and a read at the router works."""
     async with trio.open_nursery() as nursery:
         first, second, origin = await boxes_at(nursery, "box-1", "box-2")
         async with appliance(tmp_path, [first, second, origin]) as (router_process, port, _):
             stale = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             dead, alive = (first, second) if stale.startswith("box-1") else (second, first)
             await dead.close()
-            # A client that ignores lifetimes finds nobody there; by the doorman it is served all the same.
+            # A client that ignores lifetimes finds nobody there; by the router it is served all the same.
             with pytest.raises(OSError):
                 await trio.open_tcp_stream("127.0.0.1", dead.port)
             assert (await router_process.ask(obj=OBJECT))[0] == 200 and alive.asked
@@ -188,7 +188,7 @@
 
 @with_trio
 async def test_resolver(tmp_path: Path) -> None:
-    """A box by host name is looked up; an answer that names a dead box is dropped and asked anew."""
+    """A cache by host name is looked up; an answer that names a dead cache is dropped and asked anew."""
     async with trio.open_nursery() as nursery:
         resolver = await DnsServer().open(nursery)
         resolver.put("named.branch.test", "A", "127.0.0.3", ttl=600)
@@ -201,7 +201,7 @@
             # Asked again and again: the good answer, kept for 600 s, may come before the console is asked.
             while "not found" in await console(path, "boxes"):
                 await trio.sleep(0.05)
-            # The answer may be kept for 600 s, but the box is dead: it is asked for again, not named.
+            # The answer may be kept for 600 s, but the cache is dead: it is asked for again, not named.
             await box.close()
             before = len(resolver.asked)
             assert texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3].startswith("origin")
@@ -216,24 +216,24 @@
 
 @with_trio
 async def test_submit_once(tmp_path: Path) -> None:
-    """A write's name is the doorman's own, and two doormans run a submit once between them."""
+    """A write's name is the doorman's own, and two routers run a submit once between them."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        boxes = await boxes_at(nursery, "box-1")
+        caches = await boxes_at(nursery, "box-1")
         async with (
-            appliance(tmp_path, boxes, redis=redis) as (one, port, _),
-            appliance(tmp_path, boxes, redis=redis, name="a2") as (two, _port, _path),
+            appliance(tmp_path, caches, redis=redis) as (one, port, _),
+            appliance(tmp_path, caches, redis=redis, name="a2") as (two, _port, _path),
         ):
             assert texts(await query(port, f"_http._tcp.{WRITE}", "SRV"))[0].split()[2] == str(one.port)
             txn = "00000000000000a1"
             assert [await submit(one, txn), await submit(two, txn), await submit(one, txn)] == [200, 409, 409]
-            ran = [asked.id for box in boxes for asked in box.asked]
+            ran = [requested.id for box in caches for requested in box.asked]
             assert ran == [txn]
             # A submit that provably never ran may be sent again.
-            for box in boxes:
-                box.answer = lambda asked: data(asked, b"", "full")
+            for box in caches:
+                box.answer = lambda requested: data(requested, b"", "full")
             assert await submit(one, "00000000000000a2") == 503
-            for box in boxes:
+            for box in caches:
                 box.answer = data
             while any(key.endswith("claim:00000000000000a2") for key in redis.keys):
                 await trio.sleep(0.01)  # the answer does not wait for the claim to be given back
@@ -246,8 +246,8 @@
     """The store's answer comes when the client has gone: the submit is not run."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        boxes = await boxes_at(nursery, "box-1")
-        async with appliance(tmp_path, boxes, redis=redis) as (router_process, _, _path):
+        caches = await boxes_at(nursery, "box-1")
+        async with appliance(tmp_path, caches, redis=redis) as (router_process, _, _path):
             assert await submit(router_process, "00000000000000b1") == 200
             redis.late = 0.2
             async with trio.open_nursery() as client:
@@ -259,30 +259,30 @@
             assert (
                 await submit(router_process, "00000000000000b3") == 200
             )  # claimed behind the one that has left
-            assert [asked.id[-2:] for box in boxes for asked in box.asked] == ["b1", "b3"]
+            assert [requested.id[-2:] for box in caches for requested in box.asked] == ["b1", "b3"]
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_shared_drain(tmp_path: Path) -> None:
-    """A drain at one doorman reaches the other's answers; the store keeps it for a third."""
+    """A drain at one router reaches the other's answers; the store keeps it for a third."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
         first, second, origin = await boxes_at(nursery, "box-1", "box-2")
-        boxes = [first, second, origin]
+        caches = [first, second, origin]
         async with (
-            appliance(tmp_path, boxes, redis=redis) as (_, _port, path),
-            appliance(tmp_path, boxes, redis=redis, name="a2") as (_other, port, _path),
+            appliance(tmp_path, caches, redis=redis) as (_, _port, path),
+            appliance(tmp_path, caches, redis=redis, name="a2") as (_other, port, _path),
         ):
             await redis.seen.wait()
             name = "box-1.boxes.caches.test."
             assert texts(await query(port, name)) == ["127.0.0.1"]
             await console(path, "drain", "box-1")
-            told = time.monotonic()
+            reported = time.monotonic()
             while texts(await query(port, name)):
-                assert time.monotonic() < told + 10, "no news of the drain"
-            print(f"{(time.monotonic() - told) * 1000:.0f} ms from the console's answer to the other's")
-            async with appliance(tmp_path, boxes, redis=redis, name="a3") as (_third, late, third):
+                assert time.monotonic() < reported + 10, "no news of the drain"
+            print(f"{(time.monotonic() - reported) * 1000:.0f} ms from the console's answer to the other's")
+            async with appliance(tmp_path, caches, redis=redis, name="a3") as (_third, late, third):
                 while "draining" not in await console(third, "boxes"):
                     pass
                 assert not texts(await query(late, name))
@@ -294,16 +294,16 @@
     """Without the store reads go on; a submit is refused before it runs; drains are shared later."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        boxes = await boxes_at(nursery, "box-1", "box-2")
-        async with appliance(tmp_path, boxes, redis=redis) as (router_process, port, path):
+        caches = await boxes_at(nursery, "box-1", "box-2")
+        async with appliance(tmp_path, caches, redis=redis) as (router_process, port, path):
             await redis.seen.wait()
             await redis.close()
             assert texts(await query(port, READ)) == ["127.0.0.1"]
             assert (await router_process.ask())[0] == 200
-            before = [len(box.asked) for box in boxes]
+            before = [len(box.asked) for box in caches]
             status, headers, _ = await router_process.ask("sheet-submit", OBJECT, b"signed")
             assert status == 503 and "retry-after" in headers
-            assert [len(box.asked) for box in boxes] == before
+            assert [len(box.asked) for box in caches] == before
             assert "the store is away" in await console(path, "drain", "box-1")
             redis.seen = trio.Event()
             await redis.open(nursery)
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -47,27 +47,27 @@
 def open_at(harness: RouterHarness, count: int) -> dict[str, int]:
     """Where requests for objects that prefer the first cache are sent while none is answered."""
     sent = dict.fromkeys((member.server for member in EDGES), 0)
-    asked, names = 0, itertools.count()
-    while asked < count:
+    requested, names = 0, itertools.count()
+    while requested < count:
         obj = f"object-{next(names)}"
         order = harness.router.orders.order(Arrival("", 5.0, "video", obj).cache_key, harness.router.edges)
         if order[0].member.server != "edge-0":
             continue
-        asked += 1
+        requested += 1
         for fetch in every(harness.ask(obj, part=0, size_kb=0.0), Fetch):
             sent[fetch.server] += 1
     return sent
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_hot_cache_is_spared_where_widths_are_not_told(told: bool) -> None:
+@pytest.mark.parametrize("reported", [False, True])
+def test_hot_cache_is_spared_where_widths_are_not_told(reported: bool) -> None:
     """Before, eight of eight met at one cache, whose link bears fewer, while its neighbours had nothing."""
-    harness = RouterHarness(FLEET, weights_known=told)
-    if told:
+    harness = RouterHarness(FLEET, weights_known=reported)
+    if reported:
         harness.tell([Member(m.server, m.zone, m.role, weight=20.0) for m in FLEET])
     sent = open_at(harness, 8)
     assert sum(sent.values()) == 8
-    assert (max(sent.values()) < 8) is not told, sent
+    assert (max(sent.values()) < 8) is not reported, sent
 
 
 def test_no_spill_while_the_origin_is_slow() -> None:
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -21,11 +21,11 @@
 
 
 @given(st.floats(0, 300), WANTS, st.floats(0, 50))
-def test_division(whole: float, wants: dict[str, Want], reserve: float) -> None:
+def test_division(complete: float, wants: dict[str, Want], reserve: float) -> None:
     """Never over the whole, nobody over its demand, nothing left while one wants it, floors first, fair."""
-    shares = divide(whole, wants, reserve)
-    left = max(0.0, whole - reserve)
-    eps = 1e-6 * (1 + whole)
+    shares = divide(complete, wants, reserve)
+    left = max(0.0, complete - reserve)
+    eps = 1e-6 * (1 + complete)
     assert shares.keys() == wants.keys() and sum(shares.values()) <= left + eps
     assert all(-eps <= shares[n] <= w.demand + eps for n, w in wants.items())
     hungry = [n for n, w in wants.items() if shares[n] < w.demand - eps]
@@ -38,14 +38,14 @@
             assert all((shares[m] - floors[m]) / wants[m].weight <= level + eps for m in wants)
     names = list(wants)
     random.Random(1).shuffle(names)
-    assert divide(whole, {n: wants[n] for n in names}, reserve) == pytest.approx(shares, abs=eps)
+    assert divide(complete, {n: wants[n] for n in names}, reserve) == pytest.approx(shares, abs=eps)
 
 
 @given(st.floats(1, 300), WANTS, WANTS)
-def test_small_changes_are_not_made(whole: float, before: dict[str, Want], after: dict[str, Want]) -> None:
+def test_small_changes_are_not_made(complete: float, before: dict[str, Want], after: dict[str, Want]) -> None:
     """Kept shares never sum to more than the whole."""
-    found = settled(divide(whole, before), new := divide(whole, after), whole)
-    assert found.keys() == new.keys() and sum(found.values()) <= whole * (1 + 1e-6)
+    found = settled(divide(complete, before), new := divide(complete, after), complete)
+    assert found.keys() == new.keys() and sum(found.values()) <= complete * (1 + 1e-6)
 
 
 def test_uneven_demand() -> None:
@@ -112,7 +112,7 @@
 def test_a_holder() -> None:
     """Counted from the question; an older answer changes nothing; at its end nothing may be spent."""
     rule = Rule(10, 3.0, 0.01)
-    held = hold(rule, Held(), Grant(5, 2, 103.0), left=2.0, asked=50.0)
+    held = hold(rule, Held(), Grant(5, 2, 103.0), left=2.0, requested=50.0)
     assert held.until == pytest.approx(51.98) and spendable(held, 51.97) == 5 and spendable(held, 51.98) == 0
     assert hold(rule, held, Grant(9, 1, 200.0), 100.0, 60.0) == held
     assert hold(rule, held, Grant(5, 2, 104.0), 2.0, 51.0).until == pytest.approx(52.98)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "state", "word"),
+    ("number", "state", "command"),
     [
         (0, ServerState.SERVING, "in_service"),
         (1, ServerState.DRAINING, "terminating"),
@@ -63,17 +63,17 @@
     ],
 )
 @pytest.mark.parametrize("piece", [1, 1000])
-def test_list(number: int, state: ServerState, word: str, piece: int) -> None:
+def test_list(number: int, state: ServerState, command: str, piece: int) -> None:
     """A frame and its JSON twin mean the same."""
-    box = Box("s-00c41f7a", "parent")
-    box.port = 7001
-    payload = record(box, number)
+    cache = Box("s-00c41f7a", "parent")
+    cache.port = 7001
+    payload = record(cache, number)
     wire = (9 + len(payload)).to_bytes(4, "big") + (41).to_bytes(8, "big") + b"\x01" + payload
     reader = FrameReader(1000)
     [(seq, kind, rest)] = [f for at in range(0, len(wire), piece) for f in reader.feed(wire[at : at + piece])]
     change = read_frame(seq, kind, rest, SITE, 0.0)
     [twin] = read_known(
-        {"results": [{"seq": 41, "fleet": {"all": True, "targets": [target(box, word)]}}]}, SITE, 0.0
+        {"results": [{"seq": 41, "fleet": {"all": True, "targets": [target(cache, command)]}}]}, SITE, 0.0
     )
     assert change == twin and isinstance(change.event, Membership)
     assert change.event.members[0].state is state
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -1,4 +1,4 @@
-"""The cold start's decisions: tables, properties, and a thousand doormans in virtual time."""
+"""The cold start's decisions: tables, properties, and a thousand routers in virtual time."""
 
 from __future__ import annotations
 
@@ -197,26 +197,26 @@
 
 
 @given(st.floats(0, 50), st.floats(0.01, 2), st.integers(1, 300), st.text("abc-0123", min_size=1, max_size=8))
-def test_rota(room: float, unit: float, mates: int, server: str) -> None:
+def test_rota(space: float, unit: float, mates: int, server: str) -> None:
     """Of one location exactly so many share as the burst pays for, whose shares are never more than it."""
-    sharers = [turn_order(room, unit, mate, mates, server) for mate in range(mates)]
+    sharers = [turn_order(space, unit, peer, mates, server) for peer in range(mates)]
     few = max(sharers)
     assert 1 <= few <= mates and set(sharers) <= {0, few}
     assert sum(n > 0 for n in sharers) == few
-    assert few == 1 or few == mates or few * unit <= room * (1 + 1e-9)
-    later = [turn_order(2 * room, unit, mate, mates, server) for mate in range(mates)]
+    assert few == 1 or few == mates or few * unit <= space * (1 + 1e-9)
+    later = [turn_order(2 * space, unit, peer, mates, server) for peer in range(mates)]
     assert all(late for late, early_ in zip(later, sharers, strict=True) if early_)  # nobody drops out again
 
 
 def test_rota_reaches_all() -> None:
-    """Over sixty boxes each of two hundred has its turn at some, and none at far more than its part."""
-    turns = [sum(turn_order(1.0, 0.1, mate, 200, f"box-{n}") > 0 for n in range(60)) for mate in range(200)]
+    """Over sixty caches each of two hundred has its turn at some, and none at far more than its part."""
+    turns = [sum(turn_order(1.0, 0.1, peer, 200, f"box-{n}") > 0 for n in range(60)) for peer in range(200)]
     assert sum(turns) == 60 * 10 and max(turns) <= 12 and sum(t > 0 for t in turns) > 150
 
 
-@pytest.mark.parametrize("mate", [-1, 0])
-def test_all_cold_at_once(mate: int) -> None:
-    """Forty gateways, ten boxes, all just started: with places known, boxes are used at once."""
+@pytest.mark.parametrize("peer", [-1, 0])
+def test_all_cold_at_once(peer: int) -> None:
+    """Forty routers, ten caches, all just started: with places known, caches are used at once."""
     fleet = [Member(f"edge-{n}", "depot", weight=2.0, started_at=100.0) for n in range(10)]
     fleet += [Member("origin", "hub-a", Role.ORIGIN)]
     harnesses = [
@@ -227,22 +227,22 @@
             router_count=40,
             seats=(0, 0, 0, 40),
             router_index=n,
-            peer_index=n if mate == 0 else -1,
+            peer_index=n if peer == 0 else -1,
         )
         for n in range(40)
     ]
-    chance, served, per_box = random.Random(1), 0, dict.fromkeys((m.server for m in fleet), 0)
+    chance, served, per_cache = random.Random(1), 0, dict.fromkeys((m.server for m in fleet), 0)
     for tick in range(1200):  # 3 s
         harness = chance.choice(harnesses)
         harness.now = 100.0 + tick / 400
         for fetch in every(harness.ask(f"o{tick}", "tiles", time_left=2.5, size_kb=400.0), Fetch):
-            per_box[fetch.server] += 1
+            per_cache[fetch.server] += 1
             served += fetch.server != "origin"
             harness.end(fetch, cache_status=CacheStatus.FILLED, wait=0.1)
-    assert (served > 20) is (mate == 0)
-    # At three seconds a box does 2 x (0.18 + 0.82 / 6) transfers of 0.1 s a second; a burst may be four
+    assert (served > 20) is (peer == 0)
+    # At three seconds a cache does 2 x (0.18 + 0.82 / 6) transfers of 0.1 s a second; a burst may be four
     # seconds' worth.
-    assert all(n <= (3 + 4) * 2 * 0.32 / 0.1 for server, n in per_box.items() if server != "origin")
+    assert all(n <= (3 + 4) * 2 * 0.32 / 0.1 for server, n in per_cache.items() if server != "origin")
 
 
 def test_purges_over_a_restart() -> None:
@@ -254,10 +254,10 @@
     shared.recall({("clip", -1): now - 3.0, ("", 7): now - 11.0, ("old", -1): now - 13.0})
     found = {(e.obj, e.group): e.age for e in events if isinstance(e, Purged)}
     assert found == {("clip", -1): pytest.approx(3.0, abs=0.2), ("", 7): pytest.approx(11.0, abs=0.2)}
-    kept = snapshot.Snapshot(
+    retained = snapshot.Snapshot(
         RememberedMembers(), now, "5-1", True, tuple((*key, at) for key, at in shared.purges.items())
     )
-    assert snapshot.parse(snapshot.dump(kept)) == kept and len(kept.purges) == 2
+    assert snapshot.parse(snapshot.dump(retained)) == retained and len(retained.purges) == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -29,11 +29,11 @@
     Fails where room is made by closing who was accepted and not yet read.
     """
     async with trio.open_nursery() as nursery:
-        boxes = [
-            await box.open(nursery)
-            for box in (Box(EDGE, answer=lambda _: None), Box(ORIGIN, "origin", answer=lambda _: None))
+        caches = [
+            await cache.open(nursery)
+            for cache in (Box(EDGE, answer=lambda _: None), Box(ORIGIN, "origin", answer=lambda _: None))
         ]
-        async with platform(tmp_path, boxes, sockets=SOCKETS) as router_process:
+        async with platform(tmp_path, caches, sockets=SOCKETS) as router_process:
             router_process.process.send_signal(signal.SIGSTOP)
             streams = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(84)]
             for stream in streams:
@@ -51,24 +51,26 @@
     """Hundreds connect and say nothing or stop half-way: work in hand ends well, new work is served."""
     held = trio.Event()
 
-    def answer(asked: Asked) -> ScriptedReply:
-        return None if asked.fields["path"] == "00000000000000aa" and not held.is_set() else data(asked)
+    def answer(requested: Asked) -> ScriptedReply:
+        return (
+            None if requested.fields["path"] == "00000000000000aa" and not held.is_set() else data(requested)
+        )
 
     async with trio.open_nursery() as nursery:
-        boxes = [
-            await box.open(nursery)
-            for box in (Box(EDGE, answer=answer), Box(ORIGIN, "origin", answer=answer))
+        caches = [
+            await cache.open(nursery)
+            for cache in (Box(EDGE, answer=answer), Box(ORIGIN, "origin", answer=answer))
         ]
         ops = free_port()
         async with (
-            platform(tmp_path, boxes, sockets=SOCKETS, ops=ops, TMPDIR=str(tmp_path)) as router_process,
+            platform(tmp_path, caches, sockets=SOCKETS, ops=ops, TMPDIR=str(tmp_path)) as router_process,
             contextlib.AsyncExitStack() as crowd,
         ):
             working = await crowd.enter_async_context(
                 await trio.open_tcp_stream("127.0.0.1", router_process.port)
             )
             await working.send_all(request("00000000000000aa"))
-            await boxes[0].until(lambda: bool(boxes[0].asked))
+            await caches[0].until(lambda: bool(caches[0].asked))
             for n in range(300):
                 stream = await crowd.enter_async_context(
                     await trio.open_tcp_stream("127.0.0.1", router_process.port)
@@ -81,7 +83,7 @@
             assert len(os.listdir(f"/proc/{router_process.process.pid}/fd")) < SOCKETS * 2 / 3
             assert (await figures(ops))["gw_active"] == 1
             held.set()
-            assert await read_answer(working) in (200, 504)  # the box held it back, nobody closed it
+            assert await read_answer(working) in (200, 504)  # the cache held it back, nobody closed it
         nursery.cancel_scope.cancel()
 
 
@@ -90,18 +92,18 @@
     """A request written over 2 s is served; an answer read at 1 MB a second comes whole."""
     body = os.urandom(240_000)
     async with trio.open_nursery() as nursery:
-        boxes = [
-            await box.open(nursery)
-            for box in (
-                Box(EDGE, answer=lambda asked: data(asked, body)),
-                Box(ORIGIN, "origin", answer=lambda asked: data(asked, body)),
+        caches = [
+            await cache.open(nursery)
+            for cache in (
+                Box(EDGE, answer=lambda requested: data(requested, body)),
+                Box(ORIGIN, "origin", answer=lambda requested: data(requested, body)),
             )
         ]
         async with (
-            platform(tmp_path, boxes, sockets=SOCKETS) as router_process,
+            platform(tmp_path, caches, sockets=SOCKETS) as router_process,
             await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream,
         ):
-            stream.socket.setsockopt(1, 8, 16_384)  # SO_RCVBUF: what is not read waits at the doorman
+            stream.socket.setsockopt(1, 8, 16_384)  # SO_RCVBUF: what is not read waits at the router
             text = request()
             for n in range(10):
                 await stream.send_all(text[n * len(text) // 10 : (n + 1) * len(text) // 10])
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core without any wire: one final answer for each request, whatever module and boxes do."""
+"""The core without any wire: one final answer for each request, whatever module and caches do."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Bench:
-    """A core, and the attempts that it hands to its boxes."""
+    """A core, and the attempts that it hands to its caches."""
 
     def __init__(self, place: Callable[[Attempt], bool] | None = None) -> None:
         self.attempts: list[Attempt] = []
@@ -33,7 +33,7 @@
         )
 
     def take(self, attempt: Attempt) -> bool:
-        """An attempt arrives at its box."""
+        """An attempt arrives at its cache."""
         self.attempts.append(attempt)
         attempt.written = True
         self.news.set()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -36,63 +36,65 @@
 class Site:
     """Boxes that a scripted DNS server names."""
 
-    def __init__(self, server: DnsServer, boxes: list[Box], origin: Box) -> None:
-        self.server, self.boxes, self.origin = server, boxes, origin
-        self.ids = [box_id(f"box-{n}.branch.test", box.port) for n, box in enumerate(boxes)]
+    def __init__(self, server: DnsServer, caches: list[Box], origin: Box) -> None:
+        self.server, self.boxes, self.origin = server, caches, origin
+        self.ids = [box_id(f"box-{n}.branch.test", cache.port) for n, cache in enumerate(caches)]
 
     @classmethod
     async def open(cls, nursery: trio.Nursery, count: int = 3) -> Site:
-        """A site with all its boxes up and named."""
+        """A site with all its caches up and named."""
         server = await DnsServer().open(nursery)
-        boxes = [await Box(f"b{n}").open(nursery) for n in range(count)]
-        site = cls(server, boxes, await Box("origin", "origin").open(nursery))
+        caches = [await Box(f"b{n}").open(nursery) for n in range(count)]
+        site = cls(server, caches, await Box("origin", "origin").open(nursery))
         for number in range(count):
             server.put(f"box-{number}.branch.test", "A", "127.0.0.1")
         site.name(*range(count))
         return site
 
     def name(self, *numbers: int, priority: int = 0) -> None:
-        """Which boxes SRV names."""
+        """Which caches SRV names."""
         self.server.put(
             SRV, "SRV", *(f"{priority} 8 {self.boxes[n].port} box-{n}.branch.test." for n in numbers), ttl=0
         )
 
 
-OBJECT_COUNT = 400  # distinct objects asked for, again and again, to find those that a box serves
-SEARCH_LIMIT = 60.0  # seconds: over three times the ramp (18 s) after which no cold budget holds a box back
+OBJECT_COUNT = 400  # distinct objects asked for, again and again, to find those that a cache serves
+SEARCH_LIMIT = 60.0  # seconds: over three times the ramp (18 s) after which no cold budget holds a cache back
 
 
-async def objects_at(router_process: Program, box: Box, count: int) -> list[str]:
-    """Objects of which a box is asked first: which ones those are follows from ports drawn anew each time.
+async def objects_at(router_process: Program, cache: Box, count: int) -> list[str]:
+    """Objects of which a cache is asked first: which ones those are follows from ports drawn anew each time.
 
-    A box whose connect failed is ejected for a while, then cold: its budget fills with time, not with
+    A cache whose connect failed is ejected for a while, then cold: its budget fills with time, not with
     requests, and meanwhile the origin answers. So a quick pass over all objects may reach it too seldom; they
-    are asked for again until the box was asked for `count` of them. AssertionError at SEARCH_LIMIT.
+    are asked for again until the cache was asked for `count` of them. AssertionError at SEARCH_LIMIT.
     """
     found: list[str] = []
     with trio.move_on_after(SEARCH_LIMIT):
         for number in itertools.cycle(range(OBJECT_COUNT)):
-            before, obj = len(box.asked), f"{number:016x}"
+            before, obj = len(cache.asked), f"{number:016x}"
             assert (await router_process.ask(obj=obj))[0] == 200
-            if len(box.asked) > before and obj not in found:
+            if len(cache.asked) > before and obj not in found:
                 found.append(obj)
             if len(found) == count:
                 return found
-    raise AssertionError(f"{box.id} was asked for {len(found)} of {OBJECT_COUNT} objects in {SEARCH_LIMIT} s")
+    raise AssertionError(
+        f"{cache.id} was asked for {len(found)} of {OBJECT_COUNT} objects in {SEARCH_LIMIT} s"
+    )
 
 
-async def listed(path: Path, *words: str) -> str:
+async def listed(path: Path, *arguments: str) -> str:
     """Wait until the console's list has all of these words."""
     while True:
         text = await console(path, "boxes", "-v")
-        if all(word in text for word in words):
+        if all(command in text for command in arguments):
             return text
         await trio.sleep(0.05)
 
 
 @with_trio
 async def test_drain_under_churn(tmp_path: Path) -> None:
-    """A drained box is named by no answer and asked by no request, whatever SRV and the resolver do."""
+    """A drained cache is named by no answer and asked by no request, whatever SRV and the resolver do."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
         async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
@@ -104,7 +106,7 @@
             first = site.boxes[0]
             objects = await objects_at(router_process, first, 4)
             assert await console(path, "drain", site.ids[0]) == f"{site.ids[0]} drained\n"
-            told, before = time.monotonic(), len(first.asked)
+            reported, before = time.monotonic(), len(first.asked)
 
             async def churn() -> None:
                 for number in range(10_000):
@@ -120,7 +122,7 @@
 
             nursery.start_soon(churn)
             named: set[str] = set()
-            while time.monotonic() < told + 2.5:
+            while time.monotonic() < reported + 2.5:
                 for obj in objects:
                     answer = await query(port, f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
                     named |= {text.split()[3].split(".")[0] for text in texts(answer)}
@@ -134,7 +136,7 @@
 
 @with_trio
 async def test_restart_without_resolver(tmp_path: Path) -> None:
-    """A start with the resolver away goes on with the last list; the drained box stays drained."""
+    """A start with the resolver away goes on with the last list; the drained cache stays drained."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
         async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (_, _port, path):
@@ -163,7 +165,7 @@
 
 @with_trio
 async def test_deploy_without_resolver(tmp_path: Path) -> None:
-    """A deploy replaces every box while the resolver times out: reads go on, at the end by the new ones."""
+    """A deploy replaces every cache while the resolver times out: reads go on, at the end by the new ones."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery, 4)
         site.name(0, 1)
@@ -174,8 +176,8 @@
         ):
             await listed(path, *site.ids[:2])
             site.server.fail(Fault.LOST)
-            for box in site.boxes[:2]:
-                await box.close()
+            for cache in site.boxes[:2]:
+                await cache.close()
             for number in range(8):
                 assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
             site.name(2, 3)
@@ -191,7 +193,7 @@
 
 @with_trio
 async def test_damaged_list(tmp_path: Path) -> None:
-    """A damaged last list is set aside with a line in the log; the doorman starts by what it is told."""
+    """A damaged last list is set aside with a line in the log; the router starts by what it is told."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
         (tmp_path / "last.json").write_bytes(b'{"version":1,"sha256":"00","body":"{}"}')
@@ -208,17 +210,17 @@
 
 @with_trio
 async def test_submit_in_flight(tmp_path: Path) -> None:
-    """A submit that is out at a box that SRV drops is not sent again; its answer still counts."""
+    """A submit that is out at a cache that SRV drops is not sent again; its answer still counts."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery, 2)
         held: list[Asked] = []
 
-        def hold(asked: Asked) -> ScriptedReply:
-            held.append(asked)
+        def hold(requested: Asked) -> ScriptedReply:
+            held.append(requested)
             return None
 
-        for box in (*site.boxes, site.origin):
-            box.answer = hold
+        for cache in (*site.boxes, site.origin):
+            cache.answer = hold
         async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
             router_process,
             _port,
@@ -234,21 +236,21 @@
                 client.start_soon(submit)
                 while not held:
                     await trio.sleep(0.01)
-                for box in (*site.boxes, site.origin):
-                    box.answer = data
+                for cache in (*site.boxes, site.origin):
+                    cache.answer = data
                 site.name()  # all gone, twice said
                 site.server.put(SRV, "SRV", "0 0 0 .", ttl=0)
                 while site.ids[0] in await console(path, "boxes"):
                     await trio.sleep(0.05)
             assert found[0] in (502, 504) and len(held) == 1
-            assert sum(len(box.asked) for box in (*site.boxes, site.origin)) == 1
+            assert sum(len(cache.asked) for cache in (*site.boxes, site.origin)) == 1
         nursery.cancel_scope.cancel()
 
 
-def run(*words: str) -> subprocess.CompletedProcess[str]:
+def run(*arguments: str) -> subprocess.CompletedProcess[str]:
     """One command line of the program."""
     return subprocess.run(
-        [sys.executable, "-m", "brackenlane", *words],
+        [sys.executable, "-m", "brackenlane", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -270,7 +272,7 @@
                 done = await trio.to_thread.run_sync(run, "discover", str(path), "--json")
                 view = orjson.loads(done.stdout)
                 assert done.returncode == int(fails) and bool(view["failed"]) is fails
-                assert {box["id"] for box in view["boxes"]} == {*site.ids, "origin"}
+                assert {cache["id"] for cache in view["boxes"]} == {*site.ids, "origin"}
             table = await trio.to_thread.run_sync(run, "discover", str(path))
             assert "SERVFAIL" in table.stdout and "named by file" in table.stdout
         nursery.cancel_scope.cancel()
@@ -290,8 +292,8 @@
         text = text.replace(old, new, 1)
     path = tmp_path / "a.toml"
     path.write_text(text)
-    for word in ("check", "appliance"):
-        done = run(word, str(path))
+    for command in ("check", "appliance"):
+        done = run(command, str(path))
         assert done.returncode == 2, done
         for said in (
             "class[0].give_up: '6': Input should be a valid number",
@@ -306,7 +308,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "code", "said"),
+    ("arguments", "code", "said"),
     [
         (["--help"], 0, "discover"),
         (["console", "--help"], 0, "COMMAND"),
@@ -317,9 +319,9 @@
         (["check", "no-such-file"], 2, ""),
     ],
 )
-def test_command_line(words: list[str], code: int, said: str) -> None:
+def test_command_line(arguments: list[str], code: int, said: str) -> None:
     """Help and version are no faults; wrong words are, with 2."""
-    done = run(*words)
+    done = run(*arguments)
     assert done.returncode == code and said in done.stdout and "Traceback" not in done.stderr
     assert bool(done.stderr) is bool(code)
 
@@ -345,16 +347,19 @@
 
 def test_last_list_cut(tmp_path: Path) -> None:
     """A last list reads back as it was; cut or changed at any byte it is refused, never half believed."""
-    kept = snapshot.Snapshot(MEMORY, 7.0, "17-3", True, (("clip", -1, 5.0),))
-    whole = snapshot.dump(kept)
-    assert snapshot.parse(whole) == kept
-    for place in range(len(whole)):
-        for damaged in (whole[:place], whole[:place] + bytes([whole[place] ^ 1]) + whole[place + 1 :]):
+    retained = snapshot.Snapshot(MEMORY, 7.0, "17-3", True, (("clip", -1, 5.0),))
+    complete = snapshot.dump(retained)
+    assert snapshot.parse(complete) == retained
+    for place in range(len(complete)):
+        for damaged in (
+            complete[:place],
+            complete[:place] + bytes([complete[place] ^ 1]) + complete[place + 1 :],
+        ):
             try:
                 found = snapshot.parse(damaged)
             except ValueError:
                 continue
-            assert found == kept, (place, damaged)
+            assert found == retained, (place, damaged)
     path = tmp_path / "last.json"
-    snapshot.save(path, whole)
-    assert snapshot.load(path) == kept and snapshot.load(tmp_path / "none.json") is None
+    snapshot.save(path, complete)
+    assert snapshot.load(path) == retained and snapshot.load(tmp_path / "none.json") is None
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -1,4 +1,4 @@
-"""The merge of all sources of boxes: drains against any answer, mass disappearance, standby, swaps, flaps."""
+"""The merge of all sources: drains against any answer, mass disappearance, standby, swaps, flaps."""
 
 from __future__ import annotations
 
@@ -43,18 +43,18 @@
 
 
 def states(changes: list[Change]) -> dict[str, ServerState]:
-    """What each box has become."""
+    """What each cache has become."""
     assert len({c.member.server for c in changes}) == len(changes), "two events for one box at once"
     return {c.member.server: c.member.state for c in changes}
 
 
 def serving(made: MembershipMerge) -> set[str]:
-    """The boxes that get new work."""
-    return {server for server, box in made.boxes.items() if box.standing is MergedState.SERVING}
+    """The caches that get new work."""
+    return {server for server, cache in made.boxes.items() if cache.standing is MergedState.SERVING}
 
 
 def test_first_answer() -> None:
-    """The first answer's boxes are warm, with address and weight; what comes later is cold."""
+    """The first answer's caches are warm, with address and weight; what comes later is cold."""
     made = merge()
     changes = made.answer(SRV, targets(*HOSTS[:2]), "u1", 10.0)
     assert states(changes) == dict.fromkeys(IDS[:2], ServerState.SERVING)
@@ -106,7 +106,7 @@
 
 
 def test_whole_deploy() -> None:
-    """A deploy replaces every box while the resolver times out: the new come cold, the old go late."""
+    """A deploy replaces every cache while the resolver times out: the new come cold, the old go late."""
     made = merge(hosts=(*HOSTS, "four.branch.test", "five.branch.test", "six.branch.test"))
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
     for now in (11.0, 12.0, 13.0):
@@ -122,7 +122,7 @@
 
 
 def test_mistake_undone() -> None:
-    """An SRV entry emptied by mistake and put right takes no box away and restarts none."""
+    """An SRV entry emptied by mistake and put right takes no cache away and restarts none."""
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
     for now in (20.0, 21.0):
@@ -143,20 +143,20 @@
 
 
 def test_flapping_answers() -> None:
-    """An entry that alternates between two answers keeps both boxes; addresses that do move one seldom."""
+    """An entry that alternates between two answers keeps both caches; addresses that do move one seldom."""
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
-    told: list[Change] = []
+    reported: list[Change] = []
     for number in range(40):
         now = 11.0 + number
-        told += made.answer(SRV, targets(*HOSTS[number % 2 : number % 2 + 2]), "u1", now)
-        told += made.tick(now)
-    assert told == [] and serving(made) == set(IDS)
+        reported += made.answer(SRV, targets(*HOSTS[number % 2 : number % 2 + 2]), "u1", now)
+        reported += made.tick(now)
+    assert reported == [] and serving(made) == set(IDS)
     made.answer(SRV, targets(*HOSTS), "u1", 51.0)
     for number in range(40):
-        told += made.locate(HOSTS[0], [f"127.0.2.{number % 2 + 1}"], 60.0 + number)
-        told += made.tick(60.0 + number)
-    assert 0 < len(told) <= 9 and all(c.member.started_at >= 60.0 for c in told)
+        reported += made.locate(HOSTS[0], [f"127.0.2.{number % 2 + 1}"], 60.0 + number)
+        reported += made.tick(60.0 + number)
+    assert 0 < len(reported) <= 9 and all(c.member.started_at >= 60.0 for c in reported)
 
 
 def test_hosts_let_go() -> None:
@@ -175,7 +175,7 @@
 
 
 def test_dead_address() -> None:
-    """A box that has left its old address moves at once, however lately it moved before."""
+    """A cache that has left its old address moves at once, however lately it moved before."""
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
     for number, dead in ((1, False), (2, True), (3, False), (3, True)):
@@ -185,18 +185,18 @@
 
 
 def test_swapped_addresses() -> None:
-    """An upstream that swaps two boxes' addresses: each is the same box elsewhere, cold; none is two."""
+    """An upstream that swaps two boxes' addresses: each is the same cache elsewhere, cold; none is two."""
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
     first = made.locate(HOSTS[0], ["127.0.1.2"], 20.0)
     both = made.locate(HOSTS[1], ["127.0.1.1"], 20.0)
-    ends = [box.endpoint for box in made.boxes.values()]
+    ends = [cache.endpoint for cache in made.boxes.values()]
     assert len(ends) == len(set(ends)) == 3, (first, both)
     assert {made.boxes[server].started for server in IDS[:2]} == {20.0}
 
 
 def test_one_box_two_names() -> None:
-    """A box named by the file and by SRV, or by two names at one address, is one box, by the file's words."""
+    """A cache named by the file and by SRV, or by two names at one address, is one, by the file's words."""
     made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
     made.locate(HOSTS[0], ["127.0.1.1"], 0.0)
     made.locate(HOSTS[1], ["127.0.1.2"], 0.0)
@@ -242,8 +242,8 @@
     made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
     made.recall(old.memory(), 12.0, now)
     assert serving(made) == ({*IDS[1:], "box-9"} if known else set())
-    assert all((box.started == 0) is warm for box in made.boxes.values())
-    # An answer that has lost most of it is not believed at once, and the drained box stays drained.
+    assert all((cache.started == 0) is warm for cache in made.boxes.values())
+    # An answer that has lost most of it is not believed at once, and the drained cache stays drained.
     made.answer(SRV, targets(HOSTS[0]), "u1", now + 1)
     made.locate(HOSTS[0], ["127.0.1.1"], now + 1)
     made.tick(now + 10)
@@ -254,7 +254,7 @@
 
 
 def test_bounds() -> None:
-    """More boxes than there is room for are left out and counted; a drain is never forgotten for another."""
+    """More caches than there is room for are left out and counted; a drain is never forgotten for another."""
     made = MembershipMerge(Policy(boxes=5, drains=3), [SrvWatch(SRV, "branch")])
     made.answer(SRV, [SrvRecord(f"127.0.0.{n}", 80) for n in range(1, 9)], "u1", 1.0)
     assert len(made.boxes) == 5 and made.entries[SRV].left_out == 3
@@ -283,7 +283,7 @@
     ),
 )
 def test_orders_commute(orders: tuple[OperatorOrder, ...]) -> None:
-    """However news of drains and restores arrives, all doormans end alike: the last, and of two the drain."""
+    """However news of drains and restores arrives, all routers end alike: the last, and of two the drain."""
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 0.5)
     for order in orders:
@@ -315,17 +315,17 @@
     )
     def answer(self, which: set[str], priority: int, upstream: str) -> None:
         """SRV says something else."""
-        told = [*targets(*sorted(which)[:1], priority=priority), *targets(*sorted(which)[1:])]
-        self.hear(self.made.answer(SRV, told, upstream, self.now))
+        reported = [*targets(*sorted(which)[:1], priority=priority), *targets(*sorted(which)[1:])]
+        self.hear(self.made.answer(SRV, reported, upstream, self.now))
 
     @rule(which=st.integers(0, 2), where=st.sets(st.integers(1, 4), max_size=2))
     def locate(self, which: int, where: set[int]) -> None:
-        """A box's name has other addresses, or none; two boxes may be given one."""
+        """A box's name has other addresses, or none; two caches may be given one."""
         self.hear(self.made.locate(HOSTS[which], [f"127.0.1.{n}" for n in sorted(where)], self.now))
 
     @rule(which=st.integers(0, 2))
     def doubt(self, which: int) -> None:
-        """A box does not answer where it is said to be."""
+        """A cache does not answer where it is said to be."""
         if place := self.made.places.get(HOSTS[which]):
             self.hear(self.made.doubt(HOSTS[which], place.address or "", self.now))
 
@@ -340,7 +340,7 @@
 
     @rule(which=st.integers(0, 2), drain=st.booleans(), late=st.floats(0.0005, 50))
     def late_news(self, which: int, drain: bool, late: float) -> None:
-        """News from another doorman, perhaps older than what is known here."""
+        """News from another router, perhaps older than what is known here."""
         at = self.now - late
         known = self.made.orders.get(IDS[which])
         self.hear(self.made.order(IDS[which], OperatorOrder(drain, at, "other"), self.now))
@@ -358,7 +358,7 @@
 
     @rule(age=st.floats(0.1, 2000))
     def restart(self, age: float) -> None:
-        """The doorman starts anew, with its last list alone."""
+        """The router starts anew, with its last list alone."""
         memory, saved = self.made.memory(), self.now
         self.now += age
         self.made, self.heard = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", enough=2)]), {}
@@ -366,39 +366,39 @@
 
     @invariant()
     def drains_hold(self) -> None:
-        """Nothing but a restore puts a drained box back to work, whatever it is called."""
-        for server, box in self.made.boxes.items():
-            if self.drained & {server, *box.also}:
-                assert box.standing not in (MergedState.SERVING, MergedState.STANDBY), (server, box)
+        """Nothing but a restore puts a drained cache back to work, whatever it is called."""
+        for server, cache in self.made.boxes.items():
+            if self.drained & {server, *cache.also}:
+                assert cache.standing not in (MergedState.SERVING, MergedState.STANDBY), (server, cache)
         for server, change in self.heard.items():
             if server in self.drained:
                 assert change.member.state is not ServerState.SERVING
 
     @invariant()
     def told_is_true(self) -> None:
-        """What the core was told is what the merge holds; one address is one box."""
+        """What the core was told is what the merge holds; one address is one cache."""
         on = {s for s, c in self.heard.items() if c.member.state is not ServerState.GONE}
         true = {
             s for s, b in self.made.boxes.items() if b.standing in (MergedState.SERVING, MergedState.DRAINING)
         }
         assert on == true
         for server in on:
-            box = self.made.boxes[server]
-            assert self.heard[server] == Change(box.member, box.endpoint)
+            cache = self.made.boxes[server]
+            assert self.heard[server] == Change(cache.member, cache.endpoint)
         ends = [c.endpoint for s, c in self.heard.items() if s in on]
         assert len(ends) == len(set(ends))
 
     @invariant()
     def standby_is_needed(self) -> None:
         """Nobody stands by while fewer than two better ones serve, and nobody serves needlessly."""
-        boxes = [box for box in self.made.boxes.values()]
-        for box in boxes:
+        boxes = [cache for cache in self.made.boxes.values()]
+        for cache in boxes:
             better = sum(
-                other.what.priority < box.what.priority and other.standing is MergedState.SERVING
+                other.what.priority < cache.what.priority and other.standing is MergedState.SERVING
                 for other in boxes
             )
-            if box.standing in (MergedState.STANDBY, MergedState.SERVING):
-                assert (box.standing is MergedState.STANDBY) is (better >= 2)
+            if cache.standing in (MergedState.STANDBY, MergedState.SERVING):
+                assert (cache.standing is MergedState.STANDBY) is (better >= 2)
 
 
 Interleavings.TestCase.settings = settings(
--- a/tests/test_drawn_sites.py
+++ b/tests/test_drawn_sites.py
@@ -60,8 +60,12 @@
     class Refusing(PlainPolicy):
         """Refuses every fifth request."""
 
-        def _arrive(self, ask: Arrival, now: float) -> list[Action]:
-            return [Reject(ask.request_id)] if crc32(ask.obj.encode()) % 5 == 0 else super()._arrive(ask, now)
+        def _arrive(self, request: Arrival, now: float) -> list[Action]:
+            return (
+                [Reject(request.request_id)]
+                if crc32(request.obj.encode()) % 5 == 0
+                else super()._arrive(request, now)
+            )
 
     results = {number: compare(drawn(number), Refusing) for number in EASY}
     assert all(complaint(number, result) for number, result in results.items())
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -27,7 +27,7 @@
 )
 @with_trio
 async def test_example(tmp_path: Path, name: str, front: str) -> None:
-    """The toy boxes answer through the doorman."""
+    """The toy caches answer through the router."""
     path, ports = moved(tmp_path, name)
     toy = await trio.lowlevel.open_process(
         [sys.executable, "example/toy_site.py", str(path)], cwd=ROOT, stdout=subprocess.PIPE
@@ -35,8 +35,8 @@
     try:
         assert toy.stdout
         assert b"are up" in await toy.stdout.receive_some(4096)
-        words = ("appliance", str(path)) if path.suffix == ".toml" else ()
-        async with program(ports[front], *words, GW_CONFIG=str(path)) as router_process:
+        arguments = ("appliance", str(path)) if path.suffix == ".toml" else ()
+        async with program(ports[front], *arguments, GW_CONFIG=str(path)) as router_process:
             status, _, body = await router_process.ask()
             assert status == 200 and body.startswith(b"7f3a9c21e0b4d655/3 as ")
             status, _, body = await router_process.ask("sheet-submit", body=b"signed")
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -95,8 +95,8 @@
     answer = Outcome("r", 0, "edge-0", AttemptResult.OK)
     assert 270 < sum(fills.was_filled(answer, 0.3) for _ in range(1000)) < 330
     assert fills.was_filled(answer, 1.0)
-    told = Outcome("r", 0, "edge-0", AttemptResult.OK, cache_status=CacheStatus.FILLED_BY_ORIGIN)
-    assert fills.was_filled(told, 0.0)
+    reported = Outcome("r", 0, "edge-0", AttemptResult.OK, cache_status=CacheStatus.FILLED_BY_ORIGIN)
+    assert fills.was_filled(reported, 0.0)
 
 
 def test_a_load_report_is_read_from_an_answer() -> None:
--- a/tests/test_fill_source.py
+++ b/tests/test_fill_source.py
@@ -145,10 +145,10 @@
 
 
 @pytest.mark.parametrize(
-    ("alone", "wait", "blamed", "halved"),
+    ("alone", "wait", "attributed", "halved"),
     [(True, 0.1, False, False), (False, 0.1, True, False), (False, 3.0, True, True), (True, 3.0, True, True)],
 )
-def test_errors_of_caches_alone(alone: bool, wait: float, blamed: bool, halved: bool) -> None:
+def test_errors_of_caches_alone(alone: bool, wait: float, attributed: bool, halved: bool) -> None:
     """Quick errors that caches make without a source are not its fault; only late ones halve a window."""
     harness = RouterHarness(members(parents=("hub-a",)))
     [parent] = harness.router.parents_by_distance[0]
@@ -156,7 +156,7 @@
     for n in range(3):
         harness.now += 1.0
         harness.end(only(harness.ask(f"o{n}"), Fetch), AttemptResult.ERROR, wait=wait)
-    assert (parent.failure_score > 0) is blamed
+    assert (parent.failure_score > 0) is attributed
     assert (parent.window < 8.0) is halved
 
 
@@ -192,7 +192,7 @@
 
 
 def test_nothing_adds_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a long day of new objects and replaced boxes, neither is remembered for good."""
+    """On a long day of new objects and replaced caches, neither is remembered for good."""
     monkeypatch.setattr("brackenlane.routing.router.KEPT", 50)
     harness = RouterHarness()
     for n in range(200):
@@ -209,7 +209,7 @@
 
 
 def test_a_parent_whose_fills_mostly_come_late_is_drawn_seldom_and_comes_back() -> None:
-    """Never out for long, since some fills come: of forty doormans each left one fill in hand there."""
+    """Never out for long, since some fills come: of forty routers each left one fill in hand there."""
     harness = RouterHarness(members(parents=("hub-a", "hub-a")))
 
     def drawn(rounds: int, late: bool) -> float:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -83,11 +83,11 @@
     """A record cut by a crash, or bytes that are none of ours, hide no record before or after them."""
     torn = encode(Record(RecordType.ENTER, ("s-9", "1.0")))[: -2 - cut % 10]
     text = b"".join(map(encode, before)) + torn + junk.replace(b"\n", b"") + b"".join(map(encode, after))
-    whole = HandoverIndex(100)
+    complete = HandoverIndex(100)
     for record in (*before, *after):
-        whole.take(record)
+        complete.take(record)
     found = folded(text, 7)
-    assert (found.serving, found.out, found.submits) == (whole.serving, whole.out, whole.submits)
+    assert (found.serving, found.out, found.submits) == (complete.serving, complete.out, complete.submits)
 
 
 @pytest.mark.parametrize(
@@ -151,10 +151,10 @@
 
 
 class Site:
-    """Boxes, and processes of one doorman one after another."""
+    """Boxes, and processes of one router one after another."""
 
-    def __init__(self, tmp_path: Path, boxes: list[Box]) -> None:
-        self.path, self.boxes, self.port = tmp_path, boxes, free_port()
+    def __init__(self, tmp_path: Path, caches: list[Box]) -> None:
+        self.path, self.boxes, self.port = tmp_path, caches, free_port()
         (tmp_path / "shared").mkdir()
 
     @contextlib.asynccontextmanager
@@ -172,11 +172,11 @@
 @contextlib.asynccontextmanager
 async def site(tmp_path: Path, answer: Callable[[Asked], ScriptedReply] = data) -> AsyncIterator[Site]:
     async with trio.open_nursery() as nursery:
-        boxes = [
+        caches = [
             await Box(name, "origin" if name is ORIGIN else "small", answer=answer).open(nursery)
             for name in (EDGE, OTHER, ORIGIN)
         ]
-        yield Site(tmp_path, boxes)
+        yield Site(tmp_path, caches)
         nursery.cancel_scope.cancel()
 
 
@@ -192,15 +192,15 @@
 
 @contextlib.asynccontextmanager
 async def used_meanwhile(
-    kept: trio.SocketStream, process: AbstractAsyncContextManager[tuple[Program, int]]
+    retained: trio.SocketStream, process: AbstractAsyncContextManager[tuple[Program, int]]
 ) -> AsyncIterator[tuple[Program, int]]:
     """A process that starts while a connection to another is used, so that it is not closed as idle."""
     started, rests = trio.Event(), trio.Event()
 
     async def use() -> None:
         while not started.is_set():
-            await kept.send_all(HEALTHY)
-            assert await read_answer(kept) == 200
+            await retained.send_all(HEALTHY)
+            assert await read_answer(retained) == 200
             with trio.move_on_after(USED_EVERY):
                 await started.wait()
         rests.set()
@@ -240,7 +240,7 @@
                 self.lost += 1
 
     async def kept(self) -> None:
-        """One connection until the doorman says that it closes it."""
+        """One connection until the router says that it closes it."""
         while True:
             stream = await trio.open_tcp_stream("127.0.0.1", self._doorman.port)
             got, closes = b"", False
@@ -283,12 +283,12 @@
 async def test_a_box_out_is_out_at_both(tmp_path: Path, first: bool) -> None:
     """Taken out at either process: nothing more goes to it from the other, nor from the next."""
     async with site(tmp_path) as here, here.process() as (old, ops):
-        kept = await trio.open_tcp_stream("127.0.0.1", here.port)
-        async with kept, used_meanwhile(kept, here.process()) as (new, new_ops):
-            asked = ops if first else new_ops
-            assert (await call(asked, f"/maintenance/enter/{EDGE}", "PUT"))[0] == 200
-            await kept.send_all(READ % (b"00000000000000aa", b"9b1f03aa5c7e2d41"))
-            assert await read_answer(kept) == 200  # by the old process
+        retained = await trio.open_tcp_stream("127.0.0.1", here.port)
+        async with retained, used_meanwhile(retained, here.process()) as (new, new_ops):
+            requested = ops if first else new_ops
+            assert (await call(requested, f"/maintenance/enter/{EDGE}", "PUT"))[0] == 200
+            await retained.send_all(READ % (b"00000000000000aa", b"9b1f03aa5c7e2d41"))
+            assert await read_answer(retained) == 200  # by the old process
             for n in range(12):
                 assert (await new.ask(obj=f"{n:016x}"))[0] == 200
             old.process.kill()
@@ -307,20 +307,20 @@
     """The same submit to both processes, and to the next after a kill, runs once."""
     async with site(tmp_path) as here, here.process() as (old, _):
         async with (
-            await trio.open_tcp_stream("127.0.0.1", here.port) as kept,
-            used_meanwhile(kept, here.process()) as (new, _),
+            await trio.open_tcp_stream("127.0.0.1", here.port) as retained,
+            used_meanwhile(retained, here.process()) as (new, _),
         ):
             async with await trio.open_tcp_stream("127.0.0.1", here.port) as other:
-                await kept.send_all(SUBMIT)
+                await retained.send_all(SUBMIT)
                 await other.send_all(SUBMIT)
-                found = sorted([await read_answer(kept), await read_answer(other)])
+                found = sorted([await read_answer(retained), await read_answer(other)])
             old.process.kill()
             await new.says(b"is alone")
             new.process.kill()
         async with here.process(), await trio.open_tcp_stream("127.0.0.1", here.port) as again:
             await again.send_all(SUBMIT)
             assert [*found, await read_answer(again)] == [200, 409, 409]
-        assert sum(len(box.asked) for box in here.boxes) == 1
+        assert sum(len(cache.asked) for cache in here.boxes) == 1
 
 
 @with_trio
@@ -353,8 +353,8 @@
         elif left == "large":
             (folder / "ledger").write_bytes(os.urandom(8 * 2**20))
         elif left == "torn":
-            kept = encode(Record(RecordType.ENTER, (EDGE, "5.0")))
-            (folder / "ledger").write_bytes(kept + encode(Record(RecordType.ENTER, (OTHER, "5.0")))[:-3])
+            retained = encode(Record(RecordType.ENTER, (EDGE, "5.0")))
+            (folder / "ledger").write_bytes(retained + encode(Record(RecordType.ENTER, (OTHER, "5.0")))[:-3])
         elif left == "pipe":
             os.mkfifo(folder / "ledger")
         elif left == "stale":
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -26,11 +26,11 @@
     (folder / "tests" / "test_it.py").write_text(TESTS.replace("RED", str(also)))
     if red is not None:
         (folder / "KNOWN-RED.txt").write_text(red)
-    told = {k: v for k, v in os.environ.items() if not k.startswith(("PYTEST", "PYTHONPATH"))}
+    reported = {k: v for k, v in os.environ.items() if not k.startswith(("PYTEST", "PYTHONPATH"))}
     return subprocess.run(
         ["bash", str(ROOT / ".ci" / "test"), sys.executable],
         cwd=folder,
-        env=told,
+        env=reported,
         capture_output=True,
         text=True,
         check=False,
--- a/tests/test_lab_cluster.py
+++ b/tests/test_lab_cluster.py
@@ -50,7 +50,7 @@
 
 
 def test_down_while_a_drain_is_given(tmp_path: Path) -> None:
-    """All lose power; a box is drained elsewhere; lists are whole, torn, missing: nobody uses it for long."""
+    """All lose power; a cache is drained elsewhere; snapshots are whole, torn, missing: it is soon unused."""
     outcome = played(
         tmp_path,
         "seconds = 7.5\nrate = 60.0\n"
@@ -91,8 +91,8 @@
     writes = [e for e in outcome.record.of("store_write") if '"drained":true' in e.what["event"]]
     assert 2 <= len(writes) <= 4  # the first, then by whoever comes first
     # One that remembers nothing learns it of the store alone.
-    told = times(outcome.record, "told_order", box="box-1", drained=True)
-    assert max(at for who, at in told if who == 0) > 5
+    reported = times(outcome.record, "told_order", box="box-1", drained=True)
+    assert max(at for who, at in reported if who == 0) > 5
 
 
 def test_addresses_of_others(tmp_path: Path) -> None:
@@ -104,7 +104,9 @@
     )
     record = outcome.record
     [*_, began] = [at for _, at in times(record, "start")]
-    for event in record.of("sent"):  # a link of its own leads to each box: what is sent there is meant for it
+    for event in record.of(
+        "sent"
+    ):  # a link of its own leads to each cache: what is sent there is meant for it
         assert event.what["miss"] != event.what["box"]
     assert outcome.figures["served"] > 0.6
     follows = {who for who, at in times(record, "follow") if at > began}
@@ -133,9 +135,9 @@
         ),
     )
     # Who believes that the purge is ten minutes old keeps it too: what is served alone is checked.
-    [told] = [e.at for e in outcome.record.of("told_purge") if e.router == 5]
+    [reported] = [e.at for e in outcome.record.of("told_purge") if e.router == 5]
     assert any(
-        e.what["issued"] and e.what["asked"] > told + 1
+        e.what["issued"] and e.what["asked"] > reported + 1
         for e in outcome.record.of("answer")
         if e.what["obj"] == HOT
     )
@@ -145,7 +147,7 @@
 
 
 def test_mute_box_and_two_halves(tmp_path: Path) -> None:
-    """Power is back in two halves; a box accepts and says nothing: the others serve, it is asked seldom."""
+    """Power is back in two halves; a cache accepts and says nothing: the others serve, it is asked seldom."""
     outcome = played(
         tmp_path,
         "seconds = 8.0\nrate = 60.0\nstarted = false\n"
@@ -251,7 +253,7 @@
                 async for data in stream:
                     await stream.send_all(data)
 
-    async def ask(port: int, text: bytes = b"hello") -> bytes:
+    async def request(port: int, text: bytes = b"hello") -> bytes:
         got = b""
         with trio.move_on_after(0.3):
             try:
@@ -268,7 +270,7 @@
             [listener] = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, echo, [listener])
             link = await links.Link(listener.socket.getsockname()[1]).open(nursery)
-            assert await ask(link.port) == b"hello"
+            assert await request(link.port) == b"hello"
             for fault, text in (
                 ({"refuse": True}, b"!"),
                 ({"up": False}, b""),
@@ -278,9 +280,9 @@
                 ({"rate": 4.0}, b""),
             ):
                 await link.set(**fault)
-                assert await ask(link.port) == text, fault
+                assert await request(link.port) == text, fault
                 await link.heal()
-                assert await ask(link.port) == b"hello", fault
+                assert await request(link.port) == b"hello", fault
             nursery.cancel_scope.cancel()
 
     TimeCoordinator(tmp_path / "clock", 0).run(main)
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -1,4 +1,4 @@
-"""An origin that falls behind, in virtual time: many gateways, parents that lack all that is asked for."""
+"""An origin that falls behind, in virtual time: many routers, parents that lack all that is asked for."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
             )
 
     def take(self, harness: RouterHarness, actions: list[Action], born: float) -> None:
-        """Carry out what a gateway decides."""
+        """Carry out what a router decides."""
         for action in actions:
             if isinstance(action, Fetch):
                 self.fetch(harness, action, born)
@@ -74,7 +74,7 @@
                 assert isinstance(action, Cancel | Fail), action
 
     def tell(self, harness: RouterHarness, event: Any, born: float) -> None:
-        """One event to a gateway."""
+        """One event to a router."""
         harness.now = self.now
         self.take(harness, harness.router.handle(event, self.now), born)
 
@@ -117,8 +117,8 @@
 
     def share(self, since: float, until: float) -> float:
         """Of what was asked for in a time, the part served in time."""
-        asked = sum(since <= at < until for at in self.asked)
-        return sum(since <= at < until for at in self.served) / asked
+        requested = sum(since <= at < until for at in self.asked)
+        return sum(since <= at < until for at in self.served) / requested
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -55,9 +55,9 @@
 )
 def test_environment_names(settings: dict[str, str], fault: str) -> None:
     """The platform sets the program up by these."""
-    words = [sys.executable, "-m", "brackenlane"]
+    arguments = [sys.executable, "-m", "brackenlane"]
     ended = subprocess.run(
-        words,
+        arguments,
         cwd=ROOT,
         env={**os.environ, **settings},
         capture_output=True,
@@ -76,8 +76,8 @@
     assert {option for command in lab.commands.values() for p in command.params for option in p.opts} == {
         *("script", "--doormans", "--seed", "--out", "--port"),
     }
-    words = [line.split()[0] for line in HELP.splitlines()]
-    assert " ".join(words) == "boxes why drain restore purge purge start load help quit"
+    arguments = [line.split()[0] for line in HELP.splitlines()]
+    assert " ".join(arguments) == "boxes why drain restore purge purge start load help quit"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -17,9 +17,9 @@
 HEAD = "GET /api/v2/video-parts/7f3a9c21e0b4d655/n-0 HTTP/1.1\r\nHost: a\r\n"
 
 
-def answer(asked: Asked) -> bytes:
+def answer(requested: Asked) -> bytes:
     """A good answer, to reads and writes."""
-    return data(asked, b"" if asked.fields["queue"] == "sheet-submit" else b"bytes")
+    return data(requested, b"" if requested.fields["queue"] == "sheet-submit" else b"bytes")
 
 
 async def ask(router_process: Program, found: Counter[tuple[str, int]], cls: str, number: int) -> None:
@@ -32,13 +32,13 @@
 
 @with_trio
 async def test_shed(tmp_path: Path) -> None:
-    """Many times what its core can do: reads are shed before they reach a box, submits never."""
+    """Many times what its core can do: reads are shed before they reach a cache, submits never."""
     async with trio.open_nursery() as nursery:
-        boxes = [
+        caches = [
             await Box(EDGE, answer=answer).open(nursery),
             await Box(ORIGIN, "origin", answer=answer).open(nursery),
         ]
-        async with platform(tmp_path, boxes, module="tests.slow_program", SLOW_MS="8") as router_process:
+        async with platform(tmp_path, caches, module="tests.slow_program", SLOW_MS="8") as router_process:
             found: Counter[tuple[str, int]] = Counter()
             silent = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(400)]
             async with trio.open_nursery() as clients:
@@ -48,9 +48,9 @@
             assert sum(found.values()) == 300 and found["sheet-submit", 200] == 6
             served, refused = found["video-parts", 200], found["video-parts", 503]
             assert served > 0 and refused > 0 and served + refused == 294, found
-            # What was refused never reached a box, and no write did twice.
-            asked = [one for box in boxes for one in box.asked]
-            assert len(asked) == served + 6 == len({one.id for one in asked})
+            # What was refused never reached a cache, and no write did twice.
+            requested = [one for cache in caches for one in cache.asked]
+            assert len(requested) == served + 6 == len({one.id for one in requested})
             await router_process.says(b"short of CPU")
             # And it comes back by itself.
             assert (await router_process.ask())[0] == 200
@@ -62,7 +62,7 @@
 
 @with_trio
 async def test_drain_in_a_flood(tmp_path: Path) -> None:
-    """A drain is heard in the midst of overload: from 500 ms after it was told the box gets nothing new."""
+    """A drain is heard in the midst of overload: from 500 ms after it was told the cache gets nothing new."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, other, origin = [
@@ -97,11 +97,11 @@
 async def test_pipelined_and_cut(tmp_path: Path) -> None:
     """Two requests in one packet get two answers in their order; one cut at any byte is one request."""
     async with trio.open_nursery() as nursery:
-        boxes = [
+        caches = [
             await Box(EDGE, answer=answer).open(nursery),
             await Box(ORIGIN, "origin", answer=answer).open(nursery),
         ]
-        async with platform(tmp_path, boxes) as router_process:
+        async with platform(tmp_path, caches) as router_process:
 
             def request(txn: str) -> bytes:
                 return f"{HEAD}X-Txn: {txn * 16}\r\nX-Ttl-Ms: 5000\r\nX-Shard: 1\r\n\r\n".encode()
@@ -118,8 +118,8 @@
                     await stream.send_all(sent[cut:])
                     while not (got := await stream.receive_some(65536)).endswith(b"bytes"):
                         pass
-            assert [asked.id[0] for asked in boxes[0].asked + boxes[1].asked][:2] == ["1", "2"]
-            assert len(boxes[0].asked + boxes[1].asked) == 5
+            assert [requested.id[0] for requested in caches[0].asked + caches[1].asked][:2] == ["1", "2"]
+            assert len(caches[0].asked + caches[1].asked) == 5
         nursery.cancel_scope.cancel()
 
 
@@ -193,8 +193,8 @@
     requests = RequestParser(Limits())
     for start in range(0, len(sent), step):
         requests.feed(sent[start : start + step])
-    first, wish, second = requests.next(), requests.next(), requests.next()
-    assert first and second and wish and wish.target == "/u"
+    first, option, second = requests.next(), requests.next(), requests.next()
+    assert first and second and option and option.target == "/u"
     assert requests.fault is None and not requests.partial
     assert (first.method, first.target, first.body, first.keep_alive) == ("PUT", "/a", b"abcde", True)
     assert first.headers["x-txn"] == "1" and "x-shard" not in first.headers
--- a/tests/test_overload_decisions.py
+++ b/tests/test_overload_decisions.py
@@ -47,14 +47,14 @@
 
 
 @pytest.mark.parametrize(
-    ("attempts", "asked"),
+    ("attempts", "requested"),
     [
         (1, ["fill"]),
         (2, ["look at the cache", "fill"]),
         (3, ["look at the cache", "look at the parent", "fill"]),
     ],
 )
-def test_looks_that_find_nothing_leave_an_attempt_for_the_fill(attempts: int, asked: list[str]) -> None:
+def test_looks_that_find_nothing_leave_an_attempt_for_the_fill(attempts: int, requested: list[str]) -> None:
     """Before, a site that allows two attempts had both spent on looks, and refused what it could fill."""
     harness = strained(max_attempts=attempts, may_bypass_caches=False)
     sent, found = only(harness.ask("clip"), Fetch), list[str]()
@@ -64,7 +64,7 @@
         if found[-1] == "fill":
             break
         sent = only(harness.end(sent, AttemptResult.MISS, CacheStatus.UNKNOWN, attempt=len(found) - 1), Fetch)
-    assert found == asked
+    assert found == requested
 
 
 def test_a_known_miss_without_room_is_refused_at_once() -> None:
@@ -161,7 +161,7 @@
 
 
 def test_with_many_gateways_one_attempt_more_does_not_spill() -> None:
-    """The others are taken to have what this gateway usually has, not what it has right now."""
+    """The others are taken to have what this router usually has, not what it has right now."""
     harness = RouterHarness(seats=(0, 0, 0, 10), router_count=10)
     for n in range(50):
         harness.now += 1
@@ -225,7 +225,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 40])
 def test_the_first_fills_of_all_gateways_are_a_number_that_a_source_bears(gateways: int) -> None:
-    """A start of its own for each gateway was 8 fills a source; of forty it was 320, and never came back."""
+    """A start of its own for each router was 8 fills a source; of forty it was 320, and never came back."""
     harnesses = [RouterHarness(members(edges=12), seed=n, router_count=gateways) for n in range(gateways)]
     sent = [
         f
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placements against brute force, an independent check, cold boxes, and wishes that contradict each other."""
+"""Placements against brute force, an independent check, cold caches, and contradictory options."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def site(
     caps: tuple[float, ...], kinds: int = 2, link: float = 1e9, cold: int = 0, per_s: float = 10.0
 ) -> Problem:
-    """One branch; the first so many boxes started just now."""
+    """One branch; the first so many caches started just now."""
     boxes = tuple(Box(f"box-{n}", "branch", cap, 1000.0 if n < cold else 0.0) for n, cap in enumerate(caps))
     demands = tuple(Demand("branch", kind.name, per_s) for kind in KINDS[:kinds])
     return Problem(boxes, KINDS[:kinds], demands, {"branch": link}, cold=COLD, now=1000.0)
@@ -35,7 +35,7 @@
     grid = itertools.product(range(steps + 1), repeat=len(boxes))
     parts = np.array([shares for shares in grid if sum(shares) <= steps]) / steps
     placed = parts.sum(axis=1)
-    bears = np.array([box.bears(problem.cold, problem.now) for box in boxes])
+    bears = np.array([cache.bears(problem.cold, problem.now) for cache in boxes])
     load = np.zeros((1, len(boxes)))
     worth, over = np.zeros(1), np.zeros(1)
     for demand, kind in zip(problem.demands, kinds, strict=True):
@@ -69,7 +69,7 @@
 
 
 def test_restarted_box() -> None:
-    """Two boxes, one just restarted: along its ramp it is never given more than it bears at any moment."""
+    """Two caches, one just restarted: along its ramp it is never given more than it bears at any moment."""
     for step in range(0, 190, 5):
         problem = replace(site((9000.0, 9000.0), cold=1), now=1000.0 + step / 10)
         plan = solve(problem)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ("wishes", "gave", "conflict"),
+    ("options", "gave", "conflict"),
     [
         ([("half", "box-0", Wish.AT_LEAST, 0.5)], None, ()),
         (
@@ -106,12 +106,14 @@
     ],
 )
 def test_conflicts(
-    wishes: list[tuple[str, str, Wish, float]], gave: str | None, conflict: tuple[str, ...]
+    options: list[tuple[str, str, Wish, float]], gave: str | None, conflict: tuple[str, ...]
 ) -> None:
     """Wishes that can't all hold, in pairs, in threes and against a limit: the last gives way, and why."""
     problem = replace(
         site((6000.0,) * 3, kinds=1),
-        constraints=tuple(Constraint(name, box, "video", wish, share) for name, box, wish, share in wishes),
+        constraints=tuple(
+            Constraint(name, cache, "video", option, share) for name, cache, option, share in options
+        ),
     )
     plan = solve(problem)
     assert verify(problem, plan) == []
@@ -121,7 +123,7 @@
 
 
 def test_movement() -> None:
-    """With its own plan in force a problem moves nothing; one box less moves what it had, not much more."""
+    """With its own plan in force a problem moves nothing; one cache less moves what it had, not much more."""
     problem = site((6000.0, 7000.0, 8000.0, 9000.0))
     plan = solve(problem)
     again = solve(replace(problem, in_force=plan.shares))
@@ -136,14 +138,14 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_many_boxes(seed: int) -> None:
-    """The crumbs of rounding the shares of twenty-five boxes don't push over one that is full."""
+    """The crumbs of rounding the shares of twenty-five caches don't push over one that is full."""
     rng = random.Random(seed)
     zones = ("a", "b")
     boxes = tuple(Box(f"box-{n}", zones[n % 2], rng.uniform(500, 9000)) for n in range(50))
     kinds = tuple(
         Kind(f"k{n}", rng.uniform(100, 4000), rng.uniform(0.5, 3), rng.uniform(0, 0.8)) for n in range(3)
     )
-    each = sum(box.bytes_per_s for box in boxes) / 6
+    each = sum(cache.bytes_per_s for cache in boxes) / 6
     demands = tuple(
         Demand(zone, kind.name, rng.uniform(0.5, 1.3) * each / kind.mean_bytes)
         for zone in zones
@@ -184,7 +186,7 @@
     per_s=st.floats(0.1, 50),
 )
 def test_any_site(caps: list[float], link: float, cold: int, per_s: float) -> None:
-    """Any site to 40 boxes, capacities of nothing included: the check agrees; a box less is worth no more."""
+    """Any site to 40 caches, empty capacities included: the check agrees; a cache less is worth no more."""
     problem = site(tuple(caps), 3, link, min(cold, len(caps)), per_s)
     plan = solve(problem)
     assert verify(problem, plan) == []
