--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: the real program, with clients, boxes and a change log that these tests play."""
+"""The platform's front: the real program, with clients, caches and a change log that these tests play."""
 
 from __future__ import annotations
 
@@ -44,22 +44,26 @@
 async def test_read(tmp_path: Path) -> None:
     """Class, object, part and tag pass on unchanged; bytes and tag come back."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await box.open(nursery) for box in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in fleet()]
         async with platform(tmp_path, [edge, origin]) as router_process:
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
             status, headers, body = await router_process.ask(txn="9b1f03aa5c7e2d41")
             assert (status, headers["etag"], body) == (200, '"e1"', b"bytes")
-            [asked] = edge.asked
-            assert asked.id == "9b1f03aa5c7e2d41"
-            told = asked.fields
-            assert (told["queue"], told["path"], told["blk"]) == ("video-parts", "7f3a9c21e0b4d655", "3")
-            assert told["miss"] == ORIGIN and 0 < int(told["budget"]) <= 2000
-            assert "uniq" not in told
+            [requested] = edge.asked
+            assert requested.id == "9b1f03aa5c7e2d41"
+            reported = requested.fields
+            assert (reported["queue"], reported["path"], reported["blk"]) == (
+                "video-parts",
+                "7f3a9c21e0b4d655",
+                "3",
+            )
+            assert reported["miss"] == ORIGIN and 0 < int(reported["budget"]) <= 2000
+            assert "uniq" not in reported
             await router_process.ask("sheet-submit", body=b"signed", X_Txn_Key="aad3d43f3c9565f6")
             assert (edge.asked + origin.asked)[-1].fields["uniq"] == "aad3d43f3c9565f6"
             assert (await router_process.ask(X_Txn_Key="a,b"))[0] == 400
             edge.asked = edge.asked[:1]
-            edge.answer = lambda asked: data(asked, b"", "unchanged")
+            edge.answer = lambda requested: data(requested, b"", "unchanged")
             status, headers, body = await router_process.ask(If_None_Match='"e1"')
             assert (status, headers["etag"], body) == (304, '"e1"', b"")
             assert edge.asked[1].fields["mine"] == "e1"
@@ -68,30 +72,34 @@
 
 @with_trio
 async def test_current_is_what_a_box_named(tmp_path: Path) -> None:
-    """A client's copy is called current only if a box named that copy to this doorman, not another one."""
+    """A client's copy is called current only if a cache named that copy to this router, not another one."""
     named = "e2"
     async with trio.open_nursery() as nursery:
 
-        def answer(asked: Asked) -> ScriptedReply:
-            return data(asked, b"", "unchanged", entity=named) if "mine" in asked.fields else data(asked)
+        def answer(requested: Asked) -> ScriptedReply:
+            return (
+                data(requested, b"", "unchanged", entity=named)
+                if "mine" in requested.fields
+                else data(requested)
+            )
 
-        edge, origin = [await box.open(nursery) for box in fleet(answer)]
+        edge, origin = [await cache.open(nursery) for cache in fleet(answer)]
         async with platform(tmp_path, [edge, origin], flow=1e6) as router_process:
             assert (await router_process.ask(If_None_Match='"made-up"'))[0] not in (200, 304)
             named = "e1"
             assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
             assert (await router_process.ask())[0] == 200  # a copy of our own from now on
-            asked = len(edge.asked) + len(origin.asked)
+            requested = len(edge.asked) + len(origin.asked)
             assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
             status, headers, body = await router_process.ask(If_None_Match='"made-up"')
             assert (status, headers["etag"], body) == (200, '"e1"', b"bytes")
-            assert len(edge.asked) + len(origin.asked) == asked
+            assert len(edge.asked) + len(origin.asked) == requested
         nursery.cancel_scope.cancel()
 
 
-def old(asked: Asked) -> bytes:
+def old(requested: Asked) -> bytes:
     """A copy past all that its class allows."""
-    return data(asked, issued=str(int(time.time() * 1000) - 60_000))
+    return data(requested, issued=str(int(time.time() * 1000) - 60_000))
 
 
 @pytest.mark.parametrize(
@@ -113,8 +121,8 @@
 async def test_bad_answers(tmp_path: Path, cls: str, answer: Callable[[Asked], bytes], good: bool) -> None:
     """What can't be read, is cut or too old is never served; the largest object is."""
     async with trio.open_nursery() as nursery:
-        boxes = [await box.open(nursery) for box in fleet(answer)]
-        async with platform(tmp_path, boxes) as router_process:
+        caches = [await cache.open(nursery) for cache in fleet(answer)]
+        async with platform(tmp_path, caches) as router_process:
             status, headers, _ = await router_process.ask(cls)
             assert (status == 200) is good
             assert "retry-after" in headers or status != 503
@@ -123,7 +131,7 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "runs", "status"),
+    ("command", "runs", "status"),
     [
         ("data", 1, 200),
         ("failed", 1, 502),
@@ -134,24 +142,32 @@
     ],
 )
 @with_trio
-async def test_submit(tmp_path: Path, word: str, runs: int, status: int) -> None:
+async def test_submit(tmp_path: Path, command: str, runs: int, status: int) -> None:
     """A submit is sent again, or refused, only after a proof that it never ran."""
 
-    def answer(asked: Asked) -> ScriptedReply:
-        return data(asked, b"", word) if word not in ("", "cut") else b"x" if word == "cut" else None
+    def answer(requested: Asked) -> ScriptedReply:
+        return (
+            data(requested, b"", command)
+            if command not in ("", "cut")
+            else b"x"
+            if command == "cut"
+            else None
+        )
 
     async with trio.open_nursery() as nursery:
-        boxes = [await box.open(nursery) for box in fleet(answer)]
-        async with platform(tmp_path, boxes) as router_process:
+        caches = [await cache.open(nursery) for cache in fleet(answer)]
+        async with platform(tmp_path, caches) as router_process:
             found, headers, _ = await router_process.ask("sheet-submit", body=b"signed" * 8000, ttl=700)
-            asked = boxes[0].asked + boxes[1].asked
-            assert found == (504 if not word else status)
-            assert len(asked) <= runs and asked[0].body == b"signed" * 8000
+            requested = caches[0].asked + caches[1].asked
+            assert found == (504 if not command else status)
+            assert len(requested) <= runs and requested[0].body == b"signed" * 8000
             assert "retry-after" in headers or found != 503
             # The same id again is another try of what was refused, and else a repeat that must not run.
-            again = await router_process.ask("sheet-submit", body=b"signed" * 8000, ttl=700, txn=asked[0].id)
+            again = await router_process.ask(
+                "sheet-submit", body=b"signed" * 8000, ttl=700, txn=requested[0].id
+            )
             assert again[0] == (503 if found == 503 else 409)
-            assert found == 503 or len(boxes[0].asked + boxes[1].asked) == len(asked)
+            assert found == 503 or len(caches[0].asked + caches[1].asked) == len(requested)
         nursery.cancel_scope.cancel()
 
 
@@ -203,8 +219,8 @@
 ) -> None:
     """A fault of the client's has an answer of its own, and the next client is served."""
     async with trio.open_nursery() as nursery:
-        boxes = [await box.open(nursery) for box in fleet()]
-        async with platform(tmp_path, boxes) as router_process:
+        caches = [await cache.open(nursery) for cache in fleet()]
+        async with platform(tmp_path, caches) as router_process:
             assert (await router_process.send(method, path, headers, body))[0] == status
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
                 await stream.send_all(b"\x16\x03\x01 no HTTP\r\n\r\n")
@@ -235,9 +251,9 @@
 )
 @with_trio
 async def test_bad_clients(tmp_path: Path, sent: str, status: bytes) -> None:
-    """Each gets its error or a close within 3 s of connecting, and nothing of it reaches a box."""
+    """Each gets its error or a close within 3 s of connecting, and nothing of it reaches a cache."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await box.open(nursery) for box in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in fleet()]
         async with platform(tmp_path, [edge, origin]) as router_process:
             with trio.fail_after(3):
                 async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
@@ -254,8 +270,8 @@
 async def test_silent_crowd(tmp_path: Path) -> None:
     """More silent connections than descriptors, and a usual client that stays keeps its connection."""
     async with trio.open_nursery() as nursery:
-        boxes = [await box.open(nursery) for box in fleet()]
-        async with platform(tmp_path, boxes, sockets=64) as router_process:
+        caches = [await cache.open(nursery) for cache in fleet()]
+        async with platform(tmp_path, caches, sockets=64) as router_process:
             usual = await trio.open_tcp_stream("127.0.0.1", router_process.port)
             for _ in range(2):
                 await usual.send_all(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -272,11 +288,13 @@
 async def test_no_connection_free(tmp_path: Path) -> None:
     """With work in hand on every connection that descriptors allow, one more is refused, not closed."""
     async with trio.open_nursery() as nursery:
-        boxes = [await Box(f"s-0000000{n}", answer=lambda asked: None).open(nursery) for n in range(1, 7)]
-        async with platform(tmp_path, boxes, sockets=64) as router_process, trio.open_nursery() as clients:
+        caches = [
+            await Box(f"s-0000000{n}", answer=lambda requested: None).open(nursery) for n in range(1, 7)
+        ]
+        async with platform(tmp_path, caches, sockets=64) as router_process, trio.open_nursery() as clients:
             for n in range(25):
                 clients.start_soon(functools.partial(router_process.ask, obj=f"{n:016x}", ttl=5000))
-            while len({asked.id for box in boxes for asked in box.asked}) < 25:
+            while len({requested.id for cache in caches for requested in cache.asked}) < 25:
                 await trio.sleep(0.01)
             status, headers, _ = await router_process.ask()
             assert status == 503 and headers["connection"] == "close"
@@ -286,9 +304,9 @@
 
 @with_trio
 async def test_client_leaves(tmp_path: Path) -> None:
-    """A client that leaves takes its work back from the box."""
+    """A client that leaves takes its work back from the cache."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await box.open(nursery) for box in fleet(lambda asked: None)]
+        edge, origin = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
         async with platform(tmp_path, [edge, origin]) as router_process:
             async with trio.open_nursery() as client:
                 client.start_soon(router_process.ask)
@@ -300,9 +318,9 @@
 
 @with_trio
 async def test_refused_connect(tmp_path: Path) -> None:
-    """A refused connection proves that nothing ran, also of a submit: another box gets it."""
+    """A refused connection proves that nothing ran, also of a submit: another cache gets it."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await box.open(nursery) for box in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in fleet()]
         other = await Box("s-00000002").open(nursery)
         await edge.close()
         async with platform(tmp_path, [edge, other, origin]) as router_process:
@@ -314,9 +332,9 @@
 
 @with_trio
 async def test_mute_machine(tmp_path: Path) -> None:
-    """A machine that is cut off lets no connection come up; another box serves in time."""
+    """A machine that is cut off lets no connection come up; another cache serves in time."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await box.open(nursery) for box in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in fleet()]
         with socket.socket() as unresponsive, contextlib.ExitStack() as full:
             unresponsive.bind(("127.0.0.1", 0))
             unresponsive.listen(0)
@@ -339,7 +357,7 @@
     [
         ("video-parts", b"", False, 200),
         ("video-parts", b"%b data - 900\r\nxyz\r\n", False, 200),
-        ("video-parts", b"", True, 504),  # a box that lives may take its time
+        ("video-parts", b"", True, 504),  # a cache that lives may take its time
         ("sheet-submit", b"", False, 502),  # it may have run
     ],
 )
@@ -347,13 +365,13 @@
 async def test_mute_connection(tmp_path: Path, cls: str, part: bytes, alive: bool, status: int) -> None:
     """A connection that stays open and says nothing more is given up; a read goes by another, in time."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await box.open(nursery) for box in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in fleet()]
         edge.alive = origin.alive = alive
 
-        def once(asked: Asked) -> ScriptedReply:
+        def once(requested: Asked) -> ScriptedReply:
             if len(edge.asked) + len(origin.asked) > 1 and not alive:
-                return data(asked)
-            return part % asked.id.encode() if part else None
+                return data(requested)
+            return part % requested.id.encode() if part else None
 
         edge.answer = origin.answer = once
         # Only an unanswered PING ends the connection before the request's own end, however slow the machine:
@@ -375,24 +393,24 @@
 
 @with_trio
 async def test_spread(tmp_path: Path) -> None:
-    """What is open at a box stands on several connections: one that ends takes no more than its part."""
+    """What is open at a cache stands on several connections: one that ends takes no more than its part."""
     async with trio.open_nursery() as nursery:
-        boxes = [await box.open(nursery) for box in fleet(lambda asked: None)]
-        async with platform(tmp_path, boxes) as router_process, trio.open_nursery() as clients:
+        caches = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
+        async with platform(tmp_path, caches) as router_process, trio.open_nursery() as clients:
             for n in range(16):
                 clients.start_soon(router_process.ask, "video-parts", f"{n:016x}")
-                await boxes[0].until(lambda n=n: len(boxes[0].asked) > n)  # type: ignore[misc]
-            assert boxes[0].most < 12
+                await caches[0].until(lambda n=n: len(caches[0].asked) > n)  # type: ignore[misc]
+            assert caches[0].most < 12
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_reused_address(tmp_path: Path) -> None:
-    """A new box at a gone one's address is another box."""
+    """A new cache at a gone one's address is another cache."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
-        edge, origin = [await box.open(nursery) for box in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in fleet()]
         new = Box("s-00000005")
         new.port = edge.port
         async with platform(tmp_path, [edge, origin], log) as router_process:
@@ -407,10 +425,10 @@
 
 @with_trio
 async def test_drain_and_log(tmp_path: Path) -> None:
-    """A drained box gets nothing new and is no source; the log is asked from the last number held."""
+    """A drained cache gets nothing new and is no source; the log is asked from the last number held."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
-        edge, origin = [await box.open(nursery) for box in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in fleet()]
         other = await Box("s-00000002").open(nursery)
         async with platform(tmp_path, [edge, other, origin], log) as router_process:
             # The answer to a purge shows that the frames before it were taken in.
@@ -435,7 +453,7 @@
     """SIGHUP moves to the new log address, numbers going on; a bad file leaves the old one in force."""
     async with trio.open_nursery() as nursery:
         log, other = await Log().open(nursery), await Log().open(nursery)
-        edge, origin = [await box.open(nursery) for box in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in fleet()]
         path = tmp_path / "config.json"
         async with platform(tmp_path, [edge, origin], log) as router_process:
             await log.tell(2, 2, record(edge, 0))
@@ -444,7 +462,9 @@
             path.write_bytes(good[:-1])
             router_process.process.send_signal(signal.SIGHUP)
             await router_process.says(b"the old configuration stays in force")
-            edge.answer = lambda asked: None  # a request stays open meanwhile; its answer fails if it is lost
+            edge.answer = lambda requested: (
+                None
+            )  # a request stays open meanwhile; its answer fails if it is lost
             async with trio.open_nursery() as client:
                 client.start_soon(router_process.ask)
                 await edge.until(lambda: bool(edge.asked))
@@ -462,7 +482,7 @@
 async def test_known_purge(tmp_path: Path) -> None:
     """A purge that is known from the start bounds the age of a copy, by object and by group."""
     async with trio.open_nursery() as nursery:
-        boxes = [await box.open(nursery) for box in fleet()]
+        caches = [await cache.open(nursery) for cache in fleet()]
         now = int(time.time() * 1000)
         purges: list[dict[str, Any]] = [
             {"object": "00000000000000aa", "time": now - 500},
@@ -470,12 +490,12 @@
         ]
         # However long the start takes, both purges still matter then.
         lasting = {"FamilyInfo": {**SETTINGS["FamilyInfo"], "GoneEverywhereS": 60.0}}
-        async with platform(tmp_path, boxes, purged=purges, settings=lasting) as router_process:
+        async with platform(tmp_path, caches, purged=purges, settings=lasting) as router_process:
             for obj, purged in (("00000000000000aa", now - 500), ("00000000000000bb", now - 3000)):
-                seen = len(boxes[0].asked)
+                seen = len(caches[0].asked)
                 await router_process.ask("video-parts", obj)
                 latest = time.time() * 1000 - purged
-                age = int(boxes[0].asked[seen].fields["within"])
+                age = int(caches[0].asked[seen].fields["within"])
                 # A purge known at the start may count as later by what the start took, never as earlier.
                 assert now - purged - TICK_MS - 1 <= age <= latest
         nursery.cancel_scope.cancel()
@@ -485,19 +505,19 @@
 async def test_sigterm(tmp_path: Path) -> None:
     """After SIGTERM it answers what still comes, finishes what it has taken, and exits 0."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await box.open(nursery) for box in fleet(lambda asked: None)]
+        edge, origin = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
         async with platform(tmp_path, [edge, origin]) as router_process:
             found: list[int] = []
 
-            async def ask() -> None:
+            async def request() -> None:
                 found.append((await router_process.ask())[0])
 
             async with trio.open_nursery() as clients:
-                clients.start_soon(ask)
+                clients.start_soon(request)
                 await edge.until(lambda: bool(edge.asked))
                 router_process.process.send_signal(signal.SIGTERM)
                 edge.answer = data
-                clients.start_soon(ask)
+                clients.start_soon(request)
                 await edge.until(lambda: len(edge.asked) > 1)
                 # The first one's client is served by the next attempt, or told that it failed: never cut off.
             assert await router_process.process.wait() == 0
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -1,4 +1,4 @@
-"""The board's two ways of waiting, and that the platform's doorman waits in one flat epoll."""
+"""The board's two ways of waiting, and that the platform's router waits in one flat epoll."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
 
 @with_trio
 async def test_no_epoll_waits_for_another(tmp_path: Path) -> None:
-    """Where an epoll in an epoll is told nothing, the doorman would never hear of a client."""
+    """Where an epoll in an epoll is told nothing, the router would never hear of a client."""
     async with trio.open_nursery() as nursery:
-        boxes = [await box.open(nursery) for box in (Box("s-00000001"), Box("s-00000009", "origin"))]
-        async with platform(tmp_path, boxes) as router_process:
+        caches = [await cache.open(nursery) for cache in (Box("s-00000001"), Box("s-00000009", "origin"))]
+        async with platform(tmp_path, caches) as router_process:
             assert (await router_process.ask())[0] == 200
             assert nested(router_process.process.pid) == []
         nursery.cancel_scope.cancel()
@@ -61,7 +61,7 @@
     ours, theirs = socket.socketpair()
     came: list[bytes] = []
     poller.add(ours.fileno(), lambda _: came.append(ours.recv(9)))
-    with SignalWatcher(poller, signal.SIGUSR1) as told, trio.fail_after(20):
+    with SignalWatcher(poller, signal.SIGUSR1) as reported, trio.fail_after(20):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(poller.run)
             start = time.monotonic()
@@ -71,7 +71,7 @@
             while not came:
                 await trio.sleep(0.01)
             os.kill(os.getpid(), signal.SIGUSR1)
-            await told.next()
+            await reported.next()
             nursery.cancel_scope.cancel()
     assert came == [b"bytes"]
     ours.close()
@@ -82,25 +82,25 @@
     """A try to connect that took the number of a client's closed socket passed for one that had come up."""
     poller = Poller(16)
     pairs = [socket.socketpair() for _ in range(2)]
-    told: list[str] = []
+    reported: list[str] = []
     fresh: list[socket.socket] = []
 
     def end_the_other(mine: int) -> None:
-        told.append("old")
+        reported.append("old")
         other = pairs[1 - mine][0]
         number = other.fileno()
         poller.remove(number)
         other.close()
         fresh.append(socket.socket())  # takes the lowest number free: that of the one just closed
         assert fresh[0].fileno() == number
-        poller.add(number, lambda _: told.append("new"))
+        poller.add(number, lambda _: reported.append("new"))
 
     for mine, (ours, theirs) in enumerate(pairs):
         poller.add(ours.fileno(), partial(lambda mine, _: end_the_other(mine), mine))
         theirs.send(b"!")
     poller.turn()
-    assert told[:1] == ["old"] and told.count("old") == 1
-    assert "new" not in told
+    assert reported[:1] == ["old"] and reported.count("old") == 1
+    assert "new" not in reported
     for sock in (*fresh, *(sock for pair in pairs for sock in pair)):
         sock.close()
 
@@ -110,7 +110,7 @@
     """The handler that leaves in order stayed on, and whoever asked again had to wait for it."""
     async with trio.open_nursery() as nursery:
         origin = await Box("s-00000009", "origin").open(nursery)
-        unresponsive = await Box("s-00000001", answer=lambda asked: None).open(nursery)
+        unresponsive = await Box("s-00000001", answer=lambda requested: None).open(nursery)
         async with platform(tmp_path, [unresponsive, origin]) as router_process:
             client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
             await client.send_all(
--- a/tests/test_portal_settings.py
+++ b/tests/test_portal_settings.py
@@ -1,6 +1,6 @@
 """Hard cases of the second site for one decision module: weights that are told roughly.
 
-Its settings: boxes tell no notes, parents and origin are fill sources alone, nobody may be probed.
+Its settings: caches tell no notes, parents and origin are fill sources alone, nobody may be probed.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 def site(location: str = "north-1", **changes: Any) -> dict[str, Any]:
     """What the site's settings say."""
-    told: dict[str, Any] = {
+    reported: dict[str, Any] = {
         "location": location,
         "locations": ZONES,
         "classes": (VIDEO, PAGE, SUBMIT),
@@ -66,7 +66,7 @@
         "sibling_sources": SiblingSources.ANY,
         "status_reporting": CacheStatusReporting.SILENT,
     }
-    return told | changes
+    return reported | changes
 
 
 def boxes(location: str = "north-1", edges: int = 3) -> list[Member]:
@@ -78,7 +78,7 @@
 
 
 class Branch:
-    """One gateway of a branch in virtual time: its requests, and attempts that end as a test says."""
+    """One router of a branch in virtual time: its requests, and attempts that end as a test says."""
 
     def __init__(self, seed: int = 1, **changes: Any) -> None:
         self.harness = RouterHarness(boxes(), seed, 100.0, **site(**changes))
@@ -114,7 +114,7 @@
         self.harness.now = until
 
     def take(self, actions: list[Action]) -> None:
-        """Carry out what the gateway decides."""
+        """Carry out what the router decides."""
         for action in actions:
             if isinstance(action, Fetch):
                 self.fetch(action)
@@ -155,7 +155,7 @@
 
 def overload(role: str, factor: float) -> float:
     """A server starts whose weight is told so many times too high; at most how much of what pushes it over it
-    is sent by the gateways that may use it, at 400 requests a second."""
+    is sent by the routers that may use it, at 400 requests a second."""
     harnesses = [RouterHarness(boxes(), n, 100.0, **site()) for n in range(2)]
     known = next(m for m in boxes() if m.server == f"{role}-0")
     true, rule = known.weight / factor, EDGE_COLD if role == "edge" else PARENT_COLD
@@ -179,7 +179,7 @@
 @pytest.mark.parametrize("factor", [1.0, 1.5, 2.0])
 @pytest.mark.parametrize("role", ["edge", "parent"])
 def test_a_cold_server_whose_weight_is_told_too_high_is_not_pushed_over(role: str, factor: float) -> None:
-    """All gateways that may use it stay under the rule by its true weight."""
+    """All routers that may use it stay under the rule by its true weight."""
     assert overload(role, factor) <= 1.0
 
 
@@ -195,10 +195,10 @@
     """A cache or two of three bear half of what is told: their crowds differ, yet all is served."""
     branch = Branch()
     true = {f"edge-{number}": width for number, width in enumerate(widths)}
-    hand: dict[str, list[float]] = {name: [] for name in true}
+    in_flight: dict[str, list[float]] = {name: [] for name in true}
 
     def end(fetch: Fetch) -> tuple[float, AttemptResult]:
-        now, mine = branch.harness.now, hand[fetch.server]
+        now, mine = branch.harness.now, in_flight[fetch.server]
         mine[:] = [until for until in mine if until > now]
         wait = 0.38 * max(1.0, (len(mine) + 1) / true[fetch.server])
         mine.append(now + wait)
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -1,7 +1,7 @@
-"""The protocol of a site whose writes carry a key, whose boxes report their load and may not be probed.
+"""The protocol of a site whose writes carry a key, whose caches report their load and may not be probed.
 
 Each test stands for a sentence of the protocol that no other test holds (docs/design/protocol-tests.md): the
-real program with clients, boxes and a change log that these tests play, or the codec alone where no peer can
+real program with clients, caches and a change log that these tests play, or the codec alone where no peer can
 see it.
 """
 
@@ -127,9 +127,14 @@
 @pytest.mark.parametrize(("lines", "again"), [(["X-Second-Try: 1"], True), ([], False)])
 def test_what_a_request_tells_of_itself_reaches_the_module(lines: list[str], again: bool) -> None:
     """Class, object, part, group, mark of a retry, and the time left: its own, less our way back."""
-    told = arrival_of(*lines)
-    assert (told.cls, told.obj, told.part, told.group) == ("video-parts", "7f3a9c21e0b4d655", 3, 17)
-    assert told.is_retry is again and not told.is_write and 1.48 < told.time_left < 1.5
+    reported = arrival_of(*lines)
+    assert (reported.cls, reported.obj, reported.part, reported.group) == (
+        "video-parts",
+        "7f3a9c21e0b4d655",
+        3,
+        17,
+    )
+    assert reported.is_retry is again and not reported.is_write and 1.48 < reported.time_left < 1.5
 
 
 FIRST_TRY = (
@@ -143,10 +148,10 @@
 async def test_key_is_that_of_the_request_over_tries_and_restarts(
     tmp_path: Path, restart: signal.Signals | None
 ) -> None:
-    """The box hears one key from every attempt at a write: repeats, the client's retry, and a new process."""
+    """Every attempt at a write bears one key: repeats, the client's retry, and those of a new process."""
     port = free_port()
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: None)
+        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
         start = functools.partial(platform, tmp_path, [edge, origin], settings=site(), port=port)
         async with start() as router:
             async with await trio.open_tcp_stream("127.0.0.1", port) as client:
@@ -163,9 +168,9 @@
             edge.answer = data
             async with start() as router:
                 assert (await retry(router))[0] == 200
-        assert {asked.fields["uniq"] for asked in edge.asked} == {KEY}
-        assert {asked.body for asked in edge.asked} == {b"signed"}
-        assert {asked.id for asked in edge.asked} == {"1" * 16, "2" * 16}
+        assert {requested.fields["uniq"] for requested in edge.asked} == {KEY}
+        assert {requested.body for requested in edge.asked} == {b"signed"}
+        assert {requested.id for requested in edge.asked} == {"1" * 16, "2" * 16}
         nursery.cancel_scope.cancel()
 
 
@@ -183,30 +188,34 @@
 
     async with trio.open_nursery() as nursery:
 
-        def fail(asked: Asked) -> bytes:
+        def fail(requested: Asked) -> bytes:
             sent.append(time.time())
-            time.sleep(0.1)  # this box alone is slow: four sends would take 0.4 s
-            return data(asked, b"", "failed")
+            time.sleep(0.1)  # this cache alone is slow: four sends would take 0.4 s
+            return data(requested, b"", "failed")
 
-        boxes = await fleet(nursery, EDGE, OTHER, ORIGIN, answer=fail)
-        async with platform(tmp_path, boxes, settings=settings) as router:
+        caches = await fleet(nursery, EDGE, OTHER, ORIGIN, answer=fail)
+        async with platform(tmp_path, caches, settings=settings) as router:
             status, _, _ = await router.ask("sheet-submit", body=b"signed", ttl=2500, X_Txn_Key=KEY)
-            asked = boxes[0].asked + boxes[1].asked
-            assert status in (502, 503) and len(asked) > 1
-            assert {(a.id, a.fields["uniq"], a.body) for a in asked} == {(asked[0].id, KEY, b"signed")}
+            requested = caches[0].asked + caches[1].asked
+            assert status in (502, 503) and len(requested) > 1
+            assert {(a.id, a.fields["uniq"], a.body) for a in requested} == {
+                (requested[0].id, KEY, b"signed")
+            }
             assert sent[-1] - sent[0] < 0.45
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_a_keyed_write_without_its_key_is_sent_once(tmp_path: Path) -> None:
-    """No box could drop a repeat: whatever may have run is over, and its client is told that it failed."""
+    """No cache could drop a repeat: whatever may have run is over, and its client is told that it failed."""
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE, OTHER, ORIGIN, answer=lambda asked: data(asked, b"", "failed"))
-        async with platform(tmp_path, boxes, settings=site()) as router:
+        caches = await fleet(
+            nursery, EDGE, OTHER, ORIGIN, answer=lambda requested: data(requested, b"", "failed")
+        )
+        async with platform(tmp_path, caches, settings=site()) as router:
             status, _, _ = await router.ask("sheet-submit", body=b"signed", ttl=2500)
             assert status == 502
-            assert len([asked for box in boxes for asked in box.asked]) == 1
+            assert len([requested for box in caches for requested in box.asked]) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -216,7 +225,7 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "cls", "told"),
+    ("limits", "cls", "reported"),
     [
         ({}, "video-parts", "500"),
         ({}, "sheet-pages", "300"),  # the module's own time, below the bound
@@ -227,14 +236,16 @@
 )
 @with_trio
 async def test_refusal_tells_how_long_to_stay_away(
-    tmp_path: Path, limits: dict[str, Any], cls: str, told: str | None
+    tmp_path: Path, limits: dict[str, Any], cls: str, reported: str | None
 ) -> None:
     """In milliseconds, as the module says, bounded by what clients honour; nothing where they honour none."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: data(asked, b"", "full"))
+        edge, origin = await fleet(
+            nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, b"", "full")
+        )
         async with platform(tmp_path, [edge, origin], settings=site(**limits)) as router:
             status, headers, _ = await router.ask(cls)
-            assert status == 503 and throttle(headers) == told
+            assert status == 503 and throttle(headers) == reported
         nursery.cancel_scope.cancel()
 
 
@@ -243,15 +254,15 @@
 async def test_refusal_of_the_door_itself_is_bounded_too(tmp_path: Path, allowed: bool) -> None:
     """All connections have work in hand: who comes then is refused, with no more than clients honour."""
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, *(f"s-0000000{n}" for n in range(1, 7)), answer=lambda asked: None)
+        caches = await fleet(nursery, *(f"s-0000000{n}" for n in range(1, 7)), answer=lambda requested: None)
         settings = site(RetryAfter=allowed)
         async with (
-            platform(tmp_path, boxes, sockets=64, settings=settings) as router,
+            platform(tmp_path, caches, sockets=64, settings=settings) as router,
             trio.open_nursery() as clients,
         ):
             for n in range(25):
                 clients.start_soon(functools.partial(router.ask, obj=f"{n:016x}", ttl=5000))
-            while len({asked.id for box in boxes for asked in box.asked}) < 25:
+            while len({requested.id for box in caches for requested in box.asked}) < 25:
                 await trio.sleep(0.01)
             status, headers, _ = await router.ask()
             assert status == 503 and throttle(headers) == ("500" if allowed else None)
@@ -259,10 +270,10 @@
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize(("most", "told"), [(0.5, True), (0.0, False)])
+@pytest.mark.parametrize(("most", "reported"), [(0.5, True), (0.0, False)])
 @pytest.mark.parametrize("waits", [0.0, 0.123, 0.5, 7.0, 1e6])
 def test_refusal_of_a_queue_that_stands(
-    monkeypatch: pytest.MonkeyPatch, most: float, told: bool, waits: float
+    monkeypatch: pytest.MonkeyPatch, most: float, reported: bool, waits: float
 ) -> None:
     """Worded without the request's being read: the time to stay away is bounded, and whole milliseconds."""
     settings, _ = read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})
@@ -271,8 +282,8 @@
     head = front._refusal(time.time()).partition(b"\r\n\r\n")[0].decode()
     lines = dict(line.split(": ") for line in head.split("\r\n")[1:])
     assert int(lines["Retry-After"]) >= 1
-    assert ("X-Throttle-Ms" in lines) is told
-    assert not told or min(1000 * waits, 500) <= int(lines["X-Throttle-Ms"]) <= 500
+    assert ("X-Throttle-Ms" in lines) is reported
+    assert not reported or min(1000 * waits, 500) <= int(lines["X-Throttle-Ms"]) <= 500
 
 
 def test_refusals_worded_in_advance_follow_new_settings() -> None:
@@ -297,7 +308,7 @@
 ) -> None:
     """A failure is not harmless to try again, and no header of a refusal may say so."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: None)
+        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
         async with platform(tmp_path, [edge, origin], settings=site()) as router:
             found, headers, _ = await router.send(
                 "GET", path, {"X-Txn": "1" * 16, "X-Ttl-Ms": str(ttl), "X-Shard": "17"}
@@ -322,7 +333,7 @@
         nursery.cancel_scope.cancel()
 
 
-# The router to boxes
+# The router to caches
 
 
 ATTEMPT = Fetch("q0", EDGE, 1.0, EDGE, keep=0)
@@ -352,14 +363,14 @@
     """What is not wished is left out; times are cut to milliseconds, never up, nor to what means none."""
     arrival = Arrival("q0", 1.0, "video-parts", "7f3a9c21e0b4d655", 3)
     line = encode_get("1" * 16, arrival, fetch, 0.9999, age, "", b"")
-    word, name, told, length = line.decode().split()
-    assert (word, name, length) == ("GET", "1" * 16, "0") and line.endswith(b" 0\r\n\r\n")
+    command, name, reported, length = line.decode().split()
+    assert (command, name, length) == ("GET", "1" * 16, "0") and line.endswith(b" 0\r\n\r\n")
     usual = {"queue": "video-parts", "path": "7f3a9c21e0b4d655", "blk": "3", "budget": "999"}
-    assert dict(pair.split("=") for pair in told.split(",")) == usual | fields | within
+    assert dict(pair.split("=") for pair in reported.split(",")) == usual | fields | within
 
 
 def answered(text: str) -> CacheResponse:
-    """One answer of a box, by its fields."""
+    """One answer of a cache, by its fields."""
     [answer] = Parser(Limits()).feed(f"a1 data {text} 0\r\n\r\n".encode())
     return answer
 
@@ -388,7 +399,7 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "cache_status"),
+    ("command", "cache_status"),
     [
         ("hit", CacheStatus.HIT),
         ("filled", CacheStatus.FILLED),
@@ -404,9 +415,9 @@
         ("", CacheStatus.UNKNOWN),
     ],
 )
-def test_detail(word: str, cache_status: CacheStatus) -> None:
+def test_detail(command: str, cache_status: CacheStatus) -> None:
     """Each word has the number that the simulator gives it; none, and one not known, tell nothing."""
-    assert answered(f"detail={word}").cache_status is cache_status
+    assert answered(f"detail={command}").cache_status is cache_status
     assert list(CacheStatus).index(cache_status) == cache_status.value
 
 
@@ -421,7 +432,7 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "told"),
+    ("result", "reported"),
     [
         (AttemptResult.OK, {"cache_status": CacheStatus.FILLED_BY_ORIGIN, "delay": 0.07}),
         (AttemptResult.ERROR, {"cache_status": CacheStatus.SOURCE_FAILED, "delay": 0.09}),
@@ -430,12 +441,12 @@
     ],
 )
 def test_what_an_answer_tells_reaches_the_module(
-    monkeypatch: pytest.MonkeyPatch, result: AttemptResult, told: dict[str, Any]
+    monkeypatch: pytest.MonkeyPatch, result: AttemptResult, reported: dict[str, Any]
 ) -> None:
     """Cache status, time waited for the source and load report, with every verdict."""
     settings, _ = read_settings({**SETTINGS, **site()})
     placed: list[Attempt] = []
-    heard: list[Outcome] = []
+    received: list[Outcome] = []
 
     def place(attempt: Attempt) -> bool:
         placed.append(attempt)
@@ -443,35 +454,35 @@
 
     def decide(event: Event, now: float) -> list[Action]:
         if isinstance(event, Outcome):
-            heard.append(event)
+            received.append(event)
         return [Fetch("q0", EDGE, 1.0, ORIGIN)] if isinstance(event, Arrival) else []
 
     core = RequestEngine(settings, 1, Limits(), place)
     monkeypatch.setattr(core._router, "handle", decide)
     core.submit(PendingRequest(Arrival("q0", 1.0, "video-parts", "7f3a9c21e0b4d655"), time.time() + 1.0))
-    core.report(placed[0], AttemptReply(result, 0.1, **told))
-    [outcome] = heard
+    core.report(placed[0], AttemptReply(result, 0.1, **reported))
+    [outcome] = received
     assert (outcome.result, outcome.wait) == (result, 0.1)
-    assert outcome.cache_status is told.get("cache_status", CacheStatus.UNKNOWN)
-    assert outcome.first_byte == told.get("delay", 0.0) and outcome.report == told.get("report", ())
+    assert outcome.cache_status is reported.get("cache_status", CacheStatus.UNKNOWN)
+    assert outcome.first_byte == reported.get("delay", 0.0) and outcome.report == reported.get("report", ())
 
 
 @pytest.mark.parametrize(
     "use", ["", "x0", "x0:nan", "x0:-1", "x0:7.5", "x0:1e999", ":;:;", "inflight:1;x0:0.5"]
 )
-@pytest.mark.parametrize("word", ["data", "full"])
+@pytest.mark.parametrize("command", ["data", "full"])
 @with_trio
-async def test_odd_report_spoils_no_answer(tmp_path: Path, use: str, word: str) -> None:
+async def test_odd_report_spoils_no_answer(tmp_path: Path, use: str, command: str) -> None:
     """Whatever the report says, what it came with counts, and its connection stays."""
     async with trio.open_nursery() as nursery:
 
-        def tell(asked: Asked) -> bytes:
-            return data(asked, b"bytes" if word == "data" else b"", word, use=use)
+        def notify(requested: Asked) -> bytes:
+            return data(requested, b"bytes" if command == "data" else b"", command, use=use)
 
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=tell)
+        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=notify)
         async with platform(tmp_path, [edge, origin], settings=site()) as router:
             found = [(await router.ask(obj=f"{n:016x}"))[0] for n in range(3)]
-            assert found == [200 if word == "data" else 503] * 3
+            assert found == [200 if command == "data" else 503] * 3
             assert edge.links == 1 and edge.ended == 0
         nursery.cancel_scope.cancel()
 
@@ -480,7 +491,7 @@
 async def test_report_that_comes_too_late_is_passed_over(tmp_path: Path) -> None:
     """An answer after its budget, with its report, serves nobody; the next is served on that connection."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: None)
+        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
         async with platform(tmp_path, [edge, origin], settings=site(MaxAttempts=1)) as router:
             assert (await router.ask(ttl=300))[0] == 504
             await edge.say(1, data(edge.asked[0], use="inflight:1;x0:0.5"))
@@ -494,7 +505,7 @@
 async def test_no_more_streams_than_a_connection_carries(tmp_path: Path) -> None:
     """A third request on a connection for two goes by another; past all connections it goes nowhere."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: None)
+        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
         async with (
             platform(tmp_path, [edge, origin], settings=site(StreamsPerConn=2)) as router,
             trio.open_nursery() as clients,
@@ -513,7 +524,7 @@
     """Four requests on one connection, answered last first: each client gets the bytes meant for it."""
     async with trio.open_nursery() as nursery:
 
-        def hold(asked: Asked) -> ScriptedReply:
+        def hold(requested: Asked) -> ScriptedReply:
             if len(edge.asked) < 4:
                 return None
             return b"".join(data(one, one.fields["path"].encode()) for one in reversed(edge.asked))
@@ -522,12 +533,12 @@
         found: dict[str, bytes] = {}
         async with platform(tmp_path, [edge, origin], settings=site()) as router:
 
-            async def ask(obj: str) -> None:
+            async def request(obj: str) -> None:
                 found[obj] = (await router.ask(obj=obj))[2]
 
             async with trio.open_nursery() as clients:
                 for n in range(4):
-                    clients.start_soon(ask, f"{n:016x}")
+                    clients.start_soon(request, f"{n:016x}")
             assert len(found) == 4 and all(body == obj.encode() for obj, body in found.items())
             assert edge.links == 1
         nursery.cancel_scope.cancel()
@@ -536,8 +547,8 @@
 class Tap:
     """A connection whose incoming bytes are kept."""
 
-    def __init__(self, stream: trio.SocketStream, heard: bytearray) -> None:
-        self._stream, self._heard = stream, heard
+    def __init__(self, stream: trio.SocketStream, received: bytearray) -> None:
+        self._stream, self._heard = stream, received
         self.send_all, self.aclose = stream.send_all, stream.aclose
 
     async def receive_some(self, most: int) -> bytes:
@@ -548,7 +559,7 @@
 
 
 class Tapped(Box):
-    """A box that keeps all that it is sent."""
+    """A cache that keeps all that it is sent."""
 
     heard = bytearray()
 
@@ -560,9 +571,9 @@
 @pytest.mark.parametrize("allowed", [True, False])
 @with_trio
 async def test_probes_only_where_they_are_allowed(tmp_path: Path, allowed: bool) -> None:
-    """A box silent for long is asked whether it lives; where that is not allowed, nothing like it is sent."""
+    """A cache silent for long is probed; where probes are not allowed, none is sent."""
     async with trio.open_nursery() as nursery:
-        edge = await Tapped(EDGE, answer=lambda asked: None).open(nursery)
+        edge = await Tapped(EDGE, answer=lambda requested: None).open(nursery)
         (origin,) = await fleet(nursery, ORIGIN)
         async with platform(tmp_path, [edge, origin], settings=site(MayProbe=allowed)) as router:
             assert (await router.ask(ttl=1800))[0] == 504
@@ -580,7 +591,7 @@
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, parent, origin = await fleet(nursery, EDGE, PARENT, ORIGIN)
-        edge.answer = lambda asked: data(asked, b"", "full")
+        edge.answer = lambda requested: data(requested, b"", "full")
         async with platform(tmp_path, [edge, parent, origin], log, settings=site()) as router:
             if how == "down":
                 await edge.close()
@@ -601,8 +612,8 @@
         async with platform(tmp_path, [edge, parent, origin], settings=site()) as router:
             for n in range(4):
                 assert (await router.ask("sheet-submit", f"{n:016x}", b"signed", X_Txn_Key=KEY))[0] == 200
-            assert {asked.fields["miss"] for asked in edge.asked} == {ORIGIN}
-            assert not any("prio" in asked.fields for asked in edge.asked)
+            assert {requested.fields["miss"] for requested in edge.asked} == {ORIGIN}
+            assert not any("prio" in requested.fields for requested in edge.asked)
         nursery.cancel_scope.cancel()
 
 
@@ -632,14 +643,14 @@
         log = await Log().open(nursery)
         named: list[tuple[float, str, str]] = []
 
-        def answer(asked: Asked, box: str) -> bytes:
-            named.append((time.time(), box, asked.fields.get("miss", "")))
-            return data(asked)
+        def answer(requested: Asked, box: str) -> bytes:
+            named.append((time.time(), box, requested.fields.get("miss", "")))
+            return data(requested)
 
-        boxes = await fleet(nursery, EDGE, OTHER, NEXT_PARENT, PARENT, ORIGIN)
-        for box in boxes:
+        caches = await fleet(nursery, EDGE, OTHER, NEXT_PARENT, PARENT, ORIGIN)
+        for box in caches:
             box.answer = functools.partial(answer, box=box.id)
-        async with platform(tmp_path, boxes, log, settings=site()) as router:
+        async with platform(tmp_path, caches, log, settings=site()) as router:
 
             async def ask_on(first: int, until: Callable[[], bool]) -> None:
                 n = first
@@ -650,16 +661,16 @@
             def uses(since: float, until: float) -> int:
                 return sum(since <= at < until and name in (box, source) for at, box, source in named)
 
-            told = math.inf
+            reported = math.inf
             async with trio.open_nursery() as clients:
                 for first in range(4):
-                    clients.start_soon(ask_on, first, lambda: time.time() > told + 1.0)
+                    clients.start_soon(ask_on, first, lambda: time.time() > reported + 1.0)
                 while not uses(0.0, math.inf):
                     await trio.sleep(0.01)
-                told = time.time()
-                await log.tell(2, 2, record(next(box for box in boxes if box.id == name), state))
-            assert uses(told + 0.25, math.inf) == 0
-            assert sum(at >= told + 0.25 for at, _, _ in named) > 10
+                reported = time.time()
+                await log.tell(2, 2, record(next(box for box in caches if box.id == name), state))
+            assert uses(reported + 0.25, math.inf) == 0
+            assert sum(at >= reported + 0.25 for at, _, _ in named) > 10
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_purge_wave.py
+++ b/tests/test_purge_wave.py
@@ -50,10 +50,10 @@
     world, copies = World(site, policy), Counter[str]()
     provide = world.origin.provide
 
-    def count(ask: CacheRequest, oldest: float, stream: Stream) -> None:
-        if ask.cls is VIDEO and PURGE_AT <= world.queue.now - START < PURGE_AT + WATCHED:
-            copies[ask.copy] += 1
-        provide(ask, oldest, stream)
+    def count(request: CacheRequest, oldest: float, stream: Stream) -> None:
+        if request.cls is VIDEO and PURGE_AT <= world.queue.now - START < PURGE_AT + WATCHED:
+            copies[request.copy] += 1
+        provide(request, oldest, stream)
 
     world.origin.provide = count  # type: ignore[method-assign]
     return world.run(), copies
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -59,19 +59,19 @@
 
 
 def replaced(path: Path, **changes: Any) -> None:
-    """Write a configuration with changes; "az" moves all boxes to the zones of other settings."""
+    """Write a configuration with changes; "az" moves all caches to the zones of other settings."""
     raw = orjson.loads(path.read_bytes())
     raw |= changes
     if raw["settings"]["Dcs"] != SETTINGS["Dcs"]:
-        for box in raw["known"]["results"][0]["fleet"]["targets"]:
-            box["az"] = raw["settings"]["Locality"]
+        for cache in raw["known"]["results"][0]["fleet"]["targets"]:
+            cache["az"] = raw["settings"]["Locality"]
     path.write_bytes(orjson.dumps(raw))
 
 
 async def put(router_process: Program, cls: str) -> int:
     """A write of any class."""
-    told = {"X-Txn": "7" * 16, "X-Ttl-Ms": "1500", "X-Shard": "1"}
-    return (await router_process.send("PUT", f"/api/v2/{cls}/7f3a9c21e0b4d655/n-0", told, b"signed"))[0]
+    reported = {"X-Txn": "7" * 16, "X-Ttl-Ms": "1500", "X-Shard": "1"}
+    return (await router_process.send("PUT", f"/api/v2/{cls}/7f3a9c21e0b4d655/n-0", reported, b"signed"))[0]
 
 
 @with_trio
@@ -83,14 +83,14 @@
         log, path = await Log().open(nursery), tmp_path / "config.json"
         async with platform(tmp_path, [edge, origin], log) as router_process:
             assert (await router_process.ask())[0] == 200 and await put(router_process, "sheet-submit") == 200
-            edge.answer = lambda asked: held.append(asked)
+            edge.answer = lambda requested: held.append(requested)
             found: list[int] = []
 
-            async def ask() -> None:
+            async def request() -> None:
                 found.append((await router_process.ask())[0])
 
             async with trio.open_nursery() as clients:
-                clients.start_soon(ask)
+                clients.start_soon(request)
                 await edge.until(lambda: bool(held))
                 replaced(path, settings=OTHERS)
                 router_process.process.send_signal(signal.SIGHUP)
@@ -106,7 +106,7 @@
             assert found == [200]
             # An id whose submit may have run stays known whatever the settings.
             assert await put(router_process, "filing") == 409
-            assert len([a for box in (edge, origin) for a in box.asked if a.id == "7" * 16]) == 1
+            assert len([a for cache in (edge, origin) for a in cache.asked if a.id == "7" * 16]) == 1
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
         nursery.cancel_scope.cancel()
 
@@ -144,7 +144,7 @@
 
 
 def test_nothing_learned_or_promised_under_old_settings_is_left() -> None:
-    """Widths, blame and budgets begin anew; an old request keeps its rules and gets no cold box."""
+    """Widths, blame and budgets begin anew; an old request keeps its rules and gets no cold cache."""
     old = RequestClass(
         "a", latency_objective=0.5, time_limit=5.0, idempotency=Idempotency.NON_IDEMPOTENT, uncached=True
     )
@@ -163,8 +163,8 @@
     core.post(Purged("thing", -1, 0.5))
     first = core._router
     first.servers["box"].width, first.servers["box"].ejected_until = 9.0, now + 60
-    ask = PendingRequest(Arrival("q", 4.0, "a", "thing", is_write=True), now + 4.0, "1" * 16)
-    core.submit(ask)
+    request = PendingRequest(Arrival("q", 4.0, "a", "thing", is_write=True), now + 4.0, "1" * 16)
+    core.submit(request)
     core.reconfigure(
         Settings("here", ("here",), (new,), may_bypass_caches=True, max_attempts=4), 1, Limits(), 0.0, None
     )
@@ -179,7 +179,7 @@
     core.report(
         placed[0], AttemptReply(AttemptResult.ERROR, 0.1)
     )  # by the class of now it could be tried again
-    assert len(placed) == 1 and ask.is_finished and not core._earlier
+    assert len(placed) == 1 and request.is_finished and not core._earlier
     for _ in range(9):  # with no request in hand, settings that follow one another leave nothing behind
         core.reconfigure(core.settings, 1, Limits(), 0.0, None)
     assert not core._earlier
@@ -189,14 +189,14 @@
 async def test_signal_while_the_old_file_is_read_is_not_lost(tmp_path: Path) -> None:
     """The file is replaced, and SIGHUP sent, between the start and the first look at signals."""
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery)
-        async with platform(tmp_path, boxes):
+        caches = await fleet(nursery)
+        async with platform(tmp_path, caches):
             old = (tmp_path / "config.json").read_bytes()
         replaced(tmp_path / "config.json", settings=OTHERS)
         new, pipe = (tmp_path / "config.json").read_bytes(), tmp_path / "pipe"
         os.mkfifo(pipe)
 
-        async def tell(text: bytes, pid: int = 0) -> None:
+        async def notify(text: bytes, pid: int = 0) -> None:
             """Be read once, by whoever opens the file; a signal goes to them while they read."""
 
             def write() -> None:
@@ -212,10 +212,10 @@
             started(), cwd=ROOT, env={**os.environ, "GW_CONFIG": str(pipe)}, stderr=subprocess.DEVNULL
         )
         try:
-            await tell(old, process.pid)
+            await notify(old, process.pid)
             while str(pipe) in opened(process.pid):  # else it would read on into the new one
                 await trio.sleep(0.005)
-            await tell(new)
+            await notify(new)
             while True:
                 with contextlib.suppress(OSError):
                     if (await Program(process, port, bytearray()).ask("plates"))[0] == 200:
@@ -246,8 +246,8 @@
 async def test_signal_before_the_program_is_one(tmp_path: Path) -> None:
     """SIGHUP as soon as there is a process of ours, long before its first line: it starts all the same."""
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery)
-        async with platform(tmp_path, boxes):
+        caches = await fleet(nursery)
+        async with platform(tmp_path, caches):
             pass
         path = tmp_path / "config.json"
         port = int(orjson.loads(path.read_bytes())["listen"].partition(":")[2])
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,6 +1,6 @@
 """What ends something, and who is owed what then: the real program, each race forced by the peers.
 
-The doorman stands still (SIGSTOP) while a peer does two things that must meet, so that it finds both done.
+The router stands still (SIGSTOP) while a peer does two things that must meet, so that it finds both done.
 """
 
 from __future__ import annotations
@@ -61,9 +61,9 @@
     return [await Box(name, MODELS.get(name, "type-a"), answer).open(nursery) for name in names]
 
 
-def limits(**told: Any) -> dict[str, Any]:
+def limits(**reported: Any) -> dict[str, Any]:
     """Settings whose limits differ from the usual ones."""
-    return {"Limits": {**SETTINGS["Limits"], **told}}
+    return {"Limits": {**SETTINGS["Limits"], **reported}}
 
 
 def request(txn: str, cls: str = "video-parts", obj: str = "7f3a9c21e0b4d655") -> bytes:
@@ -76,7 +76,7 @@
 
 @contextlib.asynccontextmanager
 async def still(router_process: Program) -> AsyncIterator[None]:
-    """The doorman stands still, and finds all that was done meanwhile at once."""
+    """The router stands still, and finds all that was done meanwhile at once."""
     router_process.process.send_signal(signal.SIGSTOP)
     try:
         yield
@@ -136,16 +136,16 @@
     """Deadlines of 2 s: SIGKILL comes 2.7 s after SIGTERM, whatever a client's own patience."""
     classes = [{**c, "GiveUpS": 2.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: None)
-        async with platform(tmp_path, boxes, probe=True, settings={"Classes": classes}) as router_process:
+        caches = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
+        async with platform(tmp_path, caches, probe=True, settings={"Classes": classes}) as router_process:
             async with trio.open_nursery() as clients:
                 found: list[int] = []
 
-                async def ask() -> None:
+                async def send_request() -> None:
                     found.append((await router_process.ask(ttl=20_000))[0])
 
-                clients.start_soon(ask)
-                await boxes[0].until(lambda: bool(boxes[0].asked))
+                clients.start_soon(send_request)
+                await caches[0].until(lambda: bool(caches[0].asked))
                 router_process.process.send_signal(signal.SIGTERM)
                 with trio.move_on_after(2.7):
                     assert await router_process.process.wait() == 0
@@ -157,49 +157,49 @@
 @pytest.mark.parametrize("more", [b"", request("2" * 16), b"x" * 9_000])
 @with_trio
 async def test_left_before_its_request_was_read(tmp_path: Path, more: bytes) -> None:
-    """Request, what may come behind it, and the client's end stand unread together: no box hears of it."""
+    """Request, what may come behind it, and the client's end stand unread together: no cache hears of it."""
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, boxes) as router_process:
-            await router_process.ask()  # a connection to the box is up
+        caches = await fleet(nursery, EDGE, ORIGIN)
+        async with platform(tmp_path, caches) as router_process:
+            await router_process.ask()  # a connection to the cache is up
             async with still(router_process):
                 with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                     client.sendall(request("1" * 16) + more)
             assert (await router_process.ask(txn="3" * 16))[0] == 200
-            ids = [asked.id for box in boxes for asked in box.asked]
+            ids = [requested.id for cache in caches for requested in cache.asked]
             assert ids[1:] == ["3" * 16]
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_left_before_the_next_attempt(tmp_path: Path) -> None:
-    """A box's failure and the client's end come together: boxes are heard first, yet none is tried again."""
+    """A box's failure and the client's end come together: caches are heard first, yet none is tried again."""
     async with trio.open_nursery() as nursery:
         first: list[Asked] = []
 
-        def hold(asked: Asked) -> ScriptedReply:
-            first.append(asked)
-            heard.set()
+        def hold(requested: Asked) -> ScriptedReply:
+            first.append(requested)
+            received.set()
             return None
 
-        heard = trio.Event()
-        boxes = await fleet(nursery, EDGE, OTHER, ORIGIN)
-        async with platform(tmp_path, boxes) as router_process:
+        received = trio.Event()
+        caches = await fleet(nursery, EDGE, OTHER, ORIGIN)
+        async with platform(tmp_path, caches) as router_process:
             for n in range(8):  # connections are up
                 await router_process.ask(obj=f"{n:016x}")
-            for box in boxes:
-                box.answer = hold
+            for cache in caches:
+                cache.answer = hold
             with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                 client.sendall(request("1" * 16))
-                await heard.wait()
-                holder = next(box for box in boxes if first[0] in box.asked)
+                await received.wait()
+                holder = next(cache for cache in caches if first[0] in cache.asked)
                 async with still(router_process):
                     client.close()
                     await holder.say(first[0].link, data(first[0], b"", "failed"))
-            for box in boxes:
-                box.answer = data
+            for cache in caches:
+                cache.answer = data
             assert (await router_process.ask(txn="3" * 16))[0] == 200
-            assert [asked.id for box in boxes for asked in box.asked].count("1" * 16) == 1
+            assert [requested.id for cache in caches for requested in cache.asked].count("1" * 16) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -222,31 +222,31 @@
                 await router_process.ask("sheet-submit", body=b"x", ttl=300)  # both have been read by now
                 await late.tried()
                 await gone.aclose()
-                box = await trio.to_thread.run_sync(late.empty)
-                with box:
-                    found = await trio.to_thread.run_sync(box.recv, 65536)
+                cache = await trio.to_thread.run_sync(late.empty)
+                with cache:
+                    found = await trio.to_thread.run_sync(cache.recv, 65536)
             assert found.startswith(b"GET " + b"2" * 16) and b"1" * 16 not in found
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_second_answer_is_none_to_the_next_attempt(tmp_path: Path) -> None:
-    """A box says twice that a submit did not run, the second time after it was asked again: it runs once."""
+    """A cache says twice that a write did not run, the second time after a retry: it runs once."""
     runs: list[Asked] = []
     came: list[Asked] = []
 
-    def answer(asked: Asked) -> ScriptedReply:
-        came.append(asked)
+    def answer(requested: Asked) -> ScriptedReply:
+        came.append(requested)
         if len(came) == 1:
-            return data(asked, b"", "full")
-        runs.append(asked)
+            return data(requested, b"", "full")
+        runs.append(requested)
         if len(came) > 2:
-            return data(asked) + data(asked)
-        return data(asked, b"", "full" if asked.link == came[0].link else "data")
+            return data(requested) + data(requested)
+        return data(requested, b"", "full" if requested.link == came[0].link else "data")
 
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, ORIGIN, answer=answer)
-        async with platform(tmp_path, boxes) as router_process:
+        caches = await fleet(nursery, ORIGIN, answer=answer)
+        async with platform(tmp_path, caches) as router_process:
             status, _, _ = await router_process.ask("sheet-submit", body=b"signed")
             assert len(runs) == 1 and status == 200
             await router_process.ask("sheet-submit", body=b"signed")  # answered twice, for nothing
@@ -261,22 +261,22 @@
     async with trio.open_nursery() as nursery:
         ended = trio.Event()
 
-        def answer(asked: Asked) -> ScriptedReply:
-            if asked.id != "1" * 16:
-                return data(asked)
-            nursery.start_soon(drip, asked)
+        def answer(requested: Asked) -> ScriptedReply:
+            if requested.id != "1" * 16:
+                return data(requested)
+            nursery.start_soon(drip, requested)
             return None
 
-        async def drip(asked: Asked) -> None:
+        async def drip(requested: Asked) -> None:
             with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                await boxes[0].say(asked.link, data(asked, bytes(200_000))[:-190_000])
+                await caches[0].say(requested.link, data(requested, bytes(200_000))[:-190_000])
                 while True:
-                    await boxes[0].say(asked.link, b"x")
+                    await caches[0].say(requested.link, b"x")
                     await trio.sleep(0.02)
             ended.set()
 
-        boxes = await fleet(nursery, EDGE, answer=answer)
-        async with platform(tmp_path, boxes, settings={"Classes": classes}) as router_process:
+        caches = await fleet(nursery, EDGE, answer=answer)
+        async with platform(tmp_path, caches, settings={"Classes": classes}) as router_process:
             assert (await router_process.ask(txn="1" * 16, ttl=400))[0] in (503, 504)
             assert (await router_process.ask(ttl=900))[0] == 200  # not behind what drips
             await ended.wait()
@@ -291,35 +291,39 @@
         {**SETTINGS["Classes"][2], "Effect": "dedup", "WindowS": 0.5, "GiveUpS": 9.0},
     ]
 
-    def rank(server: str, obj: str) -> bytes:  # rendezvous hash, as the module ranks boxes of one weight
+    def rank(server: str, obj: str) -> bytes:  # rendezvous hash, as the module ranks caches of one weight
         return blake2b(f"{obj}/3/{server}".encode(), digest_size=8).digest()
 
     obj = next(o for o in (f"{n:016x}" for n in range(99)) if rank(EDGE, o) > rank(OTHER, o))
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: data(asked, b"", "failed"))
+        edge, origin = await fleet(
+            nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, b"", "failed")
+        )
         slow = Box(OTHER)
         with late_listener() as late:
             slow.port = late.port
             async with platform(
                 tmp_path, [edge, slow, origin], settings={**limits(DialTimeoutS=8.0), "Classes": classes}
             ) as router_process:
-                status, heard = 0, b""
+                status, received = 0, b""
 
-                async def ask() -> None:
+                async def send_request() -> None:
                     nonlocal status
-                    asked = router_process.ask("sheet-submit", obj, b"signed", ttl=8000, X_Txn_Key="2" * 16)
-                    status = (await asked)[0]
+                    requested = router_process.ask(
+                        "sheet-submit", obj, b"signed", ttl=8000, X_Txn_Key="2" * 16
+                    )
+                    status = (await requested)[0]
 
                 async with trio.open_nursery() as client:
-                    client.start_soon(ask)
+                    client.start_soon(send_request)
                     await edge.until(lambda: bool(edge.asked))
                     await late.tried()
-                    box = await trio.to_thread.run_sync(late.empty)  # after TCP's first wait, 1 s
+                    cache = await trio.to_thread.run_sync(late.empty)  # after TCP's first wait, 1 s
                 assert status in (502, 503)
-                box.setblocking(False)
-                with box, contextlib.suppress(BlockingIOError):
-                    heard = box.recv(65536)
-                assert not heard and len(edge.asked) == 1
+                cache.setblocking(False)
+                with cache, contextlib.suppress(BlockingIOError):
+                    received = cache.recv(65536)
+                assert not received and len(edge.asked) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -351,22 +355,22 @@
     # However slow the machine, none waits so long in the queue that it is refused for that.
     patient = [{**c, "TargetS": 20.0, "GiveUpS": 25.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, boxes, settings={"Classes": patient}) as router_process:
+        caches = await fleet(nursery, EDGE, ORIGIN)
+        async with platform(tmp_path, caches, settings={"Classes": patient}) as router_process:
             await router_process.ask()
             router_process.process.send_signal(signal.SIGTERM)
             await router_process.says(b"leaves")
             with contextlib.ExitStack() as clients:
                 async with still(router_process):
-                    asked = []
+                    requested = []
                     for n in range(40):
                         client = clients.enter_context(
                             socket.create_connection(("127.0.0.1", router_process.port))
                         )
                         client.sendall(request(f"{n:016x}").replace(b"3000", b"25000"))
-                        asked.append(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
+                        requested.append(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
                     await trio.sleep(Limits().leaving)  # by the doorman's clock it is time to shut
-                found = [await stream.receive_some(12) for stream in asked]
+                found = [await stream.receive_some(12) for stream in requested]
             assert found == [b"HTTP/1.1 200"] * 40
             assert await router_process.process.wait() == 0
         nursery.cancel_scope.cancel()
@@ -377,20 +381,20 @@
     """A request whose rest comes after all in hand was answered unserved is refused, and not sent on."""
     classes = [{**c, "GiveUpS": 1.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: None)
-        async with platform(tmp_path, boxes, probe=True, settings={"Classes": classes}) as router_process:
-            whole, half = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(2)]
+        caches = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
+        async with platform(tmp_path, caches, probe=True, settings={"Classes": classes}) as router_process:
+            complete, half = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(2)]
             router_process.process.send_signal(signal.SIGTERM)
             await router_process.says(b"leaves")
             text = request("1" * 16).replace(b"3000", b"9000")
             await half.send_all(text[:40])
-            await whole.send_all(text.replace(b"1" * 16, b"2" * 16))
-            assert (await whole.receive_some(12)) == b"HTTP/1.1 503"
-            asked = sum(len(box.asked) for box in boxes)
+            await complete.send_all(text.replace(b"1" * 16, b"2" * 16))
+            assert (await complete.receive_some(12)) == b"HTTP/1.1 503"
+            requested = sum(len(cache.asked) for cache in caches)
             await half.send_all(text[40:])
             assert (await half.receive_some(12)) == b"HTTP/1.1 503"
             assert await router_process.process.wait() == 0
-            assert sum(len(box.asked) for box in boxes) == asked
+            assert sum(len(cache.asked) for cache in caches) == requested
         nursery.cancel_scope.cancel()
 
 
@@ -447,7 +451,7 @@
 async def test_flood_behind_a_request_costs_it_nothing_but_the_connection(tmp_path: Path) -> None:
     """Two megabytes come behind a request in hand: none is kept, the one answer is given, then the end."""
     async with trio.open_nursery() as nursery:
-        (edge,) = await fleet(nursery, EDGE, answer=lambda asked: None)
+        (edge,) = await fleet(nursery, EDGE, answer=lambda requested: None)
         async with platform(tmp_path, [edge]) as router_process:
             before = resident(router_process)
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
@@ -463,7 +467,7 @@
             assert got.count(b"HTTP/1.1") == 1 and got.endswith(b"bytes")
             edge.answer = data
             assert (await router_process.ask())[0] == 200
-            assert [asked.id for asked in edge.asked].count("2" * 16) == 0
+            assert [requested.id for requested in edge.asked].count("2" * 16) == 0
             assert resident(router_process) - before < 1_000_000
             assert router_process.said.count(b"sends on and on behind its request") == 1
         nursery.cancel_scope.cancel()
@@ -479,12 +483,12 @@
 async def test_bad_answers_fill_no_log(tmp_path: Path) -> None:
     """Each of two hundred spoilt answers is no line of its own; how many were not told is."""
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: data(asked, issued="soon"))
-        async with platform(tmp_path, boxes) as router_process:
+        caches = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, issued="soon"))
+        async with platform(tmp_path, caches) as router_process:
             for n in range(200):
                 await router_process.ask(obj=f"{n:016x}", ttl=300)
-            told = router_process.said.count(b"answered with what can't be served")
-            assert sum(len(box.asked) for box in boxes) >= 200 and 0 < told <= 100
+            reported = router_process.said.count(b"answered with what can't be served")
+            assert sum(len(cache.asked) for cache in caches) >= 200 and 0 < reported <= 100
         nursery.cancel_scope.cancel()
 
 
@@ -503,16 +507,16 @@
 
 
 class SlowLog(Log):
-    """Says nothing for a while; then that the boxes are there."""
+    """Says nothing for a while; then that the caches are there."""
 
-    def __init__(self, seconds: float, boxes: list[Box]) -> None:
+    def __init__(self, seconds: float, caches: list[Box]) -> None:
         super().__init__()
-        self._seconds, self._boxes = seconds, boxes
+        self._seconds, self._boxes = seconds, caches
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self.since.append(int.from_bytes(await stream.receive_some(8), "big"))
         await trio.sleep(self._seconds)
-        entries = b"".join(record(box, 0) for box in self._boxes)
+        entries = b"".join(record(cache, 0) for cache in self._boxes)
         with contextlib.suppress(trio.BrokenResourceError):
             await stream.send_all((9 + len(entries)).to_bytes(4, "big") + bytes(7) + b"\x01\x01" + entries)
             await trio.sleep_forever()
@@ -520,10 +524,10 @@
 
 @with_trio
 async def test_log_that_is_slow_to_begin_is_not_asked_anew_for_ever(tmp_path: Path) -> None:
-    """Its first word takes 4 s on any connection, longer than a silence: the doorman is ready in 10 s."""
+    """Its first word takes 4 s on any connection, longer than a silence: the router is ready in 10 s."""
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE)
-        log = await SlowLog(4.0, boxes).open(nursery)
+        caches = await fleet(nursery, EDGE)
+        log = await SlowLog(4.0, caches).open(nursery)
         async with platform(tmp_path, [], log, known=False) as router_process:
             with trio.fail_after(10):
                 await ready(router_process)
@@ -541,8 +545,8 @@
 async def test_restarts_at_once_are_ready_in_time(tmp_path: Path) -> None:
     """Ten end and start together, discovery takes 2 s for its first word: nine are ready within 10 s."""
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE)
-        log = await SlowLog(2.0, boxes).open(nursery)
+        caches = await fleet(nursery, EDGE)
+        log = await SlowLog(2.0, caches).open(nursery)
         in_time: list[int] = []
 
         async def restart(place: int, folder: Path) -> None:
@@ -568,15 +572,15 @@
 async def test_left_before_its_head_was_whole(tmp_path: Path) -> None:
     """Half a head, then the end or a reset: nothing is sent on, and the next client is served."""
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, boxes) as router_process:
+        caches = await fleet(nursery, EDGE, ORIGIN)
+        async with platform(tmp_path, caches) as router_process:
             for reset in (False, True):
                 with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                     client.sendall(request("1" * 16)[:-2])
                     if reset:
                         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             assert (await router_process.ask(txn="3" * 16))[0] == 200
-            assert [asked.id for box in boxes for asked in box.asked] == ["3" * 16]
+            assert [requested.id for cache in caches for requested in cache.asked] == ["3" * 16]
             assert (await router_process.ask("no-such-class"))[0] == 404
             await router_process.says(b"a request that can't be served: no such class or object")
         nursery.cancel_scope.cancel()
@@ -588,8 +592,8 @@
     """The largest answers for clients who take next to nothing and go; the others get theirs whole."""
     body = bytes(range(256)) * 937
     async with trio.open_nursery() as nursery:
-        boxes = await fleet(nursery, EDGE, ORIGIN, answer=lambda asked: data(asked, body))
-        async with platform(tmp_path, boxes) as router_process:
+        caches = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, body))
+        async with platform(tmp_path, caches) as router_process:
             for n in range(1, 9):
                 with socket.socket() as client:
                     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -607,7 +611,7 @@
 @pytest.mark.parametrize("how", ["time", "drained", "gone", "source"])
 @with_trio
 async def test_connect_that_comes_too_late_brings_no_request(tmp_path: Path, how: str) -> None:
-    """Meanwhile the client's time is up, or the box or the fill's source was told to drain, or is gone."""
+    """Meanwhile the client's time is up, or the cache or the fill's source was told to drain, or is gone."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         parent, origin, other = await fleet(nursery, PARENT, ORIGIN, OTHER)
@@ -618,49 +622,49 @@
             async with platform(tmp_path, listed, log, settings=limits(DialTimeoutS=8.0)) as router_process:
                 found: list[int] = []
 
-                async def ask() -> None:
+                async def send_request() -> None:
                     ttl = 400 if how == "time" else 6000
                     found.append((await router_process.ask(txn="1" * 16, ttl=ttl))[0])
 
                 async with trio.open_nursery() as client:
-                    client.start_soon(ask)
+                    client.start_soon(send_request)
                     await late.tried()
                     if how != "time":
-                        told = {
+                        reported = {
                             "drained": record(slow, 1),
                             "gone": record(slow, 2),
                             "source": record(parent, 1) + record(origin, 1),
                         }[how]
-                        await log.tell(2, 2, told + record(other, 0))
+                        await log.tell(2, 2, reported + record(other, 0))
                         await log.cut()  # it has been taken in
                     else:
                         while not found:
                             await trio.sleep(0.01)
-                    box = await trio.to_thread.run_sync(late.empty)
-                with box:
-                    box.setblocking(False)
+                    cache = await trio.to_thread.run_sync(late.empty)
+                with cache:
+                    cache.setblocking(False)
                     with contextlib.suppress(BlockingIOError):
-                        assert b"GET" not in box.recv(65536)
+                        assert b"GET" not in cache.recv(65536)
                 assert found == [504 if how == "time" else 200 if how != "source" else found[0]]
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_resting_connections_give_way_to_those_needed(tmp_path: Path) -> None:
-    """More boxes than descriptors kept for them: all are used in turn."""
+    """More caches than descriptors kept for them: all are used in turn."""
     async with trio.open_nursery() as nursery:
         names = [f"s-000001{n:02x}" for n in range(24)]
-        boxes = await fleet(nursery, *names, ORIGIN)
-        async with platform(tmp_path, boxes, files=64) as router_process:
+        caches = await fleet(nursery, *names, ORIGIN)
+        async with platform(tmp_path, caches, files=64) as router_process:
             found = [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(200)]
-            assert found == [200] * 200 and all(box.asked for box in boxes[:-1])
-            assert sum(box.links for box in boxes) > 30
+            assert found == [200] * 200 and all(cache.asked for cache in caches[:-1])
+            assert sum(cache.links for cache in caches) > 30
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_connections_that_rest_end_before_the_box_ends_them(tmp_path: Path) -> None:
-    """The settings tell after how long a box closes them; we close sooner, and ask on a new one."""
+    """The settings tell after how long a cache closes them; we close sooner, and ask on a new one."""
     async with trio.open_nursery() as nursery:
         (edge,) = await fleet(nursery, EDGE)
         async with platform(tmp_path, [edge], settings=limits(KeepaliveS=0.6)) as router_process:
@@ -673,7 +677,7 @@
 
 @with_trio
 async def test_submit_crosses_the_end_of_a_connection_that_rested(tmp_path: Path) -> None:
-    """The box ends what rests in the moment in which a submit comes: it goes by another, and runs once."""
+    """The cache ends what rests in the moment in which a submit comes: it goes by another, and runs once."""
     async with trio.open_nursery() as nursery:
         (origin,) = await fleet(nursery, ORIGIN)
         async with platform(tmp_path, [origin]) as router_process:
@@ -685,7 +689,7 @@
                         await origin.end(origin.links)
                         await client.send_all(text[:-2] + b"Content-Length: 6\r\n\r\nsigned")
                     assert (await client.receive_some(12)) == b"HTTP/1.1 200"
-                assert [asked.id for asked in origin.asked].count(f"{n:016x}") == 1
+                assert [requested.id for requested in origin.asked].count(f"{n:016x}") == 1
         nursery.cancel_scope.cancel()
 
 
@@ -718,11 +722,11 @@
             async with platform(tmp_path, [slow], log, settings=limits(DialTimeoutS=8.0)) as router_process:
                 found: list[int] = []
 
-                async def ask() -> None:
+                async def send_request() -> None:
                     found.append((await router_process.ask())[0])
 
                 async with trio.open_nursery() as client:
-                    client.start_soon(ask)
+                    client.start_soon(send_request)
                     await late.tried()
                     await log.tell(2, 2, record(edge, 0))
                 assert found == [200]
@@ -731,7 +735,7 @@
 
 @with_trio
 async def test_no_descriptor_for_a_connect_is_no_fault_of_the_box(tmp_path: Path) -> None:
-    """The system lets us open no more: a request is refused, not cut off; the box is asked once it does."""
+    """The system lets us open no more: a request is refused, not cut off; the cache is asked once it does."""
     async with trio.open_nursery() as nursery:
         (edge,) = await fleet(nursery, EDGE)
         async with platform(tmp_path, [edge]) as router_process:
@@ -775,8 +779,10 @@
             then()
 
         body = name.encode() * 2_000_000
-        ask = PendingRequest(Arrival(name, 9.0, "a", "thing", is_write=True), now + 9, name, body=body)
-        return DispatchedAttempt(Attempt(ask, 0, Fetch(name, "box", left, "box"), now), report)
+        send_request = PendingRequest(
+            Arrival(name, 9.0, "a", "thing", is_write=True), now + 9, name, body=body
+        )
+        return DispatchedAttempt(Attempt(send_request, 0, Fetch(name, "box", left, "box"), now), report)
 
     link = CacheConnection(
         mine, poller, fleet_, limits, False, lambda _: None, lambda _: None, ConnectionQuota(9)
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -29,7 +29,7 @@
 
 
 def script(server: DnsServer, count: int = 4, ttl: int = 1) -> None:
-    """A site of so many boxes."""
+    """A site of so many caches."""
     server.put(SRV, "SRV", *(f"0 8 {7100 + n} box-{n}.branch.test." for n in range(count)), ttl=ttl)
     for number in range(count):
         server.put(f"box-{number}.branch.test", "A", f"127.0.1.{number % 250 + 1}", ttl=ttl)
@@ -67,10 +67,10 @@
         assert not (await another.look_up(SRV, Kind.SRV)).beside
         for number in range(3):
             await another.addresses(f"box-{number}.branch.test")
-        assert len(server.asked) == 5 and all(asked.edns for asked in server.asked)
-        assert len({asked.id for asked in server.asked}) == 5
+        assert len(server.asked) == 5 and all(requested.edns for requested in server.asked)
+        assert len({requested.id for requested in server.asked}) == 5
         # The kernel draws ports among 28,000: two of five are the same once in 3,000 runs, three never.
-        assert len({asked.port for asked in server.asked}) >= 4
+        assert len({requested.port for requested in server.asked}) >= 4
         assert any(a.name != a.name.lower() for a in server.asked)
         nursery.cancel_scope.cancel()
 
@@ -98,7 +98,7 @@
         try:
             found = await resolver.look_up(SRV, Kind.SRV)
             assert set(found.targets) == set(TARGETS)
-            assert any(asked.tcp for asked in server.asked) is tcp or fault is Fault.SPOOFED
+            assert any(requested.tcp for requested in server.asked) is tcp or fault is Fault.SPOOFED
         except LookUpFailed:
             # One that lies over TCP too is not believed there either; one bad datagram is waited out first.
             assert fault in (Fault.WRONG_ID, Fault.WRONG_NAME, Fault.WRONG_CASE, Fault.NOISE)
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("fault", [Fault.TCP_STALL, Fault.TCP_CUT, Fault.TCP_ENDLESS])
 @with_trio
 async def test_cut_and_no_tcp(fault: Fault) -> None:
-    """A truncated answer missing half the boxes, and no TCP: not used; the earlier one is, marked."""
+    """A truncated answer missing half the caches, and no TCP: not used; the earlier one is, marked."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
         script(server, ttl=0)
@@ -155,10 +155,10 @@
         with pytest.raises(LookUpFailed, match="no answer|no upstream"):
             await resolver.look_up(SRV, Kind.SRV)
         assert trio.current_time() - begun >= 0.1
-        asked = len(server.asked)
+        requested = len(server.asked)
         with pytest.raises(LookUpFailed):  # and is not put again for a moment
             await resolver.look_up(SRV, Kind.SRV)
-        assert len(server.asked) == asked
+        assert len(server.asked) == requested
         nursery.cancel_scope.cancel()
 
 
@@ -181,17 +181,17 @@
         resolver = made(nursery, server)
         found: list[object] = []
 
-        async def ask() -> None:
+        async def request() -> None:
             found.append(await resolver.look_up(SRV, Kind.SRV))
 
         async with trio.open_nursery() as askers:
             with trio.CancelScope() as leaving:
                 async with trio.open_nursery() as first:
-                    first.start_soon(ask)
+                    first.start_soon(request)
                     await trio.lowlevel.checkpoint()
                     leaving.cancel()
             for _ in range(50):
-                askers.start_soon(ask)
+                askers.start_soon(request)
         assert len(found) >= 50 and len(server.asked) == 1
         nursery.cancel_scope.cancel()
 
@@ -233,7 +233,7 @@
 
 @with_trio
 async def test_two_thousand() -> None:
-    """2,000 targets don't fit a datagram: they come over TCP, whole, and make 2,000 boxes."""
+    """2,000 targets don't fit a datagram: they come over TCP, whole, and make 2,000 caches."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
         server.put("_c._tcp.x", "SRV", *(f"0 8 80 b{n}.x." for n in range(2000)))
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -20,10 +20,10 @@
     return Arrival("q1", 3.0, cls, obj, part, group)
 
 
-def copies(**kept: int) -> ResponseCache:
+def copies(**retained: int) -> ResponseCache:
     """Room for 8,000 bytes, a link of 10,000 a second in flows of 1,000, and copies of so many bytes."""
     found = ResponseCache(settings(classes=(VIDEO, TILES)), 8000, 1000.0, 10_000.0, 0.05)
-    for name, size in kept.items():
+    for name, size in retained.items():
         found.keep(Copy(arrival(name), bytes(size), "e1", 100.0))
     return found
 
@@ -72,13 +72,13 @@
 
 
 def test_link() -> None:
-    """A full link of our own leaves requests to the boxes; telling that a copy holds takes little of it."""
+    """A full link of our own leaves requests to the caches; telling that a copy holds takes little of it."""
     found = copies(a=1000)
     served = sum(bool(found.find(arrival(), "", 101.0)) for _ in range(100))
     assert 5 <= served <= 20
     assert found.find(arrival(), "", 103.0)
-    told = sum(bool(found.find(arrival(), "e1", 201.0)) for _ in range(100))
-    assert told > served
+    reported = sum(bool(found.find(arrival(), "e1", 201.0)) for _ in range(100))
+    assert reported > served
 
 
 @with_trio
@@ -86,7 +86,7 @@
     """What was fetched for one request serves the next, until a purge is told."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
-        edge, origin = [await box.open(nursery) for box in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in fleet()]
         async with platform(tmp_path, [edge, origin], log, flow=100_000.0) as router_process:
             for _ in range(3):
                 assert (await router_process.ask())[::2] == (200, b"bytes")
--- a/tests/test_routing_settings.py
+++ b/tests/test_routing_settings.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "told"),
+    ("changes", "reported"),
     [
         ({"location": "nowhere"}, "location"),
         ({"classes": ()}, "classes"),
@@ -27,8 +27,8 @@
         ({"pace_kb_per_s": "fast"}, "pace_kb_per_s"),
     ],
 )
-def test_settings(changes: dict[str, Any], told: str) -> None:
-    with pytest.raises(ValueError, match=told):
+def test_settings(changes: dict[str, Any], reported: str) -> None:
+    with pytest.raises(ValueError, match=reported):
         settings(**changes)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each kept by one gateway alone."""
+"""The five rules, each kept by one router alone."""
 
 from __future__ import annotations
 
@@ -100,20 +100,20 @@
 
 @pytest.mark.parametrize(("role", "hub_locations"), [("edge", 1), ("parent", 1), ("parent", 6)])
 def test_cold_server_is_not_pushed_over_and_not_shut_for_its_ramp(role: str, hub_locations: int) -> None:
-    """All gateways together stay under the rule; half-way up the ramp the server has some work again."""
+    """All routers together stay under the rule; half-way up the ramp the server has some work again."""
     pools = [f"depot-{n}" for n in range(hub_locations)] + ["elsewhere"]
     hubs = (0, 1, 2, *[0] * hub_locations, 1)
     harnesses = [
         RouterHarness(
-            [replace(m, zone=depot if m.zone == "depot" else m.zone) for m in members()],
+            [replace(m, zone=cache if m.zone == "depot" else m.zone) for m in members()],
             seed=n,
-            location=depot,
+            location=cache,
             locations=("hub-a", "hub-b", "hub-c", *pools),
             hub_of=hubs,
             seats=(0, 0, 0, *[5] * len(pools)),
             router_count=5 * len(pools),
         )
-        for depot in pools
+        for cache in pools
         for n in range(5)
     ]
     spent: list[tuple[float, float]] = []
@@ -133,7 +133,7 @@
             if f"{role}-0" in (fetch.server, fetch.source):
                 assert (
                     role == "edge" or harness.router.settings.location != "elsewhere"
-                )  # its own hub's gateways alone
+                )  # its own hub's routers alone
                 spent.append((harness.now, 0.4))
         now = watched[0].now
         share = rule.share + (1 - rule.share) * min(1.0, (now - 100.0) / rule.ramp)
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -260,15 +260,15 @@
     (("Limits", "KeepaliveS"), "long", 'settings.Limits.KeepaliveS: "long": must be a number'),
     (("Limits", "MaxRetryAfterS"), {}, "settings.Limits.MaxRetryAfterS: {}: must be a number"),
 ]
-FAULT_NAMES = [told.partition(": must")[0] for _, _, told in FAULTS]
+FAULT_NAMES = [reported.partition(": must")[0] for _, _, reported in FAULTS]
 
 
-@pytest.mark.parametrize(("path", "value", "told"), FAULTS, ids=FAULT_NAMES)
-def test_fault_names_path_and_value(path: Path, value: object, told: str) -> None:
+@pytest.mark.parametrize(("path", "value", "reported"), FAULTS, ids=FAULT_NAMES)
+def test_fault_names_path_and_value(path: Path, value: object, reported: str) -> None:
     """One value that cannot be used is told with its path, itself, and what is allowed."""
     with pytest.raises(SettingsError) as fault:
         read_settings(changed(WITH_HUBS, (path, value)))
-    assert str(fault.value).startswith(told)
+    assert str(fault.value).startswith(reported)
     assert str(fault.value).startswith(fault.value.path)
 
 
@@ -289,18 +289,18 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "told"),
+    ("path", "value", "reported"),
     [
         (("Classes", 0, "TargetS"), -0.3, "settings.Classes[0].TargetS: -0.3: must be above 0"),
         (info("SecondTierKind"), 2, "settings.FamilyInfo.SecondTierKind: 2: no place in Skus"),
     ],
 )
-def test_platform_tells_the_same(path: Path, value: object, told: str) -> None:
+def test_platform_tells_the_same(path: Path, value: object, reported: str) -> None:
     """The platform's configuration fails with the same line."""
     raw = {"name": "n", "listen": "127.0.0.1:1", "settings": changed(WITHOUT_HUBS, (path, value))}
     with pytest.raises(ConfigError) as fault:
         parse(orjson.dumps(raw))
-    assert str(fault.value) == told
+    assert str(fault.value) == reported
 
 
 def test_all_that_is_told_is_read() -> None:
@@ -332,25 +332,25 @@
     assert kind_roles(WITH_HUBS) == {"relay": Role.PARENT, "vault": Role.ORIGIN}
 
 
-def fleet(told: Settings, hubs: tuple[str, ...]) -> list[Member]:
+def fleet(reported: Settings, hubs: tuple[str, ...]) -> list[Member]:
     """Caches of the own location, two parents in each named hub, and the origin."""
-    found = [Member(f"edge-{n}", told.location, weight=6.0) for n in range(3)]
+    found = [Member(f"edge-{n}", reported.location, weight=6.0) for n in range(3)]
     found += [Member(f"parent-{hub}-{n}", hub, Role.PARENT, weight=15.0) for hub in hubs for n in range(2)]
-    return [*found, Member("origin", told.locations[0], Role.ORIGIN, weight=30.0)]
+    return [*found, Member("origin", reported.locations[0], Role.ORIGIN, weight=30.0)]
 
 
 def started(raw: Json, hubs: tuple[str, ...] = ()) -> Router:
     """A Router by a settings object, told of its fleet."""
-    told = read_settings(raw)
-    router = Router(told, 5)
-    router.handle(Membership(MembershipKind.REMEMBERED, tuple(fleet(told, hubs))), 1.0)
+    reported = read_settings(raw)
+    router = Router(reported, 5)
+    router.handle(Membership(MembershipKind.REMEMBERED, tuple(fleet(reported, hubs))), 1.0)
     return router
 
 
 def asked(router: Router, cls: str, size_kb: float = 300.0) -> Fetch:
     """The one attempt of a request."""
-    ask = Arrival(f"q-{cls}", 1.5, cls, "thing", size_kb=size_kb)
-    return only(router.handle(ask, 1.0), Fetch)
+    request = Arrival(f"q-{cls}", 1.5, cls, "thing", size_kb=size_kb)
+    return only(router.handle(request, 1.0), Fetch)
 
 
 def test_no_hubs_and_no_parents() -> None:
@@ -412,9 +412,9 @@
 def test_no_probes(edits: list[tuple[Path, object]]) -> None:
     """Probes may be forbidden, without a price, or not told of at all."""
     raw = changed(WITH_HUBS, *edits)
-    told = read_settings(raw)
-    assert told.may_probe is (("Limits", "MayProbe") not in [path for path, _ in edits])
-    assert Limits().suited(told).idle_probe_after > 0
+    reported = read_settings(raw)
+    assert reported.may_probe is (("Limits", "MayProbe") not in [path for path, _ in edits])
+    assert Limits().suited(reported).idle_probe_after > 0
     assert asked(started(raw, ("north",)), "films").server.startswith("edge-")
 
 
@@ -509,14 +509,14 @@
 )
 
 
-def play(told: Settings, roles: dict[str, Role]) -> int:
+def play(reported: Settings, roles: dict[str, Role]) -> int:
     """Every kind of event, and each attempt answered, with all verdicts in turn; how many there were."""
-    router = Router(told, 3)
+    router = Router(reported, 3)
     members = [
-        *fleet(told, told.locations),
-        Member("young", told.location, weight=6.0, started_at=10.0),
-        Member("ahead", told.location, weight=6.0, started_at=10.5),
-        Member("young-parent", told.locations[0], Role.PARENT, weight=9.0, started_at=10.0),
+        *fleet(reported, reported.locations),
+        Member("young", reported.location, weight=6.0, started_at=10.0),
+        Member("ahead", reported.location, weight=6.0, started_at=10.5),
+        Member("young-parent", reported.locations[0], Role.PARENT, weight=9.0, started_at=10.0),
         Member("other", "elsewhere", next(iter(roles.values()), Role.EDGE), weight=0.0),
     ]
     router.handle(Membership(MembershipKind.REMEMBERED, tuple(members)), 10.1)
@@ -525,7 +525,7 @@
     count, now = 0, 10.1
     for number in range(24):
         now += 0.05
-        cls = [*told.classes][number % len(told.classes)].name
+        cls = [*reported.classes][number % len(reported.classes)].name
         size = 250.0 if number % 3 else 0.0
         pending += router.handle(
             Arrival(f"q{number}", 0.9, cls, f"o{number % 4}", number % 2, number % 3, size), now
@@ -555,7 +555,7 @@
                 pending += router.handle(TimerFired(timer.token), max(now, min(timer.at, now + 1.0)))
         router.handle(Purged("o1", -1, 0.1) if number % 2 else Purged("", 1, 0.1), now)
         router.handle(ClientDisconnected(f"q{number}"), now)
-    drained = Member("edge-0", told.location, state=ServerState.DRAINING)
+    drained = Member("edge-0", reported.location, state=ServerState.DRAINING)
     router.handle(Membership(MembershipKind.CHANGES, (drained,)), now)
     router.handle(Membership(MembershipKind.REJECTED), now)
     router.handle(Arrival("last", 0.9, "unknown class", "o9"), now)
@@ -577,13 +577,13 @@
     raw, path = spot
     mutated = changed(raw, (path, value))
     try:
-        told, roles = read_settings(mutated), kind_roles(mutated)
+        reported, roles = read_settings(mutated), kind_roles(mutated)
     except SettingsError as fault:
         assert str(fault).startswith(fault.path) and fault.path.startswith("settings")
         assert len(str(fault)) < 300 and str(fault).isprintable()
         return
-    Limits().suited(told).before_killed(told)
-    play(told, roles)
+    Limits().suited(reported).before_killed(reported)
+    play(reported, roles)
 
 
 def test_wire_text_of_any_shape_is_read_alike() -> None:
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -1,4 +1,4 @@
-"""What two hundred doormans do at one moment, in virtual time, without a socket that leads anywhere."""
+"""What two hundred routers do at one moment, in virtual time, without a socket that leads anywhere."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Clock(Timers):
-    """Timers of many doormans on one clock that a test moves."""
+    """Timers of many routers on one clock that a test moves."""
 
     def __init__(self) -> None:
         super().__init__(self.time)
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
-    """One clock for all that the doormans do."""
+    """One clock for all that the routers do."""
     found = Clock()
     monkeypatch.setattr(time, "time", found.time)
     return found
@@ -83,9 +83,11 @@
     monkeypatch.setattr(change_log, "Connector", NoDial)
     monkeypatch.setattr(NoDial, "tries", [])
     limits = Limits()
-    boxes: Any = None
+    caches: Any = None
     logs = [
-        ChangeLogClient(("127.0.0.1", 9), Site((), (), {}), limits, boxes, lambda _: None, boxes, clock, seed)
+        ChangeLogClient(
+            ("127.0.0.1", 9), Site((), (), {}), limits, caches, lambda _: None, caches, clock, seed
+        )
         for seed in range(200)
     ]
     for log in logs:
@@ -120,13 +122,13 @@
             return True
 
     nothing: Any = None
-    boxes = ConnectionPools(nothing, limits, nothing, nothing, nothing, clock)
+    caches = ConnectionPools(nothing, limits, nothing, nothing, nothing, clock)
     clock.run_to(clock.now + 10)
     assert clock.rung <= 25
-    box: Any = Busy()
-    boxes._peers["s-00000001"] = box
+    cache: Any = Busy()
+    caches._peers["s-00000001"] = cache
     attempt: Any = type("Attempt", (), {"fetch": type("Fetch", (), {"server": "s-00000001"})})
-    boxes.place(attempt)
+    caches.place(attempt)
     before = clock.rung
     clock.run_to(clock.now + 1)
     assert clock.rung - before >= 0.8 / limits.watch
@@ -137,7 +139,7 @@
 
 
 class MembershipView:
-    """Two hundred gateways in thirty-three locations of one hub: four caches each, twelve parents for all."""
+    """Two hundred routers in thirty-three locations of one hub: four caches each, twelve parents for all."""
 
     def __init__(self, cold: float, uneven: bool, shares: bool = True) -> None:
         self.random = random.Random(5)
@@ -215,7 +217,7 @@
 @pytest.mark.parametrize("uneven", [False, True])
 @pytest.mark.parametrize("cold", [0.0, 0.6])
 def test_what_is_cold_is_neither_pushed_over_nor_left_idle(cold: float, uneven: bool) -> None:
-    """One cache and one parent cold, or six in ten; equal loads, or some gateways with ten times others'."""
+    """One cache and one parent cold, or six in ten; equal loads, or some routers with ten times others'."""
     fleet = MembershipView(cold, uneven)
     assert fleet.run(118.0) == ""
     assert all(fleet.spent.values())
@@ -229,21 +231,26 @@
 def calls_at_a_cold_cache(
     sharers: int, weight: float, aim: float, work: float, known: int
 ) -> tuple[int, bool]:
-    """How many gateways that think they are `known` send it, and whether that was ever over the budget.
+    """How many routers that think they are `known` send it, and whether that was ever over the budget.
 
     Counted in calls, not in what each thinks they cost: over the N that the rule allows only chance, two
     roots of N and 2. Sizes vary and are not what the aims suggest, the cache may bear half of what is guessed
-    where nothing is told, and gateways restart, two or three a second, and forget what they have sent.
+    where nothing is told, and routers restart, two or three a second, and forget what they have sent.
     """
     draw = random.Random(1)
     cls = RequestClass("c", latency_objective=aim, time_limit=8.0, objective_stretch=2.0, in_parts=work > 0.3)
     sizes = [work * draw.lognormvariate(-0.18, 0.6) for _ in range(3000)]
-    cold, now, restart, told = Member("edge-0", "depot", weight=weight, started_at=100.0), 90.0, 100.5, False
+    cold, now, restart, reported = (
+        Member("edge-0", "depot", weight=weight, started_at=100.0),
+        90.0,
+        100.5,
+        False,
+    )
     others = [m for m in members(edges=4) if m.server != "edge-0"]
 
     def start(seed: int) -> RouterHarness:
         return RouterHarness(
-            [*others, *[cold] * told],
+            [*others, *[cold] * reported],
             seed,
             now,
             router_count=known,
@@ -273,8 +280,8 @@
                 ),
                 at,
             )
-        if now >= 100 and not told:
-            told = True
+        if now >= 100 and not reported:
+            reported = True
             for harness in harnesses:
                 harness.now = now
                 harness.tell([cold])
--- a/tests/test_simulated_caches.py
+++ b/tests/test_simulated_caches.py
@@ -281,9 +281,9 @@
 class Doubler(PlainPolicy):
     """Sends every safe request twice at once."""
 
-    def _arrive(self, ask: Arrival, now: float) -> list[Action]:
-        actions = super()._arrive(ask, now)
-        safe = self._requests.get(ask.request_id)
+    def _arrive(self, send_request: Arrival, now: float) -> list[Action]:
+        actions = super()._arrive(send_request, now)
+        safe = self._requests.get(send_request.request_id)
         again = [a for a in actions if isinstance(a, Fetch)] if safe and safe.cls is PAGE else []
         return [*actions, *again]
 
@@ -384,9 +384,13 @@
     class Late(PlainPolicy):
         """Refuses, then sends."""
 
-        def _arrive(self, ask: Arrival, now: float) -> list[Action]:
-            fetches = [a for a in super()._arrive(ask, now) if isinstance(a, Fetch)]
-            return [Fail(ask.request_id)] if self._settings.router_index else [Fail(ask.request_id), *fetches]
+        def _arrive(self, send_request: Arrival, now: float) -> list[Action]:
+            fetches = [a for a in super()._arrive(send_request, now) if isinstance(a, Fetch)]
+            return (
+                [Fail(send_request.request_id)]
+                if self._settings.router_index
+                else [Fail(send_request.request_id), *fetches]
+            )
 
     day = site()
     assert list(invariants.violations(day, play(day, Late))) == ["answered_once"]
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -80,13 +80,13 @@
 
 
 def test_same_actions_under_any_hash_seed() -> None:
-    asks = "".join(ASK.format(n=n) for n in range(300))
-    text = batch(1, launch()) + batch(2, asks)
+    requests = "".join(ASK.format(n=n) for n in range(300))
+    text = batch(1, launch()) + batch(2, requests)
     assert talk(text, "1").stdout == talk(text, "2").stdout != ""
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "reported"),
     [
         ("MARK TimeS=1 n=1\nINCOMING I=1 MsgId\n", "line 2: 'MsgId'"),
         ("INCOMING I=1\n", "line 1: 'INCOMING' outside"),
@@ -105,10 +105,10 @@
         (batch(1, launch(QuantumS=float("nan"))), "LAUNCH: settings.QuantumS: NaN: must be a finite number"),
     ],
 )
-def test_bad_input_gets_one_plain_line_and_no_half_reply(text: str, told: str) -> None:
+def test_bad_input_gets_one_plain_line_and_no_half_reply(text: str, reported: str) -> None:
     done = talk(text)
     assert done.returncode != 0
-    assert told in done.stderr and done.stderr.count("\n") == 1
+    assert reported in done.stderr and done.stderr.count("\n") == 1
     assert done.stdout == "" or done.stdout.endswith("EOR n=1\n")
 
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -81,7 +81,7 @@
     async def _turn(
         self, command: list[str], queue: list[list[str]] | None
     ) -> tuple[bytes, list[list[str]] | None]:
-        self.came.append([re.sub(r":loads:\d+$", ":loads:BUCKET", word) for word in command])
+        self.came.append([re.sub(r":loads:\d+$", ":loads:BUCKET", text) for text in command])
         return await super()._turn(command, queue)
 
 
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize(("place", "others"), [(NOWHERE, {EDGE, PARENT}), ("1700000200750-0", {PARENT})])
 def test_store_is_read_to_the_same_state(place: str, others: set[CacheDefinition]) -> None:
-    """A whole load, and a place behind the first entry of the log, give boxes, orders and purges."""
+    """A whole load, and a place behind the first entry of the log, give caches, orders and purges."""
     keys = stored_keys()
     keys["brackenlane:branch.example:pace"] = '{"asks": 5, "loads": 3.5}'  # the operator's to write
 
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sample", "kept"),
+    ("sample", "retained"),
     [
         ("last-list-2.json", KEPT),
         (
@@ -183,10 +183,12 @@
         ),  # knew neither place nor leaving nor purges
     ],
 )
-def test_last_list_is_read_to_the_same_state(sample: str, kept: snapshot.Snapshot, tmp_path: Path) -> None:
+def test_last_list_is_read_to_the_same_state(
+    sample: str, retained: snapshot.Snapshot, tmp_path: Path
+) -> None:
     """Boxes, lists, addresses, orders, place and purges, of each version."""
     path = Path(shutil.copy(DATA / sample, tmp_path))  # a copy, since one that can't be read is moved
-    assert snapshot.load(path) == kept
+    assert snapshot.load(path) == retained
 
 
 def test_last_list_is_written_the_same(tmp_path: Path) -> None:
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -53,9 +53,9 @@
         nursery.start_soon(trio.serve_listeners, self._hear, [listener])
         self._file.write_text(WORKER)
         port = listener.socket.getsockname()[1]
-        words = [self._process.shared.path, self._process.wake, port, self._busy]
+        arguments = [self._process.shared.path, self._process.wake, port, self._busy]
         self._process.popen = subprocess.Popen(
-            [sys.executable, str(self._file), *map(str, words)],
+            [sys.executable, str(self._file), *map(str, arguments)],
             pass_fds=[self._process.wake],
             env={**os.environ, "PYTHONPATH": str(Path(__file__).parent.parent)},
         )
@@ -87,8 +87,8 @@
     finally:
         worker.end()
     assert len(worker.said) == 3
-    for n, (heard, (own, monotonic, unix)) in enumerate(worker.said):
-        assert own == monotonic == heard  # what is sent is there at the same time
+    for n, (received, (own, monotonic, unix)) in enumerate(worker.said):
+        assert own == monotonic == received  # what is sent is there at the same time
         assert unix == pytest.approx(1e9 + own, abs=1e-6)
         assert 10.0 * n <= own <= 10.0 * n + (n + 1) * time_coordinator.STEP
 
@@ -114,7 +114,7 @@
         coordinator.run(main)
     finally:
         worker.end()
-    times = [heard for heard, _ in worker.said]
+    times = [received for received, _ in worker.said]
     assert times == pytest.approx([0.0, 35.0], abs=4 * time_coordinator.STEP)
 
 
@@ -145,10 +145,10 @@
 
 
 def test_invariants_find_lateness_in_virtual_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A doorman stands still, and the record doesn't say so: what it owes is found to be late."""
+    """A router stands still, and the record doesn't say so: what it owes is found to be late."""
 
-    async def stall(play: Scenario, step: Step) -> None:
-        process = play.routers[1].process
+    async def stall(run_scenario: Scenario, step: Step) -> None:
+        process = run_scenario.routers[1].process
         assert process
         process.send_signal(signal.SIGSTOP if step.do == "stop" else signal.SIGCONT)
 
@@ -158,7 +158,7 @@
 
 
 def _two_doormans(first: str, second: str) -> Script:
-    """Two doormans, and a step 1 and 4 s after the play's begin."""
+    """Two routers, and a step 1 and 4 s after the play's begin."""
     return read(
         'name = "t"\ndoormans = 2\nboxes = 2\nseconds = 6.0\nrate = 20.0\n'
         f'[[at]]\nsecond = 1.0\ndo = "{first}"\n[[at]]\nsecond = 4.0\ndo = "{second}"\n',
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -28,17 +28,17 @@
 ]
 
 
-@pytest.mark.parametrize(("word", "told"), [("silent", False), ("nominal", True)])
-def test_read(word: str, told: bool) -> None:
+@pytest.mark.parametrize(("command", "reported"), [("silent", False), ("nominal", True)])
+def test_read(command: str, reported: bool) -> None:
     """The settings say whether weights mean anything."""
-    assert settings_codec.read_settings({**SETTINGS, "Weights": word}).weights_known is told
+    assert settings_codec.read_settings({**SETTINGS, "Weights": command}).weights_known is reported
 
 
-@pytest.mark.parametrize(("told", "sent"), [(False, True), (True, False)])
+@pytest.mark.parametrize(("reported", "sent"), [(False, True), (True, False)])
 @pytest.mark.parametrize("cls", ["submit", "video"])
-def test_untold_weight(cls: str, told: bool, sent: bool) -> None:
+def test_untold_weight(cls: str, reported: bool, sent: bool) -> None:
     """A weight of 1 that tells nothing must not pass for a cache whose link bears one transfer."""
-    harness = RouterHarness(FLEET, weights_known=told, classes=(VIDEO, SUBMIT))
+    harness = RouterHarness(FLEET, weights_known=reported, classes=(VIDEO, SUBMIT))
     found = [
         action
         for n in range(6)
@@ -103,8 +103,8 @@
         )
     cold, plain = harness.router.servers["edge-1"], 4.0 * MARGIN * (0.18 + 0.82 * 10 / 18)
     cold.tokens = TokenBucket(0.0)
-    room = harness.router._slow_start_capacity(cold, harness.now)
-    assert room == pytest.approx(3 * plain * (5.0 if learned else 1.0))
+    capacity = harness.router._slow_start_capacity(cold, harness.now)
+    assert capacity == pytest.approx(3 * plain * (5.0 if learned else 1.0))
 
 
 def test_sizes_are_learned_by_object_and_means_by_the_first_answers() -> None:
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize(("seats", "ranks"), [(1, [1, 2]), (9, [1, 1])])
 def test_rank_of_what_is_asked_for_again(seats: int, ranks: list[int]) -> None:
-    """Of nine doormans each called known what it saw twice: copies that the others' could not push out."""
+    """Of nine routers each called known what it saw twice: copies that the others' could not push out."""
     harness = RouterHarness(seats=(0, 0, 0, seats))
     assert [harness.serve("clip").keep for _ in ranks] == ranks
 
