--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -33,7 +33,7 @@
     Policy,
     SrvRecord,
     SrvWatch,
-    box_id,
+    srv_cache_id,
 )
 from brackenlane.lab.bounds import at_least, at_most, conclude  # noqa: E402
 from brackenlane.lab.cache_servers import Behaviour, Seen, serve  # noqa: E402
@@ -61,7 +61,7 @@
     memory = 0.0
     for size in sizes:
         tracemalloc.start()
-        made = MembershipMerge(Policy(boxes=4 * size), [SrvWatch(SRV, "branch")])
+        made = MembershipMerge(Policy(caches=4 * size), [SrvWatch(SRV, "branch")])
         third = size // 3
         records = [SrvRecord(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 80, 0, 8) for n in range(size)]
         for origin, part in (
@@ -86,7 +86,7 @@
         drains = []
         for number in range(20):
             begun = time.perf_counter()
-            made.order(box_id(records[-30 - number].host, 80), OperatorOrder(True, 3.0, "b"), 3.0)
+            made.order(srv_cache_id(records[-30 - number].host, 80), OperatorOrder(True, 3.0, "b"), 3.0)
             drains.append(time.perf_counter() - begun)
         found[size] = sorted(took)[2]
         print(
@@ -123,8 +123,8 @@
     """One appliance, its DNS server and its caches."""
 
     def __init__(self, folder: Path, server: DnsServer, boxes: list[int], origin: int) -> None:
-        self.server, self.boxes = server, boxes
-        self.ids = [box_id(f"box-{n}.branch.test", port) for n, port in enumerate(boxes)]
+        self.server, self.caches = server, boxes
+        self.ids = [srv_cache_id(f"box-{n}.branch.test", port) for n, port in enumerate(boxes)]
         [self.http, self.dns] = free_ports(2)
         self.file = folder / "a.toml"
         head = appliance_file(self.http, self.dns, server.port, origin)
@@ -143,7 +143,7 @@
     def name(self, *numbers: int, priority: int = 0, ttl: int = 1) -> None:
         """Which caches SRV names."""
         self.server.put(
-            SRV, "SRV", *(f"{priority} 8 {self.boxes[n]} box-{n}.branch.test." for n in numbers), ttl=ttl
+            SRV, "SRV", *(f"{priority} 8 {self.caches[n]} box-{n}.branch.test." for n in numbers), ttl=ttl
         )
 
     async def named(self, obj: str) -> str:
@@ -175,7 +175,7 @@
     number = 0
     while True:
         number += 1
-        rig.name(*[n for n in range(len(rig.boxes)) if n != number % 7], priority=number % 3, ttl=0)
+        rig.name(*[n for n in range(len(rig.caches)) if n != number % 7], priority=number % 3, ttl=0)
         faults = [Fault.SERVFAIL, Fault.LOST, Fault.CUT, Fault.HALF]
         rig.server.fail(*faults[number % 4 : number % 4 + 1] if number % 2 else [])
         await trio.sleep(0.05)
@@ -211,7 +211,7 @@
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
     rig.server.fail()
-    rig.name(*range(len(rig.boxes)))
+    rig.name(*range(len(rig.caches)))
     return {"drain_worst_ms": max(0.0, worst) * 1000, "drain_broken": broken, "drains": count}
 
 
@@ -219,11 +219,11 @@
     """From a change of SRV to its use, past its lifetime (and the grace period, for a removal)."""
     console, worst = await rig.console(), 0.0
     for _ in range(count):
-        for numbers, grace in ((range(len(rig.boxes) - 1), 0.5), (range(len(rig.boxes)), 0.0)):
+        for numbers, grace in ((range(len(rig.caches) - 1), 0.5), (range(len(rig.caches)), 0.0)):
             rig.name(*numbers, ttl=1)
             begun = time.monotonic()
             last = rig.ids[-1]
-            while (last in await command(console, "boxes")) is (len(numbers) < len(rig.boxes)):
+            while (last in await command(console, "boxes")) is (len(numbers) < len(rig.caches)):
                 await trio.sleep(0.02)
                 assert time.monotonic() < begun + 30, "a change is never used"
             worst = max(worst, time.monotonic() - begun - 1.0 - grace)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -60,7 +60,7 @@
 def play(tree: Path, phases: Sequence[tuple[float, float]], core: int, others: Sequence[int]) -> Run:
     """One router from its start, under some phases of load."""
     with contextlib.ExitStack() as stack:
-        ports, origin, seen = stack.enter_context(site.stand_in_boxes(4, [others[0]]))
+        ports, origin, seen = stack.enter_context(site.stand_in_caches(4, [others[0]]))
         stack.enter_context(site.burner(core))
         running = stack.enter_context(site.doorman(tree, ports, origin, [core]))
         time.sleep(0.3)
--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -16,7 +16,7 @@
 from brackenlane.core.engine import RequestEngine
 from brackenlane.core.metrics import RequestMetrics
 from brackenlane.core.response_cache import ResponseCache
-from brackenlane.lifecycle import EarlySignal, SignalWatcher, listen_plain, serve_until_told
+from brackenlane.lifecycle import EarlySignal, SignalWatcher, listen_plain, serve_until_signal
 from brackenlane.limits import Limits
 from brackenlane.net.change_log import ChangeLogClient
 from brackenlane.net.change_log_codec import ListError, read_known
@@ -58,13 +58,20 @@
                     poller, core.timers, limits, lambda: front.serves, operators.figures, operators.order
                 ).open(listen_plain(config.ops))
             changes = ChangeLogClient(
-                config.changelog, config.site, limits, pools, operators.hear, poller, core.timers, config.seed
+                config.changelog,
+                config.site,
+                limits,
+                pools,
+                operators.on_event,
+                poller,
+                core.timers,
+                config.seed,
             )
             nursery.start_soon(core.run)
             nursery.start_soon(poller.run)
             changes.start(read_known(config.known, config.site, time.time()), config.cursor)
             nursery.start_soon(_reload, hangups, config, core, pools, front, changes)
-            await serve_until_told(
+            await serve_until_signal(
                 front,
                 config.listen,
                 config.name,
--- a/brackenlane/admission/figures.py
+++ b/brackenlane/admission/figures.py
@@ -16,12 +16,16 @@
 class Reason(IntEnum):
     """Why a request was refused at the door; a number, since refusals are counted by it at full load."""
 
-    STOOD = 0  # waited longer than a standing queue allows, or found no room behind it
+    QUEUED = 0  # waited longer than a standing queue allows, or found no room behind it
     LATE = 1  # its client's time was up before it could be served
     FULL = 2  # no connection was free, and all that are open have work in hand
 
 
-WORDS = {Reason.STOOD: "stood too long", Reason.LATE: "out of time", Reason.FULL: "no connection free"}
+REASON_NAMES = {
+    Reason.QUEUED: "stood too long",
+    Reason.LATE: "out of time",
+    Reason.FULL: "no connection free",
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,7 +45,7 @@
 
     def line(self) -> str:
         """All of it in one line."""
-        shed = ", ".join(f"{n} {WORDS[reason]}" for reason, n in self.shed) or "none"
+        shed = ", ".join(f"{n} {REASON_NAMES[reason]}" for reason, n in self.shed) or "none"
         return (
             f"taken {self.taken}, refused at the door: {shed}; longest wait {self.wait * 1000:.0f} ms, "
             f"lag {self.lag * 1000:.0f} ms, CPU {self.cpu:.2f} of a core"
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -31,7 +31,7 @@
 from brackenlane.discovery.resolver import Resolver
 from brackenlane.dns.names import read_zone
 from brackenlane.dns.server import Responder, Server
-from brackenlane.lifecycle import listen, serve_until_told
+from brackenlane.lifecycle import listen, serve_until_signal
 from brackenlane.limits import Limits
 from brackenlane.net.connection_pool import ConnectionPools
 from brackenlane.net.http_front import HttpFront
@@ -56,7 +56,7 @@
     dns: Endpoint
     zone: Name
     settings: Settings
-    boxes: tuple[CacheDefinition, ...]
+    caches: tuple[CacheDefinition, ...]
     watches: tuple[SrvWatch, ...]
     resolvers: tuple[Endpoint, ...]
     redis: Endpoint | None
@@ -84,7 +84,7 @@
         reported.module_settings(),
         tuple(
             CacheDefinition(b.id, b.host.rstrip(".").lower(), b.port, b.zone, Role(b.role), b.weight)
-            for b in reported.boxes
+            for b in reported.caches
         ),
         tuple(
             SrvWatch(w.srv.rstrip(".").lower(), w.zone, Role(w.role), w.weight_scale, w.enough)
@@ -117,14 +117,16 @@
     if config.last_list and not (
         retained and retained.left and 0 <= now - retained.saved <= config.policy.warm
     ):
-        roster.apply(roster.merge.chill(now))
+        roster.apply(roster.merge.count_all_as_cold(now))
     if retained:
         trusted = config.redis is None or 0 <= now - retained.saved <= config.coldstart.trust
         if trusted:
             recall(roster, phases, retained)
         else:
-            roster.apply(roster.merge.recall(RememberedMembers(orders=retained.memory.orders), now, now))
-    for cache in config.boxes:
+            roster.apply(
+                roster.merge.restore_snapshot(RememberedMembers(orders=retained.memory.orders), now, now)
+            )
+    for cache in config.caches:
         roster.define(DefinitionSource.FILE, cache)
     return trusted
 
@@ -132,12 +134,12 @@
 def recall(roster: Registry, phases: StartupPhases, retained: snapshot.Snapshot) -> None:
     """Serve from a last list."""
     now = time.time()
-    roster.apply(roster.merge.recall(retained.memory, retained.saved, now))
+    roster.apply(roster.merge.restore_snapshot(retained.memory, retained.saved, now))
     phases.step(StartupEvent.RECALL, now)
-    log.info("the last list, of %.0f s ago: %d boxes", now - retained.saved, len(roster.merge.boxes))
+    log.info("the last list, of %.0f s ago: %d boxes", now - retained.saved, len(roster.merge.caches))
 
 
-async def unheard(
+async def handle_silent_store(
     config: ApplianceConfig,
     roster: Registry,
     phases: StartupPhases,
@@ -146,7 +148,7 @@
 ) -> None:
     """What is done while the store has not been heard since our start; old: a last list not trusted yet."""
     await trio.sleep(limits.unknown_purges)
-    if phases.heard:
+    if phases.is_store_read:
         return
     # Which purges were told while we were away is unknown: each object counts as purged, for as long as a
     # purge takes at the caches themselves.
@@ -155,7 +157,7 @@
         roster.purge("", group, time.time())
     if old is not None:
         await trio.sleep(max(0.0, config.coldstart.patience - limits.unknown_purges))
-        if not phases.heard:  # an old list is better than none
+        if not phases.is_store_read:  # an old list is better than none
             recall(roster, phases, old)
 
 
@@ -166,8 +168,8 @@
 
     def notice(server: str, result: AttemptResult) -> None:
         health[server] = result, time.time()
-        if len(health) > 2 * len(roster.merge.boxes) + 64:  # caches come and go: those gone must not add up
-            for gone in health.keys() - roster.merge.boxes.keys():
+        if len(health) > 2 * len(roster.merge.caches) + 64:  # caches come and go: those gone must not add up
+            for gone in health.keys() - roster.merge.caches.keys():
                 del health[gone]
         if result in (AttemptResult.UNREACHABLE, AttemptResult.BROKEN):
             for feed in feeds:
@@ -224,8 +226,10 @@
         if shared:
             if retained:
                 shared.recall({(obj, group): at for obj, group, at in retained.purges})
-            nursery.start_soon(shared.run, list(config.boxes))
-            nursery.start_soon(unheard, config, roster, phases, None if trusted else retained, limits)
+            nursery.start_soon(shared.run, list(config.caches))
+            nursery.start_soon(
+                handle_silent_store, config, roster, phases, None if trusted else retained, limits
+            )
         else:
             phases.step(StartupEvent.READ, time.time())  # nobody else knows more
         keeper = (
@@ -238,14 +242,14 @@
         responder = Responder(config.zone, config.http, core, roster, limits)
         await _open_dns(config.dns, Server(responder, limits), nursery)
         front = HttpFront(core, limits, poller, shared, nursery)
-        front.ready = lambda: phases.heard or config.coldstart.ready == "listed"
+        front.ready = lambda: phases.is_store_read or config.coldstart.ready == "listed"
         admin_console = console.AdminConsole(
             health, roster, shared, limits, front.figures, config.name, phases
         )
         nursery.start_soon(
             trio.serve_listeners, admin_console.serve, [console.open_listener(Path(config.console))]
         )
-        await serve_until_told(front, config.http, config.name)
+        await serve_until_signal(front, config.http, config.name)
         Path(config.console).unlink(missing_ok=True)
         if keeper:
             await keeper.keep(left=True)
--- a/brackenlane/cli/main.py
+++ b/brackenlane/cli/main.py
@@ -71,7 +71,7 @@
 
     site = program.load(file)
     click.echo(
-        f"{file}: good: {len(site.boxes)} boxes, {len(site.watches)} SRV entries, "
+        f"{file}: good: {len(site.caches)} boxes, {len(site.watches)} SRV entries, "
         f"{len(site.settings.classes)} classes"
     )
 
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -75,18 +75,18 @@
         nursery.cancel_scope.cancel()
     caches = [
         {
-            "id": cache.what.id,
-            "role": cache.what.role.value,
-            "zone": cache.what.zone,
+            "id": cache.definition.id,
+            "role": cache.definition.role.value,
+            "zone": cache.definition.zone,
             "address": f"{cache.endpoint[0]}:{cache.endpoint[1]}" if cache.endpoint else None,
-            "host": None if fixed(cache.what.host) else cache.what.host,
-            "weight": cache.what.weight,
-            "state": cache.standing.value,
+            "host": None if fixed(cache.definition.host) else cache.definition.host,
+            "weight": cache.definition.weight,
+            "state": cache.state.value,
             "by": [origin.name.lower() for origin in cache.sources],
-            "also": list(cache.also),
+            "also": list(cache.aliases),
             "why": cache.reason,
         }
-        for cache in sorted(roster.merge.boxes.values(), key=lambda cache: cache.what.id)
+        for cache in sorted(roster.merge.caches.values(), key=lambda cache: cache.definition.id)
     ]
     return {
         "answers": sorted(answers, key=lambda a: (a["kind"] != "SRV", a["name"])),
--- a/brackenlane/coldstart/phases.py
+++ b/brackenlane/coldstart/phases.py
@@ -43,7 +43,7 @@
 
     def __init__(self, now: float) -> None:
         self.phase, self.since = StartupPhase.EMPTY, now
-        self.heard = False  # whether the store has told all since our start, once at least
+        self.is_store_read = False  # whether the store has told all since our start, once at least
         self._before = StartupPhase.EMPTY  # of a load
 
     def step(self, event: StartupEvent, now: float) -> StartupPhase:
@@ -58,5 +58,5 @@
         if new is not old:
             self.phase, self.since = new, now
             self._before = old if new is StartupPhase.LOADING else self._before
-        self.heard |= new is StartupPhase.CURRENT
+        self.is_store_read |= new is StartupPhase.CURRENT
         return new
--- a/brackenlane/console.py
+++ b/brackenlane/console.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from brackenlane.admission.figures import WORDS, Figures
+from brackenlane.admission.figures import REASON_NAMES, Figures
 from brackenlane.coldstart.phases import StartupPhase, StartupPhases
 from brackenlane.discovery.registry import Registry
 from brackenlane.limits import Limits
@@ -105,15 +105,15 @@
         rows: list[tuple[str, ...]] = [
             ("BOX", "ROLE", "ADDRESS", "STATE", "HEALTH", *(("BY", "SINCE", "WHY") if verbose else ()))
         ]
-        for cache in sorted(merge.boxes.values(), key=lambda b: b.what.id):
+        for cache in sorted(merge.caches.values(), key=lambda b: b.definition.id):
             at = cache.endpoint
-            where = f"{at[0]}:{at[1]}" if at else cache.what.host
+            where = f"{at[0]}:{at[1]}" if at else cache.definition.host
             row: tuple[str, ...] = (
-                cache.what.id,
-                cache.what.role.value,
+                cache.definition.id,
+                cache.definition.role.value,
                 where,
-                cache.standing.value,
-                self._health(cache.what.id),
+                cache.state.value,
+                self._health(cache.definition.id),
             )
             if verbose:
                 cold = f"cold, {max(0.0, now - cache.started):.0f} s" if cache.started else "warm"
@@ -137,7 +137,7 @@
         return text
 
     def _load(self) -> str:
-        total = ", ".join(f"{n} {WORDS[reason]}" for reason, n in self._figures.shed.items()) or "none"
+        total = ", ".join(f"{n} {REASON_NAMES[reason]}" for reason, n in self._figures.shed.items()) or "none"
         return (
             f"last second: {self._figures.last.line()}\n"
             f"since the start: taken {self._figures.taken}, refused at the door: {total}\n"
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -69,9 +69,9 @@
 
     def doubt(self, server: str) -> None:
         """An attempt did not reach a cache: its address may be that of a dead one."""
-        cache = self._merge.boxes.get(server)
-        if cache and cache.endpoint and (watcher := self._hosts.get(cache.what.host)):
-            if changes := self._merge.doubt(cache.what.host, cache.endpoint[0], time.time()):
+        cache = self._merge.caches.get(server)
+        if cache and cache.endpoint and (watcher := self._hosts.get(cache.definition.host)):
+            if changes := self._merge.doubt(cache.definition.host, cache.endpoint[0], time.time()):
                 self._roster.apply(changes)
             watcher.again.set()
 
@@ -143,7 +143,9 @@
             watcher.failures = 0
             return self._wait(found)
         # Guards against a stale cached answer: an address is taken only if a cache answers there.
-        ports = {cache.what.port for cache in self._merge.boxes.values() if cache.what.host == host}
+        ports = {
+            cache.definition.port for cache in self._merge.caches.values() if cache.definition.host == host
+        }
         alive = [address for address in found.addresses if await self._alive(address, ports)]
         if found.addresses and not alive:
             self._merge.locate_failed(host, f"nobody answers at {', '.join(found.addresses)}")
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -26,7 +26,7 @@
     SrvMember,
     SrvRecord,
     SrvWatch,
-    box_id,
+    srv_cache_id,
     fixed,
 )
 
@@ -39,7 +39,7 @@
         self.entries = {watch.srv: SrvEntry(watch) for watch in watches}
         self.places: dict[str, HostAddresses] = {}
         self.orders: dict[str, OperatorOrder] = {}
-        self.boxes: dict[str, MergedCache] = {}
+        self.caches: dict[str, MergedCache] = {}
         self.left_out = 0  # for want of room
         self._said: dict[DefinitionSource, dict[str, CacheDefinition]] = {
             o: {} for o in DefinitionSource if o is not DefinitionSource.SRV
@@ -52,15 +52,15 @@
 
     # What is told
 
-    def define(self, origin: DefinitionSource, what: CacheDefinition, now: float) -> list[Change]:
+    def define(self, origin: DefinitionSource, definition: CacheDefinition, now: float) -> list[Change]:
         """A console, the store or the file describes a cache; what it said before is replaced."""
         said = self._said[origin]
-        if said.get(what.id) == what:
+        if said.get(definition.id) == definition:
             return []
-        if what.id not in said and self._count() >= self.policy.boxes:
+        if definition.id not in said and self._count() >= self.policy.caches:
             self.left_out += 1
             return []
-        said[what.id] = what
+        said[definition.id] = definition
         return self._renew(now)
 
     def remove(self, origin: DefinitionSource, server: str, now: float) -> list[Change]:
@@ -82,12 +82,12 @@
             del self.orders[spare]
         self.orders[server] = order
         # One cache changes by it, whoever else is on the list: a drain waits for no merge of thousands.
-        known = self.boxes.get(self._alias.get(server, server))
+        known = self.caches.get(self._alias.get(server, server))
         if known is None:
             return []
         # Who stands by behind it may be wanted now: the next tick sees to that, which is due at once.
         self._due |= any(self._watched(known, entry) for entry in self.entries.values())
-        return self._publish([self._stand(known)])
+        return self._publish([self._decide_state(known)])
 
     def answer(self, srv: str, targets: Iterable[SrvRecord], upstream: str, now: float) -> list[Change]:
         """A whole answer of an SRV entry; a target "." means no service and counts as none (RFC 2782)."""
@@ -99,7 +99,7 @@
             host = target.host.rstrip(".").lower()
             if not host or not 0 < target.port < 65536:
                 continue
-            server = box_id(host, target.port)
+            server = srv_cache_id(host, target.port)
             if server in reported and reported[server].priority <= target.priority:
                 continue
             # RFC 2782: weight 0 is there for when there is nothing to choose; the module needs more than 0.
@@ -108,11 +108,11 @@
                 server, host, target.port, entry.watch.zone, entry.watch.role, weight, target.priority
             )
         entry.left_out = 0
-        for server, what in reported.items():
+        for server, definition in reported.items():
             if listed := entry.listed.get(server):
-                listed.what, listed.last, listed.missing = what, now, None
-            elif self._count() < self.policy.boxes:
-                entry.listed[server] = SrvMember(what, now, now, cold=not first)
+                listed.definition, listed.last, listed.missing = definition, now, None
+            elif self._count() < self.policy.caches:
+                entry.listed[server] = SrvMember(definition, now, now, cold=not first)
             else:
                 entry.left_out += 1
         self._missing(entry, frozenset(entry.listed.keys() - reported.keys()), upstream, now)
@@ -138,7 +138,7 @@
         place = self.places.setdefault(host, HostAddresses())
         if dead:
             place.moved = NEVER
-        place.addresses, place.told, place.fault = tuple(addresses), now, ""
+        place.addresses, place.received_at, place.fault = tuple(addresses), now, ""
         if place.addresses:
             place.missing = None
         elif place.missing is None:
@@ -166,26 +166,26 @@
     def memory(self) -> RememberedMembers:
         """What a later start is to know while nobody else can be asked."""
         others = {
-            what.id: what
+            definition.id: definition
             for origin in (DefinitionSource.MEMORY, DefinitionSource.STORE, DefinitionSource.CONSOLE)
-            for what in self._said[origin].values()
+            for definition in self._said[origin].values()
         }
         return RememberedMembers(
             tuple(others.values()),
             {
-                srv: tuple(listed.what for listed in entry.listed.values())
+                srv: tuple(listed.definition for listed in entry.listed.values())
                 for srv, entry in self.entries.items()
             },
             {host: place.address for host, place in self.places.items() if place.address},
             dict(self.orders),
         )
 
-    def chill(self, now: float) -> list[Change]:
+    def count_all_as_cold(self, now: float) -> list[Change]:
         """Nobody can tell whether the caches were running before now: all count as cold from now."""
         self._cold = now
         return self._renew(now)
 
-    def recall(self, memory: RememberedMembers, saved: float, now: float) -> list[Change]:
+    def restore_snapshot(self, memory: RememberedMembers, saved: float, now: float) -> list[Change]:
         """The last list, weighed by its age: too old, its caches are left out; the orders never are."""
         for server, order in memory.orders.items():
             if order.beats(self.orders.get(server)):
@@ -193,11 +193,13 @@
         if not 0 <= now - saved <= self.policy.remembered:
             return self._renew(now)
         self._recalled = now if now - saved > self.policy.warm else 0.0
-        self._said[DefinitionSource.MEMORY] = {what.id: what for what in memory.others}
+        self._said[DefinitionSource.MEMORY] = {definition.id: definition for definition in memory.others}
         for srv, caches in memory.listed.items():
             if entry := self.entries.get(srv):
-                for what in caches:
-                    entry.listed.setdefault(what.id, SrvMember(what, now, saved, cold=self._recalled > 0))
+                for definition in caches:
+                    entry.listed.setdefault(
+                        definition.id, SrvMember(definition, now, saved, cold=self._recalled > 0)
+                    )
         for host, address in memory.places.items():
             if host not in self.places:
                 self.places[host] = HostAddresses((), address, saved, self._recalled or NEVER, True)
@@ -233,7 +235,7 @@
     @property
     def hosts(self) -> set[str]:
         """The host names whose addresses are wanted."""
-        return {what.host for _, what in self._all() if fixed(what.host) is None}
+        return {definition.host for _, definition in self._all() if fixed(definition.host) is None}
 
     def next_due(self) -> float:
         """When `tick` has something to do; infinity for never."""
@@ -303,16 +305,16 @@
             if origin is DefinitionSource.SRV:
                 for entry in self.entries.values():
                     for listed in entry.listed.values():
-                        yield origin, listed.what
+                        yield origin, listed.definition
             else:
-                for what in self._said[origin].values():
-                    yield origin, what
+                for definition in self._said[origin].values():
+                    yield origin, definition
 
-    def _endpoint(self, what: CacheDefinition) -> Endpoint | None:
-        address = fixed(what.host)
-        if address is None and (place := self.places.get(what.host)):
+    def _endpoint(self, definition: CacheDefinition) -> Endpoint | None:
+        address = fixed(definition.host)
+        if address is None and (place := self.places.get(definition.host)):
             address = place.address
-        return (address, what.port) if address else None
+        return (address, definition.port) if address else None
 
     def _renew(self, now: float) -> list[Change]:
         """The whole list anew, by the table: who is one cache, whose words hold, who serves."""
@@ -321,34 +323,38 @@
         names: dict[tuple[str, int], str] = {}  # host and port, as told
         ends: dict[Endpoint, str] = {}
         self._alias = {}
-        for origin, what in self._all():
-            endpoint = self._endpoint(what)
+        for origin, definition in self._all():
+            endpoint = self._endpoint(definition)
             server = (
-                what.id
-                if what.id in found
-                else names.get((what.host, what.port))
+                definition.id
+                if definition.id in found
+                else names.get((definition.host, definition.port))
                 or (ends.get(endpoint) if endpoint else None)
-                or what.id
+                or definition.id
             )
-            names.setdefault((what.host, what.port), server)
+            names.setdefault((definition.host, definition.port), server)
             if endpoint:
                 ends.setdefault(endpoint, server)
-            if server != what.id:
-                self._alias[what.id] = server
+            if server != definition.id:
+                self._alias[definition.id] = server
             if known := found.get(server):
-                also = known.also if what.id in (server, *known.also) else (*known.also, what.id)
+                aliases = (
+                    known.aliases
+                    if definition.id in (server, *known.aliases)
+                    else (*known.aliases, definition.id)
+                )
                 sources = known.sources if origin in known.sources else (*known.sources, origin)
-                found[server] = replace(known, sources=sources, also=also)
+                found[server] = replace(known, sources=sources, aliases=aliases)
             else:
                 found[server] = MergedCache(
-                    what, MergedState.LOST, endpoint, self._started(origin, what), (origin,)
+                    definition, MergedState.LOST, endpoint, self._started(origin, definition), (origin,)
                 )
-        self.boxes = {}
-        changed = [self._stand(cache) for cache in found.values()]
+        self.caches = {}
+        changed = [self._decide_state(cache) for cache in found.values()]
         for entry in self.entries.values():
-            changed += self._stand_by(entry)
+            changed += self._apply_standby(entry)
         changed += [
-            replace(cache, standing=MergedState.LOST, endpoint=None)
+            replace(cache, state=MergedState.LOST, endpoint=None)
             for cache in (
                 MergedCache(
                     CacheDefinition(
@@ -360,15 +366,17 @@
                     (),
                 )
                 for server, change in self._published.items()
-                if server not in self.boxes
+                if server not in self.caches
             )
         ]
-        final = {cache.what.id: cache for cache in changed}  # the last word on each, so that nobody flaps
+        final = {
+            cache.definition.id: cache for cache in changed
+        }  # the last word on each, so that nobody flaps
         return self._publish(final.values())
 
-    def _started(self, origin: DefinitionSource, what: CacheDefinition) -> float:
+    def _started(self, origin: DefinitionSource, definition: CacheDefinition) -> float:
         """From when a cache counts as cold: since it was added or has moved; 0 if it is warm."""
-        place = self.places.get(what.host)
+        place = self.places.get(definition.host)
         moved = place.moved if place and place.moved > 0 else 0.0
         added = self._cold
         if origin is DefinitionSource.SRV:
@@ -376,7 +384,7 @@
                 (
                     listed.first
                     for entry in self.entries.values()
-                    if (listed := entry.listed.get(what.id)) and listed.cold
+                    if (listed := entry.listed.get(definition.id)) and listed.cold
                 ),
                 default=added,
             )
@@ -386,55 +394,57 @@
 
     def _drain(self, cache: MergedCache) -> OperatorOrder | None:
         """The order that keeps a cache out, under whichever of its ids it was given."""
-        orders = [self.orders[server] for server in (cache.what.id, *cache.also) if server in self.orders]
+        orders = [
+            self.orders[server] for server in (cache.definition.id, *cache.aliases) if server in self.orders
+        ]
         return next((order for order in orders if order.drained), None)
 
-    def _stand(self, cache: MergedCache) -> MergedCache:
+    def _decide_state(self, cache: MergedCache) -> MergedCache:
         """A cache by its own merits: drains first, then whether it can be reached at all."""
         if order := self._drain(cache):
-            standing, reason = MergedState.DRAINING, f"drained by {order.by}"
+            state, reason = MergedState.DRAINING, f"drained by {order.by}"
         elif cache.endpoint is None:
-            place = self.places.get(cache.what.host)
+            place = self.places.get(cache.definition.host)
             why = place.fault if place and place.fault else "no address told"
-            standing, reason = MergedState.LOST, f"{cache.what.host}: {why}"
+            state, reason = MergedState.LOST, f"{cache.definition.host}: {why}"
         else:
-            standing, reason = (
+            state, reason = (
                 MergedState.SERVING,
                 f"named by {', '.join(o.name.lower() for o in cache.sources)}",
             )
-        if standing is MergedState.DRAINING and cache.endpoint is None:
-            standing = MergedState.LOST  # drained and nowhere: off the list, the order stays
-        self.boxes[cache.what.id] = found = replace(cache, standing=standing, reason=reason)
+        if state is MergedState.DRAINING and cache.endpoint is None:
+            state = MergedState.LOST  # drained and nowhere: off the list, the order stays
+        self.caches[cache.definition.id] = found = replace(cache, state=state, reason=reason)
         return found
 
     def _watched(self, cache: MergedCache, entry: SrvEntry) -> bool:
-        return cache.sources[0] is DefinitionSource.SRV and cache.what.id in entry.listed
+        return cache.sources[0] is DefinitionSource.SRV and cache.definition.id in entry.listed
 
-    def _stand_by(self, entry: SrvEntry) -> list[MergedCache]:
+    def _apply_standby(self, entry: SrvEntry) -> list[MergedCache]:
         """RFC 2782: a target of lower priority is used only while too few better ones serve."""
         mine = sorted(
             (
                 cache
                 for server in entry.listed
-                if (cache := self.boxes.get(server)) and self._watched(cache, entry)
+                if (cache := self.caches.get(server)) and self._watched(cache, entry)
             ),
-            key=lambda cache: (cache.what.priority, cache.what.id),
+            key=lambda cache: (cache.definition.priority, cache.definition.id),
         )
         better, level, serving = 0, None, 0
         changed: list[MergedCache] = []
         for cache in mine:
-            if cache.what.priority != level:
-                better, level = better + serving, cache.what.priority
+            if cache.definition.priority != level:
+                better, level = better + serving, cache.definition.priority
                 serving = 0
-            if cache.standing is not MergedState.SERVING:
+            if cache.state is not MergedState.SERVING:
                 continue
             if better >= entry.watch.enough:
                 found = replace(
                     cache,
-                    standing=MergedState.STANDBY,
+                    state=MergedState.STANDBY,
                     reason=f"standby: {better} of a better priority serve",
                 )
-                self.boxes[cache.what.id] = found
+                self.caches[cache.definition.id] = found
                 changed.append(found)
             else:
                 serving += 1
@@ -444,16 +454,16 @@
         """The real changes among these caches, one for each."""
         changes: list[Change] = []
         for cache in caches:
-            on = cache.standing in (MergedState.SERVING, MergedState.DRAINING)
+            on = cache.state in (MergedState.SERVING, MergedState.DRAINING)
             change = Change(cache.member, cache.endpoint if on else None)
-            known = self._published.get(cache.what.id)
+            known = self._published.get(cache.definition.id)
             if known == change or (known is None and not on):
                 continue
             changes.append(change)
             if on:
-                self._published[cache.what.id] = change
+                self._published[cache.definition.id] = change
             else:
-                del self._published[cache.what.id]
+                del self._published[cache.definition.id]
         return changes
 
     # What an operator sees
@@ -461,19 +471,19 @@
     def explain(self, server: str, now: float) -> list[str]:
         """Why a cache stands as it does, and what each source says of it; nothing if nobody names it."""
         server = self._alias.get(server, server)
-        cache, lines = self.boxes.get(server), []
+        cache, lines = self.caches.get(server), []
         if cache:
             at = f" at {cache.endpoint[0]}, port {cache.endpoint[1]}" if cache.endpoint else ""
-            lines.append(f"{server} is {cache.standing.value}{at}: {cache.reason}")
+            lines.append(f"{server} is {cache.state.value}{at}: {cache.reason}")
             if cache.started:
                 lines.append(f"  cold since {max(0.0, now - cache.started):.0f} s")
-            lines += [f"  the same box as {other}" for other in cache.also]
-        ids = {server, *(cache.also if cache else ())}
-        for origin, what in self._all():
-            if what.id in ids:
+            lines += [f"  the same box as {other}" for other in cache.aliases]
+        ids = {server, *(cache.aliases if cache else ())}
+        for origin, definition in self._all():
+            if definition.id in ids:
                 lines.append(
-                    f"  {origin.name.lower()}: {what.host}, port {what.port}, "
-                    f"weight {what.weight:g}, priority {what.priority}"
+                    f"  {origin.name.lower()}: {definition.host}, port {definition.port}, "
+                    f"weight {definition.weight:g}, priority {definition.priority}"
                 )
         for entry in self.entries.values():
             for name in sorted(ids & entry.listed.keys()):
@@ -489,11 +499,11 @@
                     )
                 if entry.fault:
                     lines.append(f"  {entry.watch.srv}: the last look-up failed: {entry.fault}")
-        if cache and (place := self.places.get(cache.what.host)):
+        if cache and (place := self.places.get(cache.definition.host)):
             fault = f", {place.fault}" if place.fault else ""
             lines.append(
-                f"  {cache.what.host}: {', '.join(place.addresses) or 'nowhere'}, "
-                f"told {max(0.0, now - place.told):.0f} s ago{fault}"
+                f"  {cache.definition.host}: {', '.join(place.addresses) or 'nowhere'}, "
+                f"told {max(0.0, now - place.received_at):.0f} s ago{fault}"
             )
         if not cache and self.orders.get(server):
             lines.append(f"{server} is named by nobody now; the order stays for when it is again")
--- a/brackenlane/discovery/records.py
+++ b/brackenlane/discovery/records.py
@@ -80,7 +80,7 @@
     settle: float = 5.0  # between two moves of one cache to another address, unless it is dead there
     remembered: float = 7 * 86_400.0  # the oldest last list that is used
     warm: float = 600.0  # a last list younger than this names caches that are warm still
-    boxes: int = 10_000  # known at once; more are left out, and said to be
+    caches: int = 10_000  # known at once; more are left out, and said to be
     drains: int = 10_000  # ids whose drain or restore is kept; restored ones go first
 
 
@@ -101,7 +101,7 @@
 class SrvMember:
     """One target of an SRV entry, on its list."""
 
-    what: CacheDefinition
+    definition: CacheDefinition
     first: float  # when it was told first
     last: float  # and last
     missing: float | None = None  # since when whole answers lack it
@@ -135,7 +135,7 @@
 
     addresses: tuple[str, ...] = ()
     address: str | None = None  # the one in use
-    told: float = NEVER
+    received_at: float = NEVER
     moved: float = NEVER
     once: bool = False  # it has had an address before
     missing: float | None = None  # since when whole answers have none
@@ -146,26 +146,26 @@
 class MergedCache:
     """One cache of the merged list, and why it stands as it does."""
 
-    what: CacheDefinition
-    standing: MergedState
+    definition: CacheDefinition
+    state: MergedState
     endpoint: Endpoint | None
     started: float  # Unix time from which it counts as cold; 0: warm
     sources: tuple[DefinitionSource, ...]
-    also: tuple[str, ...] = ()  # other ids that name the same cache
+    aliases: tuple[str, ...] = ()  # other ids that name the same cache
     reason: str = ""
 
     @property
     def member(self) -> Member:
         """As the module takes it."""
         state = {MergedState.SERVING: ServerState.SERVING, MergedState.DRAINING: ServerState.DRAINING}.get(
-            self.standing, ServerState.GONE
+            self.state, ServerState.GONE
         )
         return Member(
-            self.what.id,
-            self.what.zone,
-            self.what.role,
+            self.definition.id,
+            self.definition.zone,
+            self.definition.role,
             state=state,
-            weight=self.what.weight,
+            weight=self.definition.weight,
             started_at=self.started,
         )
 
@@ -188,7 +188,7 @@
     orders: dict[str, OperatorOrder] = field(default_factory=dict)  # by cache
 
 
-def box_id(host: str, port: int) -> str:
+def srv_cache_id(host: str, port: int) -> str:
     """The id of an SRV target, the same for good: a renumbered cache is the same cache elsewhere."""
     label = re.sub(r"[^0-9a-z-]", "-", host.split(".")[0].lower())[:40].strip("-") or "box"
     return f"{label}-{blake2b(f'{host}:{port}'.encode(), digest_size=4).hexdigest()}"
--- a/brackenlane/discovery/registry.py
+++ b/brackenlane/discovery/registry.py
@@ -18,10 +18,10 @@
 ID = re.compile(r"[0-9a-z-]{1,63}")
 
 
-def read_box(raw: Any) -> CacheDefinition:
+def read_definition(raw: Any) -> CacheDefinition:
     """A cache from the store or the last list; ValueError if it is none."""
     try:
-        what = CacheDefinition(
+        definition = CacheDefinition(
             str(raw["id"]).lower(),
             str(raw["host"]).rstrip(".").lower(),
             int(raw["port"]),
@@ -32,21 +32,21 @@
         )
     except (KeyError, TypeError, ValueError, AttributeError) as fault:
         raise ValueError(f"box {raw!r}: {type(fault).__name__}: {fault}") from None
-    if not 0 < what.port < 65536 or not ID.fullmatch(what.id) or not 0 < what.weight < 1e9:
+    if not 0 < definition.port < 65536 or not ID.fullmatch(definition.id) or not 0 < definition.weight < 1e9:
         raise ValueError(f"box {raw!r}: an id of letters, digits and '-', a port and a weight are needed")
-    return what
+    return definition
 
 
-def box_json(what: CacheDefinition) -> dict[str, Any]:
+def encode_definition(definition: CacheDefinition) -> dict[str, Any]:
     """A cache as the store and the last list keep it."""
     return {
-        "id": what.id,
-        "host": what.host,
-        "port": what.port,
-        "zone": what.zone,
-        "role": what.role.value,
-        "weight": what.weight,
-        "priority": what.priority,
+        "id": definition.id,
+        "host": definition.host,
+        "port": definition.port,
+        "zone": definition.zone,
+        "role": definition.role.value,
+        "weight": definition.weight,
+        "priority": definition.priority,
     }
 
 
@@ -65,7 +65,7 @@
     return server, order
 
 
-def order_json(server: str, order: OperatorOrder) -> dict[str, Any]:
+def encode_order(server: str, order: OperatorOrder) -> dict[str, Any]:
     """An order as the store and the last list keep it."""
     return {"id": server, "drained": order.drained, "at": order.at, "by": order.by}
 
@@ -102,9 +102,9 @@
         for call in self.changed:
             call()
 
-    def define(self, origin: DefinitionSource, what: CacheDefinition) -> None:
+    def define(self, origin: DefinitionSource, definition: CacheDefinition) -> None:
         """A source describes a cache."""
-        self.apply(self.merge.define(origin, what, time.time()))
+        self.apply(self.merge.define(origin, definition, time.time()))
 
     def order(self, server: str, order: OperatorOrder) -> None:
         """A drain or a restore, from wherever."""
@@ -113,7 +113,7 @@
     def drain(self, server: str, drained: bool, by: str) -> OperatorOrder | None:
         """The operator takes a cache out of service or back; None if nobody names such a cache."""
         if (
-            server not in self.merge.boxes
+            server not in self.merge.caches
             and server not in self.merge.orders
             and not self.merge.explain(server, time.time())
         ):
--- a/brackenlane/discovery/snapshot.py
+++ b/brackenlane/discovery/snapshot.py
@@ -20,7 +20,13 @@
 
 from brackenlane.coldstart.stream_position import NOWHERE, read_place
 from brackenlane.discovery.records import RememberedMembers
-from brackenlane.discovery.registry import Registry, box_json, order_json, read_box, read_order
+from brackenlane.discovery.registry import (
+    Registry,
+    encode_definition,
+    encode_order,
+    read_definition,
+    read_order,
+)
 
 log = logging.getLogger(__name__)
 
@@ -55,10 +61,13 @@
             "place": retained.place,
             "left": retained.left,
             "purges": retained.purges,
-            "others": [box_json(what) for what in memory.others],
-            "listed": {srv: [box_json(what) for what in listed] for srv, listed in memory.listed.items()},
+            "others": [encode_definition(definition) for definition in memory.others],
+            "listed": {
+                srv: [encode_definition(definition) for definition in listed]
+                for srv, listed in memory.listed.items()
+            },
             "places": memory.places,
-            "orders": [order_json(*pair) for pair in memory.orders.items()],
+            "orders": [encode_order(*pair) for pair in memory.orders.items()],
         }
     )
     return sign(body)
@@ -81,12 +90,13 @@
             raise ValueError("the checksum does not fit")
         raw: dict[str, Any] = orjson.loads(body)
         listed = {
-            str(srv): tuple(read_box(cache) for cache in caches) for srv, caches in raw["listed"].items()
+            str(srv): tuple(read_definition(cache) for cache in caches)
+            for srv, caches in raw["listed"].items()
         }
         place = str(raw.get("place", NOWHERE))
         read_place(place)
         memory = RememberedMembers(
-            tuple(read_box(cache) for cache in raw["others"]),
+            tuple(read_definition(cache) for cache in raw["others"]),
             listed,
             {str(host): str(at) for host, at in raw["places"].items()},
             dict(read_order(order) for order in raw["orders"]),
@@ -136,23 +146,23 @@
     def __init__(self, roster: Registry, path: Path, pause: float, store: StreamProgress | None) -> None:
         """store: whose log the roster has taken in up to a place."""
         self._roster, self._path, self._pause, self._store = roster, path, pause, store
-        self._news = trio.Event()
+        self._changed_event = trio.Event()
         self._written = b""
         roster.changed.append(self._changed)
 
     def _changed(self) -> None:
-        self._news.set()
+        self._changed_event.set()
 
     async def run(self) -> None:
         """Keep for good."""
         while True:
-            await self._news.wait()
-            self._news = trio.Event()
+            await self._changed_event.wait()
+            self._changed_event = trio.Event()
             try:
                 await self.keep()
             except OSError as fault:
                 log.warning("%s: not kept: %s", self._path, fault)
-                self._news.set()
+                self._changed_event.set()
             await trio.sleep(self._pause)
 
     async def keep(self, left: bool = False) -> None:
--- a/brackenlane/lab/cluster/cache_servers.py
+++ b/brackenlane/lab/cluster/cache_servers.py
@@ -46,13 +46,13 @@
 
 
 @dataclass
-class FleetBox(CacheListener):
+class ClusterCache(CacheListener):
     """One edge cache, parent or the origin."""
 
     id: str
     role: str
     record: Record
-    all: dict[str, FleetBox]
+    all: dict[str, ClusterCache]
     strength: Strength = field(default_factory=Strength)
     started: float = field(default_factory=lambda: time.monotonic())
     unresponsive: bool = False  # accepts, and says nothing
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -18,7 +18,7 @@
 
 from brackenlane.discovery import snapshot
 from brackenlane.lab.cluster import invariants
-from brackenlane.lab.cluster.cache_servers import FleetBox, Strength
+from brackenlane.lab.cluster.cache_servers import ClusterCache, Strength
 from brackenlane.lab.cluster.clients import Clients, served
 from brackenlane.lab.cluster.links import Link
 from brackenlane.lab.cluster.record import Record
@@ -72,14 +72,14 @@
         self.record = Record()
         s = script.store
         self.store = Redis(Capacity(s.commands, s.connections, s.bytes, s.patience), self._of_store)
-        self.boxes: dict[str, FleetBox] = {}
+        self.boxes: dict[str, ClusterCache] = {}
         parties = (("edge", script.boxes), ("parent", script.parents), ("origin", 1))
         for n, (kind, count) in enumerate(parties):
             for m in range(count):
                 name = "origin" if kind == "origin" else f"{'box' if kind == 'edge' else kind}-{m}"
                 link = script.link * (1.0 if kind == "edge" else script.wider)
                 strength = Strength(link, script.work, cold=1.0 if kind == "origin" else 0.3)
-                self.boxes[name] = FleetBox(
+                self.boxes[name] = ClusterCache(
                     name,
                     kind,
                     self.record,
@@ -272,7 +272,7 @@
                 for box in self._boxes(step):
                     box.unresponsive = step.do == "box_mute"
 
-    def _boxes(self, step: Step) -> list[FleetBox]:
+    def _boxes(self, step: Step) -> list[ClusterCache]:
         return [self.boxes[step.box]] if step.box else [b for b in self.boxes.values() if b.role != "origin"]
 
     async def _end(self) -> dict[str, str]:
--- a/brackenlane/lab/races.py
+++ b/brackenlane/lab/races.py
@@ -96,7 +96,7 @@
     return found
 
 
-class WildBox(Box):
+class ErraticCache(Box):
     """A cache whose answers are drawn."""
 
     def __init__(self, name: str, model: str, draw: random.Random, record: Record) -> None:
@@ -194,7 +194,7 @@
         """Play it; what the peers saw."""
         async with trio.open_nursery() as nursery:
             caches = [
-                await WildBox(name, model, self.draw, self.record).open(nursery)
+                await ErraticCache(name, model, self.draw, self.record).open(nursery)
                 for name, model in BOXES.items()
             ]
             log = await List().open(nursery)
@@ -230,7 +230,7 @@
             nursery.cancel_scope.cancel()
         return self.record
 
-    def _config(self, caches: list[WildBox], log: int) -> dict[str, Any]:
+    def _config(self, caches: list[ErraticCache], log: int) -> dict[str, Any]:
         raw: dict[str, Any] = orjson.loads(site.platform_config(self.port, [], 0, flow=1e6))
         raw["settings"]["Limits"] |= {"Cancel": self.cancel, "KeepaliveS": 1.0}
         raw["settings"]["Classes"] = [{**c, "GiveUpS": 2.0} for c in raw["settings"]["Classes"]]
@@ -249,7 +249,7 @@
         ]
         return {**raw, "changelog": f"127.0.0.1:{log}"}
 
-    async def _lists(self, caches: list[WildBox], log: List) -> None:
+    async def _lists(self, caches: list[ErraticCache], log: List) -> None:
         number = 1
         while time.time() < self.end:
             await trio.sleep(self.draw.choice([0.1, 0.3, 0.6]))
--- a/brackenlane/lab/site.py
+++ b/brackenlane/lab/site.py
@@ -174,7 +174,7 @@
 
 
 @contextlib.contextmanager
-def stand_in_boxes(
+def stand_in_caches(
     count: int, cores: Sequence[int], delay: float = 0.02
 ) -> Iterator[tuple[list[int], int, dict[str, Any]]]:
     """Boxes and an origin in one process: their ports, and what they saw, filled at the end."""
--- a/brackenlane/lifecycle.py
+++ b/brackenlane/lifecycle.py
@@ -113,7 +113,7 @@
             self._came.set()
 
 
-async def serve_until_told(
+async def serve_until_signal(
     front: HttpFront,
     endpoint: Endpoint,
     name: str,
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -72,11 +72,11 @@
 
     def __init__(self, most: int) -> None:
         self.most, self._taken = most, 0
-        self.make_room: Callable[[], bool] = lambda: False  # ends a connection that rests; whether one did
+        self.close_idle: Callable[[], bool] = lambda: False  # ends a connection that rests; whether one did
 
     def take(self, needed: bool) -> bool:
         """Whether there is one; needed: also in the place of a connection that rests."""
-        if self._taken >= self.most and not (needed and self.make_room()):
+        if self._taken >= self.most and not (needed and self.close_idle()):
             return False
         self._taken += 1
         return True
@@ -107,14 +107,14 @@
         self._begun = 0.0  # since when an answer has been coming in, 0: none is
         self._membership, self._limits, self._may_probe = membership, limits, may_probe
         self._parser = cache_codec.Parser(limits)
-        self._heard = time.time()  # when bytes came last, or the first of what is open was written
+        self._received_at = time.time()  # when bytes came last, or the first of what is open was written
         self._stuck = 0.0  # since when it takes no byte
-        self._asked = False  # whether it lives
+        self._is_probed = False  # whether it lives
         self._waiting: dict[str, DispatchedAttempt] = {}
         self._past: OrderedDict[str, bool] = OrderedDict()  # ids to which more may come; whether answered
         self._out: deque[DispatchedAttempt | bytes] = deque()
         self._rest = memoryview(b"")  # of what has been written in part
-        self._whole: DispatchedAttempt | None = None  # the attempt that is, once the rest is out
+        self._fully_written: DispatchedAttempt | None = None  # the attempt that is, once the rest is out
         self.open = True
         poller.add(sock.fileno(), self._ready, READ, urgent=True)
 
@@ -147,12 +147,12 @@
     @property
     def idle(self) -> bool:
         """Whether nothing waits for an answer here."""
-        return not self._waiting and not self._asked
+        return not self._waiting and not self._is_probed
 
     @property
-    def heard(self) -> float:
+    def received_at(self) -> float:
         """When bytes came last, or the first of what is open was written."""
-        return self._heard
+        return self._received_at
 
     def send(self, slot: DispatchedAttempt) -> None:
         """Send an attempt, now if the connection takes it."""
@@ -203,7 +203,7 @@
 
     def watch(self, now: float, lag: float) -> None:
         """Look after a connection that says or takes nothing, `lag` seconds of which were our own."""
-        self._heard += lag
+        self._received_at += lag
         self._stuck += lag if self._stuck else 0.0
         # Guards against a mute machine behind whose full buffer every later line would wait.
         if self._stuck and now - self._stuck > self._limits.write_stall:
@@ -211,23 +211,23 @@
         if self._begun and now - self._begun > self._limits.answer_time:
             log.warning("a box's answer does not end, %d requests open", len(self._waiting))
             return self.close()
-        if self._asked:
+        if self._is_probed:
             wait = self._limits.idle_probe_after + self._limits.pulse
         elif self.idle:
             wait = self._limits.keepalive
         else:
             wait = self._limits.idle_probe_after if self._may_probe else self._limits.unresponsive
-        if now - self._heard < wait:
+        if now - self._received_at < wait:
             return
         if self.idle:
             self.close()  # guards against a request that crosses the box's own close after its idle time
-        elif self._asked or not self._may_probe:
+        elif self._is_probed or not self._may_probe:
             # Guards against a connection that stays open and says nothing more, part of an answer or
             # none: all that is open on it would wait for its deadline, and what comes next as well.
             log.warning("a box says nothing more, %d requests open", len(self._waiting))
             self.close()
         else:
-            self._asked = True
+            self._is_probed = True
             self._out.appendleft(cache_codec.encode_ping())
             self._flush()
 
@@ -272,9 +272,9 @@
 
     def _written(self) -> None:
         """Count an attempt as its last byte is taken."""
-        if self._whole and not self._rest:
-            self._tried(self._whole.attempt.request.arrival.cls)
-            self._whole = None
+        if self._fully_written and not self._rest:
+            self._tried(self._fully_written.attempt.request.arrival.cls)
+            self._fully_written = None
 
     def _write(self, slot: DispatchedAttempt) -> memoryview:
         """Begin to write an attempt; what the connection did not take of it."""
@@ -295,8 +295,8 @@
             raise
         slot.sent = time.time()
         if not any(other.attempt.written for other in self._waiting.values()):
-            self._heard = slot.sent
-        attempt.written, self._whole = True, slot
+            self._received_at = slot.sent
+        attempt.written, self._fully_written = True, slot
         return memoryview(data)[sent:]
 
     def _prepare(self, slot: DispatchedAttempt) -> bytes:
@@ -329,7 +329,7 @@
             if self._parser.partial:
                 log.warning("a box ends its connection within an answer, %d open", len(self._waiting))
             return self.close()
-        self._heard, self._asked, self._reading = time.time(), False, True
+        self._received_at, self._is_probed, self._reading = time.time(), False, True
         complete = False
         try:
             for answer in self._parser.feed(data):
@@ -341,9 +341,9 @@
         finally:
             self._reading = False
         if complete or not self._parser.partial:
-            self._begun = self._heard if self._parser.partial else 0.0
+            self._begun = self._received_at if self._parser.partial else 0.0
         elif not self._begun:
-            self._begun = self._heard
+            self._begun = self._received_at
 
     def _answer(self, answer: cache_codec.CacheResponse) -> None:
         slot = self._waiting.get(answer.id)
--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -36,10 +36,10 @@
         seed: int = 0,
     ) -> None:
         self._endpoint, self._site, self._limits = endpoint, site, limits
-        self._pools, self._tell, self._poller, self._timers = pools, notify, poller, timers
+        self._pools, self._notify, self._poller, self._timers = pools, notify, poller, timers
         self._dial: Connector | None = None
         self._sock: socket.socket | None = None
-        self._heard = 0.0  # when the connection said something last, or came up
+        self._received_at = 0.0  # when the connection said something last, or came up
         self._silence = self._patience = limits.log_silence  # borne now, and on the next connection
         self._reader = FrameReader(limits.frame)
         self._again: Timer | None = None  # the next try
@@ -80,12 +80,12 @@
         if sock is None:
             return self._end("no connection")
         self._wait = self._limits.log_retry
-        self._sock, self._heard, self._reader = sock, time.time(), FrameReader(self._limits.frame)
+        self._sock, self._received_at, self._reader = sock, time.time(), FrameReader(self._limits.frame)
         self._poller.add(sock.fileno(), self._ready, urgent=True)
         self._silence = self._patience
         # Guards against asking anew for ever where the first word takes longer than a usual silence.
         self._patience = min(2 * self._patience, self._limits.log_silence_most)
-        self._timers.at(self._heard + self._silence, self._watch, sock)
+        self._timers.at(self._received_at + self._silence, self._watch, sock)
         try:
             sock.send(self.cursor.to_bytes(8, "big"))  # a new connection takes so few at once
         except OSError as fault:
@@ -95,7 +95,7 @@
         """Guards against a log that is cut off: its connection stays open and says nothing."""
         if sock is not self._sock:
             return  # another connection by now
-        until = self._heard + self._silence
+        until = self._received_at + self._silence
         if time.time() >= until:
             self._end("it says nothing")
         else:
@@ -111,11 +111,11 @@
             return self._end(str(fault))
         if not data:
             return self._end("it ended the connection")
-        self._heard = time.time()
+        self._received_at = time.time()
         self._silence = self._patience = self._limits.log_silence
         try:
             for number, kind, payload in self._reader.feed(data):
-                self._take(read_frame(number, kind, payload, self._site, self._heard))
+                self._take(read_frame(number, kind, payload, self._site, self._received_at))
         except ListError as fault:
             self._end(str(fault))
         except Exception:  # one event must not end the following of all others
@@ -147,7 +147,7 @@
         if isinstance(event, Membership):
             gone = {m.server for m in event.members if m.state is ServerState.GONE}
             self._pools.follow(change.endpoints, gone, event.kind is MembershipKind.FULL)
-        self._tell(event)
+        self._notify(event)
         if isinstance(event, Membership):
             self._pools.recheck()
         self.cursor = change.number
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-ASKED = re.compile(rb"(?:GET|PUT) /api/v2/([^/?#]{1,64})/")  # how a request for a class begins
+REQUEST_START = re.compile(rb"(?:GET|PUT) /api/v2/([^/?#]{1,64})/")  # how a request for a class begins
 
 
 class ClientState(IntEnum):
@@ -53,8 +53,8 @@
         self._lane: tuple[str, bool] | None = None  # where it waits: class, and whether it is a retry
         self._cls = ""  # of the request in hand, as its target tells
         self._unasked = False  # refused before it asked: counted as its request is seen
-        self._rest = memoryview(b"")  # of an answer written in part
-        self._room = 0  # bytes that may still come while they are not asked for
+        self._unsent = memoryview(b"")  # of an answer written in part
+        self._bytes_allowed = 0  # bytes that may still come while they are not asked for
         self._close = False  # after this answer
         self._flooded = False  # more came behind a request than is kept
         self.open = True
@@ -113,7 +113,7 @@
 
         What comes is read on for a moment, since a close over it would reset an answer on its way.
         """
-        self._close, self._room = True, self._front.limits.linger_bytes
+        self._close, self._bytes_allowed = True, self._front.limits.linger_bytes
         self.wait(ClientState.CLOSING)
         try:
             self._sock.shutdown(socket.SHUT_WR)
@@ -123,7 +123,7 @@
     def ready(self, events: int) -> None:
         """The socket is ready."""
         try:
-            if events & WRITE and self._rest:
+            if events & WRITE and self._unsent:
                 self._flush()
             if events & ~WRITE and self.open:
                 self._receive()
@@ -158,16 +158,16 @@
 
     def _heed(self, data: bytes) -> None:
         if self._waits is ClientState.CLOSING:
-            if self._unasked and (found := ASKED.match(data)):
+            if self._unasked and (found := REQUEST_START.match(data)):
                 self._unasked = False
                 self._front.counts.ended(found[1].decode(), HTTPStatus.SERVICE_UNAVAILABLE)
-            self._room -= len(data)
-            return self.close() if self._room <= 0 else None
+            self._bytes_allowed -= len(data)
+            return self.close() if self._bytes_allowed <= 0 else None
         if self._waits in (ClientState.NOT, ClientState.TAKE):
             # Bytes of a next request are kept, up to a bound. Past it nothing is kept, and the answer that is
             # owed ends the connection; read on, it tells when its client leaves.
-            self._room -= len(data)
-            if self._room <= 0:
+            self._bytes_allowed -= len(data)
+            if self._bytes_allowed <= 0:
                 if not self._flooded:
                     log.warning("a client sends on and on behind its request: its answer ends the connection")
                 self._flooded, self._plain = True, ""
@@ -179,7 +179,7 @@
         if self._waits is not ClientState.REST and (plain := read_plain(data)):
             target, again = plain
             if self._front.refuses(target, again) and not self._front.leaving:
-                self._front.figures.refuse(Reason.STOOD)
+                self._front.figures.refuse(Reason.QUEUED)
                 self._cls = lane_of(target)
                 return self._turn_away()
             self._raw, self._plain = data, target  # read no further until it is served
@@ -188,7 +188,7 @@
         self._go_on()
 
     def _queue(self, target: str, again: bool) -> None:
-        self._room = self._front.limits.head
+        self._bytes_allowed = self._front.limits.head
         self.wait(ClientState.NOT)
         self._cls = lane_of(target)
         self._lane = self._cls, again
@@ -216,7 +216,7 @@
         target = self._plain
         if target and self._front.own(target):
             return self.serve(now)
-        self._front.figures.refuse(Reason.STOOD)
+        self._front.figures.refuse(Reason.QUEUED)
         if target and not self._front.leaving:
             self._raw, self._plain, self._lane = b"", "", None
             self._turn_away()
@@ -232,11 +232,11 @@
         self.answer(self._front.encode_rejection())
 
     def _turn_away(self) -> None:
-        self._room, self._close = self._front.limits.head, False
+        self._bytes_allowed, self._close = self._front.limits.head, False
         self._front.counts.ended(self._cls, HTTPStatus.SERVICE_UNAVAILABLE)
         self._send(self._front.refusal)
         if self.open:
-            self.wait(ClientState.TAKE if self._rest else ClientState.NEXT)
+            self.wait(ClientState.TAKE if self._unsent else ClientState.NEXT)
 
     def _read(self) -> ParsedRequest | None:
         """The request that waits, read in full."""
@@ -246,7 +246,7 @@
 
     def _go_on(self) -> None:
         """Queue the next request, once the last is answered."""
-        if reading := self._requests.whole:
+        if reading := self._requests.complete:
             self._queue(reading.target, "x-second-try" in reading.headers)
         elif wrong := self._requests.fault:
             log.warning("a client that can't be read: %s", wrong)
@@ -272,7 +272,7 @@
         self._cls = ""
         self._close |= self._front.leaving or self._flooded
         self._send(encode_answer(status, headers, body, self._close), body)
-        if self.open and self._rest:
+        if self.open and self._unsent:
             self.wait(ClientState.TAKE)
         elif self.open:
             self._answered()
@@ -291,18 +291,18 @@
         except OSError:
             return self.close()
         if sent < len(head) + len(body):
-            self._rest = memoryview(head + body)[sent:]
+            self._unsent = memoryview(head + body)[sent:]
             self._front.poller.want(self._sock.fileno(), READ | WRITE)
 
     def _flush(self) -> None:
         try:
-            self._rest = self._rest[self._sock.send(self._rest) :]
+            self._unsent = self._unsent[self._sock.send(self._unsent) :]
         except BlockingIOError:
             return
         except OSError:
             return self.close()
-        if not self._rest:
-            self._rest = memoryview(b"")  # lets go of the answer
+        if not self._unsent:
+            self._unsent = memoryview(b"")  # lets go of the answer
             self._front.poller.want(self._sock.fileno(), READ)
             if self._waits is ClientState.TAKE:
                 self._answered()
--- a/brackenlane/net/connection_pool.py
+++ b/brackenlane/net/connection_pool.py
@@ -223,7 +223,7 @@
         self._endpoints: dict[str, Endpoint] = {}
         self._peers: dict[str, ConnectionPool] = {}
         self._quota = ConnectionQuota(limits.cache_connections)
-        self._quota.make_room = self._end_resting
+        self._quota.close_idle = self._end_resting
         self._gone: list[ConnectionPool] = []  # off the list, with something out
         self._look = self._look_in(time.time(), limits.watch)
         self._idle = False  # nothing is open anywhere: looks are far between
@@ -271,7 +271,7 @@
         """End the connection that has rested longest; whether there was one."""
         resting = [link for peer in (*self._peers.values(), *self._gone) for link in peer.links if link.idle]
         if resting:
-            min(resting, key=lambda link: link.heard).close()
+            min(resting, key=lambda link: link.received_at).close()
         return bool(resting)
 
     def follow(self, endpoints: dict[str, Endpoint], gone: set[str], complete: bool) -> None:
--- a/brackenlane/net/http_codec.py
+++ b/brackenlane/net/http_codec.py
@@ -140,7 +140,7 @@
         return b""
 
     @property
-    def whole(self) -> ParsedRequest | None:
+    def complete(self) -> ParsedRequest | None:
         """The next whole request, which is left there."""
         return self._whole[0] if self._whole else None
 
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -57,7 +57,9 @@
         self.ready: Callable[[], bool] = lambda: True  # asked by health besides whether a list has come
         self._classes = {c.name: c for c in core.settings.classes}
         self.counts = counts or RequestMetrics(self._classes)
-        self._owed: dict[str, ClientConnection] = {}  # who is owed the answer to a request in hand, by its id
+        self._clients_by_request: dict[
+            str, ClientConnection
+        ] = {}  # who is owed the answer to a request in hand, by its id
         self._submits: OrderedDict[str, None] = OrderedDict()  # of writes that may have run, oldest first
         # Connections by what they wait for, the longest so first, and until when they may
         self._waiting: list[dict[ClientConnection, float]] = [{} for _ in ClientState]
@@ -103,7 +105,7 @@
         earlier, self.admission = self.admission, Admission(self._core.settings.classes)
         while taken := earlier.take(time.time()):
             taken[0].rejoin(taken[1])
-        self.stand(self._share, self.is_handing_over)
+        self.set_share(self._share, self.is_handing_over)
 
     # Connections
 
@@ -172,7 +174,7 @@
         """Serve one more connection."""
         full = self._count >= self._places
         if full:
-            if self._make_room():
+            if self._close_idle_connection():
                 full = False
             elif self._count >= self._places + self.limits.refused:
                 self.figures.refuse(Reason.FULL)
@@ -187,7 +189,7 @@
             self.figures.refuse(Reason.FULL)
             client.shut_out()
 
-    def _make_room(self) -> bool:
+    def _close_idle_connection(self) -> bool:
         """Guards our descriptors: end one connection that has no request in hand; whether there was one.
 
         Who never asked gives way, then who is idle, then who is slow to ask. Who turns out to have asked
@@ -207,7 +209,7 @@
         """Who has no request in hand, the first to give way first."""
         return (there for waits in waiting for there in self._waiting[waits])
 
-    def stand(self, share: float, is_handing_over: bool) -> None:
+    def set_share(self, share: float, is_handing_over: bool) -> None:
         """Hold this share of the places for connections; parting: send their clients to a successor."""
         self._share, self.is_handing_over = share, is_handing_over
         self._places = max(1, int(self.limits.clients * share))
@@ -235,7 +237,9 @@
         now = time.time()
         while taken := self.admission.take(now):
             self._guard(taken[0], taken[0].refuse, now)
-        for client in list(self._owed.values()):  # their claims are still asked for: nothing ran
+        for client in list(
+            self._clients_by_request.values()
+        ):  # their claims are still asked for: nothing ran
             if client.request:
                 self._answered(
                     client, client.request, Answer(Disposition.REJECTED, hold_off=self.limits.retry_after)
@@ -358,14 +362,14 @@
             request.arrival = replace(request.arrival, time_left=left)  # what it stood at our door is gone
         claim = (
             ClaimResult.TAKEN
-            if request.wire_id in self._owed or request.wire_id in self._submits
+            if request.wire_id in self._clients_by_request or request.wire_id in self._submits
             else (self.claim(request.wire_id) if request.must_run_once else ClaimResult.OURS)
         )
         if claim is ClaimResult.UNKNOWN:
             return client.answer(self.encode_rejection())
         if claim is ClaimResult.TAKEN:
             raise BadRequest(HTTPStatus.CONFLICT, "this X-Txn has been taken already")
-        self._owed[request.wire_id] = client
+        self._clients_by_request[request.wire_id] = client
         client.request, request.is_client_connected = request, client.is_client_connected
         request.on_answer = functools.partial(self._answered, client, request)
         if self._claims and self._nursery and request.must_run_once:
@@ -388,7 +392,7 @@
             client.close()
 
     def _over(self, request: PendingRequest, refused: bool) -> None:
-        self._owed.pop(request.wire_id, None)
+        self._clients_by_request.pop(request.wire_id, None)
         if request.must_run_once and refused:
             self.release(request.wire_id)
         elif request.must_run_once:  # guards against a submit that a client or proxy sends twice
--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -72,7 +72,7 @@
                 return  # none waits, or there is no descriptor: the next round asks again
             if len(self._callers) >= self._limits.ops_calls:
                 # Guards against callers who connect and finish no call: the oldest gives way.
-                next((c for c in self._callers if c.answered), next(iter(self._callers))).close()
+                next((c for c in self._callers if c.is_answered), next(iter(self._callers))).close()
             sock.setblocking(False)
             caller = AdminConnection(self, sock)
             self._callers[caller] = time.time() + self._limits.ops_time
@@ -114,9 +114,9 @@
     def __init__(self, api: AdminApi, sock: socket.socket) -> None:
         self._api, self._sock = api, sock
         self._requests = RequestParser(api.call_limits)
-        self._rest = memoryview(b"")
-        self._room = api.call_limits.head  # bytes that may still come once it is answered
-        self.answered = False
+        self._unsent = memoryview(b"")
+        self._bytes_allowed = api.call_limits.head  # bytes that may still come once it is answered
+        self.is_answered = False
         self._open = True
 
     def close(self) -> None:
@@ -147,9 +147,9 @@
             return
         if not data:
             return self.close()
-        if self.answered:  # read on, so that the answer is not lost to a reset
-            self._room -= len(data)
-            return self.close() if self._room < 0 else None
+        if self.is_answered:  # read on, so that the answer is not lost to a reset
+            self._bytes_allowed -= len(data)
+            return self.close() if self._bytes_allowed < 0 else None
         self._requests.feed(data)
         if call := self._requests.next():
             self._answer(*self._api.answer(call), call.method == "HEAD")
@@ -157,15 +157,15 @@
             self._answer(fault.status.value, fault.headers, f"{fault}\n".encode())
 
     def _answer(self, status: int, headers: Headers, body: bytes, bare: bool = False) -> None:
-        self.answered = True
-        self._rest = memoryview(encode_answer(status, headers, body, True) + (b"" if bare else body))
+        self.is_answered = True
+        self._unsent = memoryview(encode_answer(status, headers, body, True) + (b"" if bare else body))
         self._flush()
 
     def _flush(self) -> None:
         with contextlib.suppress(BlockingIOError):
-            self._rest = self._rest[self._sock.send(self._rest) :]
-        if self._rest:
+            self._unsent = self._unsent[self._sock.send(self._unsent) :]
+        if self._unsent:
             self._api.poller.want(self._sock.fileno(), READ | WRITE)
-        elif self.answered:
+        elif self.is_answered:
             self._api.poller.want(self._sock.fileno(), READ)
             self._sock.shutdown(socket.SHUT_WR)
--- a/brackenlane/ops/admin_service.py
+++ b/brackenlane/ops/admin_service.py
@@ -16,7 +16,7 @@
 from brackenlane.net.http_front import HttpFront
 from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
 from brackenlane.ops.handover_records import Record, RecordType
-from brackenlane.ops.handover_state import HandoverState, stand
+from brackenlane.ops.handover_state import HandoverState, handover_state
 from brackenlane.ops.maintenance import Maintenance, MaintenanceResult
 from brackenlane.routing.events import Event, Membership
 from brackenlane.routing.members import Member, Role
@@ -28,7 +28,7 @@
     MaintenanceResult.UNKNOWN: (404, "no such box"),
     MaintenanceResult.FULL: (507, "too many boxes are out"),
 }
-NOT_KEPT = (507, "it can't be kept, so nothing is changed")
+NOT_RECORDED = (507, "it can't be kept, so nothing is changed")
 
 
 class AdminService:
@@ -40,17 +40,17 @@
         """Without a ledger, what is ordered is known to this process alone."""
         self._core, self._front, self._limits, self._ledger = core, front, limits, ledger
         self._maintenance = Maintenance(limits.taken_out)
-        self._stand = HandoverState.ALONE
+        self._state = HandoverState.ALONE
         if ledger:
             self._maintenance.out.update(ledger.index.out)
-            ledger.hear = self._heard
+            ledger.on_record = self._on_record
             core.membership.catch_up = ledger.look
             front.claim, front.release = partial(self._claim, ledger), partial(self._release, ledger)
             self._tend(ledger)
 
     # The change log, the calls
 
-    def hear(self, event: Event) -> None:
+    def on_event(self, event: Event) -> None:
         """An event of the change log's, to the core; caches taken out by hand stay out."""
         self._core.post(self._maintenance.apply(event) if isinstance(event, Membership) else event)
 
@@ -68,16 +68,16 @@
             self._ledger.append(RecordType.ENTER if out else RecordType.EXIT, server, repr(now))
         except HandoverLogError as fault:
             log.error("an order can't be kept: %s", fault)
-            return NOT_KEPT
+            return NOT_RECORDED
         return ANSWERS[MaintenanceResult.DONE]
 
     def _carry_out(self, server: str, out: bool, now: float) -> tuple[int, str]:
         call = self._maintenance.enter if out else self._maintenance.leave
         reply, event = call(server, now)
-        self._tell(event)
+        self._notify(event)
         return ANSWERS[reply]
 
-    def _tell(self, event: Membership | None) -> None:
+    def _notify(self, event: Membership | None) -> None:
         if event and event.members:
             # At once, for what is being written now; the core may be in the middle of a decision.
             self._core.membership.apply(event, time.time())
@@ -110,7 +110,7 @@
             self._core.membership.catch_up = lambda: None
             self._ledger.close()
 
-    def _heard(self, record: Record) -> None:
+    def _on_record(self, record: Record) -> None:
         match record.kind:
             case RecordType.ENTER | RecordType.EXIT:
                 self._carry_out(record.fields[0], record.kind is RecordType.ENTER, record.at)
@@ -130,21 +130,21 @@
     def _restand(self) -> None:
         """Take the stand that follows from who else lives and serves."""
         assert self._ledger is not None
-        was, book = self._stand, self._ledger.index
+        was, book = self._state, self._ledger.index
         alive = set(self._ledger.others)
         for process in [p for p in book.serving if p not in alive and p != self._ledger.me]:
             book.forget(process)
-        self._stand = stand(self._ledger.me, book.serving, alive)
-        if self._stand is was:
+        self._state = handover_state(self._ledger.me, book.serving, alive)
+        if self._state is was:
             return
-        log.info("this process is %s (it was %s)", self._stand.value.name, was.value.name)
-        behavior, now = self._stand.value, time.time()
-        self._front.stand(behavior.share, behavior.is_handing_over)
+        log.info("this process is %s (it was %s)", self._state.value.name, was.value.name)
+        behavior, now = self._state.value, time.time()
+        self._front.set_share(behavior.share, behavior.is_handing_over)
         self._core.keep_copies(1.0 if behavior.cold else 0.0)
         if behavior.cold != was.value.cold:
             # What a cold cache bears is spent by the later process. Coming back to it, this one starts anew.
             self._core.spend_cold(now)
-            self._tell(self._maintenance.shade(partial(self._cold, now) if not behavior.cold else _none))
+            self._notify(self._maintenance.shade(partial(self._cold, now) if not behavior.cold else _none))
 
     def _cold(self, now: float, member: Member) -> bool:
         settings = self._core.settings
--- a/brackenlane/ops/handover_log.py
+++ b/brackenlane/ops/handover_log.py
@@ -35,7 +35,7 @@
         self._path = folder / "ledger"
         self.me = os.urandom(4).hex()
         self.index = HandoverIndex(limits.claims)
-        self.hear: Callable[[Record], None] = lambda _: None
+        self.on_record: Callable[[Record], None] = lambda _: None
         self._file = self._life = -1
         try:
             folder.mkdir(mode=0o700, exist_ok=True)
@@ -114,7 +114,7 @@
             self._size += len(data)
             for record in self._reader.feed(data):
                 self.index.take(record)
-                self.hear(record)
+                self.on_record(record)
 
     def append(self, kind: RecordType, *fields: str) -> None:
         """Append a record and take in all up to it. Raises HandoverLogError where it can't be kept."""
--- a/brackenlane/ops/handover_state.py
+++ b/brackenlane/ops/handover_state.py
@@ -34,7 +34,7 @@
     RELIEVED = HandoverBehavior("relieved", 0.25, True, False)
 
 
-def stand(me: str, serving: Mapping[str, bool], alive: Set[str]) -> HandoverState:
+def handover_state(me: str, serving: Mapping[str, bool], alive: Set[str]) -> HandoverState:
     """How `me` stands. serving: who serves, in the order of births; alive: who of them lives."""
     order = list(serving)
     later = [p for p in order[order.index(me) + 1 :] if p in alive]
--- a/brackenlane/settings/appliance.py
+++ b/brackenlane/settings/appliance.py
@@ -56,7 +56,7 @@
 Seconds = Annotated[float, Field(ge=0, le=3600)]
 Some = Annotated[float, Field(gt=0, le=3600)]
 Zone = Annotated[str, Field(min_length=1, max_length=64)]
-BoxRole = Literal["edge", "parent", "origin"]
+CacheRole = Literal["edge", "parent", "origin"]
 Id = Annotated[str, Field(pattern=r"^[0-9a-z-]{1,63}$")]
 
 
@@ -122,14 +122,14 @@
     uncached: bool = False
 
 
-class BoxRecord(Record):
+class CacheRecord(Record):
     """One cache, by address or by a host name that is looked up."""
 
     id: Id
     host: Host
     port: Annotated[int, Field(ge=1, le=65535)]
     zone: Zone
-    role: BoxRole = "edge"
+    role: CacheRole = "edge"
     weight: Annotated[float, Field(gt=0, le=1e6)] = 1.0
 
 
@@ -138,7 +138,7 @@
 
     srv: Service
     zone: Zone
-    role: BoxRole = "edge"
+    role: CacheRole = "edge"
     weight_scale: Annotated[float, Field(gt=0, le=1e6)] = 1.0
     enough: Annotated[int, Field(ge=1, le=10_000)] = 1
 
@@ -220,7 +220,7 @@
     redis: Address | None = None
     settings: Module
     classes: Annotated[list[Class], Field(alias="class", min_length=1, max_length=64)]
-    boxes: Annotated[list[BoxRecord], Field(alias="box", max_length=10_000)] = []
+    caches: Annotated[list[CacheRecord], Field(alias="box", max_length=10_000)] = []
     discover: Annotated[list[Discover], Field(max_length=64)] = []
     discovery: Discovery = Discovery()
     coldstart: ColdStarts = ColdStarts()
@@ -247,21 +247,21 @@
         if any(hub >= len(self.settings.locations) for hub in self.settings.hub_of):
             yield "settings.hub_of: a hub is no place among settings.locations"
         for what, ids in (
-            ("box", [b.id for b in self.boxes]),
+            ("box", [b.id for b in self.caches]),
             ("class", [c.name for c in self.classes]),
             ("discover", [d.srv.rstrip(".").lower() for d in self.discover]),
         ):
             for one in sorted({one for one in ids if ids.count(one) > 1}):
                 yield f"{what}: two bear the name {one!r}"
-        placed = [(f"box[{n}]", box.zone) for n, box in enumerate(self.boxes)]
+        placed = [(f"box[{n}]", box.zone) for n, box in enumerate(self.caches)]
         placed += [(f"discover[{n}]", entry.zone) for n, entry in enumerate(self.discover)]
         for path, zone in placed:
             if zone not in zones:
                 yield f"{path}.zone: {zone!r} is not among settings.locations"
-        named = [b.id for b in self.boxes if fixed(b.host) is None]
+        named = [b.id for b in self.caches if fixed(b.host) is None]
         if self.resolver is None and (named or self.discover):
             yield f"resolver: needed, since {named[0] if named else self.discover[0].srv} must be looked up"
-        if not self.boxes and not self.discover and not self.redis:
+        if not self.caches and not self.discover and not self.redis:
             yield "box: no box, no discover and no redis: nothing says where boxes are"
 
     def module_settings(self) -> Settings:
--- a/brackenlane/store/replica.py
+++ b/brackenlane/store/replica.py
@@ -25,7 +25,13 @@
 from brackenlane.config import Endpoint
 from brackenlane.core.claims import ClaimResult
 from brackenlane.discovery.records import CacheDefinition, DefinitionSource, OperatorOrder
-from brackenlane.discovery.registry import Registry, box_json, order_json, read_box, read_order
+from brackenlane.discovery.registry import (
+    Registry,
+    encode_definition,
+    encode_order,
+    read_definition,
+    read_order,
+)
 from brackenlane.limits import Limits
 from brackenlane.store.connection import Connection, StoreError, StoreUnavailableError
 
@@ -95,12 +101,12 @@
 
     async def change(self, cache: CacheDefinition) -> bool:
         """Share what has changed about a cache; False if the store is away."""
-        text = orjson.dumps(box_json(cache)).decode()
-        return await self._share(["HSET", self._boxes, cache.id, text], {"box": box_json(cache)})
+        text = orjson.dumps(encode_definition(cache)).decode()
+        return await self._share(["HSET", self._boxes, cache.id, text], {"box": encode_definition(cache)})
 
     async def order(self, server: str, order: OperatorOrder) -> bool:
         """Share a drain or a restore; False if the store is away."""
-        reported = order_json(server, order)
+        reported = encode_order(server, order)
         return await self._share(
             ["HSET", self._orders, server, orjson.dumps(reported).decode()], {"order": reported}
         )
@@ -202,7 +208,7 @@
         filing.done = not filing.own or filed == "done"  # it may have lost them since
         page = entries
         while len(page) >= self._limits.store_piece:
-            page = await self._news(str(page[-1][0]))
+            page = await self._updates(str(page[-1][0]))
             entries += page
         if continues(self.place, {str(place) for place, _ in entries}):
             self._roster.apply(self._roster.merge.confirm(time.time()))
@@ -279,7 +285,7 @@
                 self._take(event, str(place))
                 self.place = str(place)
 
-    async def _news(self, place: str, *block: str | int) -> list[Any]:
+    async def _updates(self, place: str, *block: str | int) -> list[Any]:
         """Entries behind a place; block: how long the store may hold back a reply while there are none."""
         [updates] = await self._follows.call(
             ["XREAD", "COUNT", self._limits.store_piece, *block, "STREAMS", self._events, place],
@@ -289,7 +295,7 @@
 
     async def _follow(self) -> None:
         """Wait for news and take them in."""
-        self._read(await self._news(self.place, "BLOCK", int(self._limits.store_block * 1000)))
+        self._read(await self._updates(self.place, "BLOCK", int(self._limits.store_block * 1000)))
 
     async def _mend(self) -> None:
         """Tell a store that was set back what it has lost of ours, and the orders that it lacks."""
@@ -326,9 +332,9 @@
         writes: list[list[str | int]] = []
         for cache, known in zip(filing.own, there, strict=True):
             if known is None:
-                what = box_json(cache)
+                definition = encode_definition(cache)
                 writes += [
-                    ["HSET", self._boxes, cache.id, orjson.dumps(what).decode()],
+                    ["HSET", self._boxes, cache.id, orjson.dumps(definition).decode()],
                     [
                         "XADD",
                         self._events,
@@ -337,7 +343,7 @@
                         self._limits.store_log,
                         "*",
                         "event",
-                        orjson.dumps({"box": what}).decode(),
+                        orjson.dumps({"box": definition}).decode(),
                     ],
                 ]
         # All or nothing: who dies between two caches would leave one that nobody ever tells the others of.
@@ -354,7 +360,7 @@
         """One event, from a place of the log; guards against what another program may have written there."""
         try:
             if "box" in event:
-                self._roster.define(DefinitionSource.STORE, read_box(event["box"]))
+                self._roster.define(DefinitionSource.STORE, read_definition(event["box"]))
             elif "order" in event:
                 server, order = read_order(event["order"])
                 if order.beats(self._there.get(server)):
@@ -381,7 +387,10 @@
 
     def __init__(self, own: list[CacheDefinition], prefix: str) -> None:
         self.own, self.done = own, not own
-        self.key = prefix + hashlib.sha256(orjson.dumps([box_json(cache) for cache in own])).hexdigest()[:32]
+        self.key = (
+            prefix
+            + hashlib.sha256(orjson.dumps([encode_definition(cache) for cache in own])).hexdigest()[:32]
+        )
 
 
 def _event_text(fields: list[Any]) -> str:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -177,16 +177,16 @@
     assert figures.tick(10.0, 0.0, 1.0) is not None
     for wait in (0.01, 0.03):
         figures.take(wait)
-    figures.refuse(Reason.STOOD)
+    figures.refuse(Reason.QUEUED)
     assert figures.tick(10.5, 0.2, 1.3) is None
     reported = figures.tick(11.0, 0.1, 1.5)
     assert reported and reported.shedding and reported == figures.last
     assert (reported.taken, reported.shed, reported.wait, reported.lag) == (
         2,
-        ((Reason.STOOD, 1),),
+        ((Reason.QUEUED, 1),),
         0.03,
         0.2,
     )
     assert reported.cpu == pytest.approx(0.5)
     again = figures.tick(12.0, 0.0, 1.5)
-    assert again and not again.shedding and figures.taken == 2 and figures.shed[Reason.STOOD] == 1
+    assert again and not again.shedding and figures.taken == 2 and figures.shed[Reason.QUEUED] == 1
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -185,7 +185,7 @@
         assert (phases.since == now) == (new is not old)
         if event is StartupEvent.LOST:
             assert new not in (StartupPhase.LOADING, StartupPhase.CURRENT)
-    assert phases.heard == (StartupEvent.READ in events)
+    assert phases.is_store_read == (StartupEvent.READ in events)
 
 
 def test_a_broken_load_falls_back() -> None:
@@ -225,7 +225,7 @@
             n,
             100.0,
             router_count=40,
-            seats=(0, 0, 0, 40),
+            routers_by_location=(0, 0, 0, 40),
             router_index=n,
             peer_index=n if peer == 0 else -1,
         )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 import trio
 
 from brackenlane.discovery import snapshot
-from brackenlane.discovery.records import CacheDefinition, OperatorOrder, RememberedMembers, box_id
+from brackenlane.discovery.records import CacheDefinition, OperatorOrder, RememberedMembers, srv_cache_id
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
 from tests.stand_ins import ROOT, Asked, Box, Program, ScriptedReply, appliance, data, with_trio
 from tests.test_appliance import OBJECT, console, query, texts
@@ -37,8 +37,8 @@
     """Boxes that a scripted DNS server names."""
 
     def __init__(self, server: DnsServer, caches: list[Box], origin: Box) -> None:
-        self.server, self.boxes, self.origin = server, caches, origin
-        self.ids = [box_id(f"box-{n}.branch.test", cache.port) for n, cache in enumerate(caches)]
+        self.server, self.caches, self.origin = server, caches, origin
+        self.ids = [srv_cache_id(f"box-{n}.branch.test", cache.port) for n, cache in enumerate(caches)]
 
     @classmethod
     async def open(cls, nursery: trio.Nursery, count: int = 3) -> Site:
@@ -54,7 +54,7 @@
     def name(self, *numbers: int, priority: int = 0) -> None:
         """Which caches SRV names."""
         self.server.put(
-            SRV, "SRV", *(f"{priority} 8 {self.boxes[n].port} box-{n}.branch.test." for n in numbers), ttl=0
+            SRV, "SRV", *(f"{priority} 8 {self.caches[n].port} box-{n}.branch.test." for n in numbers), ttl=0
         )
 
 
@@ -103,7 +103,7 @@
             path,
         ):
             await listed(path, *site.ids)
-            first = site.boxes[0]
+            first = site.caches[0]
             objects = await objects_at(router_process, first, 4)
             assert await console(path, "drain", site.ids[0]) == f"{site.ids[0]} drained\n"
             reported, before = time.monotonic(), len(first.asked)
@@ -155,7 +155,7 @@
             assert "draining" in next(line for line in text.splitlines() if line.startswith(site.ids[1]))
             for number in range(8):
                 assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
-            assert site.boxes[0].asked and not site.boxes[1].asked
+            assert site.caches[0].asked and not site.caches[1].asked
             # The resolver is back, and has lost all but one: not believed at once.
             site.name(0)
             await site.server.open(nursery)
@@ -176,7 +176,7 @@
         ):
             await listed(path, *site.ids[:2])
             site.server.fail(Fault.LOST)
-            for cache in site.boxes[:2]:
+            for cache in site.caches[:2]:
                 await cache.close()
             for number in range(8):
                 assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
@@ -187,7 +187,7 @@
                 assert (await router_process.ask())[0] == 200
             for number in range(8):
                 assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
-            assert site.boxes[2].asked or site.boxes[3].asked
+            assert site.caches[2].asked or site.caches[3].asked
         nursery.cancel_scope.cancel()
 
 
@@ -219,7 +219,7 @@
             held.append(requested)
             return None
 
-        for cache in (*site.boxes, site.origin):
+        for cache in (*site.caches, site.origin):
             cache.answer = hold
         async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
             router_process,
@@ -236,14 +236,14 @@
                 client.start_soon(submit)
                 while not held:
                     await trio.sleep(0.01)
-                for cache in (*site.boxes, site.origin):
+                for cache in (*site.caches, site.origin):
                     cache.answer = data
                 site.name()  # all gone, twice said
                 site.server.put(SRV, "SRV", "0 0 0 .", ttl=0)
                 while site.ids[0] in await console(path, "boxes"):
                     await trio.sleep(0.05)
             assert found[0] in (502, 504) and len(held) == 1
-            assert sum(len(cache.asked) for cache in (*site.boxes, site.origin)) == 1
+            assert sum(len(cache.asked) for cache in (*site.caches, site.origin)) == 1
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -19,13 +19,13 @@
     Policy,
     SrvRecord,
     SrvWatch,
-    box_id,
+    srv_cache_id,
 )
 from brackenlane.routing.members import ServerState
 
 SRV = "_cache._tcp.branch.test."
 HOSTS = ("one.branch.test", "two.branch.test", "three.branch.test")
-IDS = [box_id(host, 80) for host in HOSTS]
+IDS = [srv_cache_id(host, 80) for host in HOSTS]
 POLICY = Policy(grace=5.0, confirm=2.0, settle=5.0)
 
 
@@ -50,7 +50,7 @@
 
 def serving(made: MembershipMerge) -> set[str]:
     """The caches that get new work."""
-    return {server for server, cache in made.boxes.items() if cache.standing is MergedState.SERVING}
+    return {server for server, cache in made.caches.items() if cache.state is MergedState.SERVING}
 
 
 def test_first_answer() -> None:
@@ -75,7 +75,7 @@
     made.answer(SRV, targets(*HOSTS, priority=0, weight=99), "u1", 12.0)
     made.answer(SRV, targets(*HOSTS[1:]), "u1", 13.0)
     made.tick(19.0)
-    assert IDS[0] not in made.boxes
+    assert IDS[0] not in made.caches
     assert made.locate(HOSTS[0], ["127.0.9.9"], 20.0) == []
     [back] = made.answer(SRV, targets(*HOSTS), "u1", 21.0)
     assert back.member.state is ServerState.DRAINING and back.endpoint == ("127.0.9.9", 80)
@@ -181,7 +181,7 @@
     for number, dead in ((1, False), (2, True), (3, False), (3, True)):
         changes = made.locate(HOSTS[0], [f"127.0.3.{number}"], 20.0, dead)
         assert bool(changes) is (dead or number == 1)
-    assert made.boxes[IDS[0]].endpoint == ("127.0.3.3", 80)
+    assert made.caches[IDS[0]].endpoint == ("127.0.3.3", 80)
 
 
 def test_swapped_addresses() -> None:
@@ -190,9 +190,9 @@
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
     first = made.locate(HOSTS[0], ["127.0.1.2"], 20.0)
     both = made.locate(HOSTS[1], ["127.0.1.1"], 20.0)
-    ends = [cache.endpoint for cache in made.boxes.values()]
+    ends = [cache.endpoint for cache in made.caches.values()]
     assert len(ends) == len(set(ends)) == 3, (first, both)
-    assert {made.boxes[server].started for server in IDS[:2]} == {20.0}
+    assert {made.caches[server].started for server in IDS[:2]} == {20.0}
 
 
 def test_one_box_two_names() -> None:
@@ -203,21 +203,21 @@
     made.define(DefinitionSource.FILE, CacheDefinition("box-1", HOSTS[0], 80, "branch", weight=5.0), 1.0)
     made.define(DefinitionSource.FILE, CacheDefinition("box-2", "127.0.1.2", 80, "branch"), 1.0)
     made.answer(SRV, targets(*HOSTS[:2], weight=50), "u1", 2.0)
-    assert made.boxes.keys() == {"box-1", "box-2"} and made.boxes["box-1"].what.weight == 5.0
-    assert made.boxes["box-1"].sources == (DefinitionSource.FILE, DefinitionSource.SRV)
+    assert made.caches.keys() == {"box-1", "box-2"} and made.caches["box-1"].definition.weight == 5.0
+    assert made.caches["box-1"].sources == (DefinitionSource.FILE, DefinitionSource.SRV)
     # Drained by either name it is drained.
     [drained] = made.order(IDS[0], OperatorOrder(True, 3.0, "console"), 3.0)
     assert (drained.member.server, drained.member.state) == ("box-1", ServerState.DRAINING)
     assert any("the same box as" in line for line in made.explain("box-1", 4.0))
     made.remove(DefinitionSource.FILE, "box-2", 4.0)
-    assert made.boxes.keys() == {"box-1", IDS[1]}
+    assert made.caches.keys() == {"box-1", IDS[1]}
 
 
 def test_standby() -> None:
     """A target of lower priority stands by until too few better ones serve; a drain counts at once."""
     made = merge(enough=2)
     changes = made.answer(SRV, [*targets(*HOSTS[:2]), *targets(HOSTS[2], priority=10)], "u1", 10.0)
-    assert states(changes).keys() == set(IDS[:2]) and made.boxes[IDS[2]].standing is MergedState.STANDBY
+    assert states(changes).keys() == set(IDS[:2]) and made.caches[IDS[2]].state is MergedState.STANDBY
     changes = made.order(IDS[0], OperatorOrder(True, 11.0, "console"), 11.0)
     assert states(changes) == {
         IDS[0]: ServerState.DRAINING
@@ -240,26 +240,26 @@
     old.order(IDS[0], OperatorOrder(True, 11.0, "console"), 11.0)
     now = 12.0 + age
     made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
-    made.recall(old.memory(), 12.0, now)
+    made.restore_snapshot(old.memory(), 12.0, now)
     assert serving(made) == ({*IDS[1:], "box-9"} if known else set())
-    assert all((cache.started == 0) is warm for cache in made.boxes.values())
+    assert all((cache.started == 0) is warm for cache in made.caches.values())
     # An answer that has lost most of it is not believed at once, and the drained cache stays drained.
     made.answer(SRV, targets(HOSTS[0]), "u1", now + 1)
     made.locate(HOSTS[0], ["127.0.1.1"], now + 1)
     made.tick(now + 10)
-    assert made.boxes[IDS[0]].standing is MergedState.DRAINING
+    assert made.caches[IDS[0]].state is MergedState.DRAINING
     assert serving(made) == ({*IDS[1:], "box-9"} if known else set())
     made.forget(now + 11)
-    assert "box-9" not in made.boxes
+    assert "box-9" not in made.caches
 
 
 def test_bounds() -> None:
     """More caches than there is room for are left out and counted; a drain is never forgotten for another."""
-    made = MembershipMerge(Policy(boxes=5, drains=3), [SrvWatch(SRV, "branch")])
+    made = MembershipMerge(Policy(caches=5, drains=3), [SrvWatch(SRV, "branch")])
     made.answer(SRV, [SrvRecord(f"127.0.0.{n}", 80) for n in range(1, 9)], "u1", 1.0)
-    assert len(made.boxes) == 5 and made.entries[SRV].left_out == 3
+    assert len(made.caches) == 5 and made.entries[SRV].left_out == 3
     made.define(DefinitionSource.FILE, CacheDefinition("late", "127.0.0.99", 80, "branch"), 2.0)
-    assert made.left_out == 1 and "late" not in made.boxes
+    assert made.left_out == 1 and "late" not in made.caches
     for number in range(3):
         made.order(f"b{number}", OperatorOrder(True, float(number), "console"), 3.0)
     made.order("b3", OperatorOrder(True, 9.0, "console"), 9.0)
@@ -289,7 +289,7 @@
     for order in orders:
         made.order(IDS[0], order, 5.0)
     assert made.orders[IDS[0]] == OperatorOrder(True, 2.0, "c")
-    assert made.boxes[IDS[0]].standing is MergedState.DRAINING
+    assert made.caches[IDS[0]].state is MergedState.DRAINING
 
 
 class Interleavings(RuleBasedStateMachine):
@@ -362,14 +362,14 @@
         memory, saved = self.made.memory(), self.now
         self.now += age
         self.made, self.heard = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", enough=2)]), {}
-        self.hear(self.made.recall(memory, saved, self.now))
+        self.hear(self.made.restore_snapshot(memory, saved, self.now))
 
     @invariant()
     def drains_hold(self) -> None:
         """Nothing but a restore puts a drained cache back to work, whatever it is called."""
-        for server, cache in self.made.boxes.items():
-            if self.drained & {server, *cache.also}:
-                assert cache.standing not in (MergedState.SERVING, MergedState.STANDBY), (server, cache)
+        for server, cache in self.made.caches.items():
+            if self.drained & {server, *cache.aliases}:
+                assert cache.state not in (MergedState.SERVING, MergedState.STANDBY), (server, cache)
         for server, change in self.heard.items():
             if server in self.drained:
                 assert change.member.state is not ServerState.SERVING
@@ -379,11 +379,11 @@
         """What the core was told is what the merge holds; one address is one cache."""
         on = {s for s, c in self.heard.items() if c.member.state is not ServerState.GONE}
         true = {
-            s for s, b in self.made.boxes.items() if b.standing in (MergedState.SERVING, MergedState.DRAINING)
+            s for s, b in self.made.caches.items() if b.state in (MergedState.SERVING, MergedState.DRAINING)
         }
         assert on == true
         for server in on:
-            cache = self.made.boxes[server]
+            cache = self.made.caches[server]
             assert self.heard[server] == Change(cache.member, cache.endpoint)
         ends = [c.endpoint for s, c in self.heard.items() if s in on]
         assert len(ends) == len(set(ends))
@@ -391,14 +391,14 @@
     @invariant()
     def standby_is_needed(self) -> None:
         """Nobody stands by while fewer than two better ones serve, and nobody serves needlessly."""
-        boxes = [cache for cache in self.made.boxes.values()]
+        boxes = [cache for cache in self.made.caches.values()]
         for cache in boxes:
             better = sum(
-                other.what.priority < cache.what.priority and other.standing is MergedState.SERVING
+                other.definition.priority < cache.definition.priority and other.state is MergedState.SERVING
                 for other in boxes
             )
-            if cache.standing in (MergedState.STANDBY, MergedState.SERVING):
-                assert (cache.standing is MergedState.STANDBY) is (better >= 2)
+            if cache.state in (MergedState.STANDBY, MergedState.SERVING):
+                assert (cache.state is MergedState.STANDBY) is (better >= 2)
 
 
 Interleavings.TestCase.settings = settings(
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -108,7 +108,7 @@
 
 def test_a_fill_that_waits_leaves_its_cache_to_others() -> None:
     """Fills that a full link in held back filled up their caches' places: new ones went to wrong caches."""
-    harness = RouterHarness(seats=(0, 0, 0, 1))
+    harness = RouterHarness(routers_by_location=(0, 0, 0, 1))
     assert harness.router.fills.waiting_share == 0.0
     for n in range(200):
         harness.now += 5.0
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,7 +17,7 @@
 from brackenlane.limits import Limits
 from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
 from brackenlane.ops.handover_records import HandoverIndex, Reader, Record, RecordType, encode
-from brackenlane.ops.handover_state import HandoverState, stand
+from brackenlane.ops.handover_state import HandoverState, handover_state
 from tests.stand_ins import Asked, Box, ScriptedReply, Program, data, free_port, platform, with_trio
 from tests.test_admin_api import call
 
@@ -103,7 +103,7 @@
     ],
 )
 def test_stands(serving: dict[str, bool], alive: set[str], found: HandoverState) -> None:
-    assert stand("me", serving, alive) is found
+    assert handover_state("me", serving, alive) is found
 
 
 def test_first_claim_wins(tmp_path: Path) -> None:
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -30,7 +30,9 @@
         fleet += [Member(f"parent-{n}", "hub-a", Role.PARENT, weight=20.0) for n in range(12)]
         fleet.append(Member("origin", "hub-a", Role.ORIGIN))
         self.harnesses = [
-            RouterHarness(fleet, n, 100.0, router_count=GATEWAYS, seats=(0, 0, 0, 6), weights_known=False)
+            RouterHarness(
+                fleet, n, 100.0, router_count=GATEWAYS, routers_by_location=(0, 0, 0, 6), weights_known=False
+            )
             for n in range(GATEWAYS)
         ]
         self.heap: list[tuple[float, int, Any]] = []
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -99,7 +99,7 @@
             "stale_worth in_parts uncached",
         ),
         (appliance.Cold, "share ramp factor span"),
-        (appliance.BoxRecord, "id host port zone role weight"),
+        (appliance.CacheRecord, "id host port zone role weight"),
         (appliance.Discover, "srv zone role weight_scale enough"),
         (
             appliance.Discovery,
--- a/tests/test_overload_decisions.py
+++ b/tests/test_overload_decisions.py
@@ -162,7 +162,7 @@
 
 def test_with_many_gateways_one_attempt_more_does_not_spill() -> None:
     """The others are taken to have what this router usually has, not what it has right now."""
-    harness = RouterHarness(seats=(0, 0, 0, 10), router_count=10)
+    harness = RouterHarness(routers_by_location=(0, 0, 0, 10), router_count=10)
     for n in range(50):
         harness.now += 1
         harness.serve(f"o{n}")
@@ -172,14 +172,14 @@
 
 def test_fills_of_all_gateways_must_fit_the_locations_link() -> None:
     harness = RouterHarness(
-        seats=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 4000.0)
+        routers_by_location=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 4000.0)
     )  # one transfer at full pace
     for n in range(10):
         harness.now += 0.1
         last = only(harness.ask(f"o{n}"), Fetch)
     assert last.source == last.server  # no source: only a copy on hand will do
     assert only(harness.end(last, AttemptResult.MISS, CacheStatus.UNKNOWN), Reject)
-    harness = RouterHarness(seats=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 160000.0))
+    harness = RouterHarness(routers_by_location=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 160000.0))
     for n in range(10):
         harness.now += 0.1
         last = only(harness.ask(f"o{n}"), Fetch)
@@ -251,7 +251,7 @@
 @pytest.mark.parametrize(("seats", "counted"), [(1, 12.0), (9, 6.0)])
 def test_fills_that_wait_are_not_taken_for_a_jam_of_all_who_share_a_link(seats: int, counted: float) -> None:
     """With all copies void the caches' links stood idle, yet a ninth of the crowd, times nine, was a jam."""
-    harness = RouterHarness(members(edges=1), seats=(0, 0, 0, seats), router_count=3)
+    harness = RouterHarness(members(edges=1), routers_by_location=(0, 0, 0, seats), router_count=3)
     sent = 0
     while sent < 12:
         fetch = only(harness.ask(f"o{sent}", size_kb=40.0), Fetch)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -820,7 +820,7 @@
         front._admit(mine)
         [client] = front._waiting[ClientState.FIRST]
         client.wait(ClientState.NOT)
-        client._room = Limits().head
+        client._bytes_allowed = Limits().head
         client.answer((200, {}, bytes(8_000_000)))
         assert client in front._waiting[ClientState.TAKE]
         peer.sendall(b"x" * 20_000)
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -249,7 +249,7 @@
         assert len(found.targets) == 2000 and server.asked[-1].tcp
         merge = MembershipMerge(Policy(), [SrvWatch("_c._tcp.x", "branch")])
         merge.answer("_c._tcp.x", found.targets, found.upstream, 1.0)
-        assert len(merge.boxes) == len(merge.hosts) == 2000
+        assert len(merge.caches) == len(merge.hosts) == 2000
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -110,7 +110,7 @@
             location=cache,
             locations=("hub-a", "hub-b", "hub-c", *pools),
             hub_of=hubs,
-            seats=(0, 0, 0, *[5] * len(pools)),
+            routers_by_location=(0, 0, 0, *[5] * len(pools)),
             router_count=5 * len(pools),
         )
         for cache in pools
@@ -165,7 +165,11 @@
     cold = Member("edge-0", "depot", started_at=100.0)
     harnesses = [
         RouterHarness(
-            [*members()[1:], cold], seed=n, router_count=40, seats=(0, 0, 0, sharers), weights_known=False
+            [*members()[1:], cold],
+            seed=n,
+            router_count=40,
+            routers_by_location=(0, 0, 0, sharers),
+            weights_known=False,
         )
         for n in range(sharers)
     ]
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -169,7 +169,7 @@
             locations=("hub-a", *LOCATIONS),
             hub_of=(0,) * 34,
             router_count=sum(self.seats),
-            seats=(0, *self.seats),
+            routers_by_location=(0, *self.seats),
             weights_known=False,
             classes=(VIDEO,),
         )
@@ -254,7 +254,7 @@
             seed,
             now,
             router_count=known,
-            seats=(0, 0, 0, known),
+            routers_by_location=(0, 0, 0, known),
             weights_known=False,
             classes=(cls,),
         )
@@ -322,7 +322,12 @@
     for start, now in ((90.0, 104.0), (104.3, 104.4)):
         for seed in range(6):
             harness = RouterHarness(
-                members()[1:], seed, start, router_count=6, seats=(0, 0, 0, 6), weights_known=False
+                members()[1:],
+                seed,
+                start,
+                router_count=6,
+                routers_by_location=(0, 0, 0, 6),
+                weights_known=False,
             )
             harness.now = now
             harness.tell([cold])
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -50,7 +50,7 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Listen, and start it."""
         [listener] = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        nursery.start_soon(trio.serve_listeners, self._hear, [listener])
+        nursery.start_soon(trio.serve_listeners, self._receive, [listener])
         self._file.write_text(WORKER)
         port = listener.socket.getsockname()[1]
         arguments = [self._process.shared.path, self._process.wake, port, self._busy]
@@ -60,7 +60,7 @@
             env={**os.environ, "PYTHONPATH": str(Path(__file__).parent.parent)},
         )
 
-    async def _hear(self, stream: trio.SocketStream) -> None:
+    async def _receive(self, stream: trio.SocketStream) -> None:
         async for data in stream:
             self.said += [(trio.current_time(), list(map(float, line.split()))) for line in data.splitlines()]
 
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize(("seats", "ranks"), [(1, [1, 2]), (9, [1, 1])])
 def test_rank_of_what_is_asked_for_again(seats: int, ranks: list[int]) -> None:
     """Of nine routers each called known what it saw twice: copies that the others' could not push out."""
-    harness = RouterHarness(seats=(0, 0, 0, seats))
+    harness = RouterHarness(routers_by_location=(0, 0, 0, seats))
     assert [harness.serve("clip").keep for _ in ranks] == ranks
 
 
