--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -20,7 +20,7 @@
 from brackenlane.limits import Limits
 from brackenlane.net.change_log import ChangeLogClient
 from brackenlane.net.change_log_codec import ListError, read_known
-from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.connection_pools import ConnectionPools
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
 from brackenlane.observe.throttle import Throttle
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -33,7 +33,7 @@
 from brackenlane.dns.server import Responder, Server
 from brackenlane.lifecycle import listen, serve_until_signal
 from brackenlane.limits import Limits
-from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.connection_pools import ConnectionPools
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
 from brackenlane.routing.events import AttemptResult
--- a/brackenlane/net/cache_codec.py
+++ b/brackenlane/net/cache_codec.py
@@ -1,4 +1,7 @@
-"""The lines between a router and a cache, apart from any socket."""
+"""Codec of the protocol between a router and a cache: requests to bytes, bytes to responses.
+
+Pure and incremental. The words of the wire stand here alone.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus
 from brackenlane.routing.load_report import read_load_report
 
-VERDICTS = {
+RESULTS_BY_WORD = {
     "data": AttemptResult.OK,
     "unchanged": AttemptResult.OK,
     "absent": AttemptResult.MISS,
@@ -19,7 +22,7 @@
     "failed": AttemptResult.ERROR,
     "moot": AttemptResult.NEVER_SENT,
 }
-NOTES = {
+STATUSES_BY_DETAIL = {
     "hit": CacheStatus.HIT,
     "filled": CacheStatus.FILLED,
     "via_origin": CacheStatus.FILLED_BY_ORIGIN,
@@ -31,21 +34,22 @@
     "no_slot": CacheStatus.NO_PLACE,
     "origin_failed": CacheStatus.ORIGIN_FAILED,
 }
-
+REPORT_SEPARATOR = ";"
+UNCHANGED_WORD = "unchanged"
+LINE_END = b"\r\n"
+MS_PER_S = 1000
 
 LoadReport = tuple[tuple[str, float], ...]
-
-
-REPORT_SEPARATOR = ";"
+"""Names and values of a cache's load report."""
 
 
 class WireError(Exception):
-    """Bytes that are no answer of a cache."""
+    """Bytes that are no response of a cache; the message says what was found."""
 
 
 @dataclass(slots=True, frozen=True)
 class CacheResponse:
-    """One answer as it came."""
+    """One response as it was received."""
 
     id: str
     word: str
@@ -54,35 +58,45 @@
 
     @property
     def result(self) -> AttemptResult:
-        """What the word says; one that is not known may have run."""
-        return VERDICTS.get(self.word, AttemptResult.ERROR)
+        """The result that the status word stands for; of an unknown word the request may have run."""
+        return RESULTS_BY_WORD.get(self.word, AttemptResult.ERROR)
 
     @property
     def cache_status(self) -> CacheStatus:
-        """How the answer came about."""
-        return NOTES.get(self.fields.get("detail", ""), CacheStatus.UNKNOWN)
+        """How the cache obtained the object, if it says so."""
+        return STATUSES_BY_DETAIL.get(self.fields.get("detail", ""), CacheStatus.UNKNOWN)
+
+    @property
+    def tag(self) -> str:
+        """The entity tag of the copy, without quotes; empty if there is none."""
+        return self.fields.get("entity", "").strip('"')
+
+    @property
+    def is_unchanged(self) -> bool:
+        """Whether the copy that the client holds is current."""
+        return self.word == UNCHANGED_WORD
 
     @property
     def issued(self) -> float | None:
-        """When the origin gave out this copy, in Unix seconds."""
+        """Unix time at which the origin issued this copy; None if the response does not say."""
         try:
-            return int(self.fields["issued"]) / 1000
+            return int(self.fields["issued"]) / MS_PER_S
         except (KeyError, ValueError):
             return None
 
     @property
     def delay(self) -> float:
-        """Seconds that a fill waited for its source; 0 where the answer tells of none."""
-        return (read_figure(self.fields.get("delay", "")) or 0.0) / 1000
+        """Seconds for which a fill waited for its source; 0 if the response does not say."""
+        return (read_figure(self.fields.get("delay", "")) or 0.0) / MS_PER_S
 
     @property
     def report(self) -> LoadReport:
-        """The load of the cache by the names of its fields; what is no figure is left out."""
+        """The load of the cache by the names of its fields; entries that are no number are left out."""
         return read_load_report(self.fields.get("use", ""), REPORT_SEPARATOR)
 
 
 def read_figure(text: str) -> float | None:
-    """A finite number of at least 0; None where the text is none."""
+    """Return a finite number of at least 0; None if the text is none."""
     try:
         value = float(text)
     except ValueError:
@@ -100,12 +114,12 @@
     body: bytes,
     key: str = "",
 ) -> bytes:
-    """The request of one attempt; times are cut to whole milliseconds, never up."""
+    """Encode the request of one attempt; budget and max_age in seconds, cut to whole milliseconds."""
     fields = {
         "queue": request.cls,
         "path": request.obj,
         "blk": str(request.part),
-        "budget": str(max(1, int(budget * 1000))),
+        "budget": str(max(1, int(budget * MS_PER_S))),
     }
     if key:
         fields["uniq"] = key
@@ -114,18 +128,18 @@
     if fetch.keep:
         fields["prio"] = str(fetch.keep)
     if max_age > 0:
-        fields["within"] = str(max(1, int(max_age * 1000)))
-    how = [
-        command
-        for command, on in (
+        fields["within"] = str(max(1, int(max_age * MS_PER_S)))
+    modes = [
+        mode
+        for mode, is_wanted in (
             ("coalesce", fetch.join),
             ("shallow", fetch.only_if_cached),
             ("freshen", fetch.revalidate),
         )
-        if on
+        if is_wanted
     ]
-    if how:
-        fields["f"] = "+".join(how)
+    if modes:
+        fields["f"] = "+".join(modes)
     if tag:
         fields["mine"] = tag
     line = ",".join(f"{name}={value}" for name, value in fields.items())
@@ -133,17 +147,17 @@
 
 
 def encode_drop(wire_id: str) -> bytes:
-    """Gives a request up."""
+    """Encode the cancellation of a request."""
     return b"DROP %b\r\n" % wire_id.encode()
 
 
 def encode_ping() -> bytes:
-    """Asks whether the connection lives; the answer comes under an id that no request bears."""
+    """Encode a ping; its response comes under an id that no request has."""
     return b"PING alive\r\n"
 
 
 class Parser:
-    """Answers out of bytes as they come."""
+    """Incremental parser of responses; bounded by Limits.line and Limits.object_size."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
@@ -152,11 +166,11 @@
 
     @property
     def partial(self) -> bool:
-        """Whether an answer has begun and not ended."""
+        """Whether a response has begun and not ended."""
         return bool(self._buffer) or self._head is not None
 
     def feed(self, data: bytes | bytearray) -> Iterator[CacheResponse]:
-        """The answers that these bytes complete."""
+        """Yield the responses that these bytes complete. Raises WireError."""
         self._buffer += data
         while True:
             if self._head is None:
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a cache, parent or the origin, and the attempts that are open on it."""
+"""One connection to a cache, a parent or the origin, and the attempts in flight on it."""
 
 from __future__ import annotations
 
@@ -8,376 +8,353 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
-from brackenlane.core.membership_view import MembershipView
-from brackenlane.core.requests import Attempt, AttemptReply
-from brackenlane.core.timers import Timer
-from brackenlane.limits import Limits
+from brackenlane.core.requests import AttemptReply, PendingRequest
 from brackenlane.net import cache_codec
-from brackenlane.net.poller import READ, WRITE, Poller
+from brackenlane.net.connection_context import ConnectionContext
+from brackenlane.net.dispatched_attempt import NEVER_SENT, DispatchedAttempt
+from brackenlane.net.poller import READ, WRITE
 from brackenlane.routing.events import AttemptResult
 
 log = logging.getLogger(__name__)
 
-Report = Callable[[Attempt, AttemptReply], None]
-Tried = Callable[[str], None]  # told the class of each attempt that is written whole
-NEVER_SENT = AttemptReply(AttemptResult.NEVER_SENT)
-
-
-class DispatchedAttempt:
-    """One attempt at a cache, from its placing to its outcome."""
-
-    __slots__ = ("attempt", "id", "sent", "link", "timer", "redispatches", "_report")
-
-    def __init__(self, attempt: Attempt, report: Report) -> None:
-        self.attempt, self._report = attempt, report
-        self.id = attempt.request.wire_id
-        self.sent = 0.0
-        self.link: CacheConnection | None = None
-        self.timer: Timer | None = None
-        self.redispatches = 0  # to another connection, since one ended before a byte of it was out
-
-    @property
-    def is_finished(self) -> bool:
-        """Whether its outcome has been told."""
-        return self.attempt.reply is not None
-
-    def settle(self, reply: AttemptReply) -> None:
-        """What came of it, once."""
-        if self.is_finished:
-            return
-        if self.timer:
-            self.timer.cancel()
-        if self.link:
-            self.link.release(self)
-        self._report(self.attempt, reply)
-
-    def stop(self) -> None:
-        """It is cancelled, or its time is up: nothing written proves that nothing ran."""
-        result = AttemptResult.CANCELLED if self.attempt.cancelled else AttemptResult.TIMEOUT
-        if not self.is_finished:
-            if self.link and self.attempt.written:
-                self.link.give_up(self)
-            self.settle(
-                AttemptReply(
-                    result if self.attempt.written else AttemptResult.NEVER_SENT,
-                    time.time() - self.attempt.started,
-                )
-            )
-
-
-class ConnectionQuota:
-    """The descriptors that connections to caches may have, all caches together; the others are kept for the
-    change log, operators and clients. One is taken as a connect begins, given back as its connection ends.
-    """
-
-    def __init__(self, most: int) -> None:
-        self.most, self._taken = most, 0
-        self.close_idle: Callable[[], bool] = lambda: False  # ends a connection that rests; whether one did
-
-    def take(self, needed: bool) -> bool:
-        """Whether there is one; needed: also in the place of a connection that rests."""
-        if self._taken >= self.most and not (needed and self.close_idle()):
-            return False
-        self._taken += 1
-        return True
-
-    def give(self) -> None:
-        """One is free again."""
-        self._taken -= 1
+RECEIVE_BYTES = 262_144  # read from the socket at once
 
 
 class CacheConnection:
-    """One connection to a cache: answers arrive in any order."""
+    """One connection to a cache; responses arrive in any order, each under the id of its request."""
 
     def __init__(
         self,
         sock: socket.socket,
-        poller: Poller,
-        membership: MembershipView,
-        limits: Limits,
-        may_probe: bool,
-        tried: Tried,
-        again: Callable[[DispatchedAttempt], None],
-        quota: ConnectionQuota,
+        context: ConnectionContext,
+        redispatch: Callable[[DispatchedAttempt], None],
     ) -> None:
-        self._sock, self._poller, self._tried = sock, poller, tried
-        self._quota = quota
-        self._again = again  # takes back an attempt of which no byte is out
-        self._reading = False
-        self._begun = 0.0  # since when an answer has been coming in, 0: none is
-        self._membership, self._limits, self._may_probe = membership, limits, may_probe
-        self._parser = cache_codec.Parser(limits)
-        self._received_at = time.time()  # when bytes came last, or the first of what is open was written
-        self._stuck = 0.0  # since when it takes no byte
-        self._is_probed = False  # whether it lives
-        self._waiting: dict[str, DispatchedAttempt] = {}
-        self._past: OrderedDict[str, bool] = OrderedDict()  # ids to which more may come; whether answered
-        self._out: deque[DispatchedAttempt | bytes] = deque()
-        self._rest = memoryview(b"")  # of what has been written in part
-        self._fully_written: DispatchedAttempt | None = None  # the attempt that is, once the rest is out
-        self.open = True
-        poller.add(sock.fileno(), self._ready, READ, urgent=True)
-
-    def takes(self, wire_id: str) -> bool:
-        """Whether a request may go this way.
-
-        Guards against a late answer to an attempt given up, or a second one, passing for that of the next
-        with its id; and against waiting behind the rest of an answer that nobody wants, which may never end.
+        """redispatch: takes back an attempt of which no byte was written when this connection ended."""
+        self.is_open = True
+        self._sock = sock
+        self._context = context
+        self._redispatch = redispatch
+        self._parser = cache_codec.Parser(context.limits)
+        self._in_flight: dict[str, DispatchedAttempt] = {}
+        # Ids under which more may come; whether they were answered. Bounded by Limits.given_up.
+        self._past_ids: OrderedDict[str, bool] = OrderedDict()
+        self._to_write: deque[DispatchedAttempt | bytes] = deque()
+        self._unsent = memoryview(b"")  # the rest of what was written in part
+        self._being_written: DispatchedAttempt | None = None
+        self._is_parsing = False
+        self._is_probed = False  # a ping was sent and nothing came since
+        self._last_activity = (
+            time.time()
+        )  # last bytes received, or first attempt written on an idle connection
+        self._response_began_at = 0.0  # Unix time since which a response has been incomplete; 0: none is
+        self._blocked_since = 0.0  # Unix time since which the socket takes no byte; 0: it does
+        context.poller.add(sock.fileno(), self._on_ready, READ, urgent=True)
+
+    def can_carry(self, wire_id: str) -> bool:
+        """Return whether a request with this id may be written here.
+
+        A late or second response to an earlier attempt must not pass for that of a new one with the same id,
+        and nothing may wait behind the rest of a response that nobody wants, since it may never end.
         """
-        stuck = (
-            self._begun and not self._waiting and time.time() - self._begun > self._limits.idle_probe_after
-        )
-        return (
-            self.open
-            and len(self._waiting) < self._limits.link_waiting
-            and not stuck
-            and wire_id not in self._waiting
-            and wire_id not in self._past
-        )
+        if not self.is_open or self._is_behind_unwanted_response():
+            return False
+        if len(self._in_flight) >= self._context.limits.link_waiting:
+            return False
+        return wire_id not in self._in_flight and wire_id not in self._past_ids
 
-    def reconfigure(self, limits: Limits, may_probe: bool) -> None:
-        """Keep to other limits from now on."""
-        self._limits, self._may_probe = limits, may_probe
+    def _is_behind_unwanted_response(self) -> bool:
+        if not self._response_began_at or self._in_flight:
+            return False
+        return time.time() - self._response_began_at > self._context.limits.idle_probe_after
 
     @property
     def load(self) -> int:
-        """Requests open here."""
-        return len(self._waiting)
+        """The number of requests in flight."""
+        return len(self._in_flight)
 
     @property
-    def idle(self) -> bool:
-        """Whether nothing waits for an answer here."""
-        return not self._waiting and not self._is_probed
+    def is_idle(self) -> bool:
+        """Whether no response and no pong is awaited."""
+        return not self._in_flight and not self._is_probed
 
     @property
-    def received_at(self) -> float:
-        """When bytes came last, or the first of what is open was written."""
-        return self._received_at
-
-    def send(self, slot: DispatchedAttempt) -> None:
-        """Send an attempt, now if the connection takes it."""
-        slot.link = self
-        self._waiting[slot.id] = slot
-        self._out.append(slot)
-        self._flush()
+    def last_activity(self) -> float:
+        """Unix time of the last bytes received, or of the first attempt written while idle."""
+        return self._last_activity
 
-    def release(self, slot: DispatchedAttempt) -> None:
-        """An attempt is over."""
-        self._waiting.pop(slot.id, None)
+    # Writing
 
-    def give_up(self, slot: DispatchedAttempt) -> None:
-        """Tell the cache that an attempt is wanted no more."""
-        if not self.open:
-            return
-        self._remember(slot.id, answered=False)
-        self._out.appendleft(cache_codec.encode_drop(slot.id))
+    def send(self, dispatched: DispatchedAttempt) -> None:
+        """Write an attempt now, or as soon as the socket takes it."""
+        dispatched.carrier = self
+        self._in_flight[dispatched.id] = dispatched
+        self._to_write.append(dispatched)
         self._flush()
 
-    def _remember(self, wire_id: str, answered: bool) -> None:
-        self._past[wire_id] = answered
-        if len(self._past) > self._limits.given_up:
-            self._past.popitem(last=False)
+    def release(self, dispatched: DispatchedAttempt) -> None:
+        """Forget an attempt that has its reply."""
+        self._in_flight.pop(dispatched.id, None)
 
-    def close(self) -> None:
-        """End the connection; what waits here is told, or goes another way if no byte of it is out."""
-        if not self.open:
-            return
-        self.open = False
-        self._poller.remove(self._sock.fileno())
-        self._sock.close()
-        self._quota.give()
-        self._out.clear()
-        waiting, self._waiting = list(self._waiting.values()), {}
-        for slot in waiting:
-            slot.link = None
-            if not slot.attempt.written and slot.redispatches < self._limits.redispatches:
-                slot.redispatches += 1
-                self._again(slot)
-            else:
-                slot.settle(
-                    AttemptReply(
-                        AttemptResult.BROKEN if slot.attempt.written else AttemptResult.UNREACHABLE,
-                        time.time() - slot.attempt.started,
-                    )
-                )
-
-    def watch(self, now: float, lag: float) -> None:
-        """Look after a connection that says or takes nothing, `lag` seconds of which were our own."""
-        self._received_at += lag
-        self._stuck += lag if self._stuck else 0.0
-        # Guards against a mute machine behind whose full buffer every later line would wait.
-        if self._stuck and now - self._stuck > self._limits.write_stall:
-            return self.close()
-        if self._begun and now - self._begun > self._limits.answer_time:
-            log.warning("a box's answer does not end, %d requests open", len(self._waiting))
-            return self.close()
-        if self._is_probed:
-            wait = self._limits.idle_probe_after + self._limits.pulse
-        elif self.idle:
-            wait = self._limits.keepalive
-        else:
-            wait = self._limits.idle_probe_after if self._may_probe else self._limits.unresponsive
-        if now - self._received_at < wait:
+    def cancel(self, dispatched: DispatchedAttempt) -> None:
+        """Tell the cache that the response of an attempt is no longer wanted."""
+        if not self.is_open:
             return
-        if self.idle:
-            self.close()  # guards against a request that crosses the box's own close after its idle time
-        elif self._is_probed or not self._may_probe:
-            # Guards against a connection that stays open and says nothing more, part of an answer or
-            # none: all that is open on it would wait for its deadline, and what comes next as well.
-            log.warning("a box says nothing more, %d requests open", len(self._waiting))
-            self.close()
-        else:
-            self._is_probed = True
-            self._out.appendleft(cache_codec.encode_ping())
-            self._flush()
+        self._remember_id(dispatched.id, answered=False)
+        self._to_write.appendleft(cache_codec.encode_drop(dispatched.id))
+        self._flush()
 
-    def _ready(self, events: int) -> None:
-        try:
-            if events & ~WRITE:
-                self._receive()
-            if events & WRITE and self.open:
-                self._stuck = 0.0
-                self._poller.want(self._sock.fileno(), READ)
-                self._flush()
-        except Exception:  # what is open on this connection is told that it broke; the others go on
-            log.exception("a box's connection failed")
-            self.close()
+    def _remember_id(self, wire_id: str, answered: bool) -> None:
+        self._past_ids[wire_id] = answered
+        if len(self._past_ids) > self._context.limits.given_up:
+            self._past_ids.popitem(last=False)
 
     def _flush(self) -> None:
-        """Write until all is out or the connection takes no more."""
-        if self._stuck:
+        """Write until all is written or the socket takes no more."""
+        if self._blocked_since:
             return
-        # Guards against a request that crosses the end of a connection that rested: it might have run.
-        if self._out and not self._reading and not any(s.attempt.written for s in self._waiting.values()):
+        # A request must not cross the end of a connection that was idle: it might have run.
+        if self._to_write and not self._is_parsing and not self._has_written_attempt():
             self._receive()
         try:
-            while self.open and (self._rest or self._out):
-                if not self._rest:
-                    item = self._out.popleft()
-                    if isinstance(item, DispatchedAttempt):
-                        if rest := self._write(item):
-                            self._rest = rest
-                        self._written()
-                        if self._stuck:  # by what came of an attempt that ended as its turn came
-                            return
-                        continue
-                    self._rest = memoryview(item)
-                self._rest = self._rest[self._sock.send(self._rest) :]
-                self._written()
+            self._write_queued()
         except BlockingIOError:
-            self._stuck = time.time()
-            self._poller.want(self._sock.fileno(), READ | WRITE)
+            self._blocked_since = time.time()
+            self._context.poller.want(self._sock.fileno(), READ | WRITE)
         except OSError:
             self.close()
 
-    def _written(self) -> None:
-        """Count an attempt as its last byte is taken."""
-        if self._fully_written and not self._rest:
-            self._tried(self._fully_written.attempt.request.arrival.cls)
-            self._fully_written = None
-
-    def _write(self, slot: DispatchedAttempt) -> memoryview:
-        """Begin to write an attempt; what the connection did not take of it."""
-        data = self._prepare(slot)
-        if data and self._rest:  # others went first meanwhile, as far as the connection took them
-            self._out.appendleft(slot)
+    def _has_written_attempt(self) -> bool:
+        return any(dispatched.attempt.written for dispatched in self._in_flight.values())
+
+    def _write_queued(self) -> None:
+        """Write what is queued; raise OSError as the socket does."""
+        while self.is_open and (self._unsent or self._to_write):
+            if not self._unsent:
+                item = self._to_write.popleft()
+                if isinstance(item, DispatchedAttempt):
+                    rest = self._write_attempt(item)
+                    if rest:
+                        self._unsent = rest
+                    self._count_if_written()
+                    # The end of an attempt whose turn came may have led to other writes meanwhile.
+                    if self._blocked_since:
+                        return
+                    continue
+                self._unsent = memoryview(item)
+            self._unsent = self._unsent[self._sock.send(self._unsent) :]
+            self._count_if_written()
+
+    def _count_if_written(self) -> None:
+        """Count an attempt once its last byte was taken by the socket."""
+        if self._being_written and not self._unsent:
+            self._context.count_written(self._being_written.attempt.request.arrival.cls)
+            self._being_written = None
+
+    def _write_attempt(self, dispatched: DispatchedAttempt) -> memoryview:
+        """Begin to write an attempt; return what the socket did not take of it."""
+        data = self._encode_if_sendable(dispatched)
+        if data and self._unsent:  # others were written meanwhile, as far as the socket took them
+            self._to_write.appendleft(dispatched)
             return memoryview(b"")
-        if not data or not self.open:
+        if not data or not self.is_open:
             return memoryview(b"")
-        attempt = slot.attempt
+        attempt = dispatched.attempt
         try:
             sent = self._sock.send(data)
-        except BlockingIOError:  # not a byte of it is out: whether it may go is asked again when it can
-            self._out.appendleft(slot)
+        except BlockingIOError:  # no byte was written: whether it may go is checked again later
+            self._to_write.appendleft(dispatched)
             raise
         except OSError:
-            attempt.written = True  # perhaps
+            attempt.written = True  # it may have been
             raise
-        slot.sent = time.time()
-        if not any(other.attempt.written for other in self._waiting.values()):
-            self._received_at = slot.sent
-        attempt.written, self._fully_written = True, slot
+        dispatched.sent_at = time.time()
+        if not self._has_written_attempt():
+            self._last_activity = dispatched.sent_at
+        attempt.written = True
+        self._being_written = dispatched
         return memoryview(data)[sent:]
 
-    def _prepare(self, slot: DispatchedAttempt) -> bytes:
-        """The bytes of an attempt, if it may still go out at this very moment."""
-        attempt, now = slot.attempt, time.time()
-        left = attempt.remaining_time(self._membership, now)
-        if left <= 0:
-            slot.settle(NEVER_SENT)
+    def _encode_if_sendable(self, dispatched: DispatchedAttempt) -> bytes:
+        """Return the bytes of an attempt, or none if it must not be written any more."""
+        attempt = dispatched.attempt
+        membership = self._context.membership
+        now = time.time()
+        remaining = attempt.remaining_time(membership, now)
+        if remaining <= 0:
+            dispatched.finish(NEVER_SENT)
             return b""
         request = attempt.request
         return cache_codec.encode_get(
             request.wire_id,
             request.arrival,
             attempt.fetch,
-            left,
-            self._membership.max_age(attempt.fetch, request.arrival, now),
+            remaining,
+            membership.max_age(attempt.fetch, request.arrival, now),
             request.tag,
             request.body,
             request.key,
         )
 
+    # Liveness
+
+    def check_liveness(self, now: float, lag: float) -> None:
+        """Close or probe a connection that is silent or blocked for too long.
+
+        now: Unix time; lag: seconds by which this check is late, which are not held against the cache.
+        """
+        limits = self._context.limits
+        self._last_activity += lag
+        if self._blocked_since:
+            self._blocked_since += lag
+        # Behind the full buffer of an unresponsive machine every later request would wait.
+        if self._blocked_since and now - self._blocked_since > limits.write_stall:
+            self.close()
+            return
+        if self._response_began_at and now - self._response_began_at > limits.answer_time:
+            log.warning("connection closed: a response does not end, %d requests in flight", self.load)
+            self.close()
+            return
+        if now - self._last_activity >= self._allowed_silence():
+            self._handle_silence()
+
+    def _allowed_silence(self) -> float:
+        """Return the seconds for which nothing may come."""
+        limits = self._context.limits
+        if self._is_probed:
+            return limits.idle_probe_after + limits.pulse
+        if self.is_idle:
+            return limits.keepalive
+        return limits.idle_probe_after if self._context.settings.may_probe else limits.unresponsive
+
+    def _handle_silence(self) -> None:
+        if self.is_idle:
+            self.close()  # before the cache does, so that no request crosses its close
+        elif self._is_probed or not self._context.settings.may_probe:
+            # All that is in flight on a connection cut off without an end would wait for its deadline, and
+            # what comes next as well.
+            log.warning("connection closed: the cache is unresponsive, %d requests in flight", self.load)
+            self.close()
+        else:
+            self._is_probed = True
+            self._to_write.appendleft(cache_codec.encode_ping())
+            self._flush()
+
+    def close(self) -> None:
+        """End the connection; each attempt in flight is redispatched if no byte was written, else fails."""
+        if not self.is_open:
+            return
+        self.is_open = False
+        self._context.poller.remove(self._sock.fileno())
+        self._sock.close()
+        self._context.quota.give()
+        self._to_write.clear()
+        interrupted = list(self._in_flight.values())
+        self._in_flight = {}
+        for dispatched in interrupted:
+            dispatched.carrier = None
+            self._redispatch_or_fail(dispatched)
+
+    def _redispatch_or_fail(self, dispatched: DispatchedAttempt) -> None:
+        if dispatched.attempt.written:
+            dispatched.finish(AttemptReply(AttemptResult.BROKEN, dispatched.elapsed_time()))
+        elif dispatched.redispatches < self._context.limits.redispatches:
+            dispatched.redispatches += 1
+            self._redispatch(dispatched)
+        else:
+            dispatched.finish(AttemptReply(AttemptResult.UNREACHABLE, dispatched.elapsed_time()))
+
+    # Reading
+
+    def _on_ready(self, events: int) -> None:
+        try:
+            if events & ~WRITE:
+                self._receive()
+            if events & WRITE and self.is_open:
+                self._blocked_since = 0.0
+                self._context.poller.want(self._sock.fileno(), READ)
+                self._flush()
+        except Exception:  # attempts on this connection fail; other connections go on
+            log.exception("connection to a cache failed")
+            self.close()
+
     def _receive(self) -> None:
         try:
-            data = self._sock.recv(262_144)
+            data = self._sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
             if self._parser.partial:
-                log.warning("a box ends its connection within an answer, %d open", len(self._waiting))
-            return self.close()
-        self._received_at, self._is_probed, self._reading = time.time(), False, True
-        complete = False
+                log.warning("connection closed by the cache mid-response, %d requests in flight", self.load)
+            self.close()
+            return
+        self._last_activity = time.time()
+        self._is_probed = False
+        self._track_open_response(self._parse(data))
+
+    def _parse(self, data: bytes) -> bool:
+        """Handle the responses that these bytes complete; return whether there was one."""
+        any_complete = False
+        self._is_parsing = True
         try:
-            for answer in self._parser.feed(data):
-                complete = True
-                self._answer(answer)
-        except cache_codec.WireError as fault:
-            log.warning("a box that can't be read: %s", fault)
+            for response in self._parser.feed(data):
+                any_complete = True
+                self._on_response(response)
+        except cache_codec.WireError as error:
+            log.warning("connection closed: unreadable response: %s", error)
             self.close()
         finally:
-            self._reading = False
-        if complete or not self._parser.partial:
-            self._begun = self._received_at if self._parser.partial else 0.0
-        elif not self._begun:
-            self._begun = self._received_at
-
-    def _answer(self, answer: cache_codec.CacheResponse) -> None:
-        slot = self._waiting.get(answer.id)
-        if slot is None or not slot.attempt.written:
-            if self._past.get(answer.id):
-                log.warning("a box answers a second time")
+            self._is_parsing = False
+        return any_complete
+
+    def _track_open_response(self, any_complete: bool) -> None:
+        """Note since when a response has been incomplete."""
+        if not self._parser.partial:
+            self._response_began_at = 0.0
+        elif any_complete or not self._response_began_at:
+            self._response_began_at = self._last_activity
+
+    def _on_response(self, response: cache_codec.CacheResponse) -> None:
+        dispatched = self._in_flight.get(response.id)
+        if dispatched is None or not dispatched.attempt.written:
+            if self._past_ids.get(response.id):
+                log.warning("a cache answered a request a second time")
             return
         now = time.time()
-        request, result, body = slot.attempt.request, answer.result, answer.body
-        tag = answer.fields.get("entity", "").strip('"')
-        unchanged = answer.word == "unchanged"
-        if result is AttemptResult.OK:
-            # Guards against a copy that is too old, or an 'unchanged' of another copy than the client holds.
-            old = answer.issued is not None and self._membership.too_old(
-                request.cls, answer.issued, slot.sent, self._limits.age_slack
-            )
-            # Nor may bytes pass that only look like an answer: what is kept bears its tag and its time.
-            bare = not request.arrival.is_write and (not tag or answer.issued is None)
-            if old or bare or (unchanged and tag != request.tag):
-                log.warning("%s answered with what can't be served", slot.attempt.fetch.server)
-                result, body = AttemptResult.ERROR, b""
-        # A second answer does no harm where all that can follow is another look for the same object.
+        request = dispatched.attempt.request
+        result = response.result
+        body = response.body
+        if result is AttemptResult.OK and not self._is_servable(response, dispatched):
+            log.warning("%s answered with what can't be served", dispatched.attempt.fetch.server)
+            result = AttemptResult.ERROR
+            body = b""
+        # A second response is harmless where it can only lead to another lookup of the same object.
         if not (result.is_proven_not_run and request.is_idempotent):
-            self._remember(slot.id, answered=True)
-        slot.settle(
+            self._remember_id(dispatched.id, answered=True)
+        dispatched.finish(
             AttemptReply(
                 result,
-                now - slot.sent,
-                answer.cache_status,
+                now - dispatched.sent_at,
+                response.cache_status,
                 body,
-                tag,
-                unchanged,
-                answer.issued,
-                answer.delay,
-                answer.report,
+                response.tag,
+                response.is_unchanged,
+                response.issued,
+                response.delay,
+                response.report,
             )
         )
+
+    def _is_servable(self, response: cache_codec.CacheResponse, dispatched: DispatchedAttempt) -> bool:
+        """Return whether a good response may be passed to the client."""
+        request: PendingRequest = dispatched.attempt.request
+        if response.issued is not None and self._context.membership.too_old(
+            request.cls, response.issued, dispatched.sent_at, self._context.limits.age_slack
+        ):
+            return False
+        # A stored copy bears its tag and the time at which the origin gave it out.
+        if not request.arrival.is_write and (not response.tag or response.issued is None):
+            return False
+        # "Unchanged" must speak of the copy that the client holds.
+        return not response.is_unchanged or response.tag == request.tag
--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -12,7 +12,7 @@
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
 from brackenlane.net.change_log_codec import Change, FrameReader, ListError, read_frame
-from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.connection_pools import ConnectionPools
 from brackenlane.net.connector import Connector
 from brackenlane.net.poller import Poller
 from brackenlane.routing.events import Event, Membership, MembershipKind
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -30,9 +30,9 @@
     HEALTHY,
     TARGET,
     EncodedResponse,
+    encode_final_answer,
     lane_of,
     read_request,
-    encode_final_answer,
 )
 
 log = logging.getLogger(__name__)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -24,11 +24,13 @@
 
 from brackenlane.core.engine import RequestEngine
 from brackenlane.core.membership_view import MembershipView
-from brackenlane.core.requests import Attempt, PendingRequest
-from brackenlane.core.requests import AttemptReply
+from brackenlane.core.requests import Attempt, AttemptReply, PendingRequest
+from brackenlane.core.timers import Timers
 from brackenlane.limits import Limits
-from brackenlane.net.cache_connection import CacheConnection, ConnectionQuota, DispatchedAttempt
+from brackenlane.net.cache_connection import CacheConnection
 from brackenlane.net.client_connection import ClientState
+from brackenlane.net.connection_context import ConnectionContext, ConnectionQuota
+from brackenlane.net.dispatched_attempt import DispatchedAttempt
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
 from brackenlane.observe.throttle import Throttle
@@ -39,10 +41,10 @@
 from tests.stand_ins import (
     SETTINGS,
     Asked,
-    ScriptedReply,
     Box,
     Log,
     Program,
+    ScriptedReply,
     data,
     free_port,
     platform,
@@ -250,7 +252,7 @@
             status, _, _ = await router_process.ask("sheet-submit", body=b"signed")
             assert len(runs) == 1 and status == 200
             await router_process.ask("sheet-submit", body=b"signed")  # answered twice, for nothing
-            await router_process.says(b"a box answers a second time")
+            await router_process.says(b"a cache answered a request a second time")
         nursery.cancel_scope.cancel()
 
 
@@ -784,9 +786,11 @@
         )
         return DispatchedAttempt(Attempt(send_request, 0, Fetch(name, "box", left, "box"), now), report)
 
-    link = CacheConnection(
-        mine, poller, fleet_, limits, False, lambda _: None, lambda _: None, ConnectionQuota(9)
+    timers = Timers()
+    context = ConnectionContext(
+        fleet_, limits, poller, timers, lambda *_: None, lambda _: None, ConnectionQuota(9), settings
     )
+    link = CacheConnection(mine, context, lambda _: None)
     link.send(slot("x", 9.0))  # more than the connection takes at once
     link.send(slot("y", -1.0, lambda: link.send(slot("z", 9.0))))
     with peer:
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -16,7 +16,7 @@
 from brackenlane.limits import Limits
 from brackenlane.net import change_log
 from brackenlane.net.change_log import ChangeLogClient
-from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.connection_pools import ConnectionPools
 from brackenlane.routing.actions import Fetch
 from brackenlane.routing.events import AttemptResult, CacheStatus, MembershipKind, Outcome
 from brackenlane.routing.members import Member, Role
@@ -111,13 +111,13 @@
     class Busy:
         """A box's actor with something open."""
 
-        busy = True
+        is_busy = True
 
-        def watch(self, now: float, lag: float) -> bool:
+        def check_liveness(self, now: float, lag: float) -> bool:
             """Nothing to do."""
             return True
 
-        def post(self, attempt: Any) -> bool:
+        def dispatch(self, attempt: Any) -> bool:
             """Take it."""
             return True
 
@@ -126,7 +126,7 @@
     clock.run_to(clock.now + 10)
     assert clock.rung <= 25
     cache: Any = Busy()
-    caches._peers["s-00000001"] = cache
+    caches._pools["s-00000001"] = cache
     attempt: Any = type("Attempt", (), {"fetch": type("Fetch", (), {"server": "s-00000001"})})
     caches.place(attempt)
     before = clock.rung
