--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -30,7 +30,8 @@
 from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import Resolver
 from brackenlane.dns.names import read_zone
-from brackenlane.dns.server import Responder, Server
+from brackenlane.dns.responder import Responder
+from brackenlane.dns.server import Server
 from brackenlane.lifecycle import listen, serve_until_signal
 from brackenlane.limits import Limits
 from brackenlane.net.connection_pools import ConnectionPools
--- a/brackenlane/dns/names.py
+++ b/brackenlane/dns/names.py
@@ -15,29 +15,35 @@
 import dns.name
 
 OBJECT = re.compile(r"[0-9a-z_][0-9a-z_-]{0,62}")
-ROUTER_LABEL, CACHES_LABEL, SERVICE = "doorman", "boxes", ("_http", "_tcp")
+ROUTER_LABEL = "doorman"
+CACHES_LABEL = "boxes"
+SERVICE_LABELS = ("_http", "_tcp")
+LARGEST_GROUP = 255
+NO_GROUP = -1
+MARK = re.compile(r"(?P<kind>[gn])-(?P<number>\d{1,9})")
+MARK_ORDER = "gn"  # group before part
 
 
 @dataclass(slots=True, frozen=True)
 class ObjectQuestion:
-    """An object of a class."""
+    """One part of an object of a class."""
 
     cls: str
     obj: str
     part: int = 0
-    group: int = -1
+    group: int = NO_GROUP
 
 
 @dataclass(slots=True, frozen=True)
 class CacheQuestion:
-    """One cache by its id."""
+    """One cache, by its id."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
 class RouterQuestion:
-    """The router itself, or the zone's top."""
+    """The router itself; apex: the zone's own name."""
 
     apex: bool = False
 
@@ -46,7 +52,7 @@
 
 
 def read_zone(text: str) -> dns.name.Name:
-    """The operator's zone; ValueError if it is no name."""
+    """Read the operator's zone. Raises ValueError if it is no domain name."""
     try:
         return dns.name.from_text(text)
     except dns.exception.DNSException as fault:
@@ -56,17 +62,17 @@
 def read_name(
     name: dns.name.Name, zone: dns.name.Name, classes: frozenset[str]
 ) -> tuple[Question, bool] | None:
-    """What a name under the zone asks for and whether by service; None if there is no such name."""
+    """Return what a name under the zone asks for, and whether as a service; None if there is no such name."""
     labels = [label.decode("latin-1").lower() for label in name.relativize(zone).labels]
-    service = tuple(labels[:2]) == SERVICE
+    service = tuple(labels[:2]) == SERVICE_LABELS
     if service:
         labels = labels[2:]
     match labels:
         case []:
             return None if service else (RouterQuestion(apex=True), False)
-        case ["doorman"]:
+        case [label] if label == ROUTER_LABEL:
             return RouterQuestion(), service
-        case [server, "boxes"]:
+        case [server, label] if label == CACHES_LABEL:
             return CacheQuestion(server), service
         case [*marks, obj, cls] if cls in classes and OBJECT.fullmatch(obj):
             found = _read_marks(marks)
@@ -75,14 +81,15 @@
 
 
 def _read_marks(marks: list[str]) -> tuple[int, int] | None:
-    """Part and group from the labels before the object."""
-    part, group = 0, -1
-    for letter, label in zip(reversed("gn"[-len(marks) :] if marks else ""), reversed(marks), strict=False):
-        found = re.fullmatch(r"([gn])-(\d{1,9})", label)
-        if not found or (found[1] != letter and len(marks) > 1):
-            return None
-        if found[1] == "n":
-            part = int(found[2])
-        else:
-            group = int(found[2])
-    return None if len(marks) > 2 or group > 255 else (part, group)
+    """Return part and group from the labels before the object, group first; None if they are malformed."""
+    if len(marks) > len(MARK_ORDER):
+        return None
+    found = [MARK.fullmatch(mark) for mark in marks]
+    kinds = "".join(match["kind"] for match in found if match)
+    if len(kinds) != len(marks) or (len(marks) > 1 and kinds != MARK_ORDER):
+        return None
+    numbers = {match["kind"]: int(match["number"]) for match in found if match}
+    group = numbers.get("g", NO_GROUP)
+    if group > LARGEST_GROUP:
+        return None
+    return numbers.get("n", 0), group
--- /dev/null
+++ b/brackenlane/dns/responder.py
@@ -0,0 +1,292 @@
+"""Answers DNS queries for the operator's zone through the request engine (RFC 1035, RFC 2782, RFC 6891).
+
+No record may be cached: every time-to-live is 0, since the cache that is picked may drain at any moment.
+"""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Callable
+from typing import Protocol
+
+import dns.edns
+import dns.exception
+import dns.flags
+import dns.message
+import dns.name
+import dns.opcode
+import dns.rcode
+import dns.rdata
+import dns.rdataclass
+import dns.rdatatype
+import dns.rrset
+import trio
+
+from brackenlane.config import Endpoint
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.requests import Disposition, PendingRequest
+from brackenlane.dns import names
+from brackenlane.limits import Limits
+from brackenlane.routing.events import Arrival
+
+log = logging.getLogger(__name__)
+
+A = dns.rdatatype.A
+AAAA = dns.rdatatype.AAAA
+SRV = dns.rdatatype.SRV
+ANY = dns.rdatatype.ANY
+
+HEADER_BYTES = 12
+LARGEST_TCP_MESSAGE = 65_535  # bytes
+SMALLEST_UDP_PAYLOAD = 512  # bytes that every client takes (RFC 1035, 4.2.1)
+RESPONSE_BIT = 0x80  # QR, in the third byte of a message
+OPCODE_BITS = 0x78
+RECURSION_DESIRED_BIT = 0x01
+USUAL_TRANSFER = 1 / 4  # of the latency objective, for which a transfer that we do not see counts
+
+
+class CacheAddresses(Protocol):
+    """Where the listed caches are, by id."""
+
+    endpoints: dict[str, Endpoint]
+
+
+class NoCacheError(Exception):
+    """No cache can be named before the query's time is up."""
+
+
+class Responder:
+    """Answers queries for one zone; the request engine picks the cache of an object."""
+
+    def __init__(
+        self,
+        zone: dns.name.Name,
+        own: Endpoint,
+        core: RequestEngine,
+        addresses: CacheAddresses,
+        limits: Limits,
+        clock: Callable[[], float] = time.time,
+    ) -> None:
+        self._zone = zone
+        self._own_endpoint = own
+        self._engine = core
+        self._addresses = addresses
+        self._limits = limits
+        self._clock = clock
+        self._classes = {cls.name.lower(): cls for cls in core.settings.classes}
+
+    async def respond(self, wire: bytes, udp: bool) -> bytes | None:
+        """Return the response to one query; None if it must not be answered."""
+        try:
+            query = dns.message.from_wire(wire)
+        except dns.exception.DNSException:
+            return self._malformed(wire)
+        except Exception:  # hostile bytes may raise anything in the parser
+            log.warning("query rejected: the parser failed", exc_info=True)
+            return self._malformed(wire)
+        if query.flags & dns.flags.QR:
+            return None  # else two servers could answer each other's responses for ever
+        response = dns.message.make_response(query, our_payload=self._limits.dns_payload)
+        response.flags &= ~dns.flags.RA
+        await self._fill(query, response)
+        return encode_response(response, self._largest_response(query, udp))
+
+    def _largest_response(self, query: dns.message.Message, udp: bool) -> int:
+        """Return how many bytes the client takes."""
+        if not udp:
+            return LARGEST_TCP_MESSAGE
+        return min(max(query.payload, SMALLEST_UDP_PAYLOAD), self._limits.dns_payload)
+
+    def _malformed(self, wire: bytes) -> bytes | None:
+        """Return an error response under the query's id, if its header can be read."""
+        if len(wire) < HEADER_BYTES or wire[2] & RESPONSE_BIT:
+            return None
+        opcode = wire[2] & OPCODE_BITS
+        code = dns.rcode.FORMERR if opcode == 0 else dns.rcode.NOTIMP
+        return error_response(wire, code)
+
+    async def _fill(self, query: dns.message.Message, response: dns.message.Message) -> None:
+        """Fill the response to a well-formed query."""
+        code = self._rejection_code(query)
+        if code is not None:
+            response.set_rcode(code)
+            return
+        response.flags |= dns.flags.AA
+        try:
+            with trio.fail_after(self._limits.dns_query):
+                await self._answer(query.question[0], response)
+        except (NoCacheError, trio.TooSlowError):
+            response.answer.clear()
+            response.additional.clear()
+            response.set_rcode(dns.rcode.SERVFAIL)
+            response.flags &= ~dns.flags.AA
+
+    def _rejection_code(self, query: dns.message.Message) -> dns.rcode.Rcode | None:
+        """Return the code under which a query is rejected; None if it is to be answered."""
+        if query.opcode() != dns.opcode.QUERY:
+            return dns.rcode.NOTIMP
+        if query.edns > 0:
+            return dns.rcode.BADVERS
+        if len(query.question) != 1:
+            return dns.rcode.FORMERR
+        question = query.question[0]
+        is_foreign = question.rdclass != dns.rdataclass.IN or not question.name.is_subdomain(self._zone)
+        is_meta_type = dns.rdatatype.is_metatype(question.rdtype) and question.rdtype != ANY
+        return dns.rcode.REFUSED if is_foreign or is_meta_type else None
+
+    async def _answer(self, query: dns.rrset.RRset, response: dns.message.Message) -> None:
+        """Answer one question for a name under the zone."""
+        found = names.read_name(query.name, self._zone, frozenset(self._classes))
+        if found is None:
+            self._deny(response, dns.rcode.NXDOMAIN)
+            return
+        question, is_service = found
+        record_type = _record_type(query.rdtype, is_service)
+        if isinstance(question, names.RouterQuestion) and question.apex:
+            self._answer_apex(response, record_type)
+            return
+        if isinstance(question, names.CacheQuestion) and question.server not in self._addresses.endpoints:
+            self._deny(response, dns.rcode.NXDOMAIN)
+            return
+        if is_service != (record_type == SRV) or record_type not in (A, AAAA, SRV):
+            self._deny(response, dns.rcode.NOERROR)
+            return
+        match question:
+            case names.CacheQuestion():
+                self._answer_cache(response, query.name, record_type, question.server)
+            case names.RouterQuestion():
+                self._add_records(response, query.name, record_type, None)
+            case names.ObjectQuestion():
+                await self._answer_object(question, response, query.name, record_type)
+
+    def _answer_apex(self, response: dns.message.Message, record_type: dns.rdatatype.RdataType) -> None:
+        """Answer a question for the zone's own name."""
+        if record_type == dns.rdatatype.SOA:
+            response.answer.append(self._soa())
+        elif record_type == dns.rdatatype.NS:
+            text = f"{names.ROUTER_LABEL}.{self._zone}"
+            response.answer.append(self._rrset(self._zone, record_type, text))
+        else:
+            self._deny(response, dns.rcode.NOERROR)
+
+    def _answer_cache(
+        self,
+        response: dns.message.Message,
+        name: dns.name.Name,
+        record_type: dns.rdatatype.RdataType,
+        server: str,
+    ) -> None:
+        """Answer a question for one cache by its id; while it drains, its name has no address."""
+        if self._engine.membership.serving(server):
+            self._add_records(response, name, record_type, server)
+        else:
+            self._deny(response, dns.rcode.NOERROR)
+
+    async def _answer_object(
+        self,
+        question: names.ObjectQuestion,
+        response: dns.message.Message,
+        name: dns.name.Name,
+        record_type: dns.rdatatype.RdataType,
+    ) -> None:
+        """Answer a question for an object: a cache for a read, this router for a write."""
+        # A write comes to us by HTTP, so that it runs once.
+        if self._classes[question.cls].uncached:
+            self._add_records(response, name, record_type, None)
+            return
+        families = {_address_type(endpoint) for endpoint in self._addresses.endpoints.values()}
+        if record_type != SRV and record_type not in families:
+            self._deny(response, dns.rcode.NOERROR)
+            return
+        await self._name_picked_cache(question, response, name, record_type)
+
+    async def _name_picked_cache(
+        self,
+        question: names.ObjectQuestion,
+        response: dns.message.Message,
+        name: dns.name.Name,
+        record_type: dns.rdatatype.RdataType,
+    ) -> None:
+        """Name the cache that the router picks, if it still takes new work as the answer is written."""
+        deadline = self._clock() + self._limits.dns_query
+        cls = self._classes[question.cls]
+        # The transfer goes from cache to client, unseen by us: it counts as a usual one. Without a size, the
+        # router would learn the time that a connect takes as the time to send the object.
+        size_kb = max(self._engine.settings.pace_kb_per_s, 1.0) * cls.latency_objective * USUAL_TRANSFER
+        while (left := deadline - self._clock()) > 0:
+            arrival = Arrival(
+                self._engine.new_id(), left, cls.name, question.obj, question.part, question.group, size_kb
+            )
+            answer = await self._engine.request(PendingRequest(arrival, deadline, connect_only=True))
+            if answer.disposition is not Disposition.SERVED:
+                raise NoCacheError(question.obj)
+            # The cache may have begun to drain between the connection to it and this answer.
+            if self._engine.membership.serving(answer.server) and answer.server in self._addresses.endpoints:
+                self._add_records(response, name, record_type, answer.server)
+                return
+        raise NoCacheError(question.obj)
+
+    def _add_records(
+        self,
+        response: dns.message.Message,
+        name: dns.name.Name,
+        record_type: dns.rdatatype.RdataType,
+        server: str | None,
+    ) -> None:
+        """Add the records that name a server; None: this router itself."""
+        endpoint = self._addresses.endpoints[server] if server else self._own_endpoint
+        address_type = _address_type(endpoint)
+        if record_type == SRV:
+            target = dns.name.from_text(
+                f"{server}.{names.CACHES_LABEL}" if server else names.ROUTER_LABEL, self._zone
+            )
+            response.answer.append(self._rrset(name, SRV, f"0 0 {endpoint[1]} {target}"))
+            response.additional.append(self._rrset(target, address_type, endpoint[0]))
+        elif record_type == address_type:
+            response.answer.append(self._rrset(name, record_type, endpoint[0]))
+        else:
+            self._deny(response, dns.rcode.NOERROR)
+
+    def _deny(self, response: dns.message.Message, code: dns.rcode.Rcode) -> None:
+        """Say that there is no such name, or no such record of it."""
+        response.set_rcode(code)
+        response.authority.append(self._soa())
+
+    def _soa(self) -> dns.rrset.RRset:
+        return self._rrset(
+            self._zone,
+            dns.rdatatype.SOA,
+            f"{names.ROUTER_LABEL}.{self._zone} hostmaster.{self._zone} 1 3600 600 86400 0",
+        )
+
+    def _rrset(self, name: dns.name.Name, record_type: dns.rdatatype.RdataType, text: str) -> dns.rrset.RRset:
+        return dns.rrset.from_text(name, 0, dns.rdataclass.IN, record_type, text)
+
+
+def error_response(wire: bytes, code: dns.rcode.Rcode) -> bytes:
+    """Return a response without records to a query whose header is complete."""
+    flags = RESPONSE_BIT | (wire[2] & (OPCODE_BITS | RECURSION_DESIRED_BIT))
+    return wire[:2] + bytes([flags, code]) + bytes(HEADER_BYTES - 4)
+
+
+def encode_response(response: dns.message.Message, largest: int) -> bytes:
+    """Return the bytes of a response; one that is too large asks the client to use TCP (TC bit)."""
+    try:
+        return response.to_wire(max_size=largest)
+    except dns.exception.TooBig:
+        response.flags |= dns.flags.TC
+        for section in (response.answer, response.authority, response.additional):
+            section.clear()
+        return response.to_wire(max_size=largest)
+
+
+def _record_type(requested: dns.rdatatype.RdataType, is_service: bool) -> dns.rdatatype.RdataType:
+    """Return the type to answer with; ANY stands for the one that fits the name."""
+    if requested != ANY:
+        return requested
+    return SRV if is_service else A
+
+
+def _address_type(endpoint: Endpoint) -> dns.rdatatype.RdataType:
+    return AAAA if ":" in endpoint[0] else A
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -16,7 +16,7 @@
 import pytest
 import trio
 
-from brackenlane.dns.server import pack
+from brackenlane.dns.responder import encode_response
 from brackenlane.lab.stand_ins.dns import DnsServer
 from tests.stand_ins import ROOT, Box, Program, Redis, appliance, data, with_trio
 
@@ -124,7 +124,7 @@
     """An answer too long for its datagram asks for TCP."""
     response = dns.message.make_response(dns.message.make_query(READ, "A"))
     response.answer.append(dns.rrset.from_text(READ, 0, "IN", "A", *(f"127.0.0.{n}" for n in range(records))))
-    wire = pack(response, 512)
+    wire = encode_response(response, 512)
     found = dns.message.from_wire(wire, ignore_trailing=False)
     assert len(wire) <= 512 and bool(found.flags & dns.flags.TC) is cut and bool(found.answer) is not cut
 
