--- a/brackenlane/net/connector.py
+++ b/brackenlane/net/connector.py
@@ -18,12 +18,12 @@
 
 
 def family_of(endpoint: Endpoint) -> int:
-    """The address family of an address and port."""
+    """Return the address family of an address and port."""
     return socket.AF_INET6 if ":" in endpoint[0] else socket.AF_INET
 
 
 async def connect(endpoint: Endpoint) -> trio.SocketStream:
-    """A connection to one address."""
+    """Open a stream to one address. Raises OSError."""
     sock = trio.socket.socket(family_of(endpoint), trio.socket.SOCK_STREAM)
     try:
         await sock.connect(endpoint)
@@ -34,7 +34,11 @@
 
 
 class Connector:
-    """One try to connect; `then` is called once with its end, perhaps by `start`: a socket, or None."""
+    """One attempt to connect.
+
+    `on_end` is called once with this connector and a socket, or None if it failed; perhaps before `start`
+    returns.
+    """
 
     def __init__(
         self,
@@ -42,38 +46,44 @@
         poller: Poller,
         timers: Timers,
         timeout: float,
-        then: Callable[[Connector, socket.socket | None], None],
+        on_end: Callable[[Connector, socket.socket | None], None],
         keep: bool = True,
     ) -> None:
-        self.endpoint, self._timers, self._timeout, self._then = endpoint, timers, timeout, then
-        self.keep = keep  # whether more is wanted of it than to have come up
-        self.starved = False  # we had no descriptor: it tells nothing of the other end
+        self.endpoint = endpoint
+        self.keep = keep  # whether the connection is to be used, or only to be seen to come up
+        self.starved = False  # this process had no descriptor: it says nothing about the other end
         self._poller = poller
+        self._timers = timers
+        self._timeout = timeout  # seconds
+        self._on_end = on_end
         self._timer: Timer | None = None
         self._sock: socket.socket
 
     def start(self) -> None:
-        """Try, for so long."""
+        """Begin to connect."""
         try:
             self._sock = socket.socket(family_of(self.endpoint))
-        except OSError as fault:  # guards whoever waits for its end: it comes in any case
-            log.warning("no connection can be opened: %s", fault.strerror)
+        except OSError as error:
+            log.warning("no socket for a connection: %s", error.strerror)
             self.starved = True
-            return self._then(self, None)
+            self._on_end(self, None)
+            return
         self._sock.setblocking(False)
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        failed = self._sock.connect_ex(self.endpoint)
-        if failed not in (0, errno.EINPROGRESS):
-            return self._end(None)
+        error_number = self._sock.connect_ex(self.endpoint)
+        if error_number not in (0, errno.EINPROGRESS):
+            self._end(None)
+            return
         self._timer = self._timers.at(time.time() + self._timeout, self._end, None)
         try:
             self._poller.add(self._sock.fileno(), self._ready, WRITE, urgent=True)
-        except OSError:  # no room to watch it: as if there were no descriptor
+        except OSError:  # the poller cannot watch it: as if there were no descriptor
             self.starved = True
             self._end(None)
 
     def _ready(self, _: int) -> None:
-        self._end(self._sock if not self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) else None)
+        has_failed = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
+        self._end(None if has_failed else self._sock)
 
     def _end(self, sock: socket.socket | None) -> None:
         if self._timer:
@@ -81,4 +91,4 @@
             self._poller.remove(self._sock.fileno())
         if sock is None:
             self._sock.close()
-        self._then(self, sock)
+        self._on_end(self, sock)
--- a/brackenlane/net/poller.py
+++ b/brackenlane/net/poller.py
@@ -1,13 +1,14 @@
-"""Many sockets, one task: what is ready is handled in batches, without a task switch for each.
+"""Polls many sockets in one task: what is ready is handled in batches, without a task switch for each.
 
-A task of trio's costs a switch, an epoll_ctl and an allocation for every wait, which at the door is more than
-the work itself. The board registers a socket once and calls its handler when it is ready. It never waits but
-for its own epoll, and it hands the loop back to trio after each batch, so that no other actor starves.
+A trio task costs a switch, an epoll_ctl and an allocation for every wait, which for client connections is
+more than the work itself. The poller registers a socket once and calls its handler whenever it is ready. It
+waits for nothing but its own epoll, and hands the loop back to trio after each batch, so that no other task
+starves.
 
-Two ways of waiting. Where all the program's sockets are on the board, it waits itself, in its one flat
-epoll, for as long as every task of trio's is blocked and none is due. Where other actors wait on sockets by
-trio's own means (the appliance), trio waits for the board's epoll inside its own. Not every place where the
-program runs tells the outer epoll of what is ready in the inner one: there the second way hears of no client.
+There are two ways to wait. Where all sockets of the program are polled here, the poller itself waits in its
+one flat epoll, for as long as every trio task is blocked and none is due. Where other tasks wait on sockets
+by trio's own means (the appliance), trio waits for the poller's epoll inside its own. Not every platform
+tells an outer epoll what is ready in an inner one: there the second way would never see a client.
 """
 
 from __future__ import annotations
@@ -17,6 +18,7 @@
 import select
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import trio
 from trio.testing import wait_all_tasks_blocked
@@ -26,95 +28,118 @@
 READ = select.EPOLLIN | select.EPOLLRDHUP
 WRITE = select.EPOLLOUT
 Handler = Callable[[int], None]
+URGENT_BATCHES = 4  # of events, handled of urgent sockets at once
+
+
+@dataclass(slots=True, frozen=True)
+class Registration:
+    """One polled socket."""
+
+    urgent: bool
+    handler: Handler
 
 
 class Poller:
-    """Two queues: what the caches say comes before what clients ask, however much that is.
+    """Two classes of sockets: urgent ones (caches, change log, signals) are handled before clients' ones.
 
-    Handlers are called with epoll's event bits. They must not wait; one that raises is logged, and its socket
-    is taken off the board. `alone`: no actor waits on a socket but by the board.
+    Handlers are called with epoll's event bits. They must not wait; the socket of one that raises is removed.
     """
 
     def __init__(self, batch: int, alone: bool = False) -> None:
-        self._batch = batch  # events handled between two looks at anything else
-        self._alone = alone
-        # What is urgent is in both, so that it can be looked at without the rest, and one wait is for all.
-        self._all, self._urgent = select.epoll(), select.epoll()
-        self._handlers: dict[int, tuple[bool, Handler]] = {}
-        # Work of a round that is no socket's own, such as the queue at the door: whether more is left.
-        self.polled = time.time()  # when the clients were looked at last
+        """batch.
+
+        Events handled before anything else is looked at; alone: no task waits on a socket otherwise.
+        """
         self.after: list[Callable[[], bool]] = []
+        """Called once in each round, for work that belongs to no socket.
+
+        Each returns whether more is left.
+        """
+        self.polled = time.time()  # Unix time at which clients' sockets were polled last
+        self._batch = batch
+        self._alone = alone
+        # Urgent sockets are in both, so that they can be polled by themselves and one wait is for all.
+        self._all = select.epoll()
+        self._urgent = select.epoll()
+        self._registered: dict[int, Registration] = {}
 
     def add(self, fd: int, handler: Handler, events: int = READ, urgent: bool = False) -> None:
-        """Watch a socket from now on."""
+        """Poll a socket from now on. Raises OSError if the system takes no more."""
         for poll in self._polls(urgent):
             poll.register(fd, events)
-        self._handlers[fd] = urgent, handler
+        self._registered[fd] = Registration(urgent, handler)
 
     def want(self, fd: int, events: int) -> None:
-        """Watch it for other events."""
-        for poll in self._polls(self._handlers[fd][0]):
+        """Poll a socket for other events."""
+        for poll in self._polls(self._registered[fd].urgent):
             poll.modify(fd, events)
 
     def remove(self, fd: int) -> None:
-        """Watch it no more; before it is closed."""
-        known = self._handlers.pop(fd, None)
-        if known is not None:
-            for poll in self._polls(known[0]):
+        """Stop polling a socket; call it before the socket is closed."""
+        registration = self._registered.pop(fd, None)
+        if registration is not None:
+            for poll in self._polls(registration.urgent):
                 poll.unregister(fd)
 
     def _polls(self, urgent: bool) -> tuple[select.epoll, ...]:
         return (self._all, self._urgent) if urgent else (self._all,)
 
     async def run(self) -> None:
-        """Handle what is ready, for good."""
+        """Handle what is ready until cancelled."""
         try:
             while True:
-                if self._alone:
-                    await wait_all_tasks_blocked()
-                    self._wait()
-                else:
-                    await trio.lowlevel.wait_readable(self._all.fileno())
+                await self._wait()
                 while self.turn():
                     await trio.lowlevel.checkpoint()  # drains, purges and signals have their turn
         finally:
-            self._handlers.clear()  # who leaves later finds nothing to take off
+            self._registered.clear()  # whoever closes a socket later finds nothing to remove
             for poll in (self._all, self._urgent):
                 poll.close()
 
-    def _wait(self) -> None:
-        """Wait until a socket is ready or a task is due. The loop stands still meanwhile: whatever else may
-        wake a task (another thread, trio's own sockets) has no place in a program whose board is alone."""
+    async def _wait(self) -> None:
+        """Wait until a socket is ready, or a task if the poller is alone."""
+        if self._alone:
+            await wait_all_tasks_blocked()
+            self._block_until_due()
+        else:
+            await trio.lowlevel.wait_readable(self._all.fileno())
+
+    def _block_until_due(self) -> None:
+        """Block the thread until a socket is ready or a trio task is due.
+
+        Nothing else can wake a task meanwhile: a program whose poller is alone has no other thread and no
+        socket of trio's.
+        """
         due = trio.lowlevel.current_statistics().seconds_to_next_deadline
         self._all.poll(None if due == math.inf else max(0.0, due), 1)
 
     def handle_urgent(self) -> None:
-        """Handle what the caches have said so far."""
-        self._handle(self._urgent, 4 * self._batch)
+        """Handle what urgent sockets have received so far."""
+        self._handle(self._urgent, URGENT_BATCHES * self._batch)
 
     def turn(self) -> bool:
-        """One round: all that the caches say, then a batch of the rest; whether there may be more."""
-        more = self._handle(self._urgent, 4 * self._batch)
+        """Run one round: all urgent sockets, then a batch of the rest; return whether more may be ready."""
+        more = self._handle(self._urgent, URGENT_BATCHES * self._batch)
         self.polled = time.time()
         more |= self._handle(self._all, self._batch)
         for work in self.after:
             try:
                 more |= work()
-            except Exception:
-                log.exception("a round's work failed")
+            except Exception:  # the work of one round must not end the poller
+                log.exception("work of a polling round failed")
         return more
 
     def _handle(self, poll: select.epoll, most: int) -> bool:
-        # Taken down before any is called: one handler may end another's socket, whose number may stand for a
-        # new one by now, and what was ready of the old tells nothing of that (of a connect, that it came up).
-        ready = [(fd, self._handlers.get(fd), events) for fd, events in poll.poll(0, most)]
-        for fd, known, events in ready:
-            if known is None or self._handlers.get(fd) is not known:
+        # Looked up before any handler is called: one handler may close another's socket, whose number may
+        # stand for a new one by now, and what was ready of the old one says nothing about that.
+        ready = [(fd, self._registered.get(fd), events) for fd, events in poll.poll(0, most)]
+        for fd, registration, events in ready:
+            if registration is None or self._registered.get(fd) is not registration:
                 continue
             try:
-                known[1](events)
-            except Exception:
+                registration.handler(events)
+            except Exception:  # one connection must not end the others
                 log.exception("a connection failed")
-                if self._handlers.get(fd) is known:
+                if self._registered.get(fd) is registration:
                     self.remove(fd)
         return len(ready) == most
