--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -61,7 +61,7 @@
                 "members": members,
                 "depth": found.depth,
                 "states": found.states,
-                "whole": found.whole,
+                "whole": found.complete,
                 "fault": list(found.fault),
             }
         )
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -25,7 +25,7 @@
 from brackenlane.lab.cluster.virtual import SimulatedFleet, Store, peak  # noqa: E402
 
 LANDED = "f8edb49"  # the last version before this subsystem
-ASKS, LOADS, COMMANDS = 100.0, 20.0, 600.0  # a second, of the stand-in store
+REQUESTS_PER_S, LOADS, COMMANDS = 100.0, 20.0, 600.0  # a second, of the stand-in store
 BOUNDS = {
     "store_peak_of_stated": 1.0,
     "store_peak_of_landed": 0.2,
@@ -51,11 +51,11 @@
 pairs = false
 link = 4.0
 work = 0.1
-asks = {ASKS}
+asks = {REQUESTS_PER_S}
 loads = {LOADS}
 [store]
 commands = {COMMANDS}
-connections = {2 * ASKS}
+connections = {2 * REQUESTS_PER_S}
 bytes = 1000000.0
 [[at]]
 second = 2.0
@@ -119,7 +119,7 @@
     }
 
 
-def play(tree: Path, coldstart: bool, reported: script.Script, seed: int) -> Outcome:
+def run_scenario(tree: Path, coldstart: bool, reported: script.Script, seed: int) -> Outcome:
     """One version's play."""
     with tempfile.TemporaryDirectory() as folder:
         return trio.run(lambda: Scenario(reported, seed, Path(folder), tree, coldstart, say=print).run())
@@ -145,7 +145,7 @@
     """What the routers are told of the store."""
     from brackenlane.coldstart.pacing import Capacity
 
-    return Capacity(count, ASKS, LOADS)
+    return Capacity(count, REQUESTS_PER_S, LOADS)
 
 
 def main(arguments: list[str]) -> int:
@@ -158,17 +158,17 @@
     reported = parser.parse_args(arguments)
     count, caches, seconds, rate = (40, 20, 10.0, 100.0) if reported.quick else (200, 60, 30.0, 400.0)
     power = power_back(count, caches, seconds, rate)
-    ours = measure(play(site.ROOT, True, power, reported.seed), count, seconds)
+    ours = measure(run_scenario(site.ROOT, True, power, reported.seed), count, seconds)
     print(orjson.dumps(ours).decode(), flush=True)
     with contextlib.ExitStack() as stack:
         tree = stack.enter_context(site.checkout(reported.against))
-        theirs = measure(play(tree, False, power, reported.seed), count, seconds)
+        theirs = measure(run_scenario(tree, False, power, reported.seed), count, seconds)
     ratios = {
-        "store_peak_of_stated": ours["store_peak"] / (COMMANDS + 2 * ASKS),
+        "store_peak_of_stated": ours["store_peak"] / (COMMANDS + 2 * REQUESTS_PER_S),
         "store_peak_of_landed": ours["store_peak"] / max(1, theirs["store_peak"]),
         "bytes_of_landed": ours["store_bytes"] / max(1, theirs["store_bytes"]),
         "handshakes_a_doorman": ours["handshakes_worst"] / count,
-        "current_of_least": ours["current_lag_worst"] / (count / ASKS),
+        "current_of_least": ours["current_lag_worst"] / (count / REQUESTS_PER_S),
         "pushed_over": ours["pushed_over"],
         "served_of_landed": ours["served"] / max(1e-9, theirs["served"]),
         "current": ours["current"],
--- a/benchmarks/customers.py
+++ b/benchmarks/customers.py
@@ -31,7 +31,7 @@
 }
 
 
-def play(number: int) -> Result:
+def run_scenario(number: int) -> Result:
     """One drawn day under both policies."""
     return compare(drawn(number))
 
@@ -48,7 +48,7 @@
     reported = parser.parse_args()
     numbers = range(reported.first, reported.first + (QUICK_DAYS if reported.quick else DAYS))
     with ProcessPoolExecutor(reported.processes) as pool:
-        results = dict(zip(numbers, pool.map(play, numbers), strict=True))
+        results = dict(zip(numbers, pool.map(run_scenario, numbers), strict=True))
     losing = {number: round(result.gain, 3) for number, result in results.items() if result.gain < -LOSS}
     for number, gain in losing.items():
         print(f"draw {number}: {gain:+.3f} against the plain policy")
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -119,12 +119,12 @@
 """
 
 
-class Rig:
+class ApplianceHarness:
     """One appliance, its DNS server and its caches."""
 
-    def __init__(self, folder: Path, server: DnsServer, boxes: list[int], origin: int) -> None:
-        self.server, self.caches = server, boxes
-        self.ids = [srv_cache_id(f"box-{n}.branch.test", port) for n, port in enumerate(boxes)]
+    def __init__(self, folder: Path, server: DnsServer, caches: list[int], origin: int) -> None:
+        self.server, self.caches = server, caches
+        self.ids = [srv_cache_id(f"box-{n}.branch.test", port) for n, port in enumerate(caches)]
         [self.http, self.dns] = free_ports(2)
         self.file = folder / "a.toml"
         head = appliance_file(self.http, self.dns, server.port, origin)
@@ -136,9 +136,9 @@
 confirm = 0.3
 floor = 0.1
 """)
-        for number in range(len(boxes)):
+        for number in range(len(caches)):
             server.put(f"box-{number}.branch.test", "A", "127.0.0.1", ttl=1)
-        self.name(*range(len(boxes)))
+        self.name(*range(len(caches)))
 
     def name(self, *numbers: int, priority: int = 0, ttl: int = 1) -> None:
         """Which caches SRV names."""
@@ -170,18 +170,18 @@
     return answer.decode()
 
 
-async def churn(rig: Rig) -> None:
+async def churn(harness: ApplianceHarness) -> None:
     """SRV and resolver as bad as they may be, for good."""
     number = 0
     while True:
         number += 1
-        rig.name(*[n for n in range(len(rig.caches)) if n != number % 7], priority=number % 3, ttl=0)
+        harness.name(*[n for n in range(len(harness.caches)) if n != number % 7], priority=number % 3, ttl=0)
         faults = [Fault.SERVFAIL, Fault.LOST, Fault.CUT, Fault.HALF]
-        rig.server.fail(*faults[number % 4 : number % 4 + 1] if number % 2 else [])
+        harness.server.fail(*faults[number % 4 : number % 4 + 1] if number % 2 else [])
         await trio.sleep(0.05)
 
 
-async def drains(rig: Rig, count: int) -> dict[str, Any]:
+async def drains(harness: ApplianceHarness, count: int) -> dict[str, Any]:
     """Drain and restore, one cache after another, while four ask for names all the time."""
     seen: dict[str, float] = {}  # when each cache was named last
     async with trio.open_nursery() as nursery:
@@ -191,16 +191,16 @@
             while True:
                 number += 1
                 sent = time.monotonic()
-                if name := await rig.named(OBJECTS[number % len(OBJECTS)]):
+                if name := await harness.named(OBJECTS[number % len(OBJECTS)]):
                     seen[name] = time.monotonic()
                 await trio.sleep(max(0.0, 0.002 - (time.monotonic() - sent)))
 
         for start in range(4):
             nursery.start_soon(request, start)
-        nursery.start_soon(churn, rig)
-        console, worst, broken = await rig.console(), 0.0, 0
+        nursery.start_soon(churn, harness)
+        console, worst, broken = await harness.console(), 0.0, 0
         for number in range(count):
-            server = rig.ids[number % len(rig.ids)]
+            server = harness.ids[number % len(harness.ids)]
             begun = time.monotonic()
             await command(console, f"drain {server}")
             await trio.sleep(0.52 if number % 10 == 0 else 0.05)
@@ -210,33 +210,33 @@
             await command(console, f"restore {server}")
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
-    rig.server.fail()
-    rig.name(*range(len(rig.caches)))
+    harness.server.fail()
+    harness.name(*range(len(harness.caches)))
     return {"drain_worst_ms": max(0.0, worst) * 1000, "drain_broken": broken, "drains": count}
 
 
-async def changes(rig: Rig, count: int) -> dict[str, Any]:
+async def changes(harness: ApplianceHarness, count: int) -> dict[str, Any]:
     """From a change of SRV to its use, past its lifetime (and the grace period, for a removal)."""
-    console, worst = await rig.console(), 0.0
+    console, worst = await harness.console(), 0.0
     for _ in range(count):
-        for numbers, grace in ((range(len(rig.caches) - 1), 0.5), (range(len(rig.caches)), 0.0)):
-            rig.name(*numbers, ttl=1)
+        for numbers, grace in ((range(len(harness.caches) - 1), 0.5), (range(len(harness.caches)), 0.0)):
+            harness.name(*numbers, ttl=1)
             begun = time.monotonic()
-            last = rig.ids[-1]
-            while (last in await command(console, "boxes")) is (len(numbers) < len(rig.caches)):
+            last = harness.ids[-1]
+            while (last in await command(console, "boxes")) is (len(numbers) < len(harness.caches)):
                 await trio.sleep(0.02)
                 assert time.monotonic() < begun + 30, "a change is never used"
             worst = max(worst, time.monotonic() - begun - 1.0 - grace)
     return {"srv_change_over_ttl_ms": worst * 1000}
 
 
-async def served(rig: Rig, seconds: float) -> float:
+async def served(harness: ApplianceHarness, seconds: float) -> float:
     """The share of reads by HTTP that were served."""
     good = requested = 0
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         requested += 1
-        stream = await trio.open_tcp_stream("127.0.0.1", rig.http)
+        stream = await trio.open_tcp_stream("127.0.0.1", harness.http)
         async with stream:
             await stream.send_all(
                 b"GET /api/v2/video-parts/%016x/n-0 HTTP/1.1\r\nHost: a\r\nX-Txn: %b\r\n"
@@ -247,7 +247,7 @@
     return good / requested
 
 
-async def play(quick: bool) -> dict[str, Any]:
+async def run_scenario(quick: bool) -> dict[str, Any]:
     """All that needs the real program."""
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
@@ -255,22 +255,22 @@
             nursery.start_soon(serve, ports, Behaviour(delay=0.005), 1, Seen())
             server = await DnsServer().open(nursery)
             server.additional = False
-            rig = Rig(Path(folder), server, ports[:6], ports[6])
+            harness = ApplianceHarness(Path(folder), server, ports[:6], ports[6])
             process = await trio.lowlevel.open_process(
-                [sys.executable, "-m", "brackenlane", "appliance", str(rig.file)],
+                [sys.executable, "-m", "brackenlane", "appliance", str(harness.file)],
                 cwd=ROOT,
                 stderr=(Path(folder) / "log").open("wb"),
             )
             try:
-                console = await rig.console()
-                while rig.ids[0] not in await command(console, "boxes"):
+                console = await harness.console()
+                while harness.ids[0] not in await command(console, "boxes"):
                     await trio.sleep(0.05)
-                result = await drains(rig, 60 if quick else 1000)
+                result = await drains(harness, 60 if quick else 1000)
                 await trio.sleep(2)
-                result |= await changes(rig, 1 if quick else 5)
-                with_it = await served(rig, 2 if quick else 20)
+                result |= await changes(harness, 1 if quick else 5)
+                with_it = await served(harness, 2 if quick else 20)
                 await server.close()
-                away = await served(rig, 3 if quick else 60)
+                away = await served(harness, 3 if quick else 60)
                 result |= {
                     "served_share_away": away / max(with_it, 0.01),
                     "served_share": with_it,
@@ -371,7 +371,9 @@
     parser.add_argument("--quick", action="store_true", help="within 50 s")
     reported = parser.parse_args()
     result = (
-        merge_costs((100, 1000, 10_000)) | trio.run(play, reported.quick) | against_follower(reported.quick)
+        merge_costs((100, 1000, 10_000))
+        | trio.run(run_scenario, reported.quick)
+        | against_follower(reported.quick)
     )
     return conclude(result, BOUNDS, reported.check)
 
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -29,10 +29,10 @@
     arguments.add_argument("--seed", type=int, default=1)
     arguments.add_argument("--root", type=Path, default=site.ROOT)
     reported = arguments.parse_args()
-    plays, seconds = (3, 8.0) if reported.quick else (10, 15.0)
+    runs, seconds = (3, 8.0) if reported.quick else (10, 15.0)
     attempts = answers = 0
     found: list[str] = []
-    for seed in range(reported.seed, reported.seed + plays):
+    for seed in range(reported.seed, reported.seed + runs):
         gc.collect()
         gc.disable()  # a collection stops the peers for a tenth of a second, which would count as lateness
         with tempfile.TemporaryDirectory() as folder:
@@ -47,8 +47,8 @@
             f"seed {seed}: {len(record.gets)} attempts, {len(record.answers)} clients that stayed, "
             f"{len(record.left)} in all, {len(broken)} broken {broken[:4]}"
         )
-    print(json.dumps({"plays": plays, "attempts": attempts, "answers": answers, "broken": len(found)}))
-    return 1 if reported.check and (found or answers < 100 * plays) else 0
+    print(json.dumps({"plays": runs, "attempts": attempts, "answers": answers, "broken": len(found)}))
+    return 1 if reported.check and (found or answers < 100 * runs) else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -57,7 +57,7 @@
         return sum(good for _, good in spans) / max(1, sum(requested for requested, _ in spans))
 
 
-def play(tree: Path, phases: Sequence[tuple[float, float]], core: int, others: Sequence[int]) -> Run:
+def run_scenario(tree: Path, phases: Sequence[tuple[float, float]], core: int, others: Sequence[int]) -> Run:
     """One router from its start, under some phases of load."""
     with contextlib.ExitStack() as stack:
         ports, origin, seen = stack.enter_context(site.stand_in_caches(4, [others[0]]))
@@ -122,25 +122,33 @@
     calm = 2.0 if reported.quick else 4.0
     with site.checkout(reported.baseline) as tree:
         old = [
-            show("baseline", play(tree, [(length, rate)], reported.core, others))
+            show("baseline", run_scenario(tree, [(length, rate)], reported.core, others))
             for rate in ((260,) if reported.quick else (120, 180, 220, 260, 300))
         ]
         capacity = max(run.good for run in old)
         factors = (4,) if reported.quick else (0.25, 0.5, 1, 2, 4)
         old += [
-            show("baseline", play(tree, [(length, capacity * f)], reported.core, others)) for f in factors
+            show("baseline", run_scenario(tree, [(length, capacity * f)], reported.core, others))
+            for f in factors
+        ]
+        ours = [
+            show("ours", run_scenario(ROOT, [(length, capacity * f)], reported.core, others)) for f in factors
         ]
-        ours = [show("ours", play(ROOT, [(length, capacity * f)], reported.core, others)) for f in factors]
     # Our own capacity: the most that is in time, sought upwards.
     search = (3, 4.5) if reported.quick else (3, 4, 5, 6, 7, 8)
-    ours += [show("ours", play(ROOT, [(length, capacity * f)], reported.core, others)) for f in search]
+    ours += [
+        show("ours", run_scenario(ROOT, [(length, capacity * f)], reported.core, others)) for f in search
+    ]
     peak = max(run.good for run in ours)
     full = [
-        show("ours", play(ROOT, [(length, peak * f)], reported.core, others))
+        show("ours", run_scenario(ROOT, [(length, peak * f)], reported.core, others))
         for f in ((2, 4, 8) if reported.quick else (1.5, 2, 2.5, 3, 4, 8))
     ]
     back = show(
-        "ours", play(ROOT, [(3, 0.6 * peak), (calm, 4 * peak), (2 + calm, 0.6 * peak)], reported.core, others)
+        "ours",
+        run_scenario(
+            ROOT, [(3, 0.6 * peak), (calm, 4 * peak), (2 + calm, 0.6 * peak)], reported.core, others
+        ),
     )
     calmest = max((run for run in ours if run.refused < run.served / 20), key=lambda run: run.rate)
     served, refused = costs(calmest, full[-1])
--- a/brackenlane/cli/main.py
+++ b/brackenlane/cli/main.py
@@ -121,7 +121,7 @@
     if routers:
         reported = reported.model_copy(update={"doormans": routers})
     out.mkdir(parents=True, exist_ok=True)
-    outcome = trio.run(lambda: scenario.play(reported, seed, out, say=click.echo))
+    outcome = trio.run(lambda: scenario.run(reported, seed, out, say=click.echo))
     click.echo(report.table(outcome))
     report.save(outcome, out, reported.name)
     if not outcome.well:
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -26,8 +26,8 @@
     SrvMember,
     SrvRecord,
     SrvWatch,
-    srv_cache_id,
     fixed,
+    srv_cache_id,
 )
 
 
--- a/brackenlane/lab/budget_model.py
+++ b/brackenlane/lab/budget_model.py
@@ -18,7 +18,7 @@
 
     grant: Grant
     left: float
-    asked: float
+    requested: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
                         replace(world, entries=_put(entries, name, leases.confirm(mine, member.held.number))),
                     )
             if f := member.flight:
-                requested = self.clock(n, world.at) if self.fault == "expiry from the answer" else f.asked
+                requested = self.clock(n, world.at) if self.fault == "expiry from the answer" else f.requested
                 held = leases.hold(self.rule, member.held, f.grant, f.left, requested)
                 yield (
                     f"{n} takes in {f.grant.amount}",
--- a/brackenlane/lab/cache_servers.py
+++ b/brackenlane/lab/cache_servers.py
@@ -172,13 +172,13 @@
     reported = parser.parse_args(arguments)
     seen = Seen()
 
-    async def until_told() -> None:
+    async def until_notified() -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(serve, reported.ports, Behaviour(delay=reported.delay), reported.seed, seen)
             await trio.to_thread.run_sync(sys.stdin.read, abandon_on_cancel=True)
             nursery.cancel_scope.cancel()
 
-    trio.run(until_told)
+    trio.run(until_notified)
     print(orjson.dumps(seen.report()).decode())
 
 
--- a/brackenlane/lab/cluster/clients.py
+++ b/brackenlane/lab/cluster/clients.py
@@ -32,13 +32,13 @@
             while self.going:
                 await trio.sleep(self._chance.expovariate(self._rate))
                 if ports := self._ports():
-                    nursery.start_soon(self._ask, *self._chance.choice(ports))
+                    nursery.start_soon(self._send_request, *self._chance.choice(ports))
 
-    async def _ask(self, router: int, port: int) -> None:
+    async def _send_request(self, router: int, port: int) -> None:
         cls = self._chance.choices(CLASSES, [c[1] for c in CLASSES])[0][0]
         [obj] = self._chance.choices(self._names, self._weights)
         txn = f"{self._chance.getrandbits(64):016x}"
-        asked = self._record.now
+        requested = self._record.now
         self._record.add("ask", router, id=txn, cls=cls, obj=obj, ttl=TTL)
         method, body = ("PUT", b"sheet") if cls == "sheet-submit" else ("GET", b"")
         head = (
@@ -59,7 +59,14 @@
             int(reported[2]) if arguments[1] == b"200" and len(reported) == 3 and reported[2].isdigit() else 0
         )
         self._record.add(
-            "answer", router, id=txn, status=int(arguments[1]), cls=cls, obj=obj, asked=asked, issued=issued
+            "answer",
+            router,
+            id=txn,
+            status=int(arguments[1]),
+            cls=cls,
+            obj=obj,
+            asked=requested,
+            issued=issued,
         )
 
 
@@ -67,7 +74,7 @@
     """Of the worth asked for in a time (seconds of the record), the part answered within its class's aim."""
     worth = {c[0]: c[2] for c in CLASSES}
     aims = {c[0]: c[3] for c in CLASSES}
-    asked = sum(worth[e.what["cls"]] for e in record.of("ask") if since <= e.at < until)
+    requested = sum(worth[e.what["cls"]] for e in record.of("ask") if since <= e.at < until)
     good = sum(
         worth[e.what["cls"]]
         for e in record.of("answer")
@@ -75,4 +82,4 @@
         and e.what["status"] in (200, 304)
         and e.at - e.what["asked"] <= aims[e.what["cls"]] + 0.2
     )
-    return good / asked if asked else 0.0
+    return good / requested if requested else 0.0
--- a/brackenlane/lab/cluster/clock_preload.py
+++ b/brackenlane/lab/cluster/clock_preload.py
@@ -12,12 +12,12 @@
 off, rate = float(sys.argv[1]), float(sys.argv[2])
 
 
-def told() -> float:
+def notified() -> float:
     """The wall clock, so many seconds off and running so many times as fast."""
     return begun + off + (real() - begun) * rate
 
 
-time.time = told
+time.time = notified
 sys.argv[1:3] = []
 
 from brackenlane.cli.main import run  # noqa: E402
--- a/brackenlane/lab/cluster/links.py
+++ b/brackenlane/lab/cluster/links.py
@@ -33,7 +33,7 @@
 
 SOUND = Fault()
 ALL = -1  # whoever has no fault of his own
-Heard = Callable[[int, bool, re.Match[bytes]], None]
+Observer = Callable[[int, bool, re.Match[bytes]], None]
 
 
 class Link:
@@ -43,7 +43,7 @@
         self,
         target: int,
         arguments: re.Pattern[bytes] | None = None,
-        received: Heard = lambda *_: None,
+        received: Observer = lambda *_: None,
         owner: Callable[[int], int] = lambda _: ALL,
     ) -> None:
         """words: what is looked for in passing; heard(who, up, match) is told of each as it arrives.
@@ -51,7 +51,7 @@
         owner: whose a connection is, by the port that it comes from.
         """
         self.target, self.port = target, 0
-        self._words, self._heard, self._owner = arguments, received, owner
+        self._commands, self._observer, self._owner = arguments, received, owner
         self._faults: dict[int, Fault] = {}
         self._open: dict[trio.SocketStream, int] = {}
         self._changed = trio.Event()
@@ -137,10 +137,10 @@
                     await self.reset(who)
                     break
                 await sink.send_all(data)
-                if self._words:
+                if self._commands:
                     text = tail + data
-                    for match in self._words.finditer(text):
+                    for match in self._commands.finditer(text):
                         if match.end() > len(tail):
-                            self._heard(who, up, match)
+                            self._observer(who, up, match)
                     tail = text[-TAIL:]
         scope.cancel()
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -28,11 +28,11 @@
 from brackenlane.lab.site import ROOT
 from brackenlane.lab.stand_ins.redis import Capacity, Redis
 
-STORE_WORDS = re.compile(
+STORE_COMMANDS = re.compile(
     rb'"id":"(?P<box>[0-9a-z-]+)","drained":(?P<drained>true|false)'
     rb'|"purge":\{"object":"(?P<obj>[^"]*)","group":-?\d+,"time":(?P<time>\d+)|(?P<follow>XREAD)'
 )
-BOX_WORDS = re.compile(rb"GET (?P<id>\S+) (?P<fields>\S+) \d+\r\n")
+CACHE_COMMANDS = re.compile(rb"GET (?P<id>\S+) (?P<fields>\S+) \d+\r\n")
 SIGNALS = {"kill": signal.SIGKILL, "term": signal.SIGTERM, "stop": signal.SIGSTOP, "cont": signal.SIGCONT}
 
 
@@ -101,7 +101,7 @@
         self.ways: dict[str, Link] = {}  # to each cache, for all
         self.stores: dict[int, Link] = {}  # each router's own to the store
         self._coldstart = coldstart
-        self._told: dict[int, dict[str, bool]] = {}
+        self._notify: dict[int, dict[str, bool]] = {}
 
     def _clock(self, n: int) -> tuple[float, float] | None:
         reported = self.script.clocks.get(str(n))
@@ -149,24 +149,29 @@
 
     async def _open(self, nursery: trio.Nursery) -> None:
         await self.store.open(nursery)
-        for box in self.boxes.values():
-            await box.open(nursery)
-            self.record.add("box_start", box=box.id)
+        for cache in self.boxes.values():
+            await cache.open(nursery)
+            self.record.add("box_start", box=cache.id)
         cold = (
             f"[coldstart]\nasks = {self.script.asks}\nloads = {self.script.loads}\n"
             if self._coldstart
             else ""
         )
         caches = []
-        for box in self.boxes.values():
+        for cache in self.boxes.values():
             if self.script.pairs:  # one address for all, as the store tells it; whose it is shows as it comes
-                self.ways[box.id] = await Link(
-                    box.port, BOX_WORDS, self._heard(box.id), lambda port: owner(port, self.routers)
+                self.ways[cache.id] = await Link(
+                    cache.port,
+                    CACHE_COMMANDS,
+                    self._observe(cache.id),
+                    lambda port: owner(port, self.routers),
                 ).open(nursery)
-            caches.append((box.id, box.role, self.ways[box.id].port if self.script.pairs else box.port))
+            caches.append(
+                (cache.id, cache.role, self.ways[cache.id].port if self.script.pairs else cache.port)
+            )
         for router in self.routers:
             way = self.stores[router.number] = await Link(
-                self.store.port, STORE_WORDS, self._heard("store"), partial(_own, router.number)
+                self.store.port, STORE_COMMANDS, self._observe("store"), partial(_own, router.number)
             ).open(nursery)
             router.write(
                 caches,
@@ -181,7 +186,7 @@
     def _way(self, router: RouterProcess, other: str) -> Link:
         return self.stores[router.number] if other == "store" else self.ways[other]
 
-    def _heard(self, other: str) -> Callable[[int, bool, re.Match[bytes]], None]:
+    def _observe(self, other: str) -> Callable[[int, bool, re.Match[bytes]], None]:
         def received(who: int, up: bool, match: re.Match[bytes]) -> None:
             reported = {name: text.decode() for name, text in match.groupdict().items() if text}
             if "id" in reported:
@@ -190,7 +195,9 @@
             elif "follow" in reported and up:
                 self.record.add("follow", who)
             elif "box" in reported and not up:
-                self.record.add("told_order", who, box=reported["box"], drained=reported["drained"] == "true")
+                self.record.add(
+                    "told_order", who, box=reported["box"], drained=reported["drained"] == "true"
+                )
             elif "time" in reported and not up:
                 self.record.add("told_purge", who, obj=reported.get("obj", ""), time=int(reported["time"]))
 
@@ -256,7 +263,9 @@
             case "drain" | "restore":
                 said = await chosen[0].console(f"{step.do} {step.box}")
                 if said.startswith(f"{step.box} {'drained' if step.do == 'drain' else 'restored'}"):
-                    self.record.add("told_order", chosen[0].number, box=step.box, drained=step.do == "drain")
+                    self.record.add(
+                        "told_order", chosen[0].number, box=step.box, drained=step.do == "drain"
+                    )
             case "write_order":
                 order = {"id": step.box, "drained": True, "at": time.time(), "by": "another router"}
                 self.store.order("caches.test.", order)
@@ -266,13 +275,13 @@
                         "told_purge", chosen[0].number, obj=step.object, time=int(time.time() * 1000)
                     )
             case "box_restart":
-                for box in self._boxes(step):
-                    box.restart()
+                for cache in self._caches(step):
+                    cache.restart()
             case "box_mute" | "box_speak":
-                for box in self._boxes(step):
-                    box.unresponsive = step.do == "box_mute"
+                for cache in self._caches(step):
+                    cache.unresponsive = step.do == "box_mute"
 
-    def _boxes(self, step: Step) -> list[ClusterCache]:
+    def _caches(self, step: Step) -> list[ClusterCache]:
         return [self.boxes[step.box]] if step.box else [b for b in self.boxes.values() if b.role != "origin"]
 
     async def _end(self) -> dict[str, str]:
@@ -312,9 +321,9 @@
                 18.0,
                 3.0,
                 {
-                    name: box.strength.link / box.strength.work
-                    for name, box in self.boxes.items()
-                    if box.role != "origin"
+                    name: cache.strength.link / cache.strength.work
+                    for name, cache in self.boxes.items()
+                    if cache.role != "origin"
                 },
             ),
         }
@@ -383,13 +392,13 @@
     raw = orjson.loads(outer["body"])
     raw["saved"] -= 6.9 * 86_400
     if state == "foreign":
-        ports = [box["port"] for box in raw["others"]]
-        for box, port in zip(raw["others"], ports[1:] + ports[:1], strict=True):
-            box["port"] = port
+        ports = [cache["port"] for cache in raw["others"]]
+        for cache, port in zip(raw["others"], ports[1:] + ports[:1], strict=True):
+            cache["port"] = port
     path.write_bytes(snapshot.sign(orjson.dumps(raw)))
 
 
-def play_in_virtual_time(script: Script, seed: int, folder: Path) -> Outcome:
+def run_in_virtual_time(script: Script, seed: int, folder: Path) -> Outcome:
     """Play one script in a folder, in a loop of its own; nothing in it depends on the machine's speed."""
     coordinator = TimeCoordinator(folder / "clock", script.doormans)
 
@@ -399,6 +408,6 @@
     return coordinator.run(main)
 
 
-async def play(script: Script, seed: int, folder: Path, **more: Any) -> Outcome:
+async def run(script: Script, seed: int, folder: Path, **more: Any) -> Outcome:
     """Play one script in a folder."""
     return await Scenario(script, seed, folder, **more).run()
--- a/brackenlane/lab/cluster/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -29,7 +29,7 @@
     refused: int = 0
     tickets: dict[int, int] = field(default_factory=dict)
 
-    def ask(self, now: float, complete: bool) -> float | None:
+    def request(self, now: float, complete: bool) -> float | None:
         """Seconds until the answer; None: refused."""
         (self.loaded if complete else self.asked).append(now)
         cost = 1 / (self.capacity.loads if complete else self.capacity.asks)
@@ -67,9 +67,9 @@
         self.paces = [
             pace(f"router-{n}", store.capacity, random.Random(seed * 100_003 + n)) for n in range(count)
         ]
-        self._whole = [self.chance.random() >= remembers for _ in range(count)]
+        self._complete = [self.chance.random() >= remembers for _ in range(count)]
         for n in range(count):
-            self.at(starts(n) + self.paces[n].first(), partial(self._ask, n))
+            self.at(starts(n) + self.paces[n].first(), partial(self._send_request, n))
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         """Call then."""
@@ -89,29 +89,31 @@
             self.at(self.now + self.chance.uniform(0, 0.005), partial(self._again, n))
 
     def _again(self, n: int) -> None:
-        self.at(self.now + self.paces[n].failed(not self.store.away(self.now)), partial(self._ask, n))
+        self.at(
+            self.now + self.paces[n].failed(not self.store.away(self.now)), partial(self._send_request, n)
+        )
 
-    def _ask(self, n: int) -> None:
-        took = self.store.ask(self.now, False)
+    def _send_request(self, n: int) -> None:
+        took = self.store.request(self.now, False)
         if took is None:
             return self._again(n)
         self.paces[n].answered(took, 0.15)
-        self.at(self.now + took, lambda: self._load(n) if self._whole[n] else self._done(n))
+        self.at(self.now + took, lambda: self._load(n) if self._complete[n] else self._done(n))
 
     def _load(self, n: int) -> None:
         pace, bucket = self.paces[n], self.paces[n].bucket(self.now)
         while ahead := pace.ahead(ticket := self.store.ticket(bucket)):
             bucket += ahead
-        self.at(self.now + pace.turn(bucket, ticket, self.now), partial(self._whole_list, n))
+        self.at(self.now + pace.turn(bucket, ticket, self.now), partial(self._complete_list, n))
 
-    def _whole_list(self, n: int) -> None:
-        took = self.store.ask(self.now, True)
+    def _complete_list(self, n: int) -> None:
+        took = self.store.request(self.now, True)
         if took is None:
             return self._again(n)
         self.at(self.now + took, lambda: self._done(n))
 
     def _done(self, n: int) -> None:
-        self._whole[n] = False
+        self._complete[n] = False
         self.current[n] = self.now
 
 
--- a/brackenlane/lab/load.py
+++ b/brackenlane/lab/load.py
@@ -61,8 +61,8 @@
     """What became of it, by the second in which it was first asked for."""
 
     def __init__(self) -> None:
-        self.asked: Counter[int] = Counter()
-        self.worth_asked: defaultdict[int, float] = defaultdict(float)
+        self.requested: Counter[int] = Counter()
+        self.value_requested: defaultdict[int, float] = defaultdict(float)
         self.good: Counter[int] = Counter()
         self.worth_good: defaultdict[int, float] = defaultdict(float)
         self.statuses: Counter[str] = Counter()
@@ -224,8 +224,8 @@
         name = int(self._objects ** self.random.random())
         path = f"/api/v2/{kind.name}/{name:016x}/n-{self.random.randrange(8)}".encode()
         second = int(now - self._start)
-        self.tally.asked[second] += 1
-        self.tally.worth_asked[second] += kind.value_weight
+        self.tally.requested[second] += 1
+        self.tally.value_requested[second] += kind.value_weight
         self._left += 1
         self._try(Want(kind, path, now))
 
@@ -269,8 +269,8 @@
         """All of it as JSON."""
         t = self.tally
         return {
-            "asked": t.asked,
-            "worth_asked": t.worth_asked,
+            "asked": t.requested,
+            "worth_asked": t.value_requested,
             "good": t.good,
             "worth_good": t.worth_good,
             "statuses": t.statuses,
--- a/brackenlane/lab/model.py
+++ b/brackenlane/lab/model.py
@@ -16,7 +16,7 @@
 
     states: int
     depth: int  # steps of the longest way that was followed
-    whole: bool  # whether nothing within the depth was left out
+    complete: bool  # whether nothing within the depth was left out
     fault: tuple[str, ...] = ()  # the steps to the first state that breaks the invariant
 
 
--- a/brackenlane/lab/queueing.py
+++ b/brackenlane/lab/queueing.py
@@ -110,7 +110,7 @@
 class Result:
     """What became of it, by the second of the first try."""
 
-    asked: Counter[int] = field(default_factory=Counter)
+    requested: Counter[int] = field(default_factory=Counter)
     good: Counter[int] = field(default_factory=Counter)
     ends: Counter[str] = field(default_factory=Counter)  # of tries
     classes: Counter[tuple[str, str]] = field(default_factory=Counter)
@@ -120,7 +120,7 @@
     def share(self, start: int, end: int) -> float:
         """Of those first asked for in these seconds, how many were served in time."""
         return sum(self.good[n] for n in range(start, end)) / max(
-            1, sum(self.asked[n] for n in range(start, end))
+            1, sum(self.requested[n] for n in range(start, end))
         )
 
     def goodput(self, start: int, end: int) -> float:
@@ -128,7 +128,7 @@
         return sum(self.good[n] for n in range(start, end)) / (end - start)
 
 
-def play(
+def run_queue(
     policy: Policy,
     rate: Callable[[float], float],
     seconds: float,
@@ -165,7 +165,7 @@
             continue
         at += step
         cls = rng.choices(CLASSES, shares)[0]
-        result.asked[int(at)] += 1
+        result.requested[int(at)] += 1
         ttl = cls.time_limit * rng.uniform(0.5, 1.0)
         heapq.heappush(events, (at, next(order), Try(cls, at, at, at + ttl)))
 
--- a/brackenlane/lab/races.py
+++ b/brackenlane/lab/races.py
@@ -31,7 +31,7 @@
 LEFT = 0.1  # after a client has left, no attempt
 DRAINED = 0.5  # after a drain was told, no attempt
 RESET = struct.pack("ii", 1, 0)
-BOXES = {f"s-0000000{n}": "type-a" for n in range(1, 5)} | {"s-00000008": "parent", "s-00000009": "origin"}
+CACHES = {f"s-0000000{n}": "type-a" for n in range(1, 5)} | {"s-00000008": "parent", "s-00000009": "origin"}
 
 
 @dataclass
@@ -187,7 +187,7 @@
     ) -> None:
         """cancel: whether attempts may be cancelled; root: the checkout whose program is played with."""
         self.draw, self.seconds, self.folder, self.root = random.Random(seed), seconds, folder, root
-        self.stands_still, self.cancel = seed % 2 == 1, cancel
+        self.is_stalled, self.cancel = seed % 2 == 1, cancel
         self.record, self.end, self.port = Record(), 0.0, site.free_ports(1)[0]
 
     async def run(self) -> Record:
@@ -195,7 +195,7 @@
         async with trio.open_nursery() as nursery:
             caches = [
                 await ErraticCache(name, model, self.draw, self.record).open(nursery)
-                for name, model in BOXES.items()
+                for name, model in CACHES.items()
             ]
             log = await List().open(nursery)
             path = self.folder / "config.json"
@@ -277,7 +277,7 @@
         good, count = orjson.loads(path.read_bytes()), 0
         while time.time() < self.end - 1.5:
             await trio.sleep(0.4)
-            if self.stands_still:
+            if self.is_stalled:
                 process.send_signal(signal.SIGSTOP)
                 await trio.sleep(self.draw.choice([0.002, 0.01, 0.03]))
                 process.send_signal(signal.SIGCONT)
--- a/brackenlane/lab/simulation/clients.py
+++ b/brackenlane/lab/simulation/clients.py
@@ -61,7 +61,7 @@
             obj.name,
             client.first.part,
             obj.group,
-            obj.work * site.pace_kb_per_s if site.sizes_told else 0.0,
+            obj.work * site.pace_kb_per_s if site.sizes_known else 0.0,
             cls.uncached,
             client.tries > 1,
         )
--- a/brackenlane/lab/simulation/comparison.py
+++ b/brackenlane/lab/simulation/comparison.py
@@ -45,7 +45,7 @@
     cold = {listed.server for listed in record.listed if listed.started_at}
     found = {
         "drains": any(listed.state is ServerState.DRAINING for listed in record.listed),
-        "purges": bool(record.purges_told),
+        "purges": bool(record.purges_notified),
         "writes": bool(record.executed),
         "further attempts": any(sent.number for sent in record.sent),
         "refusals": any(answer.disposition is Disposition.REJECTED for answer in record.answered),
--- a/brackenlane/lab/simulation/invariants.py
+++ b/brackenlane/lab/simulation/invariants.py
@@ -13,7 +13,7 @@
 from brackenlane.routing.settings import Idempotency, Scope, SiblingSources
 
 SLACK = 1e-5  # seconds, of the clock
-TOLD_SHARE = 2 / 3  # of the work that pushed a cold server over, from routers told of its start
+NOTIFIED_SHARE = 2 / 3  # of the work that pushed a cold server over, from routers told of its start
 Violations = list[str]
 
 
@@ -35,7 +35,7 @@
     return found
 
 
-def drains_kept(site: Site, record: Record) -> Violations:
+def drains_respected(site: Site, record: Record) -> Violations:
     """No new attempt or source at a server for longer than the grace after its drain was told."""
     reported: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
     for listed in record.listed:
@@ -64,10 +64,10 @@
     return since
 
 
-def purges_kept(site: Site, record: Record) -> Violations:
+def purges_respected(site: Site, record: Record) -> Violations:
     """No answer from a copy older than a purge that the router had been told of for the grace."""
     reported: dict[tuple[int, str | int], list[tuple[float, float]]] = defaultdict(list)
-    for purge in record.purges_told:
+    for purge in record.purges_notified:
         reported[purge.router, purge.key].append((purge.at, purge.purged_at))
     sent_at = {(sent.request_id, sent.number): sent.at for sent in record.sent}
     found = []
@@ -197,16 +197,16 @@
 def no_cold_server_pushed_over(site: Site, record: Record) -> Violations:
     """No server that started lately falls over by the work of routers that were told of its start."""
     return [
-        f"{fell.server}: pushed over, {fell.told_share:.2f} of the work by routers told of its start"
+        f"{fell.server}: pushed over, {fell.notified_share:.2f} of the work by routers told of its start"
         for fell in record.fell_over
-        if fell.told_share >= TOLD_SHARE
+        if fell.notified_share >= NOTIFIED_SHARE
     ]
 
 
 INVARIANTS: tuple[Callable[[Site, Record], Violations], ...] = (
     answered_once,
-    drains_kept,
-    purges_kept,
+    drains_respected,
+    purges_respected,
     no_repeated_writes,
     attempts_bounded,
     servers_allowed,
--- a/brackenlane/lab/simulation/record.py
+++ b/brackenlane/lab/simulation/record.py
@@ -90,7 +90,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PurgeTold:
+class PurgeNotified:
     """A router was notified of a purge."""
 
     router: int
@@ -112,7 +112,7 @@
     """A cold server was pushed over; told_share: of that work, from routers told of its start."""
 
     server: str
-    told_share: float
+    notified_share: float
     at: float
 
 
@@ -126,7 +126,7 @@
     ended: list[Ended] = field(default_factory=list)
     answered: list[Answered] = field(default_factory=list)
     listed: list[Listed] = field(default_factory=list)
-    purges_told: list[PurgeTold] = field(default_factory=list)
+    purges_notified: list[PurgeNotified] = field(default_factory=list)
     executed: list[Executed] = field(default_factory=list)
     fell_over: list[FellOver] = field(default_factory=list)
     origin_stops: int = 0
--- a/brackenlane/lab/simulation/routers.py
+++ b/brackenlane/lab/simulation/routers.py
@@ -9,7 +9,7 @@
 from brackenlane.lab.simulation.edge import EdgeCache
 from brackenlane.lab.simulation.record import Answered, Disposition, Ended, Request, Sent
 from brackenlane.lab.simulation.servers import CacheRequest, Reply, Server, oldest_allowed
-from brackenlane.lab.simulation.site import Tells
+from brackenlane.lab.simulation.site import StatusReports
 from brackenlane.lab.simulation.streams import Failure, Stream, relay
 from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer
 from brackenlane.routing.events import (
@@ -28,7 +28,7 @@
 
 SLACK = 1e-6  # of the clock
 # How an attempt ends that failed so, and the note that a cache gives.
-ENDINGS = {
+DISPOSITIONS = {
     Failure.FULL: (AttemptResult.FULL, CacheStatus.UNKNOWN),
     Failure.NO_PLACE: (AttemptResult.FULL, CacheStatus.NO_PLACE),
     Failure.UNREACHABLE: (AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN),
@@ -43,7 +43,7 @@
     Failure.ORIGIN: (AttemptResult.ERROR, CacheStatus.ORIGIN_FAILED),
     Failure.CANCELLED: (AttemptResult.CANCELLED, CacheStatus.UNKNOWN),
 }
-TOLD_OF_HITS = (CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED, CacheStatus.STALE)
+REPORTED_OF_HITS = (CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED, CacheStatus.STALE)
 
 
 class OpenRequest:
@@ -57,7 +57,7 @@
         ended: Callable[[Disposition, CacheStatus], None],
     ) -> None:
         """ended: told of the final answer."""
-        self.request, self.ask, self.work, self.ended = request, send_request, work, ended
+        self.request, self.arrival, self.work, self.ended = request, send_request, work, ended
         self.attempts: list[Attempt] = []
         self.over = False
         self.streaming: Attempt | None = None
@@ -79,7 +79,7 @@
     def __init__(self, world: World, number: int, home: int, policy: Policy) -> None:
         self.world, self.number, self.policy = world, number, policy
         self.zone = world.site.zones[world.site.hubs + home]
-        self.list_heard = 0.0  # when the latest change of the list that is on its way is heard
+        self.on_list = 0.0  # when the latest change of the list that is on its way is heard
         self._requests: dict[str, OpenRequest] = {}
 
     def take(
@@ -138,13 +138,13 @@
                 world.site.connect_timeout, lambda: self._end(attempt, AttemptResult.UNREACHABLE)
             )
             return
-        send_request = self._ask(opened, action)
+        send_request = self._send_request(opened, action)
         world.queue.after(
             world.latency(self.zone, server), lambda: self._reach(server, send_request, attempt)
         )
 
-    def _ask(self, opened: OpenRequest, action: Fetch) -> CacheRequest:
-        send_request = opened.ask
+    def _send_request(self, opened: OpenRequest, action: Fetch) -> CacheRequest:
+        send_request = opened.arrival
         return CacheRequest(
             opened.request.operation,
             self.number,
@@ -201,7 +201,7 @@
             return
         if attempt.reply.complete:
             return self._end(attempt, AttemptResult.OK, attempt.reply.cache_status, attempt.reply.issued)
-        verdict, cache_status = ENDINGS[attempt.reply.failure or Failure.BROKEN]
+        verdict, cache_status = DISPOSITIONS[attempt.reply.failure or Failure.BROKEN]
         self._end(
             attempt,
             verdict,
@@ -243,7 +243,7 @@
     def _outcome(self, attempt: Attempt, verdict: AttemptResult, cache_status: CacheStatus) -> Outcome:
         site, opened = self.world.site, attempt.opened
         seen = site.sizes_seen and verdict is AttemptResult.OK
-        filled = site.tells is Tells.ALL and cache_status in (
+        filled = site.status_reports is StatusReports.ALL and cache_status in (
             CacheStatus.FILLED,
             CacheStatus.FILLED_BY_ORIGIN,
         )
@@ -254,7 +254,7 @@
             verdict,
             self.world.queue.now - attempt.sent_at,
             opened.over,
-            told_note(site.tells, cache_status, verdict),
+            reported_status(site.status_reports, cache_status, verdict),
             first_byte=self._first_byte(attempt) if filled else 0.0,
             report=self.world.reports.latest(attempt.server),
             size_kb=opened.work * site.pace_kb_per_s if seen else 0.0,
@@ -280,16 +280,18 @@
         self.deliver(ClientDisconnected(opened.request.name))
 
 
-def told_note(reporting: Tells, cache_status: CacheStatus, verdict: AttemptResult) -> CacheStatus:
+def reported_status(
+    reporting: StatusReports, cache_status: CacheStatus, verdict: AttemptResult
+) -> CacheStatus:
     """What the router is told of how an answer came about."""
-    if reporting is Tells.ALL:
+    if reporting is StatusReports.ALL:
         return cache_status
-    if reporting is Tells.SILENT:
+    if reporting is StatusReports.SILENT:
         return CacheStatus.UNKNOWN
     if cache_status is CacheStatus.FILLED_BY_ORIGIN:
         return CacheStatus.FILLED
     return (
         cache_status
-        if cache_status in TOLD_OF_HITS and verdict in (AttemptResult.OK, AttemptResult.MISS)
+        if cache_status in REPORTED_OF_HITS and verdict in (AttemptResult.OK, AttemptResult.MISS)
         else CacheStatus.UNKNOWN
     )
--- a/brackenlane/lab/simulation/site.py
+++ b/brackenlane/lab/simulation/site.py
@@ -23,7 +23,7 @@
 LINK_FOR = 6  # caches; the link of a location with fewer is wider than in proportion
 
 
-class Tells(Enum):
+class StatusReports(Enum):
     """Which notes come with outcomes."""
 
     ALL = "all"
@@ -103,10 +103,10 @@
     hits: float = 0.7  # share of the bytes asked for that a location's caches keep
     pace_kb_per_s: float = 5000.0
     fill_pace: float = 2.8  # of a fill, times a client's
-    link_room: float = 1.3
-    parent_room: float = 1.3
+    link_capacity: float = 1.3
+    parent_capacity: float = 1.3
     per_parent: float = 3.0  # locations whose fills one parent is sized for, however many there are
-    origin_room: float = 2.0
+    origin_capacity: float = 2.0
     origin_seconds: float = 0.04
     origin_queue_seconds: float = 1.0
     origin_falls: bool = False
@@ -116,12 +116,12 @@
     fill_timeout: float = 2.0
     abort_fill: bool = False
     slots_per_width: float = 4.0
-    tells: Tells = Tells.ALL
+    status_reports: StatusReports = StatusReports.ALL
     report_x0: bool = False
     weights: Weights = Weights.EXACT
-    links_told: bool = False
-    mates_told: bool = False
-    sizes_told: bool = True  # with requests
+    links_known: bool = False
+    peers_known: bool = False
+    sizes_known: bool = True  # with requests
     sizes_seen: bool = False  # in answers
     may_bypass_caches: bool = True
     may_join_fills: bool = True
@@ -135,7 +135,7 @@
     drain_grace: float = 0.5
     purge_grace: float = 0.5
     purge_propagation_time: float = 6.0
-    purge_tell: float = 0.2  # seconds until routers are notified, on average
+    purge_notice_delay: float = 0.2  # seconds until routers are notified, on average
     purges_per_second: float = 0.4
     list_notice: float = 1.5  # seconds until routers hear of a change, on average
     client_retries: int = 2
@@ -171,7 +171,7 @@
         """Transfers at pace on the link in of one location."""
         widths = self.locations[location].widths
         few = math.sqrt(max(1.0, LINK_FOR / len(widths)))
-        return sum(widths) * (1 - self.hits) * self.link_room * few
+        return sum(widths) * (1 - self.hits) * self.link_capacity * few
 
     @property
     def fills_at_full_load(self) -> float:
@@ -182,14 +182,14 @@
     def parent_width(self) -> float:
         """Transfers at pace on the link of one parent."""
         served = max(self.per_parent, len(self.locations) / max(1, len(self.parents)))
-        return self.fills_at_full_load / len(self.locations) * served * self.parent_room
+        return self.fills_at_full_load / len(self.locations) * served * self.parent_capacity
 
     @property
     def origin_width(self) -> float:
         """Transfers at pace on the link of the origin."""
         misses = PARENT_MISSES if self.parents else 1.0
         largest = max(sum(place.widths) for place in self.locations) * (1 - self.hits)
-        return self.origin_room * USUAL_LOAD * self.fills_at_full_load * misses + LEAST_ORIGIN * largest
+        return self.origin_capacity * USUAL_LOAD * self.fills_at_full_load * misses + LEAST_ORIGIN * largest
 
     @property
     def origin_workers(self) -> int:
@@ -214,8 +214,8 @@
             router_count=len(homes),
             hub_of=(*range(self.hubs), *(place.hub for place in self.locations)),
             routers_by_location=(*[0] * self.hubs, *(place.routers for place in self.locations)),
-            peer_index=router - homes.index(home) if self.mates_told else -1,
-            link_kb_per_s=tuple(links) if self.links_told else (0.0,) * len(links),
+            peer_index=router - homes.index(home) if self.peers_known else -1,
+            link_kb_per_s=tuple(links) if self.links_known else (0.0,) * len(links),
             pace_kb_per_s=self.pace_kb_per_s,
             edge_cold=self.edge_cold,
             parent_cold=self.parent_cold,
@@ -232,7 +232,7 @@
             may_bypass_caches=self.may_bypass_caches,
             may_join_fills=self.may_join_fills,
             sibling_sources=self.siblings,
-            status_reporting=CacheStatusReporting(self.tells.value),
+            status_reporting=CacheStatusReporting(self.status_reports.value),
         )
 
     def listed_weight(self, server: str, width: float) -> float:
--- a/brackenlane/lab/simulation/world.py
+++ b/brackenlane/lab/simulation/world.py
@@ -13,7 +13,7 @@
 from brackenlane.lab.simulation.faults import begin_troubles
 from brackenlane.lab.simulation.links import FairLink
 from brackenlane.lab.simulation.memory import StoredCopy
-from brackenlane.lab.simulation.record import Executed, FellOver, Listed, PurgeTold, Record
+from brackenlane.lab.simulation.record import Executed, FellOver, Listed, PurgeNotified, Record
 from brackenlane.lab.simulation.reports import Reports
 from brackenlane.lab.simulation.routers import RouterHost
 from brackenlane.lab.simulation.servers import CacheRequest, Origin, Parent, Server
@@ -30,7 +30,7 @@
 START = 1000.0  # the clock at the start of a day; started_at 0 means long ago
 LAST = 60.0  # seconds after the last arrival until all has ended, also a long streamed answer
 PARENT_KEEPS = 0.93  # share of the bytes asked for that a parent keeps
-MEMORY_ROOM = 1.3  # of caches, over what is popular: hashes are uneven, and what is asked for once passes
+MEMORY_SIZE = 1.3  # of caches, over what is popular: hashes are uneven, and what is asked for once passes
 WEAKEST = (1.0, 1.7)  # a cold server's true start share, times the least that the rule tells
 WARMEST = (0.4, 1.0)  # its true time until warm, of the longest that the rule tells
 NO_GROUP = -1
@@ -64,7 +64,7 @@
         self.origin = Origin(ORIGIN, site.zones[0], self)
         self.members: dict[str, Member] = {}
         self._purged: dict[str | int, float] = {}
-        self._told_starts: dict[tuple[int, str], float] = {}
+        self._known_starts: dict[tuple[int, str], float] = {}
         self._build()
         self._means = {load.cls.name: load.mean_work for load in site.classes}
         self._streamed = {load.cls.name for load in site.classes if load.streamed}
@@ -78,7 +78,7 @@
     def run(self) -> Record:
         """Play the day."""
         for router in self.routers:
-            self._tell(router, MembershipKind.REMEMBERED, tuple(self.members.values()))
+            self._notify(router, MembershipKind.REMEMBERED, tuple(self.members.values()))
         self.clients.schedule(self.workload.first_tries())
         self._schedule_purges()
         begin_troubles(self)
@@ -141,7 +141,7 @@
         """Work reached a server that started lately; too much pushes it over for good."""
         if server.cold is None:
             return
-        reported = self._told_starts.get((router, server.name), 0.0) >= server.cold.started_at
+        reported = self._known_starts.get((router, server.name), 0.0) >= server.cold.started_at
         share = server.cold.add(self.queue.now, work, reported, max(self._means.values()))
         if share is not None:
             self.record.fell_over.append(FellOver(server.name, share, self.queue.now))
@@ -183,9 +183,9 @@
         for router in self.routers:
             delay = self.site.list_notice * self.random.uniform(0.5, 1.5)
             # Delivery is ordered: what was announced later is heard later.
-            at = max(self.queue.now + delay, router.list_heard)
-            router.list_heard = at
-            self.queue.at(at, partial(self._tell, router, MembershipKind.CHANGES, (reported,)))
+            at = max(self.queue.now + delay, router.on_list)
+            router.on_list = at
+            self.queue.at(at, partial(self._notify, router, MembershipKind.CHANGES, (reported,)))
 
     def add_cache(self, name: str, like: str) -> None:
         """A new machine stands in for another."""
@@ -201,8 +201,8 @@
             wait = self.random.uniform(0.0, self.site.purge_propagation_time)
             self.queue.after(wait, partial(server.memory.purge, key, now))
         for router in self.routers:
-            wait = self.site.purge_tell * self.random.uniform(0.5, 1.5)
-            self.queue.after(wait, partial(self._tell_purge, router, key, now))
+            wait = self.site.purge_notice_delay * self.random.uniform(0.5, 1.5)
+            self.queue.after(wait, partial(self._notify_purge, router, key, now))
 
     # The parts of these.
 
@@ -213,17 +213,17 @@
         place = self.site.zones.index(zone)
         return place if place < self.site.hubs else self.site.locations[place - self.site.hubs].hub
 
-    def _tell(self, router: RouterHost, kind: MembershipKind, members: tuple[Member, ...]) -> None:
+    def _notify(self, router: RouterHost, kind: MembershipKind, members: tuple[Member, ...]) -> None:
         for member in members:
-            self._told_starts[router.number, member.server] = member.started_at
+            self._known_starts[router.number, member.server] = member.started_at
             self.record.listed.append(
                 Listed(router.number, member.server, member.state, member.started_at, self.queue.now)
             )
         router.deliver(Membership(kind, members))
 
-    def _tell_purge(self, router: RouterHost, key: str | int, purged_at: float) -> None:
+    def _notify_purge(self, router: RouterHost, key: str | int, purged_at: float) -> None:
         now = self.queue.now
-        self.record.purges_told.append(PurgeTold(router.number, key, purged_at, now))
+        self.record.purges_notified.append(PurgeNotified(router.number, key, purged_at, now))
         if isinstance(key, str):
             router.deliver(Purged(key, NO_GROUP, now - purged_at))
         else:
@@ -262,7 +262,7 @@
         location = self.site.zones.index(zone) - self.site.hubs
         retained = self.workload.popular(location, self.site.hits)
         complete = sum(obj.work * obj.parts for obj, _ in retained)
-        return MEMORY_ROOM * complete * width / sum(self.site.locations[location].widths)
+        return MEMORY_SIZE * complete * width / sum(self.site.locations[location].widths)
 
     def _parent_memory(self) -> float:
         return sum(obj.work * obj.parts for obj, _ in self.workload.popular(None, PARENT_KEEPS))
--- a/brackenlane/lab/stand_ins/redis.py
+++ b/brackenlane/lab/stand_ins/redis.py
@@ -40,7 +40,7 @@
     def __init__(self, capacity: Capacity = Capacity(), seen: Seen = lambda *_, **__: None) -> None:
         self.keys: dict[str, Any] = {}
         self.news, self.seen = trio.Event(), trio.Event()
-        self.capacity, self._tell = capacity, seen
+        self.capacity, self._notify = capacity, seen
         self.late = 0.0  # seconds that each answer takes besides
         self.refuse_share, self._chance = 0.0, random.Random(1)  # of connections, refused whatever the load
         self._free = 0.0  # when all that has come is worked off, monotonic
@@ -71,10 +71,10 @@
         self.connections += 1
         who = stream.socket.getpeername()[1]
         wait = self._work(1 / self.capacity.connections)
-        self._tell("connect", who, wait=wait)
+        self._notify("connect", who, wait=wait)
         if wait > self.capacity.patience or self._chance.random() < self.refuse_share:
             self.refused += 1
-            self._tell("refuse", who)
+            self._notify("refuse", who)
             with contextlib.suppress(trio.BrokenResourceError):
                 await stream.send_all(b"-ERR max number of clients reached\r\n")
             return await stream.aclose()
@@ -89,7 +89,7 @@
                     cost = 1 / self.capacity.commands + len(reply) / self.capacity.bytes
                     wait = self._work(cost)
                     claim = len(command) > 1 and ":claim:" in command[1]
-                    self._tell(
+                    self._notify(
                         "claim" if claim else "command", who, word=command[0], sent=len(reply), wait=wait
                     )
                     if wait > self.capacity.patience:
@@ -98,7 +98,7 @@
                         reply = b"-BUSY beyond the stated capacity\r\n"
                     out += reply
                 if refused:
-                    self._tell("refuse", who)
+                    self._notify("refuse", who)
                 if wait > 0.001 or self.late:
                     await trio.sleep(wait + self.late)
                 self.sent += len(out)
@@ -147,7 +147,7 @@
         self._undo.append((time.monotonic(), lambda: stream.remove(entry) if entry in stream else None))
         del stream[:-most]
         self.news.set()
-        self._tell("write", 0, key=key, event=fields[-1])
+        self._notify("write", 0, key=key, event=fields[-1])
         return place
 
     async def _do(self, command: list[str]) -> bytes:
--- a/brackenlane/placement/model.py
+++ b/brackenlane/placement/model.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Box:
+class PlacementCache:
     """One cache."""
 
     id: str
@@ -44,7 +44,7 @@
     per_s: float
 
 
-class Wish(Enum):
+class Preference(Enum):
     """What an operator may ask of a box's share of a class, over all of its zone's demand for it."""
 
     AT_LEAST = "at least"
@@ -58,7 +58,7 @@
     name: str
     box: str
     kind: str
-    wish: Wish
+    preference: Preference
     share: float  # 0 with AT_MOST forbids
 
 
@@ -66,7 +66,7 @@
 class Problem:
     """One site at one time."""
 
-    boxes: tuple[Box, ...]
+    caches: tuple[PlacementCache, ...]
     kinds: tuple[Kind, ...]
     demands: tuple[Demand, ...]
     link_bytes_per_s: dict[str, float] = field(default_factory=dict)  # into each zone; absent: no limit
--- a/brackenlane/placement/solve.py
+++ b/brackenlane/placement/solve.py
@@ -12,7 +12,7 @@
 
 import highspy
 
-from brackenlane.placement.model import GaveWay, Plan, Problem, Wish
+from brackenlane.placement.model import GaveWay, Plan, Preference, Problem
 
 TINY = 1e-7  # of a share, and of a limit
 SLACK = 1.1  # of the lowest peak, for the sake of less movement
@@ -80,7 +80,7 @@
     x = {
         (d.zone, d.kind, cache.id): program.variable(1.0)
         for d in problem.demands
-        for cache in problem.boxes
+        for cache in problem.caches
         if cache.zone == d.zone
     }
     out = {(d.zone, d.kind): program.variable(1.0) for d in problem.demands}
@@ -89,7 +89,7 @@
         program.rows.append(Row("all of a demand", {**mine, variable: 1.0}, 1.0, 1.0))
     peak = program.variable()
     limits: list[Row] = []
-    for cache in problem.boxes:
+    for cache in problem.caches:
         load = {number: weight[zone, kind] for (zone, kind, name), number in x.items() if name == cache.id}
         bears = cache.bears(problem.cold, problem.now) / scale
         cold = "cold budget" if bears < cache.bytes_per_s / scale else "capacity"
@@ -117,7 +117,7 @@
             )
         )
     program.rows += limits
-    options = _wishes(problem, program, x)
+    options = _preferences(problem, program, x)
     # What can't be kept in full gives way from the end of the list: the first wishes are settled first.
     values: list[float] = []
     for name, slack in options:
@@ -138,7 +138,7 @@
         x,
         out,
         weight,
-        {cache.id: cache.bears(problem.cold, problem.now) / scale for cache in problem.boxes},
+        {cache.id: cache.bears(problem.cold, problem.now) / scale for cache in problem.caches},
     )
     return Plan(
         shares,
@@ -157,7 +157,9 @@
     )
 
 
-def _wishes(problem: Problem, program: Program, x: dict[tuple[str, str, str], int]) -> list[tuple[str, int]]:
+def _preferences(
+    problem: Problem, program: Program, x: dict[tuple[str, str, str], int]
+) -> list[tuple[str, int]]:
     """Each wish as a row with a variable by which it may give way."""
     found: list[tuple[str, int]] = []
     for option in problem.constraints:
@@ -167,7 +169,7 @@
                 found.append((option.name, slack))
                 program.rows.append(
                     Row(name, {number: 1.0, slack: 1.0}, option.share, math.inf)
-                    if option.wish is Wish.AT_LEAST
+                    if option.preference is Preference.AT_LEAST
                     else Row(name, {number: 1.0, slack: -1.0}, -math.inf, option.share)
                 )
     return found
--- a/brackenlane/placement/verify.py
+++ b/brackenlane/placement/verify.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brackenlane.placement.model import Plan, Problem, Wish
+from brackenlane.placement.model import Plan, Preference, Problem
 
 SMALL = 1e-5  # of a share, and of a limit: rounding
 
@@ -10,7 +10,7 @@
 def verify(problem: Problem, plan: Plan) -> list[str]:
     """All that is wrong with a plan; nothing: it may be put in force."""
     faults: list[str] = []
-    zones = {cache.id: cache.zone for cache in problem.boxes}
+    zones = {cache.id: cache.zone for cache in problem.caches}
     load = dict.fromkeys(zones, 0.0)
     over: dict[str, float] = {}
     for demand in problem.demands:
@@ -29,7 +29,7 @@
         over[demand.zone] = over.get(demand.zone, 0.0) + (1 - left) * demand.per_s * kind.mean_bytes * (
             1 - kind.hit
         )
-    for cache in problem.boxes:
+    for cache in problem.caches:
         bears, age = cache.bytes_per_s, problem.now - cache.started
         if cache.started and age < problem.cold.ramp:
             bears *= problem.cold.share + (1 - problem.cold.share) * max(age, 0.0) / problem.cold.ramp
@@ -44,7 +44,9 @@
     for option in problem.constraints:
         for (_, name, server), share in plan.shares.items():
             if (name, server) == (option.kind, option.box):
-                short = option.share - share if option.wish is Wish.AT_LEAST else share - option.share
+                short = (
+                    option.share - share if option.preference is Preference.AT_LEAST else share - option.share
+                )
                 if short > said.get(option.name, 0.0) + SMALL:
                     faults.append(f"{option.name} gave way by {short:.6f}, and that is not said")
     return faults
--- a/brackenlane/routing/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -15,10 +15,10 @@
     Section,
     SettingsError,
     read_flag,
+    read_integer,
     read_names,
     read_number,
     read_text,
-    read_integer,
     repeats,
 )
 from brackenlane.routing.members import Role
--- a/brackenlane/routing/slow_start_budget.py
+++ b/brackenlane/routing/slow_start_budget.py
@@ -13,7 +13,7 @@
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Settings
 from brackenlane.routing.sizes import Sizes
-from brackenlane.routing.slow_start import capacity_by_age, burst, joined, turn_order
+from brackenlane.routing.slow_start import burst, capacity_by_age, joined, turn_order
 from brackenlane.routing.topology import Topology
 
 
--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -47,7 +47,7 @@
     return caches, (host, int(port)) if host else None, services
 
 
-async def serve_box(name: str, endpoint: Endpoint, nursery: trio.Nursery) -> None:
+async def serve_cache(name: str, endpoint: Endpoint, nursery: trio.Nursery) -> None:
     """One cache, which holds every object and writes down what it is asked."""
 
     def answer(requested: Asked) -> bytes:
@@ -85,7 +85,7 @@
     caches, resolver, services = read_site(path)
     async with trio.open_nursery() as nursery:
         for name, endpoint in caches.items():
-            await serve_box(name, endpoint, nursery)
+            await serve_cache(name, endpoint, nursery)
         if resolver:
             await serve_names(resolver, services, nursery)
         print(f"{len(caches)} boxes are up", flush=True)
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -14,8 +14,7 @@
 from brackenlane.ops.maintenance import Maintenance, MaintenanceResult
 from brackenlane.routing.events import Membership, MembershipKind
 from brackenlane.routing.members import Member, ServerState
-from tests.stand_ins import Asked, Box, Log, data, free_port, platform, record, with_trio
-from tests.stand_ins import ScriptedReply
+from tests.stand_ins import Asked, Box, Log, ScriptedReply, data, free_port, platform, record, with_trio
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,7 +10,7 @@
 
 from brackenlane.admission.controller import Admission, Phase
 from brackenlane.admission.figures import Figures, Reason
-from brackenlane.lab.queueing import CLASSES, Costs, Fifo, admission, play
+from brackenlane.lab.queueing import CLASSES, Costs, Fifo, admission, run_queue
 
 CAPACITY = 200.0  # requests a second at 5 ms each
 TARGET, INTERVAL = 0.05, 0.15  # of CLASSES, by their least aim of 0.3 s
@@ -18,7 +18,7 @@
 
 def flat(factor: float) -> float:
     """In-time answers a second at a load of so many times the capacity, past the first seconds."""
-    return play(admission(), lambda _: factor * 1000, 10, costs=Costs(serve=0.001)).goodput(3, 9)
+    return run_queue(admission(), lambda _: factor * 1000, 10, costs=Costs(serve=0.001)).goodput(3, 9)
 
 
 def test_goodput_never_falls() -> None:
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("factor", [2, 4, 6])
 def test_cost_of_refusals(factor: float) -> None:
     """Where each refusal costs a thirtieth, no more is lost than refusing takes."""
-    result = play(admission(), lambda _: factor * CAPACITY, 12, costs=Costs(refuse=0.005 / 30))
+    result = run_queue(admission(), lambda _: factor * CAPACITY, 12, costs=Costs(refuse=0.005 / 30))
     left = CAPACITY * max(0.0, 1 - result.refusing / 12)
     assert result.goodput(3, 10) >= 0.85 * left
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("policy", ["admission", "fifo"])
 def test_no_second_equilibrium(policy: str) -> None:
     """After 6 s of triple load, 0.8 of the capacity is served as before within 2 s; plain FIFO is not."""
-    result = play(
+    result = run_queue(
         admission() if policy == "admission" else Fifo(),
         lambda now: CAPACITY * (3.0 if 5 <= now < 11 else 0.8),
         25,
@@ -65,7 +65,7 @@
     def rate(now: float) -> float:
         return CAPACITY * (burst if 4 <= now < 4 + length else 0.7)
 
-    result = play(
+    result = run_queue(
         admission(),
         rate,
         16,
@@ -74,7 +74,7 @@
         slow=lambda now: slow if 4 <= now < 4 + length else 1.0,
     )
     tries = sum(result.ends.values())
-    assert tries >= sum(result.asked.values())
+    assert tries >= sum(result.requested.values())
     assert result.share(11, 15) > result.share(1, 4) - 0.12  # some 550 requests: chance alone makes 0.1
     # Submits go before all else: they are shed only where they alone are more than can be served.
     if burst * submit < 0.5:
@@ -83,7 +83,7 @@
 
 def test_submits_come_first() -> None:
     """At five times the capacity all submits are served in time, whatever else is refused."""
-    result = play(admission(), lambda _: 5 * CAPACITY, 8, costs=Costs(refuse=0.0001))
+    result = run_queue(admission(), lambda _: 5 * CAPACITY, 8, costs=Costs(refuse=0.0001))
     assert result.classes["sheet-submit", "refused"] == result.classes["sheet-submit", "left"] == 0
     assert result.classes["sheet-submit", "served"] > 200
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -63,14 +63,14 @@
     """Answers late and lost, lives that go on unseen, a store set back: every state to this depth."""
     model = Model(Rule(2, 3.0, 0.0), members)
     found = explore(model.first(), model.steps, model.holds, depth)
-    assert found.whole and not found.fault and found.depth == depth
+    assert found.complete and not found.fault and found.depth == depth
 
 
 def test_clocks_off() -> None:
     """Clocks a tenth fast and slow, with that bound told: the same."""
     model = Model(Rule(2, 3.0, 0.1), 2, rates=(0.9, 1.1))
     found = explore(model.first(), model.steps, model.holds, 7)
-    assert found.whole and not found.fault
+    assert found.complete and not found.fault
 
 
 @pytest.mark.parametrize(
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from tests.stand_ins import Asked, ScriptedReply, Box, data, free_port, platform, with_trio
+from tests.stand_ins import Asked, Box, ScriptedReply, data, free_port, platform, with_trio
 from tests.test_admin_api import figures
 from tests.test_handover import READ, read_answer
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
 from brackenlane.ops.handover_records import HandoverIndex, Reader, Record, RecordType, encode
 from brackenlane.ops.handover_state import HandoverState, handover_state
-from tests.stand_ins import Asked, Box, ScriptedReply, Program, data, free_port, platform, with_trio
+from tests.stand_ins import Asked, Box, Program, ScriptedReply, data, free_port, platform, with_trio
 from tests.test_admin_api import call
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
--- a/tests/test_lab_cluster.py
+++ b/tests/test_lab_cluster.py
@@ -15,7 +15,7 @@
 from brackenlane.config import ConfigError
 from brackenlane.lab.cluster import invariants, links, ports, report, routers, script
 from brackenlane.lab.cluster.record import Event, Record, load
-from brackenlane.lab.cluster.scenario import Outcome, play_in_virtual_time
+from brackenlane.lab.cluster.scenario import Outcome, run_in_virtual_time
 from brackenlane.lab.cluster.time_coordinator import TimeCoordinator
 
 HOT = f"{random.Random(0).getrandbits(64):016x}"  # the object that is asked for most
@@ -39,7 +39,7 @@
 
 def played(tmp_path: Path, text: str) -> Outcome:
     """One play, in which every invariant must hold."""
-    outcome = play_in_virtual_time(script.read(HEAD + text, "t.toml"), 1, tmp_path)
+    outcome = run_in_virtual_time(script.read(HEAD + text, "t.toml"), 1, tmp_path)
     assert outcome.well, (outcome.faults, outcome.logs)
     return outcome
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenlane.placement.model import Box, Constraint, Demand, Kind, Problem, Wish
+from brackenlane.placement.model import Constraint, Demand, Kind, PlacementCache, Preference, Problem
 from brackenlane.placement.solve import solve
 from brackenlane.placement.verify import verify
 from brackenlane.routing.settings import SlowStart
@@ -24,23 +24,25 @@
     caps: tuple[float, ...], kinds: int = 2, link: float = 1e9, cold: int = 0, per_s: float = 10.0
 ) -> Problem:
     """One branch; the first so many caches started just now."""
-    boxes = tuple(Box(f"box-{n}", "branch", cap, 1000.0 if n < cold else 0.0) for n, cap in enumerate(caps))
+    caches = tuple(
+        PlacementCache(f"box-{n}", "branch", cap, 1000.0 if n < cold else 0.0) for n, cap in enumerate(caps)
+    )
     demands = tuple(Demand("branch", kind.name, per_s) for kind in KINDS[:kinds])
-    return Problem(boxes, KINDS[:kinds], demands, {"branch": link}, cold=COLD, now=1000.0)
+    return Problem(caches, KINDS[:kinds], demands, {"branch": link}, cold=COLD, now=1000.0)
 
 
 def brute(problem: Problem, steps: int) -> float:
     """The most worth that any shares on a grid place, all rules kept."""
-    boxes, kinds = problem.boxes, problem.kinds
-    grid = itertools.product(range(steps + 1), repeat=len(boxes))
+    caches, kinds = problem.caches, problem.kinds
+    grid = itertools.product(range(steps + 1), repeat=len(caches))
     parts = np.array([shares for shares in grid if sum(shares) <= steps]) / steps
     placed = parts.sum(axis=1)
-    bears = np.array([cache.bears(problem.cold, problem.now) for cache in boxes])
-    load = np.zeros((1, len(boxes)))
+    bears = np.array([cache.bears(problem.cold, problem.now) for cache in caches])
+    load = np.zeros((1, len(caches)))
     worth, over = np.zeros(1), np.zeros(1)
     for demand, kind in zip(problem.demands, kinds, strict=True):
         size = demand.per_s * kind.mean_bytes
-        load = (load[:, None, :] + parts[None] * size).reshape(-1, len(boxes))
+        load = (load[:, None, :] + parts[None] * size).reshape(-1, len(caches))
         worth = (worth[:, None] + placed[None] * demand.per_s * kind.worth).ravel()
         over = (over[:, None] + placed[None] * size * (1 - kind.hit)).ravel()
         good = (load <= bears + 1e-6).all(axis=1) & (over <= problem.link_bytes_per_s["branch"] + 1e-6)
@@ -75,30 +77,30 @@
         plan = solve(problem)
         assert verify(problem, plan) == []
         given_bytes = sum(plan.shares["branch", k.name, "box-0"] * 10 * k.mean_bytes for k in KINDS[:2])
-        assert given_bytes <= problem.boxes[0].bears(COLD, problem.now) * (1 + 1e-5)
+        assert given_bytes <= problem.caches[0].bears(COLD, problem.now) * (1 + 1e-5)
         assert plan.worth_per_s == pytest.approx(30.0 if step >= 40 else plan.worth_per_s, abs=0.1)
 
 
 @pytest.mark.parametrize(
     ("options", "gave", "conflict"),
     [
-        ([("half", "box-0", Wish.AT_LEAST, 0.5)], None, ()),
+        ([("half", "box-0", Preference.AT_LEAST, 0.5)], None, ()),
         (
-            [("half", "box-0", Wish.AT_LEAST, 0.5), ("none", "box-0", Wish.AT_MOST, 0.0)],
+            [("half", "box-0", Preference.AT_LEAST, 0.5), ("none", "box-0", Preference.AT_MOST, 0.0)],
             "none",
             ("none", "half"),
         ),
         (
-            [("none", "box-0", Wish.AT_MOST, 0.0), ("half", "box-0", Wish.AT_LEAST, 0.5)],
+            [("none", "box-0", Preference.AT_MOST, 0.0), ("half", "box-0", Preference.AT_LEAST, 0.5)],
             "half",
             ("half", "none"),
         ),
-        ([("all", "box-0", Wish.AT_LEAST, 1.0)], "all", ("box-0's capacity", "all")),
+        ([("all", "box-0", Preference.AT_LEAST, 1.0)], "all", ("box-0's capacity", "all")),
         (
             [
-                ("a", "box-0", Wish.AT_LEAST, 0.3),
-                ("b", "box-1", Wish.AT_LEAST, 0.4),
-                ("c", "box-2", Wish.AT_LEAST, 0.4),
+                ("a", "box-0", Preference.AT_LEAST, 0.3),
+                ("b", "box-1", Preference.AT_LEAST, 0.4),
+                ("c", "box-2", Preference.AT_LEAST, 0.4),
             ],
             "c",
             ("c", "b", "a"),
@@ -106,7 +108,7 @@
     ],
 )
 def test_conflicts(
-    options: list[tuple[str, str, Wish, float]], gave: str | None, conflict: tuple[str, ...]
+    options: list[tuple[str, str, Preference, float]], gave: str | None, conflict: tuple[str, ...]
 ) -> None:
     """Wishes that can't all hold, in pairs, in threes and against a limit: the last gives way, and why."""
     problem = replace(
@@ -128,7 +130,7 @@
     plan = solve(problem)
     again = solve(replace(problem, in_force=plan.shares))
     assert again.shares == pytest.approx(plan.shares, abs=1e-5)
-    lost = replace(problem, boxes=problem.boxes[1:], in_force=plan.shares)
+    lost = replace(problem, caches=problem.caches[1:], in_force=plan.shares)
     after = solve(lost)
     assert verify(lost, after) == []
     moved = sum(abs(after.shares[key] - plan.shares[key]) for key in after.shares)
@@ -141,20 +143,20 @@
     """The crumbs of rounding the shares of twenty-five caches don't push over one that is full."""
     rng = random.Random(seed)
     zones = ("a", "b")
-    boxes = tuple(Box(f"box-{n}", zones[n % 2], rng.uniform(500, 9000)) for n in range(50))
+    caches = tuple(PlacementCache(f"box-{n}", zones[n % 2], rng.uniform(500, 9000)) for n in range(50))
     kinds = tuple(
         Kind(f"k{n}", rng.uniform(100, 4000), rng.uniform(0.5, 3), rng.uniform(0, 0.8)) for n in range(3)
     )
-    each = sum(cache.bytes_per_s for cache in boxes) / 6
+    each = sum(cache.bytes_per_s for cache in caches) / 6
     demands = tuple(
         Demand(zone, kind.name, rng.uniform(0.5, 1.3) * each / kind.mean_bytes)
         for zone in zones
         for kind in kinds
     )
-    problem = Problem(boxes, kinds, demands, dict.fromkeys(zones, 1.2 * each), cold=COLD)
+    problem = Problem(caches, kinds, demands, dict.fromkeys(zones, 1.2 * each), cold=COLD)
     plan = solve(problem)
     assert verify(problem, plan) == []
-    lost = replace(problem, boxes=boxes[1:], in_force=plan.shares)
+    lost = replace(problem, caches=caches[1:], in_force=plan.shares)
     assert verify(lost, solve(lost)) == []
 
 
@@ -162,7 +164,7 @@
     """The check finds what a solver could do wrong, each of it."""
     problem = replace(
         site((4000.0, 4000.0), link=2000.0, cold=1),
-        constraints=(Constraint("little", "box-1", "video", Wish.AT_MOST, 0.1),),
+        constraints=(Constraint("little", "box-1", "video", Preference.AT_MOST, 0.1),),
         origin_bytes_per_s=1500.0,
     )
     good = solve(problem)
@@ -190,5 +192,5 @@
     problem = site(tuple(caps), 3, link, min(cold, len(caps)), per_s)
     plan = solve(problem)
     assert verify(problem, plan) == []
-    fewer = solve(replace(problem, boxes=problem.boxes[:-1]))
+    fewer = solve(replace(problem, caches=problem.caches[:-1]))
     assert fewer.worth_per_s <= plan.worth_per_s + 1e-3 * max(1.0, per_s)
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -37,6 +37,7 @@
     Box,
     Log,
     Program,
+    ScriptedReply,
     data,
     free_port,
     platform,
@@ -44,7 +45,6 @@
     target,
     with_trio,
 )
-from tests.stand_ins import ScriptedReply
 
 EDGE, OTHER = "s-00000001", "s-00000002"
 PARENT, NEXT_PARENT, ORIGIN = "s-00000008", "s-00000007", "s-00000009"
--- a/tests/test_purge_wave.py
+++ b/tests/test_purge_wave.py
@@ -10,7 +10,7 @@
 from brackenlane.lab.simulation import invariants
 from brackenlane.lab.simulation.record import Record
 from brackenlane.lab.simulation.servers import CacheRequest
-from brackenlane.lab.simulation.site import ClassLoad, Location, Site, Tells, Trouble, TroubleKind
+from brackenlane.lab.simulation.site import ClassLoad, Location, Site, StatusReports, Trouble, TroubleKind
 from brackenlane.lab.simulation.streams import Stream
 from brackenlane.lab.simulation.value import worth
 from brackenlane.lab.simulation.world import START, PolicyFactory, World
@@ -24,7 +24,7 @@
 SERVED = 0.95  # of the day's worth, at least
 
 
-def purge_day(seed: int, tells: Tells) -> Site:
+def purge_day(seed: int, status_reports: StatusReports) -> Site:
     """Two hubs with a parent each, eight locations, an origin that stops when it is pushed."""
     return Site(
         seed=seed,
@@ -37,7 +37,7 @@
         ),
         parents=(0, 1),
         load=0.6,
-        tells=tells,
+        status_reports=status_reports,
         origin_falls=True,
         may_bypass_caches=False,
         purges_per_second=0.0,
@@ -68,11 +68,11 @@
         return [replace(a, source="origin") if isinstance(a, Fetch) and a.source else a for a in actions]
 
 
-@pytest.mark.parametrize("tells", [Tells.ALL, Tells.SILENT])
+@pytest.mark.parametrize("status_reports", [StatusReports.ALL, StatusReports.SILENT])
 @pytest.mark.parametrize("seed", [3, 4, 5])
-def test_each_copy_is_fetched_about_once(seed: int, tells: Tells) -> None:
+def test_each_copy_is_fetched_about_once(seed: int, status_reports: StatusReports) -> None:
     """No copy more often than by each parent and once beside them; the origin stands, the day is served."""
-    site = purge_day(seed, tells)
+    site = purge_day(seed, status_reports)
     record, copies = fetched(site, Router)
     assert max(copies.values()) <= len(site.parents) + 1
     assert sum(copies.values()) <= AGAIN * len(copies)
@@ -82,5 +82,5 @@
 
 def test_a_wave_is_found() -> None:
     """Were each cache to fetch for itself, the counts above would tell."""
-    _, copies = fetched(purge_day(3, Tells.ALL), Unladdered)
+    _, copies = fetched(purge_day(3, StatusReports.ALL), Unladdered)
     assert sum(copies.values()) > AGAIN * len(copies)
--- a/tests/test_simulated_caches.py
+++ b/tests/test_simulated_caches.py
@@ -14,7 +14,7 @@
     ClassLoad,
     Location,
     Site,
-    Tells,
+    StatusReports,
     Trouble,
     TroubleKind,
     Weights,
@@ -171,12 +171,12 @@
 
 
 @pytest.mark.parametrize(
-    ("tells", "notes"),
+    ("status_reports", "notes"),
     [
-        (Tells.SILENT, {CacheStatus.UNKNOWN}),
-        (Tells.HIT, {CacheStatus.UNKNOWN, CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED}),
+        (StatusReports.SILENT, {CacheStatus.UNKNOWN}),
+        (StatusReports.HIT, {CacheStatus.UNKNOWN, CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED}),
         (
-            Tells.ALL,
+            StatusReports.ALL,
             {
                 CacheStatus.HIT,
                 CacheStatus.FILLED,
@@ -188,16 +188,16 @@
     ],
 )
 def test_routers_see_the_notes_that_the_site_gives(
-    listener: type[Listener], tells: Tells, notes: set[CacheStatus]
+    listener: type[Listener], status_reports: StatusReports, notes: set[CacheStatus]
 ) -> None:
     strikes = trouble(TroubleKind.FAST_ERRORS, parents=True, size=0.9)
-    play(site(tells=tells, troubles=(strikes,), load=0.8), listener)
+    play(site(status_reports=status_reports, troubles=(strikes,), load=0.8), listener)
     seen = {outcome.cache_status for outcome in listener.outcomes}
     assert seen <= notes | {CacheStatus.UNKNOWN} and len(seen) >= min(3, len(notes))
 
 
 def test_reports_sizes_and_weights_are_told_as_the_site_says(listener: type[Listener]) -> None:
-    play(site(report_x0=True, sizes_told=False, weights=Weights.SILENT), listener)
+    play(site(report_x0=True, sizes_known=False, weights=Weights.SILENT), listener)
     assert any(dict(outcome.report).keys() == {"inflight", "x0"} for outcome in listener.outcomes)
     assert {arrival.size_kb for arrival in listener.arrivals} == {0.0}
     assert listener.weights == {1.0}
@@ -325,17 +325,17 @@
     ("policy", "rule", "changes"),
     [
         (Forgetful, "answered_once", ERRORS),
-        (DrainBlind, "drains_kept", REPLACED),
+        (DrainBlind, "drains_respected", REPLACED),
         (
             SourceDrainBlind,
-            "drains_kept",
+            "drains_respected",
             {
                 "troubles": (trouble(TroubleKind.REPLACE, parents=True),),
                 "list_notice": 0.5,
                 "parent_cold": SlowStart(),  # warm at once
             },
         ),
-        (PurgeBlind, "purges_kept", {"troubles": (trouble(TroubleKind.PURGE_GROUPS, part=1.0),)}),
+        (PurgeBlind, "purges_respected", {"troubles": (trouble(TroubleKind.PURGE_GROUPS, part=1.0),)}),
         (Repeater, "no_repeated_writes", ERRORS),
         (
             Repeater,
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -12,7 +12,7 @@
 import trio
 
 from brackenlane.lab.cluster import time_coordinator
-from brackenlane.lab.cluster.scenario import Scenario, play_in_virtual_time
+from brackenlane.lab.cluster.scenario import Scenario, run_in_virtual_time
 from brackenlane.lab.cluster.script import Script, Step, read
 from brackenlane.lab.cluster.time_coordinator import NeverIdle, NoDeadline, Process, TimeCoordinator
 
@@ -153,7 +153,7 @@
         process.send_signal(signal.SIGSTOP if step.do == "stop" else signal.SIGCONT)
 
     monkeypatch.setattr(Scenario, "_do", stall)
-    outcome = play_in_virtual_time(_two_doormans("stop", "cont"), 1, tmp_path)
+    outcome = run_in_virtual_time(_two_doormans("stop", "cont"), 1, tmp_path)
     assert outcome.faults.pop("answered") and not any(outcome.faults.values())
 
 
