--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -16,8 +16,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from brackenlane.budgets.division import Want, divide  # noqa: E402
-from brackenlane.budgets.leases import Held, Rule, spendable  # noqa: E402
+from brackenlane.budgets.division import ShareRequest, divide  # noqa: E402
+from brackenlane.budgets.leases import HeldLease, LeasePolicy, spendable_amount  # noqa: E402
 from brackenlane.lab.budget_model import Model  # noqa: E402
 from brackenlane.lab.model import explore  # noqa: E402
 
@@ -25,7 +25,9 @@
 def uneven(members: int, seed: int) -> dict[str, float]:
     """One wants eight times the mean, the whole is what all want together: the part of it that is spent."""
     chance = random.Random(seed)
-    wants = {f"m{n}": Want(chance.expovariate(1.0)) for n in range(members - 1)} | {"busy": Want(8.0)}
+    wants = {f"m{n}": ShareRequest(chance.expovariate(1.0)) for n in range(members - 1)} | {
+        "busy": ShareRequest(8.0)
+    }
     complete = sum(want.demand for want in wants.values())
     equal = sum(min(complete / members, want.demand) for want in wants.values())
     return {"max_min": sum(divide(complete, wants).values()) / complete, "equal": equal / complete}
@@ -49,12 +51,12 @@
     parser.add_argument("--quick", action="store_true")
     reported = parser.parse_args(arguments)
     shares = [uneven(members, seed) for members in (8, 60, 500) for seed in range(20)]
-    wants = {f"m{n}": Want(random.Random(n).random(), 1.0, 0.1) for n in range(500)}
-    thousand = {f"m{n}": Want(random.Random(n).random(), 1.0, 0.1) for n in range(1000)}
-    held = Held(5, 1, 100.0)
+    wants = {f"m{n}": ShareRequest(random.Random(n).random(), 1.0, 0.1) for n in range(500)}
+    thousand = {f"m{n}": ShareRequest(random.Random(n).random(), 1.0, 0.1) for n in range(1000)}
+    held = HeldLease(5, 1, 100.0)
     models = []
     for members, depth in ((2, 8), (3, 6)) if reported.quick else ((2, 10), (3, 8)):
-        model = Model(Rule(2, 3.0, 0.0), members)
+        model = Model(LeasePolicy(2, 3.0, 0.0), members)
         found = explore(model.first(), model.steps, model.holds, depth)
         models.append(
             {
@@ -72,7 +74,7 @@
         "spent_equal": sum(s["equal"] for s in shares) / len(shares),
         "divide_500_ms": 1000 * small,
         "divide_1000_over_500": large / small,
-        "check_us": 1e6 * timed(lambda: spendable(held, 50.0), 20_000),
+        "check_us": 1e6 * timed(lambda: spendable_amount(held, 50.0), 20_000),
         "models": models,
     }
     missed = [
@@ -80,7 +82,7 @@
         for name, bad in (
             ("spent_max_min", spent < 0.999),
             ("divide_1000_over_500", large / small > 2.6),
-            ("check_us", 1e6 * timed(lambda: spendable(held, 50.0), 20_000) > 3.0),
+            ("check_us", 1e6 * timed(lambda: spendable_amount(held, 50.0), 20_000) > 3.0),
             ("models", any(m["fault"] or not m["whole"] for m in models)),
         )
         if bad
--- a/brackenlane/budgets/__init__.py
+++ b/brackenlane/budgets/__init__.py
@@ -1,4 +1,5 @@
-"""What the whole fleet may send somewhere, divided among its routers: shares by demand, grants that run out.
+"""Owns the decisions of fleet-wide budgets: shares by demand, and leases on them that expire.
 
-Pure decisions; nothing of it is in force yet. Entry points: `division.divide`, `grants.renew`, `grants.hold`.
+Never talks to a store and never enforces anything: pure functions, not used by the running program yet.
+Entry points: `division.divide`, `leases.renew`, `leases.accept_grant`.
 """
--- a/brackenlane/budgets/division.py
+++ b/brackenlane/budgets/division.py
@@ -1,6 +1,6 @@
-"""Max-min fair shares with floors: the same from the same facts, whoever works it out.
+"""Max-min fair shares with floors: the same result from the same input, whoever computes it.
 
-Pure. Amounts are in the budget's own unit (in flight, or a second).
+Pure. Amounts are in the budget's own unit (requests in flight, or per second).
 """
 
 from __future__ import annotations
@@ -10,65 +10,82 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class ShareRequest:
     """What one member could use, and how much it counts."""
 
     demand: float
     weight: float = 1.0
-    floor: float = 0.0  # it gets so much of its demand before anybody gets more than a floor
+    floor: float = 0.0  # granted, up to the demand, before any member gets more than its floor
 
 
-def divide(complete: float, wants: Mapping[str, Want], reserve: float = 0.0) -> dict[str, float]:
-    """Shares of what is left of the whole beside the reserve for newcomers; O(n log n).
+def divide(total: float, requests: Mapping[str, ShareRequest], reserve: float = 0.0) -> dict[str, float]:
+    """Return the shares of the total less the reserve (kept for new members); O(n log n).
 
-    No member gets more than its demand; none can get more but by one that has less, by weight, getting less
-    still (max-min fairness; Bertsekas and Gallager 1992, 6.5.2). Floors that sum to more than the whole
-    shrink alike.
+    No member gets more than its demand, and none could get more unless another with less, by weight, got less
+    still (max-min fairness; Bertsekas and Gallager, Data Networks, 1992, 6.5.2). Floors that sum to more than
+    what is available shrink in proportion.
+    """
+    available = max(0.0, total - reserve)
+    floors = {name: max(0.0, min(request.floor, request.demand)) for name, request in requests.items()}
+    floor_sum = sum(floors.values())
+    if floor_sum > available:
+        return {name: floor * available / floor_sum for name, floor in floors.items()}
+    return _fill(requests, floors, available - floor_sum)
+
+
+def _fill(
+    requests: Mapping[str, ShareRequest], floors: Mapping[str, float], available: float
+) -> dict[str, float]:
+    """Return the floors, raised together in proportion to the weights (water-filling) until nothing is left.
+
+    A member's height is the level at which its demand is met: from there on it takes no more.
     """
-    left = max(0.0, complete - reserve)
-    floors = {name: max(0.0, min(want.floor, want.demand)) for name, want in wants.items()}
-    if (total := sum(floors.values())) > left:
-        return {name: floor * left / total for name, floor in floors.items()}
-    shares = dict(floors)
-    left -= total
-    # Filled up together from their floors, by weight; who has its demand drops out.
     heights = sorted(
-        ((want.demand - floors[name]) / want.weight, name)
-        for name, want in wants.items()
-        if want.demand > floors[name] and want.weight > 0
+        ((request.demand - floors[name]) / request.weight, name)
+        for name, request in requests.items()
+        if request.demand > floors[name] and request.weight > 0
     )
-    weight, level = sum(wants[name].weight for _, name in heights), 0.0
-    for height, name in heights:
-        if (height - level) * weight >= left:
-            level += left / weight
-            left = 0.0
-            break
-        left -= (height - level) * weight
-        level = height
-        weight -= wants[name].weight
+    level = _water_level(heights, requests, available)
+    shares = dict(floors)
     for height, name in heights:
-        shares[name] += min(height, level) * wants[name].weight
+        shares[name] += min(height, level) * requests[name].weight
     return shares
 
 
-def settled(
-    old: Mapping[str, float], new: Mapping[str, float], complete: float, least: float = 0.02
+def _water_level(
+    heights: list[tuple[float, str]], requests: Mapping[str, ShareRequest], available: float
+) -> float:
+    """Return the level to which the available amount fills members of these heights, lowest first."""
+    level = 0.0
+    weight = sum(requests[name].weight for _, name in heights)  # of the members not yet filled
+    for height, name in heights:
+        needed = (height - level) * weight
+        if needed >= available:
+            return level + available / weight
+        available -= needed
+        level = height
+        weight -= requests[name].weight
+    return level
+
+
+def damp_changes(
+    old: Mapping[str, float], new: Mapping[str, float], total: float, min_change: float = 0.02
 ) -> dict[str, float]:
-    """New shares, but that a small change (a part of the whole for each of them) is not made.
+    """Return the new shares, but with the old one wherever the change is small.
 
-    Nobody is kept above its new share unless there is room: a share that stays makes none smaller than its
-    due.
+    min_change: a part of the mean share. A member keeps more than its new share only as far as there is room:
+    nobody else's share shrinks for it.
     """
-    bar = least * complete / max(1, len(new))
-    found = {
-        name: old[name] if name in old and abs(share - old[name]) < bar else share
+    threshold = min_change * total / max(1, len(new))
+    shares = {
+        name: old[name] if name in old and abs(share - old[name]) < threshold else share
         for name, share in new.items()
     }
-    over = sum(found.values()) - max(complete, sum(new.values()))
-    for name in sorted(found, key=lambda n: new[n] - found[n]):  # those kept furthest above it first
-        if over <= 0:
+    excess = sum(shares.values()) - max(total, sum(new.values()))
+    for name in sorted(shares, key=lambda name: new[name] - shares[name]):  # largest surplus first
+        if excess <= 0:
             break
-        if found[name] > new[name]:
-            over -= found[name] - new[name]
-            found[name] = new[name]
-    return found
+        if shares[name] > new[name]:
+            excess -= shares[name] - new[name]
+            shares[name] = new[name]
+    return shares
--- a/brackenlane/lab/budget_model.py
+++ b/brackenlane/lab/budget_model.py
@@ -1,4 +1,4 @@
-"""A fleet with a budget, driven through the real functions of `budgets.grants`.
+"""A fleet with a budget, driven through the real functions of `budgets.leases`.
 
 Answers are late and lost, earlier lives go on unseen, the store loses writes, clocks run fast and slow.
 """
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 from brackenlane.budgets import leases
-from brackenlane.budgets.leases import Entry, Grant, Held, Rule
+from brackenlane.budgets.leases import Grant, HeldLease, LeasePolicy, MemberEntry
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
     """One router."""
 
     life: int = 0  # incarnation
-    held: Held = Held()
+    held: HeldLease = HeldLease()
     flight: Flight | None = None  # an older one that another question replaced was lost
 
 
@@ -36,10 +36,10 @@
 
     at: int
     run: int  # when the store's present run began
-    entries: tuple[tuple[str, Entry], ...]
-    saved: tuple[tuple[str, Entry], ...]  # what it would come back with: what it had at the last tick
+    entries: tuple[tuple[str, MemberEntry], ...]
+    saved: tuple[tuple[str, MemberEntry], ...]  # what it would come back with: what it had at the last tick
     members: tuple[Member, ...]
-    ghosts: tuple[tuple[int, Held], ...] = ()  # earlier lives that were only stopped, and wake
+    ghosts: tuple[tuple[int, HeldLease], ...] = ()  # earlier lives that were only stopped, and wake
     crashes: int = 0
     losses: int = 0
 
@@ -48,7 +48,7 @@
 class Model:
     """How large, and which fault is planted."""
 
-    rule: Rule
+    rule: LeasePolicy
     members: int = 3
     until: int = 8  # store time
     crashes: int = 1
@@ -68,7 +68,7 @@
         """Never is more spent than the whole, at this moment or just before the next."""
         alive = [*enumerate(m.held for m in world.members), *world.ghosts]
         return all(
-            sum(leases.spendable(held, self.clock(n, at)) for n, held in alive) <= self.rule.whole
+            sum(leases.spendable_amount(held, self.clock(n, at)) for n, held in alive) <= self.rule.total
             for at in (world.at, world.at + 0.999)
         )
 
@@ -79,24 +79,26 @@
             yield "time passes", replace(world, at=world.at + 1, saved=world.entries)
         for n, member in enumerate(world.members):
             name = f"{n}.{member.life}"
-            for wanted in (0, self.rule.whole):
+            for wanted in (0, self.rule.total):
                 entry = self._renew(entries, name, wanted, world)
                 if entry and entry != entries.get(name):
                     yield (
-                        f"{n} is given {entry.now.amount}",
+                        f"{n} is given {entry.current.amount}",
                         replace(world, entries=_put(entries, name, entry)),
                     )
-            if (mine := entries.get(name)) and mine.now.until > world.at:
-                flight = Flight(mine.now, mine.now.until - world.at, self.clock(n, world.at))
+            if (mine := entries.get(name)) and mine.current.expires_at > world.at:
+                flight = Flight(mine.current, mine.current.expires_at - world.at, self.clock(n, world.at))
                 yield f"{n} asks", self._with(world, n, replace(member, flight=flight))
-                if member.held.number > mine.confirmed:
+                if member.held.version > mine.confirmed_version:
                     yield (
-                        f"the store hears that {n} goes by {member.held.number}",
-                        replace(world, entries=_put(entries, name, leases.confirm(mine, member.held.number))),
+                        f"the store hears that {n} goes by {member.held.version}",
+                        replace(
+                            world, entries=_put(entries, name, leases.confirm(mine, member.held.version))
+                        ),
                     )
             if f := member.flight:
                 requested = self.clock(n, world.at) if self.fault == "expiry from the answer" else f.asked
-                held = leases.hold(self.rule, member.held, f.grant, f.left, requested)
+                held = leases.accept_grant(self.rule, member.held, f.grant, f.left, requested)
                 yield (
                     f"{n} takes in {f.grant.amount}",
                     self._with(world, n, replace(member, held=held, flight=None)),
@@ -119,10 +121,12 @@
                     replace(world, entries=back, run=world.at, losses=world.losses + 1),
                 )
 
-    def _renew(self, entries: Mapping[str, Entry], name: str, wanted: int, world: World) -> Entry | None:
+    def _renew(
+        self, entries: Mapping[str, MemberEntry], name: str, wanted: int, world: World
+    ) -> MemberEntry | None:
         run = 1e9 if self.fault == "no wait after a loss" else float(world.at - world.run)
         if self.fault == "giving before confirmation":
-            entries = {who: replace(entry, before=None) for who, entry in entries.items()}
+            entries = {who: replace(entry, previous=None) for who, entry in entries.items()}
         return leases.renew(self.rule, entries, name, wanted, world.at, run)
 
     @staticmethod
@@ -130,5 +134,7 @@
         return replace(world, members=(*world.members[:n], member, *world.members[n + 1 :]))
 
 
-def _put(entries: Mapping[str, Entry], name: str, entry: Entry) -> tuple[tuple[str, Entry], ...]:
+def _put(
+    entries: Mapping[str, MemberEntry], name: str, entry: MemberEntry
+) -> tuple[tuple[str, MemberEntry], ...]:
     return tuple(sorted({**entries, name: entry}.items(), key=lambda item: item[0]))
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -8,20 +8,30 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenlane.budgets.division import Want, divide, settled
-from brackenlane.budgets.leases import Entry, Grant, Held, Rule, committed, confirm, hold, renew, spendable
+from brackenlane.budgets.division import ShareRequest, damp_changes, divide
+from brackenlane.budgets.leases import (
+    Grant,
+    HeldLease,
+    LeasePolicy,
+    MemberEntry,
+    accept_grant,
+    committed_amount,
+    confirm,
+    renew,
+    spendable_amount,
+)
 from brackenlane.lab.budget_model import Model
 from brackenlane.lab.model import explore
 
 WANTS = st.dictionaries(
     st.text("abcdef", min_size=1, max_size=3),
-    st.builds(Want, st.floats(0, 100), st.floats(0.1, 10), st.floats(0, 20)),
+    st.builds(ShareRequest, st.floats(0, 100), st.floats(0.1, 10), st.floats(0, 20)),
     max_size=12,
 )
 
 
 @given(st.floats(0, 300), WANTS, st.floats(0, 50))
-def test_division(complete: float, wants: dict[str, Want], reserve: float) -> None:
+def test_division(complete: float, wants: dict[str, ShareRequest], reserve: float) -> None:
     """Never over the whole, nobody over its demand, nothing left while one wants it, floors first, fair."""
     shares = divide(complete, wants, reserve)
     left = max(0.0, complete - reserve)
@@ -42,33 +52,35 @@
 
 
 @given(st.floats(1, 300), WANTS, WANTS)
-def test_small_changes_are_not_made(complete: float, before: dict[str, Want], after: dict[str, Want]) -> None:
+def test_small_changes_are_not_made(
+    complete: float, before: dict[str, ShareRequest], after: dict[str, ShareRequest]
+) -> None:
     """Kept shares never sum to more than the whole."""
-    found = settled(divide(complete, before), new := divide(complete, after), complete)
+    found = damp_changes(divide(complete, before), new := divide(complete, after), complete)
     assert found.keys() == new.keys() and sum(found.values()) <= complete * (1 + 1e-6)
 
 
 def test_uneven_demand() -> None:
     """One with eight times the mean: max-min gives what equal shares leave unused."""
-    wants = {f"m{n}": Want(8.0 if n == 0 else 0.9) for n in range(100)}
+    wants = {f"m{n}": ShareRequest(8.0 if n == 0 else 0.9) for n in range(100)}
     shares = divide(100.0, wants)
     assert shares["m0"] == pytest.approx(8.0) and sum(shares.values()) == pytest.approx(8 + 99 * 0.9)
     assert sum(min(1.0, w.demand) for w in wants.values()) < sum(shares.values())
-    wants["m1"] = Want(0.905)
-    assert settled(shares, divide(100.0, wants), 100.0) == shares
+    wants["m1"] = ShareRequest(0.905)
+    assert damp_changes(shares, divide(100.0, wants), 100.0) == shares
 
 
 @pytest.mark.parametrize(("members", "depth"), [(2, 8), (3, 6)])
 def test_never_over_the_whole(members: int, depth: int) -> None:
     """Answers late and lost, lives that go on unseen, a store set back: every state to this depth."""
-    model = Model(Rule(2, 3.0, 0.0), members)
+    model = Model(LeasePolicy(2, 3.0, 0.0), members)
     found = explore(model.first(), model.steps, model.holds, depth)
     assert found.whole and not found.fault and found.depth == depth
 
 
 def test_clocks_off() -> None:
     """Clocks a tenth fast and slow, with that bound told: the same."""
-    model = Model(Rule(2, 3.0, 0.1), 2, rates=(0.9, 1.1))
+    model = Model(LeasePolicy(2, 3.0, 0.1), 2, rates=(0.9, 1.1))
     found = explore(model.first(), model.steps, model.holds, 7)
     assert found.whole and not found.fault
 
@@ -84,35 +96,39 @@
 )
 def test_planted_faults(fault: str) -> None:
     """Each way to do it wrong is found, by the shortest steps that lead to it."""
-    model = Model(Rule(2, 3.0, 0.0), 2, fault=fault)
+    model = Model(LeasePolicy(2, 3.0, 0.0), 2, fault=fault)
     found = explore(model.first(), model.steps, model.holds, 9)
     assert found.fault, found
 
 
 def test_a_clock_slower_than_told_is_found() -> None:
     """A holder whose clock is slower than the bound spends for too long: the model sees it."""
-    model = Model(Rule(2, 3.0, 0.0), 2, until=4, rates=(0.7, 1.0), crashes=0, losses=0)
+    model = Model(LeasePolicy(2, 3.0, 0.0), 2, until=4, rates=(0.7, 1.0), crashes=0, losses=0)
     assert explore(model.first(), model.steps, model.holds, 9).fault
 
 
 def test_shares_move() -> None:
     """What one gives up is the other's once confirmed, or once it has run out."""
-    rule = Rule(10, 3.0)
+    rule = LeasePolicy(10, 3.0)
     a = renew(rule, {}, "a", 10, 0.0, 100.0)
-    assert a == Entry(Grant(10, 1, 3.0))
+    assert a == MemberEntry(Grant(10, 1, 3.0))
     a = renew(rule, {"a": a}, "a", 4, 1.0, 100.0)
-    assert a and committed(a, 1.0) == 10 and committed(a, 3.0) == 4  # the ten are over
+    assert a and committed_amount(a, 1.0) == 10 and committed_amount(a, 3.0) == 4  # the ten are over
     b = renew(rule, {"a": a}, "b", 10, 1.0, 100.0)
-    assert b and b.now.amount == 0
+    assert b and b.current.amount == 0
     b = renew(rule, {"a": confirm(a, 2), "b": b}, "b", 10, 1.1, 100.0)
-    assert b and b.now.amount == 6
-    assert renew(rule, {}, "c", 1, 1.0, run=2.9) is None  # a store that has run for less than a lease
+    assert b and b.current.amount == 6
+    assert renew(rule, {}, "c", 1, 1.0, uptime=2.9) is None  # a store that has run for less than a lease
 
 
 def test_a_holder() -> None:
     """Counted from the question; an older answer changes nothing; at its end nothing may be spent."""
-    rule = Rule(10, 3.0, 0.01)
-    held = hold(rule, Held(), Grant(5, 2, 103.0), left=2.0, requested=50.0)
-    assert held.until == pytest.approx(51.98) and spendable(held, 51.97) == 5 and spendable(held, 51.98) == 0
-    assert hold(rule, held, Grant(9, 1, 200.0), 100.0, 60.0) == held
-    assert hold(rule, held, Grant(5, 2, 104.0), 2.0, 51.0).until == pytest.approx(52.98)
+    rule = LeasePolicy(10, 3.0, 0.01)
+    held = accept_grant(rule, HeldLease(), Grant(5, 2, 103.0), remaining=2.0, requested_at=50.0)
+    assert (
+        held.expires_at == pytest.approx(51.98)
+        and spendable_amount(held, 51.97) == 5
+        and spendable_amount(held, 51.98) == 0
+    )
+    assert accept_grant(rule, held, Grant(9, 1, 200.0), 100.0, 60.0) == held
+    assert accept_grant(rule, held, Grant(5, 2, 104.0), 2.0, 51.0).expires_at == pytest.approx(52.98)
