--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -136,7 +136,7 @@
             "asked_peak": peak(store.asked),
             "refused": store.refused,
             "current_last": round(max(fleet.current.values()), 2),
-            "least": count / store.capacity.asks,
+            "least": count / store.capacity.request_rate,
         }
     return found
 
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -13,7 +13,7 @@
 from brackenlane import console
 from brackenlane.coldstart.pacing import Capacity
 from brackenlane.coldstart.phases import StartupEvent, StartupPhases
-from brackenlane.coldstart.stream_position import NOWHERE
+from brackenlane.coldstart.stream_position import STREAM_START
 from brackenlane.config import ConfigError, Endpoint, read_endpoint
 from brackenlane.core.engine import RequestEngine
 from brackenlane.discovery import snapshot
@@ -40,7 +40,7 @@
 from brackenlane.routing.members import Role
 from brackenlane.routing.settings import Settings
 from brackenlane.settings.appliance import ApplianceFile, ColdStarts, load_appliance
-from brackenlane.store.replica import SharedStore
+from brackenlane.store.shared_store import SharedStore, StoreSettings
 
 log = logging.getLogger(__name__)
 
@@ -135,7 +135,7 @@
     """Serve from a last list."""
     now = time.time()
     roster.apply(roster.merge.restore_snapshot(retained.memory, retained.saved, now))
-    phases.step(StartupEvent.RECALL, now)
+    phases.step(StartupEvent.SNAPSHOT_RESTORED, now)
     log.info("the last list, of %.0f s ago: %d boxes", now - retained.saved, len(roster.merge.caches))
 
 
@@ -204,34 +204,36 @@
                     config.settings.connect_timeout,
                     nursery,
                     config.name,
-                    (config.capacity.doormans - 1) / config.coldstart.look_ups,
+                    (config.capacity.router_count - 1) / config.coldstart.look_ups,
                 )
             )
             nursery.start_soon(feeds[0].run)
         shared = (
             SharedStore(
-                config.redis,
-                str(config.zone),
-                config.name,
+                StoreSettings(
+                    config.redis,
+                    str(config.zone),
+                    config.name,
+                    config.settings.purge_propagation_time,
+                    config.capacity,
+                ),
                 roster,
-                config.settings.purge_propagation_time,
                 limits,
-                config.capacity,
                 phases,
-                retained.place if retained and trusted else NOWHERE,
+                retained.position if retained and trusted else STREAM_START,
             )
             if config.redis
             else None
         )
         if shared:
             if retained:
-                shared.recall({(obj, group): at for obj, group, at in retained.purges})
+                shared.applier.restore_purges({(obj, group): at for obj, group, at in retained.purges})
             nursery.start_soon(shared.run, list(config.caches))
             nursery.start_soon(
                 handle_silent_store, config, roster, phases, None if trusted else retained, limits
             )
         else:
-            phases.step(StartupEvent.READ, time.time())  # nobody else knows more
+            phases.step(StartupEvent.CAUGHT_UP, time.time())  # nobody else knows more
         keeper = (
             snapshot.SnapshotWriter(roster, config.last_list, limits.last_list, shared)
             if config.last_list
@@ -241,7 +243,7 @@
             nursery.start_soon(keeper.run)
         responder = Responder(config.zone, config.http, core, roster, limits)
         await _open_dns(config.dns, Server(responder, limits), nursery)
-        front = HttpFront(core, limits, poller, shared, nursery)
+        front = HttpFront(core, limits, poller, shared.claims if shared else None, nursery)
         front.ready = lambda: phases.is_store_read or config.coldstart.ready == "listed"
         admin_console = console.AdminConsole(
             health, roster, shared, limits, front.figures, config.name, phases
--- a/brackenlane/coldstart/__init__.py
+++ b/brackenlane/coldstart/__init__.py
@@ -1,5 +1,5 @@
-"""When a router that starts asks for what: its turn at the store, what it reads there, the phase it is in.
+"""Owns the decisions of a starting router: when it contacts the shared store, what it reads, its phase.
 
-Pure decisions; never a socket, never a server picked. Entry points: `pace.Pace`, `reading.continues`,
-`phases.Phases`.
+Never opens a socket and never picks a server: pure functions of the time and random numbers handed in.
+Entry points: `pacing.StorePacing`, `stream_position.is_log_continuous`, `phases.StartupPhases`.
 """
--- a/brackenlane/coldstart/stream_position.py
+++ b/brackenlane/coldstart/stream_position.py
@@ -1,42 +1,62 @@
-"""What an answer of the shared store means for who remembers a place in its log.
+"""Positions in the shared store's event log, and what may be concluded from an entry found at one.
 
-Pure. A place is the id of the log's last entry that was taken in: "milliseconds-number" (Redis streams). The
-log grows at its end and is cut at its beginning; a store that was set back has lost the end, or all of it.
+Pure. The log is a Redis stream: it grows at its end and is trimmed at its beginning. A store that was set
+back to an older state has lost the end, or all of it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Mapping
+from dataclasses import dataclass
 from typing import TypeVar
 
-NOWHERE = "0-0"  # the place before all entries
+MAX_TEXT_LENGTH = 40  # characters
 Order = TypeVar("Order")
 
 
-def read_place(text: str) -> tuple[int, int]:
-    """A place in its two numbers; ValueError if it is none."""
-    ms, dash, number = text.partition("-")
-    if not (dash and len(text) <= 40 and all(n.isascii() and n.isdigit() for n in (ms, number))):
-        raise ValueError(f"place {text[:50]!r}: two numbers and a dash are needed")
-    return int(ms), int(number)
+@dataclass(frozen=True, slots=True, order=True)
+class StreamPosition:
+    """The id of one stream entry: the store's clock in milliseconds, and a number within that millisecond."""
 
+    milliseconds: int
+    sequence: int
 
-def before(place: str, span: float) -> str:
-    """The place so many seconds before one, by the clock that made them, the store's: ours may be off."""
-    return f"{max(0, read_place(place)[0] - int(span * 1000))}-0"
+    @classmethod
+    def parse(cls, text: str) -> StreamPosition:
+        """Return the position written as "milliseconds-sequence"; ValueError if the text is none."""
+        milliseconds, dash, sequence = text.partition("-")
+        if not dash or len(text) > MAX_TEXT_LENGTH or not (_is_number(milliseconds) and _is_number(sequence)):
+            raise ValueError(f"place {text[:50]!r}: two numbers and a dash are needed")
+        return cls(int(milliseconds), int(sequence))
 
+    def __str__(self) -> str:
+        return f"{self.milliseconds}-{self.sequence}"
 
-def continues(remembered: str, found: Collection[str]) -> bool:
-    """Whether entries read from our place on are all that we lack; else the whole list is needed.
+    def earlier(self, seconds: float) -> StreamPosition:
+        """Return the position this many seconds before, by the store's clock: this router's may be off."""
+        return StreamPosition(max(0, self.milliseconds - int(seconds * 1000)), 0)
 
-    They are if the very entry of our place is still among them. If it is not, the log was cut since, or the
-    store has lost what it once told: it can't be told apart, and need not be.
+
+STREAM_START = StreamPosition(0, 0)  # before all entries
+
+
+def is_log_continuous(remembered: StreamPosition, found: Collection[StreamPosition]) -> bool:
+    """Return whether the entries read from the remembered position on are all that is missing.
+
+    They are if the very entry of that position is among them. If it is not, either the log was trimmed since
+    or the store has lost what it once sent; the two cannot be told apart, and both need a full load.
     """
-    return remembered != NOWHERE and remembered in found
+    return remembered != STREAM_START and remembered in found
 
 
-def lacking(
-    mine: Mapping[str, Order], theirs: Mapping[str, Order], beats: Callable[[Order, Order | None], bool]
+def missing_orders(
+    ours: Mapping[str, Order],
+    in_store: Mapping[str, Order],
+    beats: Callable[[Order, Order | None], bool],
 ) -> list[str]:
-    """Ids whose order here holds against what the store has: it has lost them, or never had them."""
-    return sorted(server for server, order in mine.items() if beats(order, theirs.get(server)))
+    """Return the ids, sorted, whose order here beats the store's: it lost the order or never had it."""
+    return sorted(server for server, order in ours.items() if beats(order, in_store.get(server)))
+
+
+def _is_number(text: str) -> bool:
+    return text.isascii() and text.isdigit()
--- a/brackenlane/console.py
+++ b/brackenlane/console.py
@@ -6,7 +6,6 @@
 import socket
 import sys
 import time
-from collections.abc import Awaitable, Callable
 from pathlib import Path
 
 import trio
@@ -16,7 +15,8 @@
 from brackenlane.discovery.registry import Registry
 from brackenlane.limits import Limits
 from brackenlane.routing.events import AttemptResult
-from brackenlane.store.replica import SharedStore
+from brackenlane.store.event_codec import OrderGiven, PurgeRequested, StoreEvent
+from brackenlane.store.shared_store import SharedStore
 
 HELP = """boxes               list the boxes with state and health; boxes -v: who names them, and why
 why BOX             why a box stands as it does, and what each source says of it
@@ -73,7 +73,7 @@
                     return f"no such box: {server}\n"
                 return await self._shown(
                     f"{server} {'drained' if command == 'drain' else 'restored'}\n",
-                    lambda shared: shared.order(server, order),
+                    OrderGiven(server, order),
                 )
             case ["purge", "object", obj]:
                 return await self._purge(obj, -1)
@@ -90,13 +90,11 @@
     async def _purge(self, obj: str, group: int) -> str:
         now = time.time()
         self._roster.purge(obj, group, now)
-        return await self._shown(
-            f"purged {obj or f'group {group}'}\n", lambda shared: shared.purge(obj, group, now)
-        )
+        return await self._shown(f"purged {obj or f'group {group}'}\n", PurgeRequested(obj, group, now))
 
-    async def _shown(self, text: str, share: Callable[[SharedStore], Awaitable[bool]]) -> str:
+    async def _shown(self, text: str, event: StoreEvent) -> str:
         """What was done here, and whether the other routers hear of it."""
-        if self._shared and not await share(self._shared):
+        if self._shared and not await self._shared.publisher.publish(event):
             return text + "the store is away: the others hear of it when it is back\n"
         return text
 
@@ -148,12 +146,12 @@
         text = f"{phase.value} since {max(0.0, now - self._phases.since):.0f} s: {MEANS[phase]}\n"
         if not self._shared:
             return text + "no store: what this doorman knows is all there is\n"
-        pace = self._shared.pace
+        pacing = self._shared.pacing
         if self._shared.fault:
-            text += f"store away, {pace.failures} tries in a row: {self._shared.fault}\n"
+            text += f"store away, {pacing.failures} tries in a row: {self._shared.fault}\n"
         return text + (
-            f"place in the store's log {self._shared.place}; questions of "
-            f"{pace.capacity.doormans} doormans are spread over {pace.window:.2f} s\n"
+            f"place in the store's log {self._shared.position}; questions of "
+            f"{pacing.capacity.router_count} doormans are spread over {pacing.window:.2f} s\n"
         )
 
     def _health(self, server: str) -> str:
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from brackenlane.coldstart.pacing import early, jittered, place
+from brackenlane.coldstart.pacing import hashed_offset, jittered_backoff, jittered_lifetime
 from brackenlane.discovery.query import Kind
 from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import Found, LookUpFailed, Resolver
@@ -102,12 +102,12 @@
     async def _turn(self, name: str) -> None:
         """This doorman's own place in the time in which all ask for a name first."""
         names = max(1, len(self._hosts) + len(self._merge.entries))
-        await trio.sleep(place(self._name, name) * self._window * names)
+        await trio.sleep(hashed_offset(self._name, name) * self._window * names)
 
     def _retry(self, failures: int) -> float:
         """Seconds until the next try: hundreds whom one resolver failed must not come back together."""
         first = max(self._limits.resolver_retry, self._window)
-        return jittered(failures, first, LONGEST * first, self._chance)
+        return jittered_backoff(failures, first, LONGEST * first, self._chance)
 
     async def _follow_host(self, host: str) -> None:
         """One host name, until nothing names it any more."""
@@ -172,7 +172,7 @@
         return False
 
     def _wait(self, found: Found) -> float:
-        return max(self._limits.resolver_least, early(found.until - time.time(), self._chance))
+        return max(self._limits.resolver_least, jittered_lifetime(found.until - time.time(), self._chance))
 
     def _failed(self, name: str, why: str) -> None:
         log.warning("%s: %s", name, why)
--- a/brackenlane/discovery/snapshot.py
+++ b/brackenlane/discovery/snapshot.py
@@ -18,7 +18,7 @@
 import orjson
 import trio
 
-from brackenlane.coldstart.stream_position import NOWHERE, read_place
+from brackenlane.coldstart.stream_position import STREAM_START, StreamPosition
 from brackenlane.discovery.records import RememberedMembers
 from brackenlane.discovery.registry import (
     Registry,
@@ -37,8 +37,13 @@
 class StreamProgress(Protocol):
     """What a last list keeps of the shared store."""
 
-    place: str
-    purges: dict[tuple[str, int], float]
+    @property
+    def position(self) -> StreamPosition:
+        """The position in the event stream up to which everything has been applied."""
+
+    @property
+    def purges(self) -> dict[tuple[str, int], float]:
+        """The recent purges: Unix seconds by object and group."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +52,7 @@
 
     memory: RememberedMembers
     saved: float  # Unix time
-    place: str = NOWHERE  # in the log of the shared store: all up to it is in this list
+    position: StreamPosition = STREAM_START  # in the store's event stream: all up to it is in this list
     left: bool = False  # written as the router left in order; else power or the program was lost
     purges: tuple[tuple[str, int, float], ...] = ()  # told lately: object, group, Unix time
 
@@ -58,7 +63,7 @@
     body = orjson.dumps(
         {
             "saved": retained.saved,
-            "place": retained.place,
+            "place": str(retained.position),
             "left": retained.left,
             "purges": retained.purges,
             "others": [encode_definition(definition) for definition in memory.others],
@@ -93,8 +98,7 @@
             str(srv): tuple(read_definition(cache) for cache in caches)
             for srv, caches in raw["listed"].items()
         }
-        place = str(raw.get("place", NOWHERE))
-        read_place(place)
+        position = StreamPosition.parse(str(raw.get("place", STREAM_START)))
         memory = RememberedMembers(
             tuple(read_definition(cache) for cache in raw["others"]),
             listed,
@@ -102,7 +106,7 @@
             dict(read_order(order) for order in raw["orders"]),
         )
         purges = tuple((str(obj), int(group), float(at)) for obj, group, at in raw.get("purges", ()))
-        return Snapshot(memory, float(raw["saved"]), place, raw.get("left", False) is True, purges)
+        return Snapshot(memory, float(raw["saved"]), position, raw.get("left", False) is True, purges)
     except (KeyError, TypeError, AttributeError) as fault:
         raise ValueError(f"{type(fault).__name__}: {fault}") from None
 
@@ -170,7 +174,7 @@
         retained = Snapshot(self._roster.merge.memory(), 0.0, left=left)
         if self._store:
             purges = tuple((obj, group, at) for (obj, group), at in self._store.purges.items())
-            retained = replace(retained, place=self._store.place, purges=purges)
+            retained = replace(retained, position=self._store.position, purges=purges)
         if (same := dump(retained)) != self._written:
             await trio.to_thread.run_sync(save, self._path, dump(replace(retained, saved=time.time())))
             self._written = same
--- a/brackenlane/lab/cluster/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -32,7 +32,7 @@
     def ask(self, now: float, complete: bool) -> float | None:
         """Seconds until the answer; None: refused."""
         (self.loaded if complete else self.asked).append(now)
-        cost = 1 / (self.capacity.loads if complete else self.capacity.asks)
+        cost = 1 / (self.capacity.load_rate if complete else self.capacity.request_rate)
         begin = max(self.free[complete], now)
         if self.away(now) or self.refuses(now) or begin - now > self.patience:
             self.refused += 1
@@ -69,7 +69,7 @@
         ]
         self._whole = [self.chance.random() >= remembers for _ in range(count)]
         for n in range(count):
-            self.at(starts(n) + self.paces[n].first(), partial(self._ask, n))
+            self.at(starts(n) + self.paces[n].initial_delay(), partial(self._ask, n))
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         """Call then."""
@@ -89,20 +89,21 @@
             self.at(self.now + self.chance.uniform(0, 0.005), partial(self._again, n))
 
     def _again(self, n: int) -> None:
-        self.at(self.now + self.paces[n].failed(not self.store.away(self.now)), partial(self._ask, n))
+        self.at(self.now + self.paces[n].record_failure(not self.store.away(self.now)), partial(self._ask, n))
 
     def _ask(self, n: int) -> None:
         took = self.store.ask(self.now, False)
         if took is None:
             return self._again(n)
-        self.paces[n].answered(took, 0.15)
+        self.paces[n].record_answer(took, 0.15)
         self.at(self.now + took, lambda: self._load(n) if self._whole[n] else self._done(n))
 
     def _load(self, n: int) -> None:
-        pace, bucket = self.paces[n], self.paces[n].bucket(self.now)
-        while ahead := pace.ahead(ticket := self.store.ticket(bucket)):
-            bucket += ahead
-        self.at(self.now + pace.turn(bucket, ticket, self.now), partial(self._whole_list, n))
+        pace = self.paces[n]
+        window = pace.ticket_window(self.now)
+        while ahead := pace.windows_ahead(ticket := self.store.ticket(window)):
+            window += ahead
+        self.at(self.now + pace.ticket_delay(window, ticket, self.now), partial(self._whole_list, n))
 
     def _whole_list(self, n: int) -> None:
         took = self.store.ask(self.now, True)
--- a/brackenlane/store/connection.py
+++ b/brackenlane/store/connection.py
@@ -1,7 +1,8 @@
-"""One connection to Redis: commands out, replies in, RESP read by hiredis."""
+"""One connection to Redis: commands out, replies in; RESP is parsed by hiredis."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from typing import Any
 
 import hiredis
@@ -9,69 +10,75 @@
 
 from brackenlane.config import Endpoint
 from brackenlane.net.connector import connect
+from brackenlane.store.errors import StoreCommandError, StoreTimeoutError, StoreUnavailableError
 
+RECEIVE_SIZE = 65_536  # bytes
 
-class StoreUnavailableError(Exception):
-    """The store cannot be reached or does not answer."""
-
-    slow = False  # somebody is there, but too late
-
-
-class StoreError(Exception):
-    """The store says no."""
+Command = list[str | int]
 
 
 class Connection:
-    """Commands one after another; a broken connection is opened anew by the next command."""
+    """Sends commands one batch after another; after a failure the next batch opens a new connection."""
 
-    def __init__(self, endpoint: Endpoint, wait: float) -> None:
-        self._endpoint, self._wait = endpoint, wait
+    def __init__(self, endpoint: Endpoint, timeout: float) -> None:
+        """timeout: seconds for one batch, connecting included, unless the call says otherwise."""
+        self._endpoint = endpoint
+        self._timeout = timeout
         self._stream: trio.SocketStream | None = None
         self._reader = hiredis.Reader()
-        self._turn = trio.Lock()
+        self._lock = trio.Lock()
 
-    async def call(self, *commands: list[str | int], wait: float | None = None) -> list[Any]:
-        """The replies to some commands sent together."""
-        complete = False
+    async def call(self, *commands: Command, time_limit: float | None = None) -> list[Any]:
+        """Send some commands together and return their replies.
+
+        time_limit: seconds, in place of the connection's own timeout.
+        Raises StoreTimeoutError, StoreUnavailableError, or StoreCommandError if any command was refused.
+        """
         try:
-            with trio.fail_after(wait or self._wait):
-                async with self._turn:
-                    try:
-                        replies = await self._exchange(commands)
-                        complete = True
-                    finally:
-                        # Guards against the late reply to one command passing for that to the next.
-                        if not complete:
-                            await self.close()
-        except (trio.TooSlowError, trio.BrokenResourceError, OSError, hiredis.ProtocolError) as fault:
-            away = StoreUnavailableError(str(fault) or type(fault).__name__)
-            away.slow = isinstance(fault, trio.TooSlowError)
-            raise away from None
+            with trio.fail_after(time_limit or self._timeout):
+                async with self._lock:
+                    replies = await self._exchange_or_close(commands)
+        except trio.TooSlowError as error:
+            raise StoreTimeoutError(str(error) or type(error).__name__) from error
+        except (trio.BrokenResourceError, OSError, hiredis.ProtocolError) as error:
+            raise StoreUnavailableError(str(error) or type(error).__name__) from error
         for reply in replies:
             if isinstance(reply, hiredis.ReplyError):
-                raise StoreError(str(reply))
+                raise StoreCommandError(str(reply))
         return replies
 
-    async def _exchange(self, commands: tuple[list[str | int], ...]) -> list[Any]:
+    async def _exchange_or_close(self, commands: Sequence[Command]) -> list[Any]:
+        is_complete = False
+        try:
+            replies = await self._exchange(commands)
+            is_complete = True
+        finally:
+            # Otherwise the late reply to one command would be taken for that to the next.
+            if not is_complete:
+                await self.close()
+        return replies
+
+    async def _exchange(self, commands: Sequence[Command]) -> list[Any]:
         if self._stream is None:
             self._reader = hiredis.Reader(encoding="utf-8", errors="replace")
             self._stream = await connect(self._endpoint)
         packed = [hiredis.pack_command(tuple(command)) for command in commands]  # type: ignore[arg-type]
         await self._stream.send_all(b"".join(packed))
-        replies: list[Any] = []
-        while len(replies) < len(commands):
+        return [await self._receive_reply(self._stream) for _ in commands]
+
+    async def _receive_reply(self, stream: trio.SocketStream) -> Any:
+        while True:
             reply = self._reader.gets()
-            if reply is False:
-                data = await self._stream.receive_some(65536)
-                if not data:
-                    raise trio.BrokenResourceError("closed by the store")
-                self._reader.feed(data)
-            else:
-                replies.append(reply)
-        return replies
+            if reply is not False:
+                return reply
+            data = await stream.receive_some(RECEIVE_SIZE)
+            if not data:
+                raise trio.BrokenResourceError("closed by the store")
+            self._reader.feed(data)
 
     async def close(self) -> None:
-        """End the connection."""
-        stream, self._stream = self._stream, None
+        """Close the connection, if one is open."""
+        stream = self._stream
+        self._stream = None
         if stream:
             await trio.aclose_forcefully(stream)
--- /dev/null
+++ b/brackenlane/store/event_applier.py
@@ -0,0 +1,115 @@
+"""Applies what was read from the store to the registry of caches."""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Mapping
+
+from brackenlane.coldstart.stream_position import StreamPosition
+from brackenlane.discovery.records import DefinitionSource, OperatorOrder
+from brackenlane.discovery.registry import Registry
+from brackenlane.store.errors import StoreDataError
+from brackenlane.store.event_codec import (
+    CacheDefined,
+    OrderGiven,
+    PurgeRequested,
+    StreamEntry,
+    decode_cache,
+    decode_event,
+    decode_order,
+    decode_purge,
+)
+from brackenlane.store.recent_purges import RecentPurges
+
+log = logging.getLogger(__name__)
+
+
+class StoreClock:
+    """The store's clock, as its offset from this router's monotonic one."""
+
+    def __init__(self) -> None:
+        self._offset = 0.0  # seconds
+
+    def synchronize(self, seconds: int, microseconds: int) -> None:
+        """Take over the reply to TIME."""
+        self._offset = seconds + microseconds / 1e6 - time.monotonic()
+
+    def age(self, position: StreamPosition) -> float:
+        """Return the seconds since a stream entry was written; 0 for one from the future."""
+        return max(0.0, time.monotonic() + self._offset - position.milliseconds / 1000)
+
+
+class EventApplier:
+    """Owns what is known of the store's orders and its clock. Values that cannot be decoded are skipped."""
+
+    def __init__(self, registry: Registry, purges: RecentPurges) -> None:
+        self.orders_in_store: dict[str, OperatorOrder] = {}  # by cache id, as far as they were read
+        self.clock = StoreClock()
+        self._registry = registry
+        self._purges = purges
+
+    def apply_stored_cache(self, text: str) -> None:
+        """Apply a value of the hash of caches."""
+        try:
+            event = decode_cache(text)
+        except StoreDataError as error:
+            log.warning("stored cache cannot be decoded, skipped: %s", error)
+            return
+        self._apply_cache(event)
+
+    def apply_stored_order(self, text: str) -> None:
+        """Apply a value of the hash of orders."""
+        try:
+            event = decode_order(text)
+        except StoreDataError as error:
+            log.warning("stored order cannot be decoded, skipped: %s", error)
+            return
+        self._apply_order(event)
+
+    def apply_entry(self, entry: StreamEntry) -> None:
+        """Apply an entry of the stream; kinds of events that are not known are passed over."""
+        try:
+            event = decode_event(entry.event_text)
+        except StoreDataError as error:
+            log.warning("event %s cannot be decoded, skipped: %s", entry.position, error)
+            return
+        match event:
+            case CacheDefined():
+                self._apply_cache(event)
+            case OrderGiven():
+                self._apply_order(event)
+            case PurgeRequested():
+                self._apply_purge(event, entry.position)
+
+    def apply_entry_if_purge(self, entry: StreamEntry) -> None:
+        """Apply an entry of the stream if it is a purge: after a full load the others are known already."""
+        try:
+            event = decode_purge(entry.event_text)
+        except StoreDataError as error:
+            log.warning("event %s cannot be decoded, skipped: %s", entry.position, error)
+            return
+        if event:
+            self._apply_purge(event, entry.position)
+
+    def restore_purges(self, purges: Mapping[tuple[str, int], float]) -> None:
+        """Apply the purges of a snapshot (Unix seconds by object and group) that are recent still."""
+        for (obj, group), at in purges.items():
+            if time.time() - at <= self._purges.lifetime:
+                self._purge(obj, group, at)
+
+    def _apply_cache(self, event: CacheDefined) -> None:
+        self._registry.define(DefinitionSource.STORE, event.definition)
+
+    def _apply_order(self, event: OrderGiven) -> None:
+        if event.order.beats(self.orders_in_store.get(event.server)):
+            self.orders_in_store[event.server] = event.order
+        self._registry.order(event.server, event.order)
+
+    def _apply_purge(self, event: PurgeRequested, position: StreamPosition) -> None:
+        # By the store's clock: if this router's were minutes ahead, a new purge would look too old to matter.
+        self._purge(event.obj, event.group, time.time() - self.clock.age(position))
+
+    def _purge(self, obj: str, group: int, at: float) -> None:
+        self._registry.purge(obj, group, at)
+        self._purges.record(obj, group, at)
--- /dev/null
+++ b/brackenlane/store/file_registration.py
@@ -0,0 +1,62 @@
+"""Registers the caches of the operator's file in the store, once for all routers with the same file."""
+
+from __future__ import annotations
+
+import hashlib
+from collections.abc import Sequence
+
+import orjson
+
+from brackenlane.discovery.records import CacheDefinition
+from brackenlane.discovery.registry import encode_definition
+from brackenlane.limits import Limits
+from brackenlane.store.connection import Command, Connection
+from brackenlane.store.event_codec import CacheDefined
+from brackenlane.store.event_commands import transaction, write_commands
+from brackenlane.store.keys import StoreKeys
+
+DONE = "done"  # the stored word
+DIGEST_LENGTH = 32  # hexadecimal digits
+
+
+class FileRegistration:
+    """Owns whether the caches of this router's file are known to be in the store."""
+
+    def __init__(
+        self, caches: Sequence[CacheDefinition], keys: StoreKeys, router_name: str, limits: Limits
+    ) -> None:
+        self._caches = caches
+        self._keys = keys
+        self._router_name = router_name
+        self._limits = limits
+        self.key = keys.file_registration(_digest(caches))
+        self.is_done = not caches
+
+    def observe(self, value: str | None) -> None:
+        """Take over the value read at the key: a store that was set back may have lost the caches."""
+        self.is_done = not self._caches or value == DONE
+
+    async def register(self, connection: Connection) -> None:
+        """Write the caches that the store lacks unless another router is about to; StoreError if it fails."""
+        reply, value = await connection.call(
+            ["SET", self.key, self._router_name, "NX", "EX", self._limits.store_filing],
+            ["GET", self.key],
+        )
+        self.is_done = value == DONE
+        if reply != "OK":
+            return
+        ids = [cache.id for cache in self._caches]
+        [stored] = await connection.call(["HMGET", self._keys.caches, *ids])
+        commands: list[Command] = []
+        for cache, text in zip(self._caches, stored, strict=True):
+            if text is None:
+                commands += write_commands(CacheDefined(cache), self._keys, self._limits.store_log)
+        commands.append(["SET", self.key, DONE, "EX", self._limits.store_filed])
+        # In one transaction: a router that ends in between would leave a cache that no follower learns of.
+        await connection.call(*transaction(commands), time_limit=self._limits.store_block)
+        self.is_done = True
+
+
+def _digest(caches: Sequence[CacheDefinition]) -> str:
+    document = orjson.dumps([encode_definition(cache) for cache in caches])
+    return hashlib.sha256(document).hexdigest()[:DIGEST_LENGTH]
--- /dev/null
+++ b/brackenlane/store/idempotency_claims.py
@@ -0,0 +1,41 @@
+"""Claims on submits with an idempotency key, kept in Redis, so that two routers never run the same one."""
+
+from __future__ import annotations
+
+import logging
+
+from brackenlane.core.claims import ClaimResult
+from brackenlane.store.connection import Connection
+from brackenlane.store.errors import StoreError
+from brackenlane.store.keys import StoreKeys
+
+log = logging.getLogger(__name__)
+
+
+class RedisClaimStore:
+    """Claims submits for one router. Implements `core.claims.ClaimStore`."""
+
+    def __init__(self, connection: Connection, keys: StoreKeys, router_name: str, lifetime: int) -> None:
+        """lifetime: seconds for which a claim is kept."""
+        self._connection = connection
+        self._keys = keys
+        self._router_name = router_name
+        self._lifetime = lifetime
+
+    async def claim(self, txn: str) -> ClaimResult:
+        """Claim a submit before it runs; only the router whose claim comes first may ever run it."""
+        try:
+            [reply] = await self._connection.call(
+                ["SET", self._keys.claim(txn), self._router_name, "NX", "EX", self._lifetime]
+            )
+        except StoreError as error:
+            log.warning("claim of submit %s failed, it is rejected: %s", txn, error)
+            return ClaimResult.UNKNOWN
+        return ClaimResult.OURS if reply == "OK" else ClaimResult.TAKEN
+
+    async def release(self, txn: str) -> None:
+        """Release the claim of a submit that provably never ran, so that it may be sent again."""
+        try:
+            await self._connection.call(["DEL", self._keys.claim(txn)])
+        except StoreError as error:
+            log.warning("claim of submit %s not released, retries of it are rejected: %s", txn, error)
--- /dev/null
+++ b/brackenlane/store/load_tickets.py
@@ -0,0 +1,40 @@
+"""Load tickets: counters in the store that spread the full loads of all routers over time."""
+
+from __future__ import annotations
+
+import time
+
+import trio
+
+from brackenlane.coldstart.pacing import StorePacing
+from brackenlane.store.connection import Connection
+from brackenlane.store.keys import StoreKeys
+
+
+class LoadTickets:
+    """Draws tickets for one router. The counters are the store's."""
+
+    def __init__(self, connection: Connection, keys: StoreKeys, pacing: StorePacing, lifetime: int) -> None:
+        """lifetime: seconds for which the store keeps a counter."""
+        self._connection = connection
+        self._keys = keys
+        self._pacing = pacing
+        self._lifetime = lifetime
+
+    async def wait_for_turn(self) -> None:
+        """Draw a ticket and wait until it allows a full load; StoreError if none can be drawn."""
+        if self._pacing.capacity.router_count == 1:
+            return
+        window = self._pacing.ticket_window(time.time())
+        while True:
+            ticket = await self._draw(window)
+            windows_ahead = self._pacing.windows_ahead(ticket)
+            if not windows_ahead:
+                break
+            window += windows_ahead
+        await trio.sleep(self._pacing.ticket_delay(window, ticket, time.time()))
+
+    async def _draw(self, window: int) -> int:
+        key = self._keys.load_tickets(window)
+        ticket, _ = await self._connection.call(["INCR", key], ["EXPIRE", key, self._lifetime])
+        return int(ticket)
--- /dev/null
+++ b/brackenlane/store/publisher.py
@@ -0,0 +1,120 @@
+"""Publishes this router's changes to the store, and repairs a store that was set back to an older state."""
+
+from __future__ import annotations
+
+import logging
+from collections import OrderedDict, deque
+
+from brackenlane.coldstart.stream_position import missing_orders
+from brackenlane.discovery.records import OperatorOrder
+from brackenlane.discovery.registry import Registry
+from brackenlane.limits import Limits
+from brackenlane.store.connection import Connection
+from brackenlane.store.errors import StoreDataError, StoreError, StoreUnavailableError
+from brackenlane.store.event_applier import EventApplier
+from brackenlane.store.event_codec import OrderGiven, StoreEvent, decode_order, encode_event
+from brackenlane.store.event_commands import transaction, write_commands
+from brackenlane.store.keys import StoreKeys
+
+log = logging.getLogger(__name__)
+
+
+class Publisher:
+    """Owns the events that wait for the store, and those that it has but has not sent back yet."""
+
+    def __init__(self, connection: Connection, keys: StoreKeys, limits: Limits) -> None:
+        self._connection = connection
+        self._keys = keys
+        self._stream_length = limits.store_log
+        self._max_unacknowledged = limits.store_unshared
+        self._pending: deque[StoreEvent] = deque(maxlen=limits.store_unshared)
+        # By the event's text, oldest first. A store that is set back may have lost them.
+        self._unacknowledged: OrderedDict[str, StoreEvent] = OrderedDict()
+
+    async def publish(self, event: StoreEvent) -> bool:
+        """Write an event to the store; False if that must wait until the store is available again."""
+        # Events that wait go first: a load must not undo a drain that the store does not know yet.
+        if not self._pending and await self._send(event):
+            return True
+        self._pending.append(event)
+        return False
+
+    async def flush_pending(self) -> None:
+        """Write the events that wait; StoreUnavailableError if one cannot be written."""
+        while self._pending:
+            if not await self._send(self._pending[0]):
+                raise StoreUnavailableError("what changed meanwhile can't be shared yet")
+            self._pending.popleft()
+
+    def acknowledge(self, event_text: str) -> None:
+        """Note that an event was read back from the stream."""
+        self._unacknowledged.pop(event_text, None)
+
+    async def resend_unacknowledged(self) -> None:
+        """Write again what was never read back; StoreUnavailableError if an event cannot be written."""
+        events = list(self._unacknowledged.values())
+        self._unacknowledged.clear()
+        for event in events:
+            if not await self._send(event):
+                raise StoreUnavailableError("what the store has lost can't be shared again yet")
+
+    async def _send(self, event: StoreEvent) -> bool:
+        self._unacknowledged[encode_event(event)] = event
+        if len(self._unacknowledged) > self._max_unacknowledged:
+            self._unacknowledged.popitem(last=False)
+        commands = write_commands(event, self._keys, self._stream_length)
+        if len(commands) > 1:
+            commands = transaction(commands)
+        try:
+            await self._connection.call(*commands)
+        except StoreError as error:
+            log.warning("%s not published: %s", type(event).__name__, error)
+            return False
+        return True
+
+
+class StoreRepair:
+    """Writes again what a store that was set back has lost: this router's events, and operators' orders."""
+
+    def __init__(
+        self,
+        connection: Connection,
+        keys: StoreKeys,
+        publisher: Publisher,
+        registry: Registry,
+        applier: EventApplier,
+    ) -> None:
+        self._connection = connection
+        self._keys = keys
+        self._publisher = publisher
+        self._registry = registry
+        self._applier = applier
+
+    async def run(self) -> None:
+        """Repair the store once; StoreError if it fails meanwhile."""
+        await self._publisher.resend_unacknowledged()
+        orders = self._registry.merge.orders
+        missing = missing_orders(orders, self._applier.orders_in_store, OperatorOrder.beats)
+        if not missing:
+            return
+        # Other routers may have written them since they were read.
+        [texts] = await self._connection.call(["HMGET", self._keys.orders, *missing])
+        for server, text in zip(missing, texts, strict=True):
+            stored = _stored_order(text)
+            if stored:
+                self._applier.orders_in_store[server] = stored
+            if server in orders and orders[server].beats(stored):
+                await self._republish_order(server, orders[server])
+
+    async def _republish_order(self, server: str, order: OperatorOrder) -> None:
+        if not await self._publisher.publish(OrderGiven(server, order)):
+            raise StoreUnavailableError("orders that the store has lost can't be shared again yet")
+
+
+def _stored_order(text: str | None) -> OperatorOrder | None:
+    if not text:
+        return None
+    try:
+        return decode_order(text).order
+    except StoreDataError:
+        return None
--- /dev/null
+++ b/brackenlane/store/shared_store.py
@@ -0,0 +1,166 @@
+"""The shared store of one router: wires its parts together, and keeps the connection up.
+
+Redis holds a hash of the caches, one of the operators' orders, a stream of the events since, and a key for
+each claimed submit (keys.py). A router that remembers its position in the stream reads what came after it. If
+the stream no longer holds that position, the router waits for a load ticket, reads the hashes in pages, and
+follows the stream from the position before the load, so that it misses nothing in between.
+"""
+
+from __future__ import annotations
+
+import logging
+import random
+import time
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+import trio
+
+from brackenlane.coldstart.pacing import Capacity, StorePacing
+from brackenlane.coldstart.phases import StartupEvent, StartupPhases
+from brackenlane.coldstart.stream_position import STREAM_START, StreamPosition
+from brackenlane.config import Endpoint
+from brackenlane.discovery.records import CacheDefinition
+from brackenlane.discovery.registry import Registry
+from brackenlane.limits import Limits
+from brackenlane.store.capacity_hint import apply_hint
+from brackenlane.store.connection import Connection
+from brackenlane.store.errors import StoreCommandError, StoreDataError, StoreError, StoreTimeoutError
+from brackenlane.store.event_applier import EventApplier
+from brackenlane.store.file_registration import FileRegistration
+from brackenlane.store.idempotency_claims import RedisClaimStore
+from brackenlane.store.keys import StoreKeys
+from brackenlane.store.load_tickets import LoadTickets
+from brackenlane.store.publisher import Publisher, StoreRepair
+from brackenlane.store.reader import StoreReader, StoreState
+from brackenlane.store.recent_purges import RecentPurges
+from brackenlane.store.replica import Replica
+
+log = logging.getLogger(__name__)
+
+# A purge is kept for twice the time that it takes to propagate.
+PURGE_LIFETIME_FACTOR = 2
+
+
+@dataclass(frozen=True, slots=True)
+class StoreSettings:
+    """Where the store is, and how this router uses it."""
+
+    endpoint: Endpoint
+    site: str
+    router_name: str
+    purge_propagation_time: float  # seconds
+    capacity: Capacity
+
+
+class SharedStore:
+    """Owns the connections to the store and its availability; its parts do the reading and writing."""
+
+    def __init__(
+        self,
+        settings: StoreSettings,
+        registry: Registry,
+        limits: Limits,
+        phases: StartupPhases,
+        position: StreamPosition = STREAM_START,
+    ) -> None:
+        """position: all entries of the event stream up to it are known to the registry."""
+        self.fault = ""  # why the store is unavailable; empty while it is followed
+        self._settings = settings
+        self._registry = registry
+        self._limits = limits
+        self._phases = phases
+        self._keys = StoreKeys(settings.site)
+        self._random = random.Random()
+        self.pacing = StorePacing(settings.router_name, settings.capacity, self._random)
+        # Two connections: a read that waits for updates must not hold up a claim.
+        command_connection = Connection(settings.endpoint, limits.store_wait)
+        self._read_connection = Connection(settings.endpoint, limits.store_wait)
+        self._reader = StoreReader(self._read_connection, self._keys, limits)
+        self._tickets = LoadTickets(
+            self._read_connection, self._keys, self.pacing, lifetime=limits.store_tickets
+        )
+        self._purges = RecentPurges(
+            PURGE_LIFETIME_FACTOR * settings.purge_propagation_time, limit=limits.store_purges
+        )
+        self.applier = EventApplier(registry, self._purges)
+        self.claims = RedisClaimStore(
+            command_connection, self._keys, settings.router_name, limits.claim_lifetime
+        )
+        self.publisher = Publisher(command_connection, self._keys, limits)
+        self._repair = StoreRepair(command_connection, self._keys, self.publisher, registry, self.applier)
+        self.replica = Replica(self._reader, registry, self.applier, self.publisher, position)
+
+    @property
+    def position(self) -> StreamPosition:
+        """The position in the event stream up to which everything has been applied."""
+        return self.replica.position
+
+    @property
+    def purges(self) -> dict[tuple[str, int], float]:
+        """The recent purges: Unix seconds by object and group."""
+        return self._purges.by_target
+
+    async def run(self, file_caches: Sequence[CacheDefinition]) -> None:
+        """Follow the store until cancelled; while it is unavailable the registry stays as it is.
+
+        file_caches: those of the operator's file, to be registered in the store.
+        """
+        registration = FileRegistration(file_caches, self._keys, self._settings.router_name, self._limits)
+        await trio.sleep(self.pacing.initial_delay())
+        while True:
+            error = await self._follow_until_failure(registration)
+            self.fault = str(error)
+            await self._read_connection.close()
+            self._phases.step(StartupEvent.STORE_LOST, time.time())
+            delay = self.pacing.record_failure(isinstance(error, StoreCommandError | StoreTimeoutError))
+            log.warning("store unavailable: %s; next attempt in %.1f s", error, delay)
+            await trio.sleep(delay)
+
+    async def _follow_until_failure(self, registration: FileRegistration) -> Exception:
+        """Catch up, then follow and repair at the same time; return the StoreError that ended it."""
+        failures: list[Exception] = []
+        try:
+            async with trio.open_nursery() as nursery:
+                await self._catch_up(registration)
+                nursery.start_soon(self._repair_after_delay)
+                while True:
+                    if not registration.is_done:
+                        await registration.register(self._read_connection)
+                    await self.replica.follow(self._limits.store_block)
+        except* StoreError as group:
+            failures.extend(group.exceptions)
+        return failures[0]
+
+    async def _catch_up(self, registration: FileRegistration) -> None:
+        """Bring store and registry together: publish what waits, then read updates or load everything."""
+        await self.publisher.flush_pending()
+        requested_at = time.monotonic()
+        state = await self._reader.read_state(
+            self.replica.position, registration.key, sorted(self._registry.merge.orders)
+        )
+        self.applier.clock.synchronize(state.clock_seconds, state.clock_microseconds)
+        # If the store takes over half of what a submit may wait, the fleet should spread its requests more.
+        self.pacing.record_answer(time.monotonic() - requested_at, self._limits.store_wait / 2)
+        self._apply_capacity_hint(state)
+        registration.observe(state.registration)
+        if not await self.replica.catch_up(state):
+            self._phases.step(StartupEvent.LOAD_STARTED, time.time())
+            await self._tickets.wait_for_turn()
+            await self.replica.load(self._purges.lifetime)
+        self.fault = ""
+        self._phases.step(StartupEvent.CAUGHT_UP, time.time())
+
+    def _apply_capacity_hint(self, state: StoreState) -> None:
+        if not state.capacity_hint:
+            return
+        try:
+            self.pacing.capacity = apply_hint(state.capacity_hint, self.pacing.capacity)
+        except StoreDataError as error:
+            log.warning("capacity hint %s ignored: %s", self._keys.capacity_hint, error)
+
+    async def _repair_after_delay(self) -> None:
+        # All routers notice a store that was set back at once. The first one in the window repairs it; the
+        # others see its events before their own turn.
+        await trio.sleep(self._random.uniform(0.0, self.pacing.window))
+        await self._repair.run()
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -9,9 +9,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenlane.coldstart.pacing import LONGEST, Capacity, StorePacing, early, jittered, place
+from brackenlane.coldstart.pacing import (
+    MAX_WINDOW_FACTOR,
+    Capacity,
+    StorePacing,
+    hashed_offset,
+    jittered_backoff,
+    jittered_lifetime,
+)
 from brackenlane.coldstart.phases import StartupEvent, StartupPhase, StartupPhases
-from brackenlane.coldstart.stream_position import NOWHERE, before, continues, lacking, read_place
+from brackenlane.coldstart.stream_position import (
+    STREAM_START,
+    StreamPosition,
+    is_log_continuous,
+    missing_orders,
+)
 from brackenlane.discovery import snapshot
 from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.records import OperatorOrder, Policy, RememberedMembers
@@ -23,19 +35,19 @@
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.settings import SlowStart
 from brackenlane.routing.slow_start import MARGIN, capacity_by_age, turn_order
-from brackenlane.store.replica import SharedStore
+from brackenlane.store.shared_store import SharedStore, StoreSettings
 from tests.router_harness import RouterHarness, every
 
-CAPACITY = Capacity(1000, asks=500.0, loads=20.0)
+CAPACITY = Capacity(1000, request_rate=500.0, load_rate=20.0)
 
 
 def eager(name: str, capacity: Capacity, chance: random.Random) -> StorePacing:
     """The fault that the checks must find: no place in a window, and always the same wait after a failure."""
     pace = StorePacing(name, capacity, chance)
-    pace.first = lambda: 0.0  # type: ignore[method-assign]
-    pace.failed = lambda refused: 0.3  # type: ignore[method-assign]
-    pace.ahead = lambda ticket: 0  # type: ignore[method-assign]
-    pace.turn = lambda bucket, ticket, now: 0.0  # type: ignore[method-assign]
+    pace.initial_delay = lambda: 0.0  # type: ignore[method-assign]
+    pace.record_failure = lambda is_overloaded: 0.3  # type: ignore[method-assign]
+    pace.windows_ahead = lambda ticket: 0  # type: ignore[method-assign]
+    pace.ticket_delay = lambda window, ticket, now: 0.0  # type: ignore[method-assign]
     return pace
 
 
@@ -45,9 +57,9 @@
     fleet = SimulatedFleet(1000, store := Store(CAPACITY), seed)
     fleet.run(60.0)
     assert len(fleet.current) == 1000 and not store.refused
-    assert peak(store.asked) <= 1.1 * CAPACITY.asks
-    assert max(fleet.current.values()) <= 2 * 1000 / CAPACITY.asks
-    assert peak(store.asked, 0.05) <= 3 * 0.05 * CAPACITY.asks
+    assert peak(store.asked) <= 1.1 * CAPACITY.request_rate
+    assert max(fleet.current.values()) <= 2 * 1000 / CAPACITY.request_rate
+    assert peak(store.asked, 0.05) <= 3 * 0.05 * CAPACITY.request_rate
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -56,12 +68,12 @@
     fleet = SimulatedFleet(1000, store := Store(CAPACITY), seed, remembers=0.9)
     fleet.run(60.0)
     assert len(fleet.current) == 1000
-    assert peak(store.loaded) <= 2.1 * CAPACITY.loads  # two seconds' tickets may be used side by side
-    least = len(store.loaded) / CAPACITY.loads
-    assert max(fleet.current.values()) <= 2 * least + 1000 / CAPACITY.asks
+    assert peak(store.loaded) <= 2.1 * CAPACITY.load_rate  # two seconds' tickets may be used side by side
+    least = len(store.loaded) / CAPACITY.load_rate
+    assert max(fleet.current.values()) <= 2 * least + 1000 / CAPACITY.request_rate
     alone = SimulatedFleet(1, Store(CAPACITY), seed, remembers=0.0)
     alone.run(60.0)
-    assert alone.current[0] < 1000 / CAPACITY.asks + 0.2
+    assert alone.current[0] < 1000 / CAPACITY.request_rate + 0.2
 
 
 def test_away_for_a_minute() -> None:
@@ -73,8 +85,8 @@
     fleet.run(110.0)
     back = [at for at in store.asked if at >= 80.0]
     assert len(fleet.current) == 1000
-    assert peak(back) <= CAPACITY.asks
-    assert peak([at for at in store.asked if 40.0 <= at < 80.0]) <= CAPACITY.asks
+    assert peak(back) <= CAPACITY.request_rate
+    assert peak([at for at in store.asked if 40.0 <= at < 80.0]) <= CAPACITY.request_rate
     assert max(fleet.current.values()) < 80.0 + 6 * CAPACITY.window
 
 
@@ -86,7 +98,7 @@
     fleet = SimulatedFleet(1000, store, 3)
     fleet.run(90.0)
     assert len(fleet.current) == 1000
-    assert peak(store.asked) <= 1.1 * CAPACITY.asks
+    assert peak(store.asked) <= 1.1 * CAPACITY.request_rate
     assert max(fleet.current.values()) < 60.0
 
 
@@ -94,22 +106,26 @@
     """Power comes back in two halves 5 s apart: the second meets a place of its own as the first did."""
     fleet = SimulatedFleet(1000, store := Store(CAPACITY), 1, starts=lambda n: 5.0 * (n % 2))
     fleet.run(60.0)
-    assert len(fleet.current) == 1000 and not store.refused and peak(store.asked) <= CAPACITY.asks
+    assert len(fleet.current) == 1000 and not store.refused and peak(store.asked) <= CAPACITY.request_rate
 
 
 def test_the_planted_wave_is_found() -> None:
     """Without places, jitter and tickets the same checks see the wave."""
     fleet = SimulatedFleet(1000, store := Store(CAPACITY), 1, remembers=0.9, pace=eager)
     fleet.run(60.0)
-    assert peak(store.asked) > 1.1 * CAPACITY.asks and store.refused > 100
-    assert peak(store.loaded) > 2.1 * CAPACITY.loads
+    assert peak(store.asked) > 1.1 * CAPACITY.request_rate and store.refused > 100
+    assert peak(store.loaded) > 2.1 * CAPACITY.load_rate
 
 
 def test_places_are_even() -> None:
     """Names of one pattern are spread evenly, the same each time, and differently for another thing."""
-    found = sorted(place(f"branch-{n}", "ask") for n in range(1000))
+    found = sorted(hashed_offset(f"branch-{n}", "ask") for n in range(1000))
     assert all(abs(at - n / 1000) < 0.06 for n, at in enumerate(found))
-    assert place("branch-1", "ask") == place("branch-1", "ask") != place("branch-1", "srv")
+    assert (
+        hashed_offset("branch-1", "ask")
+        == hashed_offset("branch-1", "ask")
+        != hashed_offset("branch-1", "srv")
+    )
 
 
 @given(st.integers(1, 50), st.integers(0, 2**32))
@@ -117,15 +133,17 @@
     """However often it failed: a wait from 0 to its bound, windows from one to their longest."""
     pace = StorePacing("a", CAPACITY, random.Random(seed))
     for _ in range(failures):
-        assert pace.window <= pace.failed(failures % 2 == 0) <= 5 * LONGEST * CAPACITY.window
-        assert 1 <= pace.stretch <= LONGEST
-    pace.answered(0.01, 0.15)
+        assert (
+            pace.window <= pace.record_failure(failures % 2 == 0) <= 5 * MAX_WINDOW_FACTOR * CAPACITY.window
+        )
+        assert 1 <= pace.window_factor <= MAX_WINDOW_FACTOR
+    pace.record_answer(0.01, 0.15)
     assert pace.failures == 0
     for _ in range(20):
-        pace.answered(0.01, 0.15)
-    assert pace.stretch == 1.0
-    assert 0 <= jittered(failures, 0.3, 5.0, random.Random(seed)) <= 5.0
-    assert 9.0 <= early(10.0, random.Random(seed)) <= 10.0
+        pace.record_answer(0.01, 0.15)
+    assert pace.window_factor == 1.0
+    assert 0 <= jittered_backoff(failures, 0.3, 5.0, random.Random(seed)) <= 5.0
+    assert 9.0 <= jittered_lifetime(10.0, random.Random(seed)) <= 10.0
 
 
 @pytest.mark.parametrize(
@@ -143,31 +161,38 @@
 )
 def test_tickets(loads: float, ticket: int, ahead: int, turn: float | None) -> None:
     """The first of a span load in it, one after the other; the others draw where it is their turn."""
-    pace = StorePacing("a", Capacity(9, loads=loads), random.Random(1))
-    assert pace.ahead(ticket) == ahead
+    pace = StorePacing("a", Capacity(9, load_rate=loads), random.Random(1))
+    assert pace.windows_ahead(ticket) == ahead
     now = 1000.0
     if turn is not None:
-        assert pace.turn(pace.bucket(now), ticket, now) == pytest.approx(turn)
+        assert pace.ticket_delay(pace.ticket_window(now), ticket, now) == pytest.approx(turn)
 
 
 def test_a_hint_of_the_store() -> None:
     """What the store says it bears holds; what can't be obeyed is refused."""
-    assert CAPACITY.hinted(100.0, 2.0).window == 10.0
+    assert CAPACITY.with_rates(100.0, 2.0).window == 10.0
     for asks, loads in ((0.0, 1.0), (1.0, -1.0), (float("nan"), 1.0), (1.0, float("inf"))):
         with pytest.raises(ValueError):
-            CAPACITY.hinted(asks, loads)
+            CAPACITY.with_rates(asks, loads)
 
 
 def test_reading() -> None:
     """A place continues only while its very entry is there; orders that the store lacks are found."""
-    assert continues("5-1", {"5-1", "6-0"}) and not continues("5-1", {"6-0"})
-    assert not continues(NOWHERE, {"0-0"}) and not continues("5-1", set())
-    assert before("5000-1", 1.5) == "3500-0" and before("5000-1", 9.0) == "0-0"
+    ours, later = StreamPosition(5, 1), StreamPosition(6, 0)
+    assert is_log_continuous(ours, {ours, later}) and not is_log_continuous(ours, {later})
+    assert not is_log_continuous(STREAM_START, {STREAM_START}) and not is_log_continuous(ours, set())
+    assert str(StreamPosition(5000, 1).earlier(1.5)) == "3500-0"
+    assert str(StreamPosition(5000, 1).earlier(9.0)) == "0-0"
+    assert str(StreamPosition.parse("5-1")) == "5-1" and StreamPosition.parse("5-1") == ours
+    assert ours < StreamPosition(5, 2) < StreamPosition(5, 10) < later
     for text in ("", "5", "5-", "-1", "a-1", "5-1-1", "²-1", "1" * 50 + "-1"):
         with pytest.raises(ValueError):
-            read_place(text)
+            StreamPosition.parse(text)
     old, new = OperatorOrder(True, 1.0, "a"), OperatorOrder(False, 2.0, "b")
-    assert lacking({"x": new, "y": old, "z": old}, {"x": old, "y": new}, OperatorOrder.beats) == ["x", "z"]
+    assert missing_orders({"x": new, "y": old, "z": old}, {"x": old, "y": new}, OperatorOrder.beats) == [
+        "x",
+        "z",
+    ]
 
 
 @given(st.lists(st.sampled_from(list(StartupEvent)), max_size=30))
@@ -179,21 +204,24 @@
         old = phases.phase
         new = phases.step(event, now)
         assert (new is StartupPhase.CURRENT) == (
-            event is StartupEvent.READ
-            or (old is StartupPhase.CURRENT and event in (StartupEvent.RECALL, StartupEvent.ASKED))
+            event is StartupEvent.CAUGHT_UP
+            or (
+                old is StartupPhase.CURRENT
+                and event in (StartupEvent.SNAPSHOT_RESTORED, StartupEvent.LOAD_STARTED)
+            )
         )
         assert (phases.since == now) == (new is not old)
-        if event is StartupEvent.LOST:
+        if event is StartupEvent.STORE_LOST:
             assert new not in (StartupPhase.LOADING, StartupPhase.CURRENT)
-    assert phases.is_store_read == (StartupEvent.READ in events)
+    assert phases.is_store_read == (StartupEvent.CAUGHT_UP in events)
 
 
 def test_a_broken_load_falls_back() -> None:
     """What a load began from is what is served when it breaks off, a last list taken beside it included."""
     phases = StartupPhases(0.0)
-    assert phases.step(StartupEvent.ASKED, 1.0) is StartupPhase.LOADING
-    phases.step(StartupEvent.RECALL, 2.0)
-    assert phases.step(StartupEvent.LOST, 3.0) is StartupPhase.RECALLED
+    assert phases.step(StartupEvent.LOAD_STARTED, 1.0) is StartupPhase.LOADING
+    phases.step(StartupEvent.SNAPSHOT_RESTORED, 2.0)
+    assert phases.step(StartupEvent.STORE_LOST, 3.0) is StartupPhase.RECALLED
 
 
 @given(st.floats(0, 50), st.floats(0.01, 2), st.integers(1, 300), st.text("abc-0123", min_size=1, max_size=8))
@@ -249,13 +277,19 @@
     """With its place in the log a last list keeps the purges before it that still count, and no others."""
     events: list[object] = []
     roster = Registry(MembershipMerge(Policy()), events.append, lambda *_: None)
-    shared = SharedStore(("127.0.0.1", 1), "site", "a", roster, 6.0, Limits())
+    shared = SharedStore(
+        StoreSettings(("127.0.0.1", 1), "site", "a", 6.0, Capacity()), roster, Limits(), StartupPhases(0.0)
+    )
     now = time.time()
-    shared.recall({("clip", -1): now - 3.0, ("", 7): now - 11.0, ("old", -1): now - 13.0})
+    shared.applier.restore_purges({("clip", -1): now - 3.0, ("", 7): now - 11.0, ("old", -1): now - 13.0})
     found = {(e.obj, e.group): e.age for e in events if isinstance(e, Purged)}
     assert found == {("clip", -1): pytest.approx(3.0, abs=0.2), ("", 7): pytest.approx(11.0, abs=0.2)}
     retained = snapshot.Snapshot(
-        RememberedMembers(), now, "5-1", True, tuple((*key, at) for key, at in shared.purges.items())
+        RememberedMembers(),
+        now,
+        StreamPosition(5, 1),
+        True,
+        tuple((*key, at) for key, at in shared.purges.items()),
     )
     assert snapshot.parse(snapshot.dump(retained)) == retained and len(retained.purges) == 2
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,6 +12,7 @@
 import pytest
 import trio
 
+from brackenlane.coldstart.stream_position import StreamPosition
 from brackenlane.discovery import snapshot
 from brackenlane.discovery.records import CacheDefinition, OperatorOrder, RememberedMembers, srv_cache_id
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
@@ -347,7 +348,7 @@
 
 def test_last_list_cut(tmp_path: Path) -> None:
     """A last list reads back as it was; cut or changed at any byte it is refused, never half believed."""
-    retained = snapshot.Snapshot(MEMORY, 7.0, "17-3", True, (("clip", -1, 5.0),))
+    retained = snapshot.Snapshot(MEMORY, 7.0, StreamPosition(17, 3), True, (("clip", -1, 5.0),))
     complete = snapshot.dump(retained)
     assert snapshot.parse(complete) == retained
     for place in range(len(complete)):
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -18,7 +18,8 @@
 
 from brackenlane.__main__ import _ledger
 from brackenlane.coldstart.pacing import Capacity
-from brackenlane.coldstart.stream_position import NOWHERE
+from brackenlane.coldstart.phases import StartupPhases
+from brackenlane.coldstart.stream_position import STREAM_START, StreamPosition
 from brackenlane.config import load as load_config
 from brackenlane.core.claims import ClaimResult
 from brackenlane.discovery import snapshot
@@ -30,7 +31,8 @@
 from brackenlane.ops.handover_log import HandoverLog
 from brackenlane.ops.handover_records import HandoverIndex, Reader, Record, RecordType, encode
 from brackenlane.routing.members import Role
-from brackenlane.store.replica import SharedStore
+from brackenlane.store.event_codec import CacheDefined, OrderGiven, PurgeRequested
+from brackenlane.store.shared_store import SharedStore, StoreSettings
 from tests.stand_ins import with_trio
 
 DATA = Path(__file__).parent / "data"
@@ -52,7 +54,7 @@
         {"e-1": DRAIN, "p-1": RESTORE},
     ),
     saved=SAVED,
-    place="1700000000123-4",
+    position=StreamPosition(1700000000123, 4),
     left=True,
     purges=(("clip", -1, 1_700_000_150.5), ("", 7, 1_700_000_160.0)),
 )
@@ -85,14 +87,13 @@
         return await super()._turn(command, queue)
 
 
-def shared_at(redis: Redis, place: str = NOWHERE) -> tuple[SharedStore, MembershipMerge]:
+def shared_at(redis: Redis, position: StreamPosition = STREAM_START) -> tuple[SharedStore, MembershipMerge]:
     """A view of the store in redis, from a place in its log on."""
     merge = MembershipMerge(Policy())
     roster = Registry(merge, lambda _: None, lambda *_: None)
     endpoint = ("127.0.0.1", redis.port)
-    return SharedStore(
-        endpoint, "branch.example", "door-a", roster, AGES, Limits(), Capacity(2), place=place
-    ), merge
+    settings = StoreSettings(endpoint, "branch.example", "door-a", AGES, Capacity(2))
+    return SharedStore(settings, roster, Limits(), StartupPhases(0.0), position), merge
 
 
 async def follow_until_current(redis: Redis, shared: SharedStore, own: list[CacheDefinition]) -> None:
@@ -107,11 +108,14 @@
     """One of each form that the program writes to the store."""
     shared, _ = shared_at(redis)
     await follow_until_current(redis, shared, [EDGE])
-    assert await shared.change(PARENT)
-    assert await shared.order("e-1", DRAIN) and await shared.order("p-1", RESTORE)
-    assert await shared.purge("clip", -1, 1_700_000_150.5) and await shared.purge("", 7, 1_700_000_160.0)
-    assert await shared.claim("txn-1") is ClaimResult.OURS and await shared.claim("txn-2") is ClaimResult.OURS
-    await shared.release("txn-2")
+    assert await shared.publisher.publish(CacheDefined(PARENT))
+    assert await shared.publisher.publish(OrderGiven("e-1", DRAIN))
+    assert await shared.publisher.publish(OrderGiven("p-1", RESTORE))
+    assert await shared.publisher.publish(PurgeRequested("clip", -1, 1_700_000_150.5))
+    assert await shared.publisher.publish(PurgeRequested("", 7, 1_700_000_160.0))
+    assert await shared.claims.claim("txn-1") is ClaimResult.OURS
+    assert await shared.claims.claim("txn-2") is ClaimResult.OURS
+    await shared.claims.release("txn-2")
 
 
 def stored_keys() -> dict[str, Any]:
@@ -146,8 +150,11 @@
     assert without_places(redis.keys) == without_places(stored_keys())
 
 
-@pytest.mark.parametrize(("place", "others"), [(NOWHERE, {EDGE, PARENT}), ("1700000200750-0", {PARENT})])
-def test_store_is_read_to_the_same_state(place: str, others: set[CacheDefinition]) -> None:
+@pytest.mark.parametrize(
+    ("position", "others"),
+    [(STREAM_START, {EDGE, PARENT}), (StreamPosition(1700000200750, 0), {PARENT})],
+)
+def test_store_is_read_to_the_same_state(position: StreamPosition, others: set[CacheDefinition]) -> None:
     """A whole load, and a place behind the first entry of the log, give caches, orders and purges."""
     keys = stored_keys()
     keys["brackenlane:branch.example:pace"] = '{"asks": 5, "loads": 3.5}'  # the operator's to write
@@ -156,19 +163,19 @@
     async def read() -> None:
         async with trio.open_nursery() as nursery:
             redis = await RecordingRedis(keys).open(nursery)
-            shared, merge = shared_at(redis, place)
+            shared, merge = shared_at(redis, position)
             await follow_until_current(redis, shared, [EDGE])
             assert not any(command[0] == "SET" for command in redis.came)  # the file is there already
-            assert await shared.claim("txn-1") is ClaimResult.TAKEN
-            assert await shared.claim("txn-2") is ClaimResult.OURS
+            assert await shared.claims.claim("txn-1") is ClaimResult.TAKEN
+            assert await shared.claims.claim("txn-2") is ClaimResult.OURS
             nursery.cancel_scope.cancel()
         memory = merge.memory()
         assert set(memory.others) == others and not memory.listed
         assert memory.orders == {"e-1": DRAIN, "p-1": RESTORE}
-        assert shared.place == "1700000200750-5"
+        assert str(shared.position) == "1700000200750-5"
         told_at = pytest.approx(SAVED, abs=5.0)  # by the store's clock, less the time of an answer
         assert shared.purges == {("clip", -1): told_at, ("", 7): told_at}
-        assert (shared.pace.capacity.asks, shared.pace.capacity.loads) == (5.0, 3.5)
+        assert (shared.pacing.capacity.request_rate, shared.pacing.capacity.load_rate) == (5.0, 3.5)
 
     read()
 
