--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -195,9 +195,7 @@
             elif "follow" in reported and up:
                 self.record.add("follow", who)
             elif "box" in reported and not up:
-                self.record.add(
-                    "told_order", who, box=reported["box"], drained=reported["drained"] == "true"
-                )
+                self.record.add("told_order", who, box=reported["box"], drained=reported["drained"] == "true")
             elif "time" in reported and not up:
                 self.record.add("told_purge", who, obj=reported.get("obj", ""), time=int(reported["time"]))
 
@@ -263,9 +261,7 @@
             case "drain" | "restore":
                 said = await chosen[0].console(f"{step.do} {step.box}")
                 if said.startswith(f"{step.box} {'drained' if step.do == 'drain' else 'restored'}"):
-                    self.record.add(
-                        "told_order", chosen[0].number, box=step.box, drained=step.do == "drain"
-                    )
+                    self.record.add("told_order", chosen[0].number, box=step.box, drained=step.do == "drain")
             case "write_order":
                 order = {"id": step.box, "drained": True, "at": time.time(), "by": "another router"}
                 self.store.order("caches.test.", order)
