--- a/brackenlane/routing/checked_json.py
+++ b/brackenlane/routing/checked_json.py
@@ -8,13 +8,15 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
+from brackenlane.routing.errors import RoutingError
+
 T = TypeVar("T")
 
 LARGEST = 1e12  # no figure that is given here is larger; products of a few stay finite
 LONGEST_VALUE = 80  # characters of a value that an error shows
 
 
-class SettingsError(ValueError):
+class SettingsError(RoutingError, ValueError):
     """A setting that cannot be used; the text names its path and its value, in one line."""
 
     def __init__(self, path: str, fault: str, *value: object) -> None:
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -8,7 +8,7 @@
 
 from brackenlane.routing.events import Outcome
 from brackenlane.routing.load_report import NAMES, read_load_report
-from brackenlane.routing.simulator import READERS
+from brackenlane.routing.simulator_codec import Message, read_event
 
 Values = tuple[tuple[str, float], ...]
 
@@ -31,18 +31,18 @@
         ("util:0.3;x0:0.5", ()),  # another wire's separator
     ],
 )
-def test_what_cannot_be_used_is_skipped(text: str, values: Values) -> None:
+def test_unusable_entries_are_skipped(text: str, values: Values) -> None:
     """The rest of the report, and the outcome that carries it, are read all the same."""
     assert read_load_report(text, ",") == values
     fields = {"MsgId": "q", "SeqNo": "0", "Verdict": "0", "Usage": text}
-    outcome = READERS["RESULT"](fields)
+    outcome = read_event(Message(1, "RESULT", fields))
     assert isinstance(outcome, Outcome) and outcome.report == values
     assert read_load_report(text.replace(",", "|"), "|") == values
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.text() | st.lists(st.sampled_from([*NAMES, ":", ",", "1", "nan", "-"])).map("".join))
-def test_any_text_is_read(text: str) -> None:
+def test_any_text_is_accepted(text: str) -> None:
     """No report raises, and what it gives is a known name with a number that is not negative."""
     for name, value in read_load_report(text, ","):
         assert name in NAMES and 0 <= value < float("inf")
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -58,18 +58,18 @@
     )
 
 
-ASK = "INCOMING I=1 MsgId=q{n} TimeLeftS=2.5 File=h:a{n} Segment=0 Group=1 Band=clip SizeKb=200 Extra=9\n"
+REQUEST = "INCOMING I=1 MsgId=q{n} TimeLeftS=2.5 File=h:a{n} Segment=0 Group=1 Band=clip SizeKb=200 Extra=9\n"
 
 
-def test_a_session_on_the_wire() -> None:
-    text = batch(0, "") + batch(1, launch()) + batch(2, ASK.format(n=1) + "STRANGE I=1 What=a b=c\n")
+def test_session_on_the_wire() -> None:
+    text = batch(0, "") + batch(1, launch()) + batch(2, REQUEST.format(n=1) + "STRANGE I=1 What=a b=c\n")
     text += batch(
         3,
         "RESULT I=1 MsgId=q1 SeqNo=0 Cache=1.1.1.1:1 Verdict=0 WaitTimeS=0.2 Terminal=1 Note=99 "
         "Usage=util:0.5,x0:0.1\nOUTDATED I=1 File=0 Tag=1 OldnessS=0.1\n",
         1.5,
     )
-    text += batch(4, ASK.format(n=2), 2.0) + batch(5, "STOP I=1\n") + batch(6, ASK.format(n=3))
+    text += batch(4, REQUEST.format(n=2), 2.0) + batch(5, "STOP I=1\n") + batch(6, REQUEST.format(n=3))
     done = talk(text)
     assert done.returncode == 0 and done.stderr == ""
     replies = re.split(r"EOR n=\d+\n", done.stdout)
@@ -80,7 +80,7 @@
 
 
 def test_same_actions_under_any_hash_seed() -> None:
-    requests = "".join(ASK.format(n=n) for n in range(300))
+    requests = "".join(REQUEST.format(n=n) for n in range(300))
     text = batch(1, launch()) + batch(2, requests)
     assert talk(text, "1").stdout == talk(text, "2").stdout != ""
 
@@ -105,24 +105,25 @@
         (batch(1, launch(QuantumS=float("nan"))), "LAUNCH: settings.QuantumS: NaN: must be a finite number"),
     ],
 )
-def test_bad_input_gets_one_plain_line_and_no_half_reply(text: str, reported: str) -> None:
+def test_unreadable_input_ends_with_one_line_and_no_partial_reply(text: str, reported: str) -> None:
     done = talk(text)
     assert done.returncode != 0
     assert reported in done.stderr and done.stderr.count("\n") == 1
     assert done.stdout == "" or done.stdout.endswith("EOR n=1\n")
 
 
-def test_a_failed_decision_becomes_the_wires_exception(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_decision_is_reported_as_an_exception_of_its_instance(monkeypatch: pytest.MonkeyPatch) -> None:
     from brackenlane.routing import simulator
     from brackenlane.routing.events import ClientDisconnected
+    from brackenlane.routing.simulator_codec import Message
 
-    host = simulator.Host()
-    host.read("LAUNCH", {"I": "1", "InitSeed": "7", "Config": json.dumps(CONFIG)}, [])
+    host = simulator.SimulatorHost()
+    host.apply(Message(1, "LAUNCH", {"I": "1", "InitSeed": "7", "Config": json.dumps(CONFIG)}))
 
     def broken(*_: object) -> None:
         raise IndexError("index\nout of range")
 
-    monkeypatch.setattr(host.routers["1"], "handle", broken)
+    monkeypatch.setattr(host.instances["1"].router, "handle", broken)
     assert host.decide("1", ClientDisconnected("q"), 1.0) == [
         "EXCEPTION I=1 What=IndexError: index out of range"
     ]
