--- a/brackenlane/routing/checked_json.py
+++ b/brackenlane/routing/checked_json.py
@@ -1,4 +1,7 @@
-"""Typed access to the values of parsed JSON: what cannot be used is refused by its path and value."""
+"""Typed access to parsed JSON: a value that cannot be used is rejected with its path and itself.
+
+Pure. A path is that of a JSON value in its document, as `settings.Classes[1].TargetS`.
+"""
 
 from __future__ import annotations
 
@@ -12,64 +15,68 @@
 
 T = TypeVar("T")
 
-LARGEST = 1e12  # no figure that is given here is larger; products of a few stay finite
-LONGEST_VALUE = 80  # characters of a value that an error shows
+LARGEST_NUMBER = 1e12  # no figure of a settings object is larger; products of a few stay finite
+LONGEST_EXCERPT = 80  # characters of a value that an error shows
 
 
 class SettingsError(RoutingError, ValueError):
-    """A setting that cannot be used; the text names its path and its value, in one line."""
+    """A value of a settings object cannot be used; the text names its path and the value, in one line."""
 
     def __init__(self, path: str, fault: str, *value: object) -> None:
-        """value: what stands at the path; none where nothing does."""
+        """path: of the value; fault: what is wrong; value: what was found, omitted where nothing was."""
         self.path = path
-        super().__init__(": ".join([path, *map(_shown, value), fault]))
+        super().__init__(": ".join([path, *map(_excerpt, value), fault]))
 
 
-def _shown(value: object) -> str:
-    """A value as JSON text, cut to a bounded length."""
+def _excerpt(value: object) -> str:
+    """Return a value as JSON text, cut to a bounded length."""
     try:
         text = json.dumps(value)
     except (TypeError, ValueError, RecursionError):
         text = type(value).__name__
-    return text if len(text) <= LONGEST_VALUE else f"{text[:LONGEST_VALUE]}..."
+    return text if len(text) <= LONGEST_EXCERPT else f"{text[:LONGEST_EXCERPT]}..."
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The range of a number."""
-
-    least: float = 0.0
-    most: float = LARGEST
-    above: bool = False  # whether `least` itself is out of range
-
-    def fault(self, value: float) -> str | None:
-        """What is wrong with a value; None where nothing is."""
-        if value <= 0 < self.least < 1 or (self.above and value <= self.least):
-            return f"must be above {min(0.0, self.least):g}"
-        if value < self.least:
-            return f"must be at least {self.least:g}"
-        if value > self.most:
-            return f"must be at most {self.most:g}"
+    """The range of a number, both ends in it unless said otherwise."""
+
+    minimum: float = 0.0
+    maximum: float = LARGEST_NUMBER
+    excludes_minimum: bool = False
+
+    def violation(self, value: float) -> str | None:
+        """Return what is wrong with a value; None where it is in range."""
+        # A small positive minimum stands for "any positive number": to 0 it is reported as such.
+        if value <= 0 < self.minimum < 1:
+            return "must be above 0"
+        if self.excludes_minimum and value <= self.minimum:
+            return f"must be above {self.minimum:g}"
+        if value < self.minimum:
+            return f"must be at least {self.minimum:g}"
+        if value > self.maximum:
+            return f"must be at most {self.maximum:g}"
         return None
 
 
 NOT_NEGATIVE = Bounds()
-ABOVE_ZERO = Bounds(above=True)
+ABOVE_ZERO = Bounds(excludes_minimum=True)
 
 
 def read_number(value: object, path: str, bounds: Bounds = NOT_NEGATIVE) -> float:
-    """A finite number within bounds; a truth value is none."""
+    """Return a finite number within bounds; a boolean is none."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise SettingsError(path, "must be a number", value)
     if isinstance(value, float) and not math.isfinite(value):
         raise SettingsError(path, "must be a finite number", value)
-    if fault := bounds.fault(value):
-        raise SettingsError(path, fault, value)
+    violation = bounds.violation(value)
+    if violation:
+        raise SettingsError(path, violation, value)
     return value
 
 
 def read_integer(value: object, path: str, bounds: Bounds = NOT_NEGATIVE) -> int:
-    """A whole number within bounds; 2.0 is one, since JSON does not tell it from 2."""
+    """Return a whole number within bounds; 2.0 is one: JSON does not distinguish it from 2 (RFC 8259)."""
     number = read_number(value, path, bounds)
     if number != int(number):
         raise SettingsError(path, "must be a whole number", value)
@@ -77,45 +84,48 @@
 
 
 def read_flag(value: object, path: str) -> bool:
-    """A truth value; 0 and 1 are none."""
+    """Return a boolean; 0 and 1 are none."""
     if not isinstance(value, bool):
         raise SettingsError(path, "must be true or false", value)
     return value
 
 
 def read_text(value: object, path: str) -> str:
-    """Text that is not empty."""
+    """Return text that is not empty."""
     if not isinstance(value, str) or not value:
         raise SettingsError(path, "must be text that is not empty", value)
     return value
 
 
 def read_items(value: object, path: str, read: Callable[[object, str], T]) -> tuple[T, ...]:
-    """A list whose every value one function can read."""
+    """Return a list, each item as `read` returns it for the item and its path."""
     if not isinstance(value, (list, tuple)):
         raise SettingsError(path, "must be a list", value)
-    return tuple(read(item, f"{path}[{place}]") for place, item in enumerate(value))
+    return tuple(read(item, f"{path}[{index}]") for index, item in enumerate(value))
 
 
 def read_names(value: object, path: str) -> tuple[str, ...]:
-    """A list of names, each of which stands there once."""
+    """Return a list of names that differ from each other."""
     names = read_items(value, path, read_text)
-    for place in repeats(names):
-        raise SettingsError(f"{path}[{place}]", "stands twice", names[place])
+    for index in duplicate_indexes(names):
+        raise SettingsError(f"{path}[{index}]", "stands twice", names[index])
     return names
 
 
-def repeats(names: Iterable[str]) -> Iterator[int]:
-    """The places of names that stand further ahead as well."""
+def duplicate_indexes(names: Iterable[str]) -> Iterator[int]:
+    """Yield the index of each name that an earlier one equals."""
     seen: set[str] = set()
-    for place, name in enumerate(names):
+    for index, name in enumerate(names):
         if name in seen:
-            yield place
+            yield index
         seen.add(name)
 
 
 class Section:
-    """One JSON object. Keys that nobody asks for are skipped."""
+    """A JSON object and its path. Keys that are never read are ignored.
+
+    All methods that read a value raise SettingsError where it cannot be used.
+    """
 
     def __init__(self, value: object, path: str) -> None:
         if not isinstance(value, dict):
@@ -123,59 +133,59 @@
         self.path = path
         self._values: dict[str, Any] = value
 
-    def path_of(self, name: str) -> str:
-        """The path of a key."""
-        return f"{self.path}.{name}"
+    def path_of(self, key: str) -> str:
+        """Return the path of a key."""
+        return f"{self.path}.{key}"
 
-    def required(self, name: str) -> object:
-        """The value of a key that must be there."""
-        if name not in self._values:
-            raise SettingsError(self.path_of(name), "missing")
-        return self._values[name]
+    def required(self, key: str) -> object:
+        """Return the value of a key that must be present."""
+        if key not in self._values:
+            raise SettingsError(self.path_of(key), "missing")
+        return self._values[key]
 
-    def section(self, name: str) -> Section:
-        """The object of a key; an empty one where the key is absent."""
-        return Section(self._values.get(name, {}), self.path_of(name))
+    def section(self, key: str) -> Section:
+        """Return the object of a key; an empty one where the key is absent."""
+        return Section(self._values.get(key, {}), self.path_of(key))
 
-    def number(self, name: str, absent: float | None = None, bounds: Bounds = NOT_NEGATIVE) -> float:
-        """The number of a key; absent: what counts where there is none (None: it must be there)."""
-        if absent is not None and name not in self._values:
-            return absent
-        return read_number(self.required(name), self.path_of(name), bounds)
+    def number(self, key: str, default: float | None = None, bounds: Bounds = NOT_NEGATIVE) -> float:
+        """Return the number of a key; default: where the key is absent (None: it must be present)."""
+        if default is not None and key not in self._values:
+            return default
+        return read_number(self.required(key), self.path_of(key), bounds)
 
-    def integer(self, name: str, absent: int, bounds: Bounds = NOT_NEGATIVE) -> int:
-        """The whole number of a key."""
-        return read_integer(self._values.get(name, absent), self.path_of(name), bounds)
+    def integer(self, key: str, default: int, bounds: Bounds = NOT_NEGATIVE) -> int:
+        """Return the whole number of a key."""
+        return read_integer(self._values.get(key, default), self.path_of(key), bounds)
 
-    def flag(self, name: str) -> bool:
-        """The truth value of a key; false where the key is absent."""
-        return read_flag(self._values.get(name, False), self.path_of(name))
+    def flag(self, key: str) -> bool:
+        """Return the boolean of a key; False where the key is absent."""
+        return read_flag(self._values.get(key, False), self.path_of(key))
 
-    def text(self, name: str) -> str:
-        """The text of a key that must be there."""
-        return read_text(self.required(name), self.path_of(name))
+    def text(self, key: str) -> str:
+        """Return the text of a key that must be present."""
+        return read_text(self.required(key), self.path_of(key))
 
-    def names(self, name: str) -> tuple[str, ...]:
-        """The names of a key; none where the key is absent."""
-        return read_names(self._values.get(name, ()), self.path_of(name))
+    def names(self, key: str) -> tuple[str, ...]:
+        """Return the names of a key; none where the key is absent."""
+        return read_names(self._values.get(key, ()), self.path_of(key))
 
-    def items(self, name: str, read: Callable[[object, str], T]) -> tuple[T, ...]:
-        """The list of a key; an empty one where the key is absent."""
-        return read_items(self._values.get(name, ()), self.path_of(name), read)
+    def items(self, key: str, read: Callable[[object, str], T]) -> tuple[T, ...]:
+        """Return the list of a key, each item read by `read`; an empty one where the key is absent."""
+        return read_items(self._values.get(key, ()), self.path_of(key), read)
 
     def items_for_each(
-        self, name: str, read: Callable[[object, str], T], count: int, owner: str
+        self, key: str, read: Callable[[object, str], T], count: int, owner: str
     ) -> tuple[T, ...]:
-        """The list of a key with one value for each of `count` owners; empty where none is told."""
-        found = self.items(name, read)
-        if found and len(found) != count:
+        """Return a list that has one item for each of `count` owners, or none where it is absent or empty."""
+        items = self.items(key, read)
+        if items and len(items) != count:
             fault = f"{count} values are needed, one for each of {owner}"
-            raise SettingsError(self.path_of(name), fault, self._values[name])
-        return found
-
-    def word(self, name: str, arguments: Mapping[str, T], absent: str) -> T:
-        """What the word of a key stands for, out of those that are allowed."""
-        value = self._values.get(name, absent)
-        if not isinstance(value, str) or value not in arguments:
-            raise SettingsError(self.path_of(name), f"must be one of {', '.join(arguments)}", value)
-        return arguments[value]
+            raise SettingsError(self.path_of(key), fault, self._values[key])
+        return items
+
+    def word(self, key: str, meanings: Mapping[str, T], default: str) -> T:
+        """Return the meaning of a key's word; default: the word where the key is absent."""
+        word = self._values.get(key, default)
+        if not isinstance(word, str) or word not in meanings:
+            raise SettingsError(self.path_of(key), f"must be one of {', '.join(meanings)}", word)
+        return meanings[word]
--- a/brackenlane/routing/load_report.py
+++ b/brackenlane/routing/load_report.py
@@ -1,7 +1,7 @@
-"""Load reports of servers, as name:value pairs; an entry that cannot be used is skipped.
+"""Codec of servers' load reports: `name:value` entries in one text; an entry that cannot be used is skipped.
 
-A report is a hint that comes late and noisy: a fault in one must cost neither the answer that carries it nor
-the process that reads it.
+Pure. A report is a hint that comes late and noisy: a fault in one must cost neither the answer that carries
+it nor the process that reads it. So nothing here raises.
 """
 
 from __future__ import annotations
@@ -14,16 +14,24 @@
 
 
 def read_load_report(text: str, separator: str) -> tuple[tuple[str, float], ...]:
-    """The known values of a report that are finite, not negative and not absurdly large."""
-    pairs = (entry.partition(":") for entry in text.split(separator))
-    known = ((name, _read_value(value)) for name, _, value in pairs if name in NAMES)
-    return tuple((name, value) for name, value in known if not NOT_NEGATIVE.fault(value))
+    """Return name and value of each usable entry, in the report's order.
 
+    Usable: a known name, and a number from 0 to `checked_json.LARGEST_NUMBER`.
+    """
+    usable: list[tuple[str, float]] = []
+    for entry in text.split(separator):
+        name, _, number = entry.partition(":")
+        value = _read_value(number) if name in NAMES else None
+        if value is not None:
+            usable.append((name, value))
+    return tuple(usable)
 
-def _read_value(text: str) -> float:
-    """The number that a text stands for; infinity, which no report can mean, where it is none."""
+
+def _read_value(text: str) -> float | None:
     try:
         value = float(text)
     except ValueError:
-        return math.inf
-    return math.inf if math.isnan(value) else value
+        return None
+    if math.isnan(value) or NOT_NEGATIVE.violation(value):
+        return None
+    return value
--- a/brackenlane/routing/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -1,12 +1,15 @@
-"""The settings object of the simulator and the platform, read into `Settings`.
+"""Codec of the settings object that the simulator and the platform give: parsed JSON to `Settings`.
 
-Every value that is used is checked for its type and range; one that cannot be used is a `SettingsError`, the
-first that is met. Keys and load report names that are not known are skipped: newer sites may send them.
+Pure. The keys and words of the object stand here and nowhere else in the package. Every value that is used is
+checked for its type and range; SettingsError reports the first that cannot be used. Unknown keys and names of
+load report fields are ignored: newer sites may send them.
+Source: the simulator's page WIRE-brackenlane, "Settings".
 """
 
 from __future__ import annotations
 
-from dataclasses import replace
+from dataclasses import dataclass, replace
+from typing import TypeVar
 
 from brackenlane.routing.checked_json import (
     ABOVE_ZERO,
@@ -14,12 +17,12 @@
     Bounds,
     Section,
     SettingsError,
+    duplicate_indexes,
     read_flag,
+    read_integer,
     read_names,
     read_number,
     read_text,
-    read_integer,
-    repeats,
 )
 from brackenlane.routing.members import Role
 from brackenlane.routing.settings import (
@@ -32,41 +35,81 @@
     SlowStart,
 )
 
-EFFECTS = {
+T = TypeVar("T")
+
+IDEMPOTENCY_WORDS = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.IDEMPOTENT_WITH_KEY,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
-SCOPES = {scope.value: scope for scope in Scope}
-SIBLINGS = {"silent": SiblingSources.NONE, "location": SiblingSources.LOCATION, "any": SiblingSources.ANY}
-NOTES = {notes.value: notes for notes in CacheStatusReporting}
-REPORT_WAYS = {command: command for command in ("piggyback", "pull", "silent")}
-WEIGHT_REPORTING = {"silent": False, "nominal": True, "rough": True, "live": True}
-DISCOVERY_MODES = {"push": False, "ask": True}
-
-ROOT = "settings"
-INSTANT = 1e-6  # seconds: the clock counts microseconds
-LONGEST = 1e6  # seconds for which a timer is set, at most: an epoll wait takes 2**31 ms
-WAIT = Bounds(most=LONGEST)
-SPAN = Bounds(INSTANT, LONGEST)
-AIM = Bounds(INSTANT)
-COUNT = Bounds(1)
-NO_KIND = -1  # at the place of a machine kind: there is none
-KIND = Bounds(NO_KIND)
-NO_HUB = -1  # of a location, where there are no parents
-SHARE = Bounds(most=1.0, above=True)
-LEAST_PACE = 1e-3  # KB a second, where a pace is told
+SCOPE_WORDS = {scope.value: scope for scope in Scope}
+SIBLING_SOURCE_WORDS = {
+    "silent": SiblingSources.NONE,
+    "location": SiblingSources.LOCATION,
+    "any": SiblingSources.ANY,
+}
+STATUS_REPORTING_WORDS = {reporting.value: reporting for reporting in CacheStatusReporting}
+LOAD_REPORTING_WORDS = {word: word for word in ("piggyback", "pull", "silent")}
+WEIGHTS_KNOWN_WORDS = {"silent": False, "nominal": True, "rough": True, "live": True}
+MUST_SUBSCRIBE_WORDS = {"push": False, "ask": True}
+
+ROOT = "settings"  # the first part of every path
+SHORTEST_TIME = 1e-6  # seconds: the clock counts microseconds
+LONGEST_TIMER = 1e6  # seconds; epoll_wait takes at most 2**31 ms
+SLOWEST_PACE = 1e-3  # KB per second
+ABSENT_INDEX = -1  # in place of an index: there is no such machine kind, or no hub
+
+TIMEOUT_BOUNDS = Bounds(maximum=LONGEST_TIMER)  # seconds
+TIMER_BOUNDS = Bounds(SHORTEST_TIME, LONGEST_TIMER)  # seconds
+OBJECTIVE_BOUNDS = Bounds(SHORTEST_TIME)  # seconds
+COUNT_BOUNDS = Bounds(1)
+OPTIONAL_INDEX_BOUNDS = Bounds(ABSENT_INDEX)
+SHARE_BOUNDS = Bounds(maximum=1.0, excludes_minimum=True)
+
+
+@dataclass(frozen=True, slots=True)
+class _Sections:
+    """The objects in a settings object from which most values come."""
+
+    root: Section
+    family: Section
+    limits: Section
+    guarantees: Section
 
 
 def read_settings(raw: object) -> Settings:
-    """The settings of one instance, from its parsed JSON object."""
+    """Return the settings of one router from parsed JSON; SettingsError where a value cannot be used."""
     root = Section(raw, ROOT)
-    family, limits, rules = root.section("FamilyInfo"), root.section("Limits"), root.section("Guarantees")
+    sections = _Sections(root, root.section("FamilyInfo"), root.section("Limits"), root.section("Guarantees"))
     locations = read_names(root.required("Dcs"), root.path_of("Dcs"))
-    _check_report(root.section("Report"))  # which values come is seen in the reports themselves
+    _check_load_reporting(root.section("Report"))
     kind_roles(raw)  # checked here, so that no caller can miss a fault in them
-    edge_cold, parent_cold = _read_cold_starts(rules, family)
-    router_count = root.integer("NInstances", 1, COUNT)
+    return _build_settings(sections, locations)
+
+
+def kind_names(raw: object) -> tuple[str, ...]:
+    """Return the names of the machine kinds, in the order in which other settings count them."""
+    return Section(raw, ROOT).names("Skus")
+
+
+def kind_roles(raw: object) -> dict[str, Role]:
+    """Return the role of the machine kinds that are parents or the origin; all others are edge caches."""
+    kinds = kind_names(raw)
+    family = Section(raw, ROOT).section("FamilyInfo")
+    parent = _read_kind(family, "SecondTierKind", len(kinds))
+    origin = _read_kind(family, "StoreKind", len(kinds))
+    if origin == parent != ABSENT_INDEX:
+        raise SettingsError(family.path_of("StoreKind"), "is the kind of the parents as well", origin)
+    roles = {parent: Role.PARENT, origin: Role.ORIGIN}
+    return {kinds[index]: role for index, role in roles.items() if index != ABSENT_INDEX}
+
+
+def _build_settings(sections: _Sections, locations: tuple[str, ...]) -> Settings:
+    root = sections.root
+    family = sections.family
+    limits = sections.limits
+    slow_starts = _read_slow_starts(sections.guarantees, family)
+    router_count = root.integer("NInstances", 1, COUNT_BOUNDS)
     return Settings(
         location=_read_location(root, locations),
         locations=locations,
@@ -77,18 +120,18 @@
         routers_by_location=family.items_for_each("SeatsByZone", read_integer, len(locations), "Dcs"),
         link_kb_per_s=family.items_for_each("PipeKbPerS", read_number, len(locations), "Dcs"),
         pace_kb_per_s=_read_pace(family),
-        edge_cold=edge_cold,
-        parent_cold=parent_cold,
-        tick=root.number("QuantumS", 0.001, SPAN),
-        answer_slack=rules.number("AnswerSlackS", 0.0, WAIT),
-        connect_timeout=limits.number("DialTimeoutS", 1.0, WAIT),
-        keepalive=limits.number("KeepaliveS", 0.0, WAIT),
-        streams=limits.integer("StreamsPerConn", 100, COUNT),
+        edge_cold=slow_starts.edge,
+        parent_cold=slow_starts.parent,
+        tick=root.number("QuantumS", 0.001, TIMER_BOUNDS),
+        answer_slack=sections.guarantees.number("AnswerSlackS", 0.0, TIMEOUT_BOUNDS),
+        connect_timeout=limits.number("DialTimeoutS", 1.0, TIMEOUT_BOUNDS),
+        keepalive=limits.number("KeepaliveS", 0.0, TIMEOUT_BOUNDS),
+        streams=limits.integer("StreamsPerConn", 100, COUNT_BOUNDS),
         purge_propagation_time=family.number("GoneEverywhereS", 0.0),
-        max_attempts=limits.integer("MaxAttempts", 1, COUNT),
-        max_hold_off=_read_hold_off(limits),
-        weights_known=root.word("Weights", WEIGHT_REPORTING, absent="nominal"),
-        must_subscribe=root.word("Discovery", DISCOVERY_MODES, absent="push"),
+        max_attempts=limits.integer("MaxAttempts", 1, COUNT_BOUNDS),
+        max_hold_off=_read_max_hold_off(limits),
+        weights_known=root.word("Weights", WEIGHTS_KNOWN_WORDS, default="nominal"),
+        must_subscribe=root.word("Discovery", MUST_SUBSCRIBE_WORDS, default="push"),
         may_cancel=limits.flag("Cancel"),
         may_probe=limits.flag("MayProbe"),
         probe_price=root.section("Prices").number("Probe", 0.0),
@@ -96,37 +139,20 @@
         may_hedge=limits.flag("SecondCopies"),
         may_bypass_caches=family.flag("BypassAllowed"),
         may_join_fills=family.flag("SharesFills"),
-        status_reporting=family.word("Says", NOTES, absent="all"),
-        sibling_sources=family.word("PeersFill", SIBLINGS, absent="silent"),
+        status_reporting=family.word("Says", STATUS_REPORTING_WORDS, default="all"),
+        sibling_sources=family.word("PeersFill", SIBLING_SOURCE_WORDS, default="silent"),
     )
 
 
-def kind_names(raw: object) -> tuple[str, ...]:
-    """The names of the machine kinds, in the order in which the list of servers counts them."""
-    return Section(raw, ROOT).names("Skus")
-
-
-def kind_roles(raw: object) -> dict[str, Role]:
-    """Which machine kinds are parents and the origin; all others are edge caches."""
-    kinds, family = kind_names(raw), Section(raw, ROOT).section("FamilyInfo")
-    parent = _read_kind(family, "SecondTierKind", len(kinds))
-    origin = _read_kind(family, "StoreKind", len(kinds))
-    if origin == parent != NO_KIND:
-        raise SettingsError(family.path_of("StoreKind"), "is the kind of the parents as well", origin)
-    roles = {parent: Role.PARENT, origin: Role.ORIGIN}
-    return {kinds[place]: role for place, role in roles.items() if place != NO_KIND}
-
-
-def _read_kind(family: Section, name: str, count: int) -> int:
-    """The place of a machine kind among the names of all."""
-    place = family.integer(name, NO_KIND, KIND)
-    if place >= count:
-        raise SettingsError(family.path_of(name), "no place in Skus", place)
-    return place
+def _read_kind(family: Section, key: str, count: int) -> int:
+    """Return the index of a machine kind among `count`; ABSENT_INDEX where there is none."""
+    index = family.integer(key, ABSENT_INDEX, OPTIONAL_INDEX_BOUNDS)
+    if index >= count:
+        raise SettingsError(family.path_of(key), "no place in Skus", index)
+    return index
 
 
 def _read_location(root: Section, locations: tuple[str, ...]) -> str:
-    """The instance's own location."""
     location = root.text("Locality")
     if location not in locations:
         raise SettingsError(root.path_of("Locality"), "not among Dcs", location)
@@ -134,121 +160,138 @@
 
 
 def _read_router_index(root: Section, router_count: int) -> int:
-    """The instance's number among all."""
-    number = root.integer("Me", 0)
-    if number >= router_count:
-        raise SettingsError(root.path_of("Me"), f"must be below NInstances, {router_count}", number)
-    return number
+    index = root.integer("Me", 0)
+    if index >= router_count:
+        raise SettingsError(root.path_of("Me"), f"must be below NInstances, {router_count}", index)
+    return index
 
 
 def _has_parents(family: Section) -> bool:
-    """Whether some machine kind is that of parents."""
-    return family.integer("SecondTierKind", NO_KIND, KIND) != NO_KIND
+    return family.integer("SecondTierKind", ABSENT_INDEX, OPTIONAL_INDEX_BOUNDS) != ABSENT_INDEX
 
 
-def _read_hubs(family: Section, locations: int) -> tuple[int, ...]:
-    """The hub of each location; empty where there are no parents, since these are what stands in hubs."""
-    parents = _has_parents(family)
+def _read_hubs(family: Section, location_count: int) -> tuple[int, ...]:
+    """Return the index of each location's hub; none where there are no parents, which are what hubs hold."""
+    has_parents = _has_parents(family)
 
     def read_hub(value: object, path: str) -> int:
-        hub = read_integer(value, path, NOT_NEGATIVE if parents else Bounds(NO_HUB))
-        if hub >= locations:
+        hub = read_integer(value, path, NOT_NEGATIVE if has_parents else OPTIONAL_INDEX_BOUNDS)
+        if hub >= location_count:
             raise SettingsError(path, "no place in Dcs", hub)
         return hub
 
-    hubs = family.items_for_each("HubByZone", read_hub, locations, "Dcs")
-    return hubs if parents else ()
+    hubs = family.items_for_each("HubByZone", read_hub, location_count, "Dcs")
+    return hubs if has_parents else ()
 
 
 def _read_pace(family: Section) -> float:
-    """The top pace of one answer, KB a second; 0 where it is not told."""
+    """Return the highest pace of one answer, in KB per second; 0 where it is unknown."""
     pace = family.number("PaceKbPerS", 0.0)
-    if 0 < pace < LEAST_PACE:
-        raise SettingsError(family.path_of("PaceKbPerS"), f"must be 0 or at least {LEAST_PACE:g}", pace)
+    if 0 < pace < SLOWEST_PACE:
+        raise SettingsError(family.path_of("PaceKbPerS"), f"must be 0 or at least {SLOWEST_PACE:g}", pace)
     return pace
 
 
-def _read_hold_off(limits: Section) -> float:
-    """The longest time for which clients stay away when told; 0 where they are not told."""
-    longest = limits.number("MaxRetryAfterS", 0.0, WAIT)
+def _read_max_hold_off(limits: Section) -> float:
+    """Return the longest Retry-After that clients heed, in seconds; 0 where they receive none."""
+    longest = limits.number("MaxRetryAfterS", 0.0, TIMEOUT_BOUNDS)
     return longest if limits.flag("RetryAfter") else 0.0
 
 
-def _read_cold_starts(rules: Section, family: Section) -> tuple[SlowStart, SlowStart]:
-    """The rules for caches and for parents that started lately; a parent's are the cache's where not told."""
-    edge_ramp = rules.number("RampTimeS", 0.0)
+@dataclass(frozen=True, slots=True)
+class _SlowStarts:
+    """The slow-start rules of one site."""
+
+    edge: SlowStart
+    parent: SlowStart
+
+
+def _read_slow_starts(guarantees: Section, family: Section) -> _SlowStarts:
+    """Read the rules of edge caches and of parents; a figure that parents lack is that of the edge caches."""
+    edge_ramp = guarantees.number("RampTimeS", 0.0)
     parent_ramp = family.number("UpperColdS", edge_ramp)
     if not _has_parents(family):
         parent_ramp = 0.0
-    span = rules.number("OverloadForS", 1.0, _cold_bounds(max(edge_ramp, parent_ramp), ABOVE_ZERO)) or 1.0
+    longest_ramp = max(edge_ramp, parent_ramp)
+    span = _read_slow_start_figure(guarantees, "OverloadForS", 1.0, longest_ramp, ABOVE_ZERO)
     edge = SlowStart(
-        rules.number("ColdFrom", 1.0, _cold_bounds(edge_ramp, SHARE)) or 1.0,
-        edge_ramp,
-        rules.number("OverloadFactor", 1.0, _cold_bounds(edge_ramp, ABOVE_ZERO)) or 1.0,
-        span,
+        share=_read_slow_start_figure(guarantees, "ColdFrom", 1.0, edge_ramp, SHARE_BOUNDS),
+        ramp=edge_ramp,
+        factor=_read_slow_start_figure(guarantees, "OverloadFactor", 1.0, edge_ramp, ABOVE_ZERO),
+        span=span,
     )
     parent = SlowStart(
-        family.number("ParentStartsAt", edge.share, _cold_bounds(parent_ramp, SHARE)) or 1.0,
-        parent_ramp,
-        family.number("ParentFallMultiple", edge.factor, _cold_bounds(parent_ramp, ABOVE_ZERO)) or 1.0,
-        span,
+        share=_read_slow_start_figure(family, "ParentStartsAt", edge.share, parent_ramp, SHARE_BOUNDS),
+        ramp=parent_ramp,
+        factor=_read_slow_start_figure(family, "ParentFallMultiple", edge.factor, parent_ramp, ABOVE_ZERO),
+        span=span,
     )
-    return edge, parent
+    return _SlowStarts(edge, parent)
+
 
+def _read_slow_start_figure(section: Section, key: str, default: float, ramp: float, bounds: Bounds) -> float:
+    """Return a figure of a rule with this ramp (seconds).
 
-def _cold_bounds(ramp: float, bounds: Bounds) -> Bounds:
-    """The bounds of a cold start's figure: a ramp of 0 means that nothing is ever cold, and 0 is no fault."""
-    return bounds if ramp else replace(bounds, above=False)
+    With a ramp of 0 nothing ever warms up: a figure of 0 is then allowed, and replaced by 1.
+    """
+    if not ramp:
+        bounds = replace(bounds, excludes_minimum=False)
+    return section.number(key, default, bounds) or 1.0
 
 
-def _check_report(report: Section) -> None:
-    """Which load reports come, and how; the names of their values may be new ones."""
-    report.word("How", REPORT_WAYS, absent="silent")
+def _check_load_reporting(report: Section) -> None:
+    """Check how load reports are sent; which values come is seen in the reports themselves."""
+    report.word("How", LOAD_REPORTING_WORDS, default="silent")
     report.items("Fields", read_text)
 
 
 class _ClassTables:
-    """What the family tells of each class by its place: one list for each property."""
+    """Lists of the family's section that have one value for each request class, by the class's index."""
 
-    def __init__(self, family: Section, count: int) -> None:
+    def __init__(self, family: Section, class_count: int) -> None:
         owner = "Classes"
-        self._fresh = family.items_for_each("FreshForS", read_number, count, owner)
-        self._grace = family.items_for_each("GraceForS", read_number, count, owner)
-        self._stale_worth = family.items_for_each("ClassStaleWorth", read_number, count, owner)
-        self._in_parts = family.items_for_each("ClassParts", read_flag, count, owner)
-        self._uncached = family.items_for_each("Uncached", read_flag, count, owner)
-
-    def read(self, raw: Section, place: int) -> RequestClass:
-        """The class at a place."""
-        give_up = raw.number("GiveUpS", bounds=SPAN)
+        self._fresh_for = family.items_for_each("FreshForS", read_number, class_count, owner)
+        self._grace = family.items_for_each("GraceForS", read_number, class_count, owner)
+        self._stale_value = family.items_for_each("ClassStaleWorth", read_number, class_count, owner)
+        self._in_parts = family.items_for_each("ClassParts", read_flag, class_count, owner)
+        self._uncached = family.items_for_each("Uncached", read_flag, class_count, owner)
+
+    def read_class(self, raw: Section, index: int) -> RequestClass:
+        """Return the class of an index from its own section and from these lists."""
+        time_limit = raw.number("GiveUpS", bounds=TIMER_BOUNDS)
         return RequestClass(
             name=raw.text("Name"),
-            # An answer after the deadline reaches nobody, so an aim beyond it is the deadline.
-            latency_objective=min(raw.number("TargetS", bounds=AIM), give_up),
-            time_limit=give_up,
+            # An answer after the time limit reaches nobody, so an objective beyond it is the limit.
+            latency_objective=min(raw.number("TargetS", bounds=OBJECTIVE_BOUNDS), time_limit),
+            time_limit=time_limit,
             objective_stretch=raw.number("AimStretch", 0.0),
             value_weight=raw.number("Worth", 1.0),
             late_value=raw.number("LateValue", 0.0),
-            idempotency=raw.word("Effect", EFFECTS, absent="retryable"),
-            scope=raw.word("Group", SCOPES, absent="all"),
+            idempotency=raw.word("Effect", IDEMPOTENCY_WORDS, default="retryable"),
+            scope=raw.word("Group", SCOPE_WORDS, default="all"),
             repeat_window=raw.number("WindowS", 0.0),
-            fresh_for=self._fresh[place] if self._fresh else 0.0,
-            grace=self._grace[place] if self._grace else 0.0,
-            stale_value=self._stale_worth[place] if self._stale_worth else 0.0,
-            in_parts=self._in_parts[place] if self._in_parts else False,
-            uncached=self._uncached[place] if self._uncached else False,
+            fresh_for=_item_or(self._fresh_for, index, 0.0),
+            grace=_item_or(self._grace, index, 0.0),
+            stale_value=_item_or(self._stale_value, index, 0.0),
+            in_parts=_item_or(self._in_parts, index, False),
+            uncached=_item_or(self._uncached, index, False),
         )
 
 
+def _item_or(items: tuple[T, ...], index: int, default: T) -> T:
+    """Return an item; the default where the list is absent."""
+    return items[index] if items else default
+
+
 def _read_classes(root: Section, family: Section) -> tuple[RequestClass, ...]:
-    """The classes of requests, with what the family's lists tell of them."""
+    """Return the request classes, one at least, with names that differ."""
     path = root.path_of("Classes")
     root.required("Classes")
     sections = root.items("Classes", Section)
     if not sections:
         raise SettingsError(path, "one or more classes are needed", [])
     tables = _ClassTables(family, len(sections))
-    classes = tuple(tables.read(section, place) for place, section in enumerate(sections))
-    for place in repeats(cls.name for cls in classes):
-        raise SettingsError(f"{path}[{place}].Name", "stands twice", classes[place].name)
+    classes = tuple(tables.read_class(section, index) for index, section in enumerate(sections))
+    for index in duplicate_indexes(cls.name for cls in classes):
+        raise SettingsError(f"{path}[{index}].Name", "stands twice", classes[index].name)
     return classes
--- a/brackenlane/routing/simulator_codec.py
+++ b/brackenlane/routing/simulator_codec.py
@@ -1,8 +1,8 @@
 """Codec of the simulator's wire: lines of text to a router's events, a router's actions to lines.
 
 Pure. The words of the wire stand here and nowhere else in the package. A line is a name and `key=value`
-fields, separated by single spaces; lines between `MARK` and `COMMIT` are one batch. Times and durations are in
-seconds. Source: the simulator's page WIRE-brackenlane.
+fields, separated by single spaces; lines between `MARK` and `COMMIT` are one batch. Times and durations are
+in seconds. Source: the simulator's page WIRE-brackenlane.
 """
 
 from __future__ import annotations
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -18,7 +18,7 @@
 from brackenlane.config import ConfigError, parse
 from brackenlane.limits import Limits
 from brackenlane.routing.actions import Action, Fetch, SetTimer
-from brackenlane.routing.checked_json import LONGEST_VALUE, SettingsError
+from brackenlane.routing.checked_json import LONGEST_EXCERPT, SettingsError
 from brackenlane.routing.events import (
     Arrival,
     AttemptResult,
@@ -284,7 +284,7 @@
     """However large or odd a value is, its fault is one short line that any terminal can print."""
     with pytest.raises(SettingsError) as fault:
         read_settings(changed(WITH_HUBS, (("Weights",), value)))
-    assert len(str(fault.value)) < 2 * LONGEST_VALUE + 20
+    assert len(str(fault.value)) < 2 * LONGEST_EXCERPT + 20
     assert str(fault.value).isascii() and str(fault.value).isprintable()
 
 
