--- a/brackenlane/routing/actions.py
+++ b/brackenlane/routing/actions.py
@@ -1,4 +1,4 @@
-"""What a Router asks for: attempts, final answers, cancellations, timers. Times are in seconds."""
+"""What a Router decides: attempts, final answers, cancellations, timers. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,38 +7,43 @@
 
 
 class Action:
-    """Anything that a Router asks for."""
+    """Base class of all that a Router may decide."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Fetch(Action):
-    """An attempt: get the object from a server, a miss being filled from source (itself: not filled)."""
+    """Make an attempt: get the object from a server, which fills a cache miss from a source.
+
+    The attempts of a request are numbered from 0 in the order of these actions.
+    """
 
     request_id: str
-    server: str
-    timeout: float
-    source: str
-    keep: int = 1
-    max_age: float = 0.0
-    join: bool = False
-    revalidate: bool = False
-    only_if_cached: bool = False  # the source gives only what it holds
-    until: float = math.inf  # when its first byte may go out last: a repeat's window ends
+    server: str  # Member.server of the one that is sent the request
+    timeout: float  # seconds
+    source: str  # Member.server of the fill source; `server` itself: a miss is not filled
+    keep: int = 1  # retention rank of the copy: 0: not kept; the lowest rank is evicted first
+    max_age: float = 0.0  # seconds since the origin gave out the copy, at most; 0: any age
+    join: bool = False  # whether the request may join a fill in progress
+    revalidate: bool = False  # whether a copy that is about to expire is fetched anew in the background
+    only_if_cached: bool = False  # whether the source gives only what it holds (RFC 9111, 5.2.1.7)
+    until: float = math.inf  # Unix seconds: when its first byte may be written last
 
 
 @dataclass(slots=True, frozen=True)
 class Reject(Action):
-    """Final answer: turned away, a retry does no harm; come back after hold_off."""
+    """Answer finally that the request was not run; the client may retry it."""
 
     request_id: str
-    hold_off: float = 0.0
+    hold_off: float = (
+        0.0  # seconds for which the client is to wait (Retry-After: RFC 9110, 10.2.3); 0: unsaid
+    )
 
 
 @dataclass(slots=True, frozen=True)
 class Fail(Action):
-    """Final answer: failed, nothing promised."""
+    """Answer finally that the request failed; it may have run."""
 
     request_id: str
 
@@ -48,17 +53,17 @@
     """Stop waiting for one attempt."""
 
     request_id: str
-    attempt: int
+    attempt: int  # its number, from 0
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer(Action):
-    """Wake this router at a time."""
+    """Set a timer, which comes back as TimerFired."""
 
-    token: int
-    at: float
+    token: int  # its identity
+    at: float  # Unix seconds
 
 
 @dataclass(slots=True, frozen=True)
 class Subscribe(Action):
-    """Ask discovery for all changes from now on."""
+    """Subscribe to all changes of discovery's list."""
--- a/brackenlane/routing/events.py
+++ b/brackenlane/routing/events.py
@@ -1,4 +1,7 @@
-"""What a Router is told: membership, requests, results of attempts, timers, purges. Times are in seconds."""
+"""What a Router is notified of: membership, requests, results of attempts, timers, purges.
+
+Times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -9,63 +12,66 @@
 
 
 class MembershipKind(Enum):
-    """What a membership event brings."""
+    """What a membership event carries."""
 
-    CHANGES = "changes"
-    FULL = "full"
-    REMEMBERED = "remembered"
-    REJECTED = "refused"
+    CHANGES = "changes"  # the members that changed
+    FULL = "full"  # the complete list
+    REMEMBERED = "remembered"  # the complete list as this router held it last; it may be stale
+    REJECTED = "refused"  # no members: a subscription failed or ended, the list stays as it was
 
 
 class AttemptResult(Enum):
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"
-    FULL = "full"
+    ERROR = "error"  # answered with an error
+    FULL = "full"  # rejected by the server, which has no place for it
     TIMEOUT = "timeout"
-    UNREACHABLE = "unreachable"
-    BROKEN = "broken"
+    UNREACHABLE = "unreachable"  # no connection
+    BROKEN = "broken"  # the connection broke after the request was sent
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
-    MISS = "miss"
+    MISS = "miss"  # not in the cache, and not to be filled
 
     @property
     def is_proven_not_run(self) -> bool:
-        """Whether this outcome proves that nothing ran."""
-        return self in (
-            AttemptResult.FULL,
-            AttemptResult.UNREACHABLE,
-            AttemptResult.NEVER_SENT,
-            AttemptResult.MISS,
-        )
+        """Whether the request has certainly not run."""
+        return self in _PROVEN_NOT_RUN
+
+
+_PROVEN_NOT_RUN = (
+    AttemptResult.FULL,
+    AttemptResult.UNREACHABLE,
+    AttemptResult.NEVER_SENT,
+    AttemptResult.MISS,
+)
 
 
 class CacheStatus(Enum):
-    """How an answer came about, where the cache tells."""
+    """How an answer came about, as far as the cache reports it; the values are the wire's codes."""
 
     UNKNOWN = 0
     HIT = 1
-    FILLED = 2
-    FILLED_BY_ORIGIN = 3
-    JOINED = 4
-    STALE = 5
+    FILLED = 2  # from a copy of the source
+    FILLED_BY_ORIGIN = 3  # the origin was asked, by the cache or by its source
+    JOINED = 4  # by a fill in progress
+    STALE = 5  # a copy past its fresh time
     SOURCE_REFUSED = 6
-    SOURCE_FAILED = 7
-    SOURCE_LACKS = 8
-    NO_PLACE = 9
-    ORIGIN_FAILED = 10
+    SOURCE_FAILED = 7  # the source was unreachable, broke off or was too slow
+    SOURCE_LACKS = 8  # the source does not hold it and was not to fetch it
+    NO_PLACE = 9  # the cache has as many fills in progress as it bears
+    ORIGIN_FAILED = 10  # behind the source
 
 
 class Event:
-    """Anything that a Router is told."""
+    """Base class of all that a Router may be notified of."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Membership(Event):
-    """A list of servers, whole or in part."""
+    """A list of servers, complete or partial."""
 
     kind: MembershipKind
     members: tuple[Member, ...] = ()
@@ -73,54 +79,54 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival(Event):
-    """A client's request; it is owed one final answer within time_left."""
+    """A client's request; it has to get exactly one final answer within `time_left`."""
 
     request_id: str
-    time_left: float
-    cls: str
-    obj: str = ""
-    part: int = 0
-    group: int = -1
-    size_kb: float = 0.0
+    time_left: float  # seconds that the client still waits
+    cls: str  # the name of its RequestClass
+    obj: str = ""  # the name of the object
+    part: int = 0  # of the object
+    group: int = -1  # of objects that are purged together; -1: none
+    size_kb: float = 0.0  # of the answer; 0: unknown
     is_write: bool = False
-    is_retry: bool = False
-    has_idempotency_key: bool = True  # by which caches drop repeats; needed in keyed classes alone
+    is_retry: bool = False  # whether the client has sent it before
+    has_idempotency_key: bool = True  # needed in classes that are IDEMPOTENT_WITH_KEY only
 
     @property
     def cache_key(self) -> str:
-        """What a copy is kept of: one part of an object."""
+        """The name of what caches keep a copy of: one part of an object."""
         return f"{self.obj}/{self.part}"
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome(Event):
-    """How one attempt ended; final is set when the request is over."""
+    """The end of one attempt."""
 
     request_id: str
-    attempt: int
-    server: str
+    attempt: int  # its number, from 0
+    server: str  # Member.server of the one that it was sent to
     result: AttemptResult
-    wait: float = 0.0
-    final: bool = False
+    wait: float = 0.0  # seconds from sending to the end
+    final: bool = False  # whether the request is over with it
     cache_status: CacheStatus = CacheStatus.UNKNOWN
-    first_byte: float = 0.0  # until the origin gave out what was fetched there for it, where that is seen
-    report: tuple[tuple[str, float], ...] = ()
-    size_kb: float = 0.0  # of what came, where it is seen; the wire of the simulator does not show it
+    first_byte: float = 0.0  # seconds until its fill's source gave the first byte, or failed; 0: unknown
+    report: tuple[tuple[str, float], ...] = ()  # load report of the server: names and values
+    size_kb: float = 0.0  # of the answer; 0: unknown, as always on the simulator's wire
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted(Event):
-    """The answer of an attempt has begun to stream; it now belongs to the client."""
+    """The answer of an attempt has begun to stream to the client: no other may be sent."""
 
     request_id: str
-    attempt: int
-    server: str
-    wait: float = 0.0
+    attempt: int  # its number, from 0
+    server: str  # Member.server of the one that it was sent to
+    wait: float = 0.0  # seconds from sending to the start
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected(Event):
-    """The client left; nothing more is owed."""
+    """The client closed its connection: its request needs no answer any more."""
 
     request_id: str
 
@@ -129,13 +135,13 @@
 class TimerFired(Event):
     """A timer has come due."""
 
-    token: int
+    token: int  # of its SetTimer
 
 
 @dataclass(slots=True, frozen=True)
 class Purged(Event):
-    """An object, or without one a whole group, was purged age seconds ago."""
+    """An object or a group of objects was purged: older copies must not be served."""
 
-    obj: str = ""
-    group: int = -1
-    age: float = 0.0
+    obj: str = ""  # empty: the whole group
+    group: int = -1  # -1: no group
+    age: float = 0.0  # seconds since the purge was made
--- a/brackenlane/routing/settings.py
+++ b/brackenlane/routing/settings.py
@@ -1,4 +1,8 @@
-"""The settings of one router and of its classes of requests. Times are in seconds."""
+"""The settings of one router and of its request classes, as records that check themselves.
+
+Durations are in seconds, rates in KB per second. A field out of its range raises
+InvalidSettingError. How they are read: settings_codec.
+"""
 
 from __future__ import annotations
 
@@ -6,69 +10,68 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from brackenlane.routing.errors import InvalidSettingError
+
+UNKNOWN_PEER_INDEX = -1
+
 
 class Idempotency(Enum):
-    """Whether a request may run more than once."""
+    """Whether a request may run more than once (RFC 9110, 9.2.2)."""
 
     IDEMPOTENT = "safe"
-    IDEMPOTENT_WITH_KEY = "keyed"
+    IDEMPOTENT_WITH_KEY = "keyed"  # servers drop a repeat that has the same idempotency key
     NON_IDEMPOTENT = "unsafe"
 
 
 class Scope(Enum):
-    """Which caches drop the repeats of a keyed request."""
+    """Which caches drop the repeats of a request with an idempotency key."""
 
     ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ZONE = "zone"  # those of one zone
+    CELL = "cell"  # those of one cell
 
 
 class CacheStatusReporting(Enum):
-    """Which answers of caches tell how they came about."""
+    """Which answers of caches carry a cache status."""
 
     ALL = "all"
-    HIT = "hit"
-    SILENT = "silent"
+    HIT = "hit"  # good answers only; a fill is reported without saying whether the origin was asked
+    SILENT = "silent"  # none
 
 
 class SiblingSources(Enum):
     """Which other edge caches may be a fill source."""
 
     NONE = "none"
-    LOCATION = "location"
+    LOCATION = "location"  # those of the cache's own location
     ANY = "any"
 
 
-def _check(name: str, value: float, low: float = 0.0, above: bool = False) -> None:
-    """Refuse a setting that is no number or lies out of its range."""
-    if not isinstance(value, (int, float)) or not math.isfinite(value):
-        raise ValueError(f"setting {name}: {value!r} is not a finite number")
-    if value < low or (above and value == low):
-        raise ValueError(f"setting {name}: {value!r} must be {'above' if above else 'at least'} {low:g}")
-
-
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests."""
-
-    name: str
-    latency_objective: float
-    time_limit: float
-    objective_stretch: float = 0.0
-    value_weight: float = 1.0
-    late_value: float = 0.0
+    """One class of requests: what its answers are worth and when, and how its copies age."""
+
+    name: str  # as requests give it
+    latency_objective: float  # seconds within which an answer has its full value
+    time_limit: float  # seconds that a client waits, over all attempts
+    objective_stretch: float = 0.0  # times a request's own transfer time: added to the objective
+    value_weight: float = 1.0  # value of an answer in time
+    late_value: float = 0.0  # share of the value, 0 to 1, that an answer after the objective has
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    scope: Scope = Scope.ALL
-    repeat_window: float = 0.0
-    fresh_for: float = 0.0
-    grace: float = 0.0
-    stale_value: float = 0.0
-    in_parts: bool = False
-    uncached: bool = False
+    scope: Scope = Scope.ALL  # of dropped repeats, where requests have idempotency keys
+    repeat_window: float = (
+        0.0  # seconds from the first attempt that may have run, in which repeats are dropped
+    )
+    fresh_for: float = 0.0  # seconds for which a copy is fresh; 0: without end
+    grace: float = 0.0  # seconds after these in which a stale copy may be served
+    stale_value: float = 0.0  # share of the value, 0 to 1, that an answer from a stale copy has
+    in_parts: bool = False  # whether its objects have several parts
+    uncached: bool = False  # whether answers are never kept, but always come from the origin
 
     def __post_init__(self) -> None:
-        _check(f"class {self.name} latency_objective", self.latency_objective, above=True)
-        _check(f"class {self.name} time_limit", self.time_limit, above=True)
+        """Raise InvalidSettingError where a field is out of its range."""
+        for name in ("latency_objective", "time_limit"):
+            _check_above_zero(f"class {self.name} {name}", getattr(self, name))
         for name in (
             "objective_stretch",
             "value_weight",
@@ -78,91 +81,79 @@
             "grace",
             "stale_value",
         ):
-            _check(f"class {self.name} {name}", getattr(self, name))
+            _check_at_least(f"class {self.name} {name}", getattr(self, name))
 
 
 @dataclass(slots=True, frozen=True)
 class SlowStart:
-    """The rule for servers that started lately: least share, ramp, and what pushes them over."""
+    """The rule for servers that started lately: what they bear, and which overload makes them fail."""
 
-    share: float = 1.0
-    ramp: float = 0.0
-    factor: float = 1.0
-    span: float = 1.0
+    share: float = 1.0  # of its capacity, above 0 to 1, that a server bears at its start, at least
+    ramp: float = 0.0  # seconds after which it bears all of it; 0: nothing ever warms up
+    factor: float = 1.0  # times what it bears: more than that, for `span`, makes it fail
+    span: float = 1.0  # seconds
 
     def __post_init__(self) -> None:
-        _check("cold share", self.share, above=True)
-        _check("cold ramp", self.ramp)
-        _check("cold factor", self.factor, above=True)
-        _check("cold span", self.span, above=True)
+        """Raise InvalidSettingError where a field is out of its range."""
+        _check_above_zero("cold share", self.share)
+        _check_at_least("cold ramp", self.ramp)
+        _check_above_zero("cold factor", self.factor)
+        _check_above_zero("cold span", self.span)
         if self.share > 1:
-            raise ValueError(f"setting cold share: {self.share!r} must be at most 1")
+            raise InvalidSettingError("cold share", f"{self.share!r} must be at most 1")
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that one router is told at start."""
+    """All that is configured of one router at its start."""
 
-    location: str
-    locations: tuple[str, ...]
-    classes: tuple[RequestClass, ...]
-    router_index: int = 0
+    location: str  # the router's own
+    locations: tuple[str, ...]  # of the whole site; what is given by location is in their order
+    classes: tuple[RequestClass, ...]  # the first is that of requests that name no known class
+    router_index: int = 0  # of this router among all, from 0
     router_count: int = 1
-    hub_of: tuple[int, ...] = ()
-    routers_by_location: tuple[int, ...] = ()
-    peer_index: int = -1  # this gateway's place among those of its location, from 0; -1: not told
-    link_kb_per_s: tuple[float, ...] = ()
-    pace_kb_per_s: float = 0.0
-    edge_cold: SlowStart = field(default_factory=SlowStart)
-    parent_cold: SlowStart = field(default_factory=SlowStart)
-    tick: float = 0.001
-    answer_slack: float = 0.0
-    connect_timeout: float = 1.0
-    keepalive: float = 0.0  # after which a server closes a connection that rests; 0: not told
-    streams: int = 100  # attempts that one connection carries at once
-    purge_propagation_time: float = 0.0
-    max_attempts: int = 1
-    max_hold_off: float = 0.0
-    weights_known: bool = True  # else every weight is 1 and tells nothing
-    must_subscribe: bool = False
-    may_cancel: bool = False
-    may_probe: bool = False
-    probe_price: float = 0.0  # what one probe a request takes off the share of worth served
+    hub_of: tuple[int, ...] = ()  # by location: the index of its hub's location; empty: no hubs
+    routers_by_location: tuple[int, ...] = ()  # empty: unknown
+    peer_index: int = UNKNOWN_PEER_INDEX  # of this router among those of its location, from 0
+    link_kb_per_s: tuple[float, ...] = ()  # by location: the link into it; 0 or empty: unknown
+    pace_kb_per_s: float = 0.0  # highest pace of one answer, the unit of weights; 0: unknown
+    edge_cold: SlowStart = field(default_factory=SlowStart)  # of edge caches
+    parent_cold: SlowStart = field(default_factory=SlowStart)  # of parents
+    tick: float = 0.001  # seconds: the resolution of measured times
+    answer_slack: float = 0.0  # seconds after a request's deadline in which its final answer still counts
+    connect_timeout: float = 1.0  # seconds
+    keepalive: float = 0.0  # seconds after which a server closes an idle connection; 0: unknown
+    streams: int = 100  # attempts that one connection carries at a time
+    purge_propagation_time: float = 0.0  # seconds in which caches drop purged copies by themselves
+    max_attempts: int = 1  # of one request
+    max_hold_off: float = 0.0  # seconds: the longest Retry-After that clients heed; 0: they receive none
+    weights_known: bool = True  # else every server's weight is 1 and says nothing of its link
+    must_subscribe: bool = False  # whether discovery sends changes only on request
+    may_cancel: bool = False  # whether attempts can be cancelled
+    may_probe: bool = False  # whether servers may be asked for their load
+    probe_price: float = 0.0  # share of the value served that one probe per request costs
     may_message_peers: bool = False
-    may_hedge: bool = False
-    may_bypass_caches: bool = False
-    may_join_fills: bool = False
+    may_hedge: bool = False  # whether a request may have two attempts in flight
+    may_bypass_caches: bool = False  # whether parents and the origin take attempts as well
+    may_join_fills: bool = False  # whether a request can join a fill in progress
     sibling_sources: SiblingSources = SiblingSources.NONE
     status_reporting: CacheStatusReporting = CacheStatusReporting.ALL
 
     def __post_init__(self) -> None:
+        """Raise InvalidSettingError where a field is out of its range or contradicts another."""
         if not self.classes:
-            raise ValueError("setting classes: at least one class is needed")
+            raise InvalidSettingError("classes", "at least one class is needed")
         if self.location not in self.locations:
-            raise ValueError(f"setting location: {self.location!r} is not among the locations")
-        if len({c.name for c in self.classes}) < len(self.classes):
-            raise ValueError("setting classes: two classes bear one name")
-        for name in ("hub_of", "routers_by_location", "link_kb_per_s"):
-            known = getattr(self, name)
-            if known and len(known) != len(self.locations):
-                raise ValueError(f"setting {name}: one value for each location is needed")
-            for value in known:
-                _check(name, value)
-        if any(int(hub) >= len(self.locations) for hub in self.hub_of):
-            raise ValueError("setting hub_of: a hub is no place among the locations")
-        _check("router_count", self.router_count, 1)
-        _check("router_index", self.router_index)
-        if self.peer_index >= 0 and not self.peer_index < (
-            self.routers_by_location[self.locations.index(self.location)]
-            if self.routers_by_location
-            else self.router_count
-        ):
-            raise ValueError(
-                f"setting peer_index: {self.peer_index} is no place among the routers of its location"
-            )
-        _check("max_attempts", self.max_attempts, 1)
-        _check("streams", self.streams, 1)
-        _check("tick", self.tick, above=True)
+            raise InvalidSettingError("location", f"{self.location!r} is not among the locations")
+        if len({cls.name for cls in self.classes}) < len(self.classes):
+            raise InvalidSettingError("classes", "two classes bear one name")
+        self._check_values_by_location()
+        _check_at_least("router_count", self.router_count, 1)
+        _check_at_least("router_index", self.router_index)
+        self._check_peer_index()
+        _check_at_least("max_attempts", self.max_attempts, 1)
+        _check_at_least("streams", self.streams, 1)
+        _check_above_zero("tick", self.tick)
         for name in (
             "pace_kb_per_s",
             "answer_slack",
@@ -172,4 +163,43 @@
             "max_hold_off",
             "probe_price",
         ):
-            _check(name, getattr(self, name))
+            _check_at_least(name, getattr(self, name))
+
+    def _check_values_by_location(self) -> None:
+        for name in ("hub_of", "routers_by_location", "link_kb_per_s"):
+            values = getattr(self, name)
+            if values and len(values) != len(self.locations):
+                raise InvalidSettingError(name, "one value for each location is needed")
+            for value in values:
+                _check_at_least(name, value)
+        for hub in self.hub_of:
+            if int(hub) >= len(self.locations):
+                raise InvalidSettingError("hub_of", "a hub is no place among the locations")
+
+    def _check_peer_index(self) -> None:
+        if self.peer_index < 0:
+            return
+        peer_count = self.router_count
+        if self.routers_by_location:
+            peer_count = self.routers_by_location[self.locations.index(self.location)]
+        if self.peer_index >= peer_count:
+            raise InvalidSettingError(
+                "peer_index", f"{self.peer_index} is no place among the routers of its location"
+            )
+
+
+def _check_at_least(name: str, value: float, minimum: float = 0.0) -> None:
+    _check_finite(name, value)
+    if value < minimum:
+        raise InvalidSettingError(name, f"{value!r} must be at least {minimum:g}")
+
+
+def _check_above_zero(name: str, value: float) -> None:
+    _check_finite(name, value)
+    if value <= 0:
+        raise InvalidSettingError(name, f"{value!r} must be above 0")
+
+
+def _check_finite(name: str, value: float) -> None:
+    if not isinstance(value, (int, float)) or not math.isfinite(value):
+        raise InvalidSettingError(name, f"{value!r} is not a finite number")
