--- a/brackenlane/routing/slow_start_budget.py
+++ b/brackenlane/routing/slow_start_budget.py
@@ -1,7 +1,7 @@
-"""One gateway's part of what servers bear that started lately.
+"""One router's share of the work that servers bear which started lately.
 
-Pure. Times are Unix seconds, work is in transfer-seconds. The rule itself and how a budget is shared among
-routers: brackenlane.routing/cold.py.
+Pure. Times are Unix seconds, work is in seconds of transfer. The rule, and how a budget is divided among
+routers: slow_start.
 """
 
 from __future__ import annotations
@@ -11,53 +11,71 @@
 from brackenlane.routing.members import Role
 from brackenlane.routing.rendezvous_hash import HashOrders
 from brackenlane.routing.servers import Server
-from brackenlane.routing.settings import Settings
+from brackenlane.routing.settings import Settings, SlowStart
 from brackenlane.routing.sizes import Sizes
-from brackenlane.routing.slow_start import capacity_by_age, burst, joined, turn_order
+from brackenlane.routing.slow_start import burst, capacity_by_age, sharers_by_location, sharers_by_turn
 from brackenlane.routing.topology import Topology
 
 
 class SlowStartBudget:
-    """What this router may send to cold servers."""
+    """What this router may send to servers that are warming up."""
 
     def __init__(self, settings: Settings, topology: Topology, sizes: Sizes, retained: int) -> None:
-        """kept: cold servers remembered, at most."""
-        self.local_router_count = topology.local_router_count  # routers that share a cache
-        self.peer_locations = [
-            Server(peer_index) for peer_index in topology.peer_locations
-        ]  # locations that share the hub's parents
-        self.narrow = 0.0  # the least width learned of a warm cache; more is in flight than on a link
+        """retained: servers of which the order of locations is kept, at most."""
+        self.local_router_count = topology.local_router_count  # routers that share an edge cache
+        # Locations that share the hub's parents, in the form in which they can be ordered by a hash.
+        self.peer_locations = [Server(location) for location in topology.peer_locations]
+        self.narrow = 0.0  # least width learned of a warm cache, in transfers; 0: none is
         self._settings = settings
-        self._steps = topology.hub_distance
+        self._hub_distance = topology.hub_distance
         self._sizes = sizes
         self._orders = HashOrders(retained)
-        self._request = max(c.latency_objective for c in settings.classes)  # the work of about one request
+        # About the work of one request.
+        self._request_work = max(cls.latency_objective for cls in settings.classes)
 
     def capacity(self, server: Server, now: float) -> float:
-        """Work that may be sent now; infinite: the server is warm."""
-        rule = self._settings.parent_cold if server.member.role is Role.PARENT else self._settings.edge_cold
+        """Return the work that may be sent to a server now; infinite: it is warm."""
+        role = server.member.role
+        if server.born <= 0 or role is Role.ORIGIN:
+            return math.inf
+        rule = self._rule(role)
         age = max(0.0, now - server.born)  # the clock of its machine may be ahead of ours
-        if server.born <= 0 or age >= rule.ramp or server.member.role is Role.ORIGIN:
+        if age >= rule.ramp:
             return math.inf
-        # What others have at a cache is a guess, which a jam of fills multiplies: a width learned so is none.
-        alone = self.local_router_count < 2 and server.member.role is Role.EDGE
-        weight = max(server.member.weight, self.narrow / 2 if alone else 0.0)
-        can = capacity_by_age(rule, weight, age)
-        most = burst(rule, can)
+        bearable = capacity_by_age(rule, self._weight(server), age)
+        most = burst(rule, bearable)
         sharers = self._sharers(server, most)
-        if not sharers or (server.member.role is Role.PARENT and self._steps.get(server.member.zone, 0)):
+        if not sharers or self._is_parent_elsewhere(server):
             return 0.0
-        return server.tokens.fill(now, can / sharers, most / sharers)
+        return server.tokens.fill(now, bearable / sharers, most / sharers)
+
+    def _rule(self, role: Role) -> SlowStart:
+        return self._settings.parent_cold if role is Role.PARENT else self._settings.edge_cold
+
+    def _weight(self, server: Server) -> float:
+        """Return the transfers at a time that a server bears once warm.
+
+        What other routers have in flight at a cache is a guess, which an overload of fills multiplies, so a
+        width learned where caches are shared says nothing here.
+        """
+        is_shared = self.local_router_count >= 2 or server.member.role is not Role.EDGE
+        # Halved: more is in flight than on the link.
+        return max(server.member.weight, 0.0 if is_shared else self.narrow / 2)
+
+    def _is_parent_elsewhere(self, server: Server) -> bool:
+        """Return whether this is a parent of another hub than this router's."""
+        return server.member.role is Role.PARENT and self._hub_distance.get(server.member.zone, 0) > 0
 
-    def _sharers(self, server: Server, most: float) -> float:
-        """By how many routers the burst of a server is shared now; 0: it is not yet this one's turn."""
+    def _sharers(self, server: Server, burst_work: float) -> float:
+        """Return how many routers share the burst of a server now; 0: this one does not yet."""
+        member = server.member
         peer_index = self._settings.peer_index
-        if peer_index >= 0 and (len(self.peer_locations) < 2 or server.member.role is Role.EDGE):
-            return turn_order(
-                most, self._sizes.largest, peer_index, int(self.local_router_count), server.member.server
-            )
-        if server.member.role is not Role.PARENT:
+        is_within_location = len(self.peer_locations) < 2 or member.role is Role.EDGE
+        if peer_index >= 0 and is_within_location:
+            peer_count = int(self.local_router_count)
+            return sharers_by_turn(burst_work, self._sizes.largest, peer_index, peer_count, member.server)
+        if member.role is not Role.PARENT:
             return self.local_router_count
-        order = self._orders.order(f"{server.member.server}@{server.member.started_at}", self.peer_locations)
-        peer_locations = ((zone.member.zone, zone.member.weight) for zone in order)
-        return joined(most, self._request, peer_locations, self._settings.location)
+        order = self._orders.order(f"{member.server}@{member.started_at}", self.peer_locations)
+        locations = (location.member for location in order)
+        return sharers_by_location(burst_work, self._request_work, locations, self._settings.location)
--- a/brackenlane/routing/topology.py
+++ b/brackenlane/routing/topology.py
@@ -1,6 +1,6 @@
-"""Where one router stands: its hub, the steps from there to the other hubs, and who shares its links.
+"""The location of one router: its hub, the distances to the other hubs, and who shares its links.
 
-Pure; all of it follows from the settings. Hubs form a ring by the places of their locations in the settings.
+Pure; all of it follows from the settings. Hubs form a ring, in the order of their locations in the settings.
 """
 
 from __future__ import annotations
@@ -10,31 +10,43 @@
 
 
 class Topology:
-    """The place of one router among locations and hubs."""
+    """Hubs and routers as seen from one router."""
 
     __slots__ = ("hub_count", "hub_distance", "local_router_count", "peer_locations")
 
     def __init__(self, settings: Settings) -> None:
-        """Work it out from settings that were checked (see settings.Settings)."""
-        here = settings.locations.index(settings.location)
-        own_hub = int(settings.hub_of[here]) if settings.hub_of else here
-        ring = sorted({int(hub) for hub in settings.hub_of}) or [here]
+        """Derive it from settings, which have checked themselves."""
+        own = settings.locations.index(settings.location)
+        own_hub = int(settings.hub_of[own]) if settings.hub_of else own
+        ring = sorted({int(hub) for hub in settings.hub_of}) or [own]
         self.hub_count = len(ring)
-        self.hub_distance: dict[
-            str, int
-        ] = {}  # by the location of a hub: along the ring from this gateway's hub
-        for place, hub in enumerate(ring):
-            gap = place - ring.index(own_hub)
-            self.hub_distance[settings.locations[hub]] = min(gap % self.hub_count, -gap % self.hub_count)
-        # The routers of this location: they share its caches and its link in.
+        # By the location of a hub: hops along the ring from this router's hub.
+        self.hub_distance = _hub_distances(settings, ring, own_hub)
+        # Routers of this location: they share its edge caches and the link into it.
+        routers_by_location = settings.routers_by_location
         self.local_router_count = max(
-            1.0, settings.routers_by_location[here] if settings.routers_by_location else settings.router_count
+            1.0, routers_by_location[own] if routers_by_location else settings.router_count
         )
-        # The locations of this hub with routers, weighed by how many: they share its parents.
-        places = zip(settings.locations, settings.routers_by_location, settings.hub_of, strict=False)
-        self.peer_locations = [
-            Member(zone, zone, weight=count) for zone, count, hub in places if count and hub == own_hub
-        ]
-        self.peer_locations = self.peer_locations or [
-            Member("", settings.location, weight=settings.router_count)
-        ]
+        # Locations of this hub that have routers, which share its parents; the weight is their number.
+        self.peer_locations = _peer_locations(settings, own_hub)
+
+
+def _hub_distances(settings: Settings, ring: list[int], own_hub: int) -> dict[str, int]:
+    own_position = ring.index(own_hub)
+    distances: dict[str, int] = {}
+    for position, hub in enumerate(ring):
+        offset = position - own_position
+        distances[settings.locations[hub]] = min(offset % len(ring), -offset % len(ring))
+    return distances
+
+
+def _peer_locations(settings: Settings, own_hub: int) -> list[Member]:
+    """Return locations as members, so that they can be ordered by a hash as servers are."""
+    # Without hubs or counts the lists are empty, and all routers count as this location's.
+    by_location = zip(settings.locations, settings.routers_by_location, settings.hub_of, strict=False)
+    locations = [
+        Member(location, location, weight=router_count)
+        for location, router_count, hub in by_location
+        if router_count and hub == own_hub
+    ]
+    return locations or [Member("", settings.location, weight=settings.router_count)]
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -73,5 +73,5 @@
 def test_no_spill_while_the_origin_is_slow() -> None:
     """A spilled request is filled anew: what is slow is not asked for more of that."""
     harness = RouterHarness(FLEET, now=100.0, weights_known=False)
-    harness.router.origin_throttle.late(harness.now, sure=1.0, pause=0.0)
+    harness.router.origin_throttle.decrease(harness.now, certainty=1.0, window=0.0)
     assert open_at(harness, 8)["edge-0"] == 8
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -22,7 +22,7 @@
 from brackenlane.routing.events import CacheStatus, Purged
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.settings import SlowStart
-from brackenlane.routing.slow_start import MARGIN, capacity_by_age, turn_order
+from brackenlane.routing.slow_start import MARGIN, capacity_by_age, sharers_by_turn
 from brackenlane.store.replica import SharedStore
 from tests.router_harness import RouterHarness, every
 
@@ -199,18 +199,20 @@
 @given(st.floats(0, 50), st.floats(0.01, 2), st.integers(1, 300), st.text("abc-0123", min_size=1, max_size=8))
 def test_rota(space: float, unit: float, mates: int, server: str) -> None:
     """Of one location exactly so many share as the burst pays for, whose shares are never more than it."""
-    sharers = [turn_order(space, unit, peer, mates, server) for peer in range(mates)]
+    sharers = [sharers_by_turn(space, unit, peer, mates, server) for peer in range(mates)]
     few = max(sharers)
     assert 1 <= few <= mates and set(sharers) <= {0, few}
     assert sum(n > 0 for n in sharers) == few
     assert few == 1 or few == mates or few * unit <= space * (1 + 1e-9)
-    later = [turn_order(2 * space, unit, peer, mates, server) for peer in range(mates)]
+    later = [sharers_by_turn(2 * space, unit, peer, mates, server) for peer in range(mates)]
     assert all(late for late, early_ in zip(later, sharers, strict=True) if early_)  # nobody drops out again
 
 
 def test_rota_reaches_all() -> None:
     """Over sixty caches each of two hundred has its turn at some, and none at far more than its part."""
-    turns = [sum(turn_order(1.0, 0.1, peer, 200, f"box-{n}") > 0 for n in range(60)) for peer in range(200)]
+    turns = [
+        sum(sharers_by_turn(1.0, 0.1, peer, 200, f"box-{n}") > 0 for n in range(60)) for peer in range(200)
+    ]
     assert sum(turns) == 60 * 10 and max(turns) <= 12 and sum(t > 0 for t in turns) > 150
 
 
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -11,7 +11,7 @@
 
 from brackenlane.routing import router as router_module
 from brackenlane.routing.actions import Fetch, Reject
-from brackenlane.routing.concurrency_limit import DECREASE, USED, ConcurrencyLimit
+from brackenlane.routing.concurrency_limit import DECREASE_FACTOR, LEAST_USED_SHARE, ConcurrencyLimit
 from brackenlane.routing.events import AttemptResult
 from tests.router_harness import RouterHarness, members, only
 from tests.test_portal_settings import PACE, Branch
@@ -29,15 +29,15 @@
 
 def test_slow_start_gives_a_transfer_more_for_each_answer_in_time_of_a_limit_in_use() -> None:
     limit = ConcurrencyLimit(math.inf)
-    assert observed(limit, (IN_TIME, USED, 0.0), (IN_TIME, 1.0, 0.0)) == pytest.approx(WIDTH + 2)
-    assert observed(limit, (IN_TIME, USED / 2, 0.0)) == pytest.approx(WIDTH + 2)  # proves nothing
+    assert observed(limit, (IN_TIME, LEAST_USED_SHARE, 0.0), (IN_TIME, 1.0, 0.0)) == pytest.approx(WIDTH + 2)
+    assert observed(limit, (IN_TIME, LEAST_USED_SHARE / 2, 0.0)) == pytest.approx(WIDTH + 2)  # proves nothing
 
 
 def test_late_answers_lower_it_once_for_each_crowd() -> None:
     limit = ConcurrencyLimit(math.inf)
     crowd = [(LATE, 1.0, n * PAUSE / 10) for n in range(10)]
-    assert observed(limit, *crowd) == pytest.approx(WIDTH * DECREASE)
-    assert observed(limit, (LATE, 1.0, 1.5 * PAUSE)) == pytest.approx(WIDTH * DECREASE**2)
+    assert observed(limit, *crowd) == pytest.approx(WIDTH * DECREASE_FACTOR)
+    assert observed(limit, (LATE, 1.0, 1.5 * PAUSE)) == pytest.approx(WIDTH * DECREASE_FACTOR**2)
 
 
 def test_after_a_late_answer_it_rises_by_a_transfer_for_as_many_answers_as_it_holds() -> None:
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -14,7 +14,7 @@
 from brackenlane.routing.attempts import Request
 from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus, Outcome
 from brackenlane.routing.fill_estimate import FillEstimate
-from brackenlane.routing.latency import CALM_MEMORY
+from brackenlane.routing.latency import BASELINE_MEMORY
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import CacheStatusReporting, SlowStart
@@ -180,7 +180,7 @@
     assert not harness.router.latency.overloaded
 
 
-CALM = 3 * CALM_MEMORY  # answers until the calm wait is learned
+CALM = 3 * BASELINE_MEMORY  # answers until the calm wait is learned
 
 
 def test_a_rise_of_waits_is_a_jam_also_where_calm_ones_are_long() -> None:
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -12,7 +12,7 @@
 from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer
 from brackenlane.routing.events import AttemptResult, CacheStatus, Outcome, TimerFired
 from brackenlane.routing.members import Member, Role
-from brackenlane.routing.origin_throttle import LEAST, MENDS, OriginThrottle
+from brackenlane.routing.origin_throttle import LEAST_SHARE, RECOVERY_SECONDS, OriginThrottle
 from tests.router_harness import RouterHarness, only
 
 GATEWAYS, RATE = 60, 100.0  # requests a second over all
@@ -177,27 +177,28 @@
 @pytest.mark.parametrize(("every", "low", "high"), [(5, 0.6, 1.0), (1, 0.0, 0.2)])
 def test_late_now_and_then(every: int, low: float, high: float) -> None:
     """An origin whose usual wait is near an aim is late for some: little is held back; always late, most."""
-    up, parts = OriginThrottle(), []
+    throttle = OriginThrottle()
+    parts: list[float] = []
     for n in range(60):
         now, wait = 100 + 0.2 * n, 0.39 if n % every == 0 else 0.05
         fill = Outcome("x", 0, "edge-0", AttemptResult.OK, wait, True, CacheStatus.FILLED_BY_ORIGIN, wait)
-        up.learn(fill, now, 0.28, 1.0, 0.4, 0.004)
-        parts.append(up.part(now))
+        throttle.learn(fill, now, 0.28, 1.0, 0.4, 0.004)
+        parts.append(throttle.part(now))
     assert low <= sum(parts[20:]) / 40 <= high
 
 
 def test_part() -> None:
     """Halved once for each crowd, down to its least; back to the whole in its time."""
-    up = OriginThrottle()
-    assert up.part(100.0) == 1.0
-    up.late(100.0, 1.0, 0.5)
-    up.late(100.4, 1.0, 0.5)
-    assert up.part(100.4) == pytest.approx(0.55)
-    up.late(101.0, 0.5, 0.5)
-    assert up.part(101.0) == pytest.approx(0.625 * 0.75)
+    throttle = OriginThrottle()
+    assert throttle.part(100.0) == 1.0
+    throttle.decrease(100.0, 1.0, 0.5)
+    throttle.decrease(100.4, 1.0, 0.5)
+    assert throttle.part(100.4) == pytest.approx(0.55)
+    throttle.decrease(101.0, 0.5, 0.5)
+    assert throttle.part(101.0) == pytest.approx(0.625 * 0.75)
     for n in range(20):
-        up.late(102.0 + n * 0.51, 1.0, 0.5)
-    assert LEAST <= up.part(112.2) < 0.15
-    assert up.part(112.2 + MENDS) == 1.0
-    up.late(130.0, 0.0, 0.5)
-    assert up.part(130.0) == 1.0
+        throttle.decrease(102.0 + n * 0.51, 1.0, 0.5)
+    assert LEAST_SHARE <= throttle.part(112.2) < 0.15
+    assert throttle.part(112.2 + RECOVERY_SECONDS) == 1.0
+    throttle.decrease(130.0, 0.0, 0.5)
+    assert throttle.part(130.0) == 1.0
