--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -14,6 +14,7 @@
 
 from brackenlane.config import Config, ConfigError, load
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.metrics import RequestMetrics
 from brackenlane.core.response_cache import ResponseCache
 from brackenlane.lifecycle import EarlySignal, SignalWatcher, listen_plain, serve_until_signal
@@ -39,17 +40,19 @@
     with SignalWatcher(poller, signal.SIGHUP) as hangups:
         async with trio.open_nursery() as nursery:
             core = RequestEngine(
-                config.settings,
-                config.seed,
-                limits,
+                _engine_config(config, limits),
                 lambda attempt: pools.place(attempt),
-                flow=config.flow,
-                cache=_response_cache(config, limits),
             )
-            core.timers.first = poller.handle_urgent
+            core.timers.before_round = poller.handle_urgent
             counts = RequestMetrics(c.name for c in config.settings.classes)
             pools = ConnectionPools(
-                core.membership, limits, config.settings, core.report, poller, core.timers, counts.tried
+                core.membership,
+                limits,
+                config.settings,
+                core.report,
+                poller,
+                core.timers,
+                counts.count_attempt,
             )
             front = HttpFront(core, limits, poller, counts=counts)
             operators = AdminService(core, front, limits, _ledger(config, limits) if config.ops else None)
@@ -104,6 +107,11 @@
     return ResponseCache(config.settings, capacity, config.flow, config.link, limits.age_slack)
 
 
+def _engine_config(config: Config, limits: Limits) -> EngineConfig:
+    """Return what the request engine runs with by a configuration."""
+    return EngineConfig(config.settings, config.seed, limits, config.flow, _response_cache(config, limits))
+
+
 def _limits(config: Config) -> Limits:
     """The limits that follow from a configuration, and from what the system allows this process."""
     sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
@@ -130,7 +138,7 @@
             known = list(read_known(new.known, new.site, time.time()))  # all faults come before any change
             if any(getattr(new, name) != getattr(config, name) for name in APPLIED):
                 limits = _limits(new)
-                core.reconfigure(new.settings, new.seed, limits, new.flow, _response_cache(new, limits))
+                core.reconfigure(_engine_config(new, limits))
                 pools.reconfigure(limits, new.settings)
                 front.reconfigure(limits)
                 log.info("SIGHUP: other settings hold")
--- a/brackenlane/admission/controller.py
+++ b/brackenlane/admission/controller.py
@@ -1,194 +1,149 @@
-"""The queue at the door: what is served next, what is refused, by how long work has stood there.
+"""The admission queue: what is served next and what is rejected, by how long requests have waited.
 
-A decision module: no I/O, no clock of its own. Controlled delay after Nichols and Jacobson (RFC 8289), for a
-queue of requests instead of packets: one that has stood for a whole interval is no burst, so while it stands
-nothing may wait longer than a short target, and the newest goes first, since the oldest is the most likely to
-be too late. Both times come from the classes' aims.
+A decision module: no I/O, no clock of its own; times are Unix seconds. Controlled delay after Nichols and
+Jacobson (RFC 8289), for a queue of requests instead of packets: one that has not been empty for a whole
+interval is no burst. While it stands, nothing may wait longer than a short target, and the newest goes first,
+since the oldest is the most likely to be too late. Both times come from the classes' latency objectives.
 """
 
 from __future__ import annotations
 
 import math
-from collections import deque
 from collections.abc import Iterable
-from dataclasses import dataclass
-from enum import Enum
 from typing import Generic, TypeVar
 
-from brackenlane.routing.settings import Idempotency, RequestClass
+from brackenlane.admission.lanes import Lane, Lanes, Phase, build_lanes, queue_times
+from brackenlane.admission.service_rate import ServiceRate
+from brackenlane.routing.settings import RequestClass
 
 T = TypeVar("T")
 
-TARGET = 1 / 6  # of the least aim: the longest wait at the door while a queue stands
-INTERVAL = 1 / 2  # of the least aim: a queue that has stood for so long stands
-AGAIN = 1 / 4  # of the room of first tries, up to which a retry may join a standing queue
-LAST = 1 / 4  # of its own aim, which a class that may not be repeated may wait in any case
-RATE = 1 / 32  # weight of the newest sample in learned figures
 
-
-class Phase(Enum):
-    """How the door stands. CALM: oldest first, a burst may wait an interval. STANDING: newest first."""
-
-    CALM = "calm"
-    STANDING = "standing"
-
-
-@dataclass(slots=True)
-class Lane(Generic[T]):
-    """The waiting requests of one class, oldest first."""
-
-    name: str
-    first: bool  # served before all others: what may not be repeated, and what asks after our health
-    part: float  # of the room behind a standing queue that may be taken when one of this class comes
-    patience: dict[Phase, float]  # seconds
-    waiting: deque[tuple[float, T]]
-
-
-class Admission(Generic[T]):
-    """The queue of one door. Bounded by its caller: a connection has at most one request in it."""
+class AdmissionQueue(Generic[T]):
+    """The requests that wait for service, bounded by the caller: a connection has at most one in it."""
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         known = list(classes)
-        least = min(c.latency_objective for c in known)
-        self.target, self.interval = TARGET * least, INTERVAL * least
-        best = max(
-            (c.value_weight for c in known if c.idempotency is not Idempotency.NON_IDEMPOTENT),
-            default=max(c.value_weight for c in known),
-        )
-        worth = sum(c.value_weight for c in known) / len(known) or 1.0
-        self._lanes: dict[str, Lane[T]] = {}
-        for c in known:
-            first = c.idempotency is Idempotency.NON_IDEMPOTENT
-            # Worth for cost: a request costs us about the same in any class, so worth alone weighs.
-            positions = (
-                LAST * c.latency_objective
-                if first
-                else self.target * max(0.5, min(2.0, c.value_weight / worth))
-            )
-            self._lanes[c.name] = Lane(
-                c.name,
-                first,
-                c.value_weight / best if best else 1.0,
-                {Phase.STANDING: positions, Phase.CALM: max(positions, self.interval)},
-                deque(),
-            )
-        # What asks for no class: health, and what will be told its fault.
-        self._lanes[""] = Lane(
-            "", False, 0.5, {Phase.STANDING: self.target, Phase.CALM: self.interval}, deque()
-        )
-        self._lanes["health"] = Lane("health", True, 1.0, dict.fromkeys(Phase, math.inf), deque())
-        # A retry's aim runs from its first try, so its answer is likely late: it gives way to first tries.
-        self._again: dict[str, Lane[T]] = {
-            name: Lane(name, False, AGAIN * lane.part, lane.patience, deque())
-            for name, lane in self._lanes.items()
-            if not lane.first
-        }
-        self._all = [*self._lanes.values(), *self._again.values()]
-        self._turns = [
-            [lane for lane in self._lanes.values() if lane.first],
-            [lane for lane in self._lanes.values() if not lane.first],
-            list(self._again.values()),
-        ]
-        self._emptied = -math.inf  # when the queue was empty last
+        times = queue_times(known)
+        self._target = times.target
+        self._interval = times.interval
+        self._lanes: Lanes[T] = build_lanes(known, times)
+        self._first_attempts = list(self._lanes.first_attempts.values())
+        self._retries = list(self._lanes.retries.values())
+        self._priority = [lane for lane in self._first_attempts if lane.has_priority]
+        self._competing = [lane for lane in self._first_attempts if not lane.has_priority]
+        self._last_empty_at = -math.inf
         self._phase = Phase.CALM
-        self.pace = 0.0  # requests taken a second while a queue stands, learned
-        self._taken, self._busy, self._gap = -math.inf, False, 0.0
+        self._service_rate = ServiceRate()
         self.size = 0
 
-    def _lane(self, cls: str, again: bool) -> Lane[T]:
-        lane = self._lanes.get(cls) or self._lanes[""]
-        return self._again[lane.name] if again and not lane.first else lane
+    @property
+    def service_rate(self) -> float:
+        """Requests taken per second while a queue stands, learned; 0 if unknown."""
+        return self._service_rate.per_second
 
-    def welcome(self, cls: str, again: bool) -> bool:
-        """Whether a request may join the queue; else it is refused as it comes, which costs least.
+    def has_capacity_for(self, cls: str, is_retry: bool) -> bool:
+        """Whether a request may join the queue; else it is rejected on arrival, which costs least.
 
-        Behind a standing queue there is room for as many as will be taken within the target, by what was
-        taken lately (Little's law); the less a class is worth, the sooner it is full.
+        Behind a standing queue there is capacity for as many as will be taken within the target, by the
+        learned rate (Little's law); the less a class is worth, the sooner it is used up.
         """
-        if self._phase is Phase.CALM or not self.pace:
+        rate = self._service_rate.per_second
+        if self._phase is Phase.CALM or not rate:
             return True
-        lane = self._lane(cls, again)
-        return bool(lane.first or self.size < max(1.0, self.pace * self.target * lane.part))
+        lane = self._lanes.lane(cls, is_retry)
+        return lane.has_priority or self.size < max(1.0, rate * self._target * lane.capacity_share)
 
-    def offer(self, item: T, cls: str, again: bool, now: float) -> None:
-        """One more request waits.
+    def add(self, item: T, cls: str, is_retry: bool, now: float) -> None:
+        """Add a request.
 
-        cls: its class, "health", or anything else for what asks for none; again: marked as a client's retry.
+        cls: its class, `HEALTH`, or any other name for a request without a class; is_retry: marked by its
+        client as a retry.
         """
         if not self.size:
-            self._emptied = now
-        self._lane(cls, again).waiting.append((now, item))
+            self._last_empty_at = now
+        self._lanes.lane(cls, is_retry).waiting.append((now, item))
         self.size += 1
 
     def phase(self, now: float) -> Phase:
-        """Whether a queue stands: it has not been empty for an interval.
+        """Return whether a queue stands: it has not been empty for an interval.
 
         A queue emptied by shedding counts as empty. Were it not so, a load that the CPU can bear, whose usual
         waits are over the target, would be shed from for good: a second equilibrium.
         """
         if not self.size:
-            self._emptied = now
-        self._phase = Phase.CALM if now - self._emptied < self.interval else Phase.STANDING
+            self._last_empty_at = now
+        is_burst = now - self._last_empty_at < self._interval
+        self._phase = Phase.CALM if is_burst else Phase.STANDING
         return self._phase
 
     def shed(self, now: float) -> list[T]:
-        """The requests to refuse at once: who has waited longer than this phase allows."""
+        """Remove and return the requests to reject at once: those that waited longer than allowed."""
         phase = self.phase(now)
-        found: list[T] = []
-        for lane in self._all:
-            patience = lane.patience[phase]
-            while lane.waiting and now - lane.waiting[0][0] > patience:
-                found.append(lane.waiting.popleft()[1])
-        if found:
-            self.size -= len(found)
-        return found
+        expired: list[T] = []
+        for lanes in (self._first_attempts, self._retries):
+            for lane in lanes:
+                longest_wait = lane.longest_wait[phase]
+                while lane.waiting and now - lane.waiting[0][0] > longest_wait:
+                    expired.append(lane.waiting.popleft()[1])
+        self.size -= len(expired)
+        return expired
 
     def take(self, now: float) -> tuple[T, float] | None:
-        """The next request to serve and since when it waits (as told to `offer`); None if none waits."""
+        """Remove and return the next request to serve and when it was added; None if none waits."""
         if not self.size:
             return None
         phase = self.phase(now)
-        for turn, lanes in enumerate(self._turns):
-            newest = phase is Phase.STANDING and turn > 0
-            if lane := self._pick(lanes, newest):
-                break
-        assert lane is not None
-        since, item = lane.waiting.pop() if newest else lane.waiting.popleft()
+        lane = self._next_lane(phase)
+        is_newest_first = phase is Phase.STANDING and not lane.has_priority
+        added_at, item = lane.waiting.pop() if is_newest_first else lane.waiting.popleft()
         self.size -= 1
-        if self._busy:  # the time between two, while there was always one to take, is what one costs
-            self._gap += ((now - self._taken) - self._gap) * (RATE if self._gap else 1.0)
-            self.pace = 1 / self._gap if self._gap else 0.0
-        self._taken, self._busy = now, self.size > 0
-        return item, since
-
-    def drop(self, item: T, cls: str, again: bool) -> bool:
-        """Forget a request whose client has left; whether it was waiting."""
-        lane = self._lane(cls, again)
-        for place, (_, known) in enumerate(lane.waiting):
-            if known is item:
-                del lane.waiting[place]
+        self._service_rate.on_taken(now, self.size > 0)
+        return item, added_at
+
+    def remove(self, item: T, cls: str, is_retry: bool) -> bool:
+        """Remove a request whose client has disconnected; whether it was waiting."""
+        lane = self._lanes.lane(cls, is_retry)
+        for position, (_, waiting) in enumerate(lane.waiting):
+            if waiting is item:
+                del lane.waiting[position]
                 self.size -= 1
                 return True
         return False
 
     def hold_off(self, now: float) -> float:
-        """Seconds after which a refused client may come back: until what waits is worked off, an interval
-        at least while a queue stands."""
-        wait = self.size / self.pace if self.pace else 0.0
-        return max(wait, self.interval if self.phase(now) is Phase.STANDING else 0.0)
-
-    @staticmethod
-    def _pick(lanes: list[Lane[T]], newest: bool) -> Lane[T] | None:
-        """The lane whose oldest, or newest, request is the one of all."""
-        best: Lane[T] | None = None
-        for lane in lanes:
-            if lane.waiting and (
-                best is None
-                or (
-                    lane.waiting[-1][0] > best.waiting[-1][0]
-                    if newest
-                    else lane.waiting[0][0] < best.waiting[0][0]
-                )
-            ):
-                best = lane
-        return best
+        """Return the seconds after which a rejected client may retry: until what waits has been served.
+
+        At least an interval while a queue stands.
+        """
+        rate = self._service_rate.per_second
+        time_to_empty = self.size / rate if rate else 0.0
+        shortest = self._interval if self.phase(now) is Phase.STANDING else 0.0
+        return max(time_to_empty, shortest)
+
+    def _next_lane(self, phase: Phase) -> Lane[T]:
+        """Return the lane to serve: priority lanes, then first attempts, then retries.
+
+        Within each group it is the lane with the oldest request of all, or the newest while a queue stands.
+        Priority lanes are always served oldest first.
+        """
+        find = _lane_with_newest if phase is Phase.STANDING else _lane_with_oldest
+        lane = _lane_with_oldest(self._priority) or find(self._competing) or find(self._retries)
+        assert lane is not None  # the size counts what is in the lanes
+        return lane
+
+
+def _lane_with_oldest(lanes: list[Lane[T]]) -> Lane[T] | None:
+    best: Lane[T] | None = None
+    for lane in lanes:
+        if lane.waiting and (best is None or lane.waiting[0][0] < best.waiting[0][0]):
+            best = lane
+    return best
+
+
+def _lane_with_newest(lanes: list[Lane[T]]) -> Lane[T] | None:
+    best: Lane[T] | None = None
+    for lane in lanes:
+        if lane.waiting and (best is None or lane.waiting[-1][0] > best.waiting[-1][0]):
+            best = lane
+    return best
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -16,6 +16,7 @@
 from brackenlane.coldstart.stream_position import NOWHERE
 from brackenlane.config import ConfigError, Endpoint, read_endpoint
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.discovery import snapshot
 from brackenlane.discovery.dns_cache import Lifetimes
 from brackenlane.discovery.dns_source import DnsSource
@@ -177,10 +178,12 @@
 
     async with trio.open_nursery() as nursery:
         core = RequestEngine(
-            config.settings, time.time_ns(), limits, lambda attempt: pools.place(attempt), notice=notice
+            EngineConfig(config.settings, time.time_ns(), limits),
+            lambda attempt: pools.place(attempt),
+            on_result=notice,
         )
         poller = Poller(limits.batch)
-        core.timers.first = poller.handle_urgent
+        core.timers.before_round = poller.handle_urgent
         pools = ConnectionPools(core.membership, limits, config.settings, core.report, poller, core.timers)
         roster = Registry(MembershipMerge(config.policy, config.watches), core.post, pools.follow)
         nursery.start_soon(core.run)
--- a/brackenlane/console.py
+++ b/brackenlane/console.py
@@ -139,7 +139,7 @@
     def _load(self) -> str:
         total = ", ".join(f"{n} {REASON_NAMES[reason]}" for reason, n in self._figures.shed.items()) or "none"
         return (
-            f"last second: {self._figures.last.line()}\n"
+            f"last second: {self._figures.last.summary()}\n"
             f"since the start: taken {self._figures.taken}, refused at the door: {total}\n"
         )
 
--- a/brackenlane/core/__init__.py
+++ b/brackenlane/core/__init__.py
@@ -1,4 +1,5 @@
-"""The actor round the decision module: clock, timers, requests in hand, attempts, what was told, own copies.
+"""The actor around the `Router`: it owns pending requests, their attempts, timers and cached responses.
 
-It knows no wire and picks no server. Entry point: `core.RequestEngine`.
+It never picks a server and knows no wire protocol; fronts hand requests in, connection pools report attempts.
+Entry point: `engine.RequestEngine`.
 """
--- a/brackenlane/core/claims.py
+++ b/brackenlane/core/claims.py
@@ -1,4 +1,4 @@
-"""Whether a submit is ours to run: what the routers of one site, or two processes of one, agree on."""
+"""The interface by which a front claims a submit, so that only one router of a site runs it."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class ClaimResult(Enum):
-    """Whether a submit is ours to run."""
+    """Whether this process may run a submit."""
 
     OURS = "ours"
-    TAKEN = "taken"  # it has been claimed before: it may have run
-    UNKNOWN = "unknown"  # nobody can tell: it must not run
+    TAKEN = "taken"  # claimed before: it may have run
+    UNKNOWN = "unknown"  # the store cannot tell: it must not run
 
 
 class ClaimStore(Protocol):
-    """Keeps a submit from being run by two routers."""
+    """Idempotency claims, by the id of a submit."""
 
     async def claim(self, txn: str) -> ClaimResult:
         """Claim a submit before it runs."""
 
     async def release(self, txn: str) -> None:
-        """Give back the claim of a submit that provably never ran."""
+        """Release the claim of a submit that has provably not run."""
--- a/brackenlane/core/membership_view.py
+++ b/brackenlane/core/membership_view.py
@@ -1,41 +1,58 @@
-"""What we were told of caches and purges, for the last check as something is written."""
+"""The caches and purges as notified so far, for the last check before an attempt is written."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 
 from brackenlane.routing.actions import Fetch
 from brackenlane.routing.events import Arrival, Membership, MembershipKind, Purged
 from brackenlane.routing.members import Member, ServerState
 from brackenlane.routing.settings import RequestClass, Settings
 
+EXPIRY_INTERVAL = 64  # purges are expired whenever their count is a multiple of this
+MIN_AGE_LIMIT = 0.001  # seconds; 0 would mean that there is no limit
+NO_GROUP = -1  # of a purge of one object
+
+
+def _no_updates() -> None:
+    """Stand for an engine whose updates all come by its own mailbox."""
+
 
 class MembershipView:
-    """The list and the purges as told; only the core changes it, the peers look at it."""
+    """Members and recent purges; only the engine changes them, connection pools and fronts read them."""
 
     def __init__(self, settings: Settings) -> None:
         self.members: dict[str, Member] = {}
         self.purges: dict[str | int, float] = {}  # by object (text) or group (number): Unix time
-        self.has_list = False  # whether a list has come
-        self.catch_up: Callable[[], None] = lambda: (
-            None
-        )  # asked before each look: takes in what others were told
+        self.has_list = False  # whether a list of caches has been received
+        self.catch_up: Callable[[], None] = (
+            _no_updates  # applies what another process of this router received
+        )
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Keep to other settings from now on; what was told stands."""
-        self._keep = 2 * settings.purge_propagation_time
-        self._tick = settings.tick
+        """Use the times of other settings from now on; members and purges stay."""
+        # Twice the time by which a purge is at every cache, seconds: later it limits no age.
+        self._purge_lifetime = 2 * settings.purge_propagation_time
+        self._age_resolution = settings.tick
 
     def apply(self, event: Membership | Purged, now: float) -> None:
-        """Follow one event."""
+        """Follow one event; `now` is in Unix seconds."""
         if isinstance(event, Purged):
-            key, at = event.obj or event.group, now - event.age
-            self.purges[key] = max(at, self.purges.get(key, at))
-            if len(self.purges) % 64 == 0:
-                self.purges = {k: v for k, v in self.purges.items() if v > now - self._keep}
-            return
+            self._apply_purge(event, now)
+        else:
+            self._apply_membership(event)
+
+    def _apply_purge(self, event: Purged, now: float) -> None:
+        key = event.obj or event.group
+        purged_at = now - event.age
+        self.purges[key] = max(purged_at, self.purges.get(key, purged_at))
+        if len(self.purges) % EXPIRY_INTERVAL == 0:
+            oldest = now - self._purge_lifetime
+            self.purges = {key: at for key, at in self.purges.items() if at > oldest}
+
+    def _apply_membership(self, event: Membership) -> None:
         if event.kind is not MembershipKind.CHANGES:
             self.members = {}
         for member in event.members:
@@ -45,33 +62,49 @@
                 self.members[member.server] = member
         self.has_list = True
 
-    def serving(self, server: str) -> bool:
-        """Whether new work may go to a cache."""
+    def purge_events(self, now: float) -> Iterator[Purged]:
+        """Iterate over the purges as events, for a router that has received none yet."""
+        for key, purged_at in self.purges.items():
+            age = max(0.0, now - purged_at)
+            yield Purged(key, NO_GROUP, age) if isinstance(key, str) else Purged("", key, age)
+
+    def is_serving(self, server: str) -> bool:
+        """Whether new work may go to a server."""
         member = self.members.get(server)
         return member is not None and member.state is ServerState.SERVING
 
     def allows(self, fetch: Fetch) -> bool:
-        """Guards against a drain heard while an attempt waited for its connection, also of its source.
+        """Whether the server and the fill source of an attempt still serve, as far as any process here knows.
 
-        The rule leaves a time of the site's own after the news; nothing here needs it, so none is used.
+        A drain may have been received while the attempt was queued. The rule of the site allows more time
+        after the update; none of it is used.
         """
         self.catch_up()
-        return self.serving(fetch.server) and self.serving(fetch.source)
+        return self.is_serving(fetch.server) and self.is_serving(fetch.source)
 
     def max_age(self, fetch: Fetch, request: Arrival, now: float) -> float:
-        """The attempt's age limit, tightened by purges heard since it was decided; 0 for none."""
-        age = fetch.max_age or math.inf
+        """Return the age limit of an attempt in seconds, tightened by purges received since it was decided.
+
+        0 means no limit.
+        """
+        limit = fetch.max_age or math.inf
         for key in (request.obj, request.group):
-            since = now - self.purges.get(key, -math.inf)
-            if since <= self._keep:
-                age = min(age, max(since - self._tick, 0.001))
-        return 0.0 if age == math.inf else age
+            since_purge = now - self.purges.get(key, -math.inf)
+            if since_purge <= self._purge_lifetime:
+                limit = min(limit, max(since_purge - self._age_resolution, MIN_AGE_LIMIT))
+        return 0.0 if limit == math.inf else limit
 
-    def purged(self, request: Arrival, issued: float) -> bool:
-        """Whether a copy is older than a purge that we were told of lately."""
+    def is_purged(self, request: Arrival, issued: float) -> bool:
+        """Whether a copy issued by the origin at this Unix time is older than a recent purge of it."""
         return any(issued <= self.purges.get(key, -math.inf) for key in (request.obj, request.group))
 
     @staticmethod
-    def too_old(cls: RequestClass | None, issued: float, sent: float, slack: float) -> bool:
-        """Guards against a copy older than its class may ever be served, whoever says that it will do."""
-        return sent - issued > (cls.fresh_for + cls.grace if cls and cls.fresh_for else math.inf) + slack
+    def is_too_old(cls: RequestClass | None, issued: float, sent: float, slack: float) -> bool:
+        """Whether a copy is older than its class may ever be served, whatever the cache says of it.
+
+        issued, sent: Unix seconds of the issue by the origin and of the request; slack: seconds by which two
+        clocks may differ.
+        """
+        if cls is None or not cls.fresh_for:
+            return False
+        return sent - issued > cls.fresh_for + cls.grace + slack
--- a/brackenlane/core/metrics.py
+++ b/brackenlane/core/metrics.py
@@ -1,70 +1,75 @@
-"""What became of requests, counted since this process started, and all figures as text.
+"""Counters of requests since this process started, and their exposition as text.
 
 Pure. The text is the Prometheus exposition format, version 0.0.4: a line for each sample, `# TYPE` before
-each name.
+each name. The names in it (`gw_...`, `kind`) are fixed by its readers.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
+from http import HTTPStatus
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-REFUSED = (429, 503)  # tell a client that trying again is harmless
+SERVED_STATUSES = (HTTPStatus.OK, HTTPStatus.NOT_MODIFIED)
+REJECTED_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)  # a retry is harmless
 
 
 @dataclass(slots=True)
 class ClassCounters:
-    """Counters of one class: requests served, rejected and failed; attempts written completely to caches."""
+    """Counters of one request class."""
 
-    ok: int = 0
-    shed: int = 0
-    errors: int = 0
-    tries: int = 0
+    served: int = 0
+    rejected: int = 0
+    failed: int = 0
+    attempts: int = 0  # written completely to caches
 
 
 class RequestMetrics:
     """Counters by request class; a request of an unknown class is not counted."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self.kinds = {name: ClassCounters() for name in classes}
+        self.counters = {name: ClassCounters() for name in classes}
 
     def reconfigure(self, classes: Iterable[str]) -> None:
-        """Count by these classes from now on; counts of those that stay go on."""
-        self.kinds = {name: self.kinds.get(name) or ClassCounters() for name in classes}
-
-    def ended(self, cls: str, status: int) -> None:
-        """A request of a class (any other name is passed over) got its final answer, by its HTTP status."""
-        if kind := self.kinds.get(cls):
-            if status in (200, 304):
-                kind.ok += 1
-            elif status in REFUSED:
-                kind.shed += 1
-            else:
-                kind.errors += 1
-
-    def tried(self, cls: str) -> None:
-        """An attempt for a request of a class was written whole to a cache."""
-        if kind := self.kinds.get(cls):
-            kind.tries += 1
+        """Count by these classes from now on; the counts of classes that stay go on."""
+        self.counters = {name: self.counters.get(name) or ClassCounters() for name in classes}
+
+    def count_answer(self, cls: str, status: int) -> None:
+        """Count the final answer of a request by its HTTP status."""
+        counters = self.counters.get(cls)
+        if counters is None:
+            return
+        if status in SERVED_STATUSES:
+            counters.served += 1
+        elif status in REJECTED_STATUSES:
+            counters.rejected += 1
+        else:
+            counters.failed += 1
+
+    def count_attempt(self, cls: str) -> None:
+        """Count an attempt that was written completely to a cache."""
+        if counters := self.counters.get(cls):
+            counters.attempts += 1
 
 
 @dataclass(slots=True, frozen=True)
 class Gauges:
-    """What stands at this moment."""
+    """Figures of this moment."""
 
-    active: int = 0  # requests taken and not yet ended
-    pool_size: int = 0  # caches on the list, parents and origin among them
-    pool_ejected: int = 0  # of these, avoided by hand or by choice
+    active: int = 0  # requests received and not yet answered
+    pool_size: int = 0  # servers on the list, parents and origin among them
+    pool_ejected: int = 0  # of these, taken out by hand or ejected by outlier detection
 
 
-def expose(counts: RequestMetrics, gauges: Gauges) -> bytes:
-    """All figures as text."""
+def expose(metrics: RequestMetrics, gauges: Gauges) -> bytes:
+    """Return all figures as text."""
     lines: list[str] = []
-    for name in ("ok", "shed", "errors", "tries"):
+    for name, field in (("ok", "served"), ("shed", "rejected"), ("errors", "failed"), ("tries", "attempts")):
         lines.append(f"# TYPE gw_{name} counter")
         lines += [
-            f'gw_{name}{{kind="{_escape(cls)}"}} {getattr(kind, name)}' for cls, kind in counts.kinds.items()
+            f'gw_{name}{{kind="{_escape(cls)}"}} {getattr(counters, field)}'
+            for cls, counters in metrics.counters.items()
         ]
     for name in ("active", "pool_size", "pool_ejected"):
         lines += [f"# TYPE gw_{name} gauge", f"gw_{name} {getattr(gauges, name)}"]
@@ -72,5 +77,5 @@
 
 
 def _escape(value: str) -> str:
-    """A label's value: backslash, quote and line feed are escaped."""
+    """Escape backslash, quote and line feed in the value of a label."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- /dev/null
+++ b/brackenlane/core/request_table.py
@@ -0,0 +1,62 @@
+"""The table of pending requests: who is still owed an answer, and whose attempts are still active."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from brackenlane.core.requests import Answer, PendingRequest
+from brackenlane.core.timers import Timers
+
+
+class RequestTable:
+    """Owner of every request from its arrival until it is finished and its last attempt has ended.
+
+    Bounded by the fronts: each of their connections has at most one open request.
+    """
+
+    def __init__(self, timers: Timers, on_removed: Callable[[], None]) -> None:
+        self._timers = timers
+        self._on_removed = on_removed
+        self._requests: dict[str, PendingRequest] = {}
+
+    @property
+    def open_count(self) -> int:
+        """The number of requests without a final answer."""
+        return sum(not request.is_finished for request in self._requests.values())
+
+    def open_requests(self) -> list[PendingRequest]:
+        """Return the requests without a final answer, in their order of arrival."""
+        return [request for request in self._requests.values() if not request.is_finished]
+
+    def add(self, request: PendingRequest, expires_at: float, on_expired: Callable[[str], None]) -> None:
+        """Add a request; `on_expired(request_id)` is called if it is open at `expires_at`, Unix seconds."""
+        request_id = request.arrival.request_id
+        self._requests[request_id] = request
+        request.expiry_timer = self._timers.at(expires_at, on_expired, request_id)
+
+    def find(self, request_id: str) -> PendingRequest | None:
+        """Return a request, finished or not; None if it is unknown or removed."""
+        return self._requests.get(request_id)
+
+    def find_open(self, request_id: str) -> PendingRequest | None:
+        """Return a request that is owed its final answer; None if there is none of this id."""
+        request = self._requests.get(request_id)
+        if request is None or request.is_finished:
+            return None
+        return request
+
+    def finish(self, request_id: str, answer: Answer | None) -> None:
+        """Give a request its final answer unless it has one; None if its client has disconnected."""
+        request = self.find_open(request_id)
+        if request is None:
+            return
+        request.finish(answer)
+        self.remove_if_done(request_id)
+
+    def remove_if_done(self, request_id: str) -> None:
+        """Remove a request that is finished, once none of its attempts is active."""
+        request = self._requests.get(request_id)
+        if request is None or not request.is_finished or request.has_active_attempts:
+            return
+        del self._requests[request_id]
+        self._on_removed()
--- a/brackenlane/core/requests.py
+++ b/brackenlane/core/requests.py
@@ -1,10 +1,11 @@
-"""What the core keeps of a request and its attempts, from the front's question to the one final answer.
+"""Records of a request and its attempts, from a front's question to the one final answer.
 
-Pure. Times are Unix seconds where nothing else is said.
+Times are Unix seconds and durations are seconds where nothing else is said.
 """
 
 from __future__ import annotations
 
+import logging
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
@@ -16,12 +17,14 @@
 from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus
 from brackenlane.routing.settings import Idempotency, RequestClass
 
+log = logging.getLogger(__name__)
+
 
 class Disposition(Enum):
     """How a request ended."""
 
     SERVED = "served"
-    UNCHANGED = "unchanged"  # served: the copy that the client holds will do
+    UNCHANGED = "unchanged"  # served: the copy that the client holds is still valid
     REJECTED = "refused"
     FAILED = "failed"
 
@@ -32,25 +35,30 @@
 
     disposition: Disposition
     body: bytes = b""
-    tag: str = ""
-    hold_off: float = 0.0
-    late: bool = False  # failed since its time was up
-    server: str = ""  # the cache that answered
+    tag: str = ""  # entity tag of the body
+    hold_off: float = 0.0  # seconds after which a rejected client may retry
+    deadline_exceeded: bool = False  # failed because its deadline has passed
+    server: str = ""  # the server that answered; empty for an answer of our own
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptReply:
-    """How an attempt ended, as a peer reports it."""
+    """How an attempt ended, as its connection reports it."""
 
     result: AttemptResult
-    wait: float = 0.0
+    wait: float = 0.0  # seconds from the start of the attempt to its end
     cache_status: CacheStatus = CacheStatus.UNKNOWN
     body: bytes = b""
-    tag: str = ""
-    unchanged: bool = False
-    issued: float | None = None  # Unix time at which the origin gave out this copy
-    delay: float = 0.0  # seconds that a fill waited for its source; 0: not told
-    report: tuple[tuple[str, float], ...] = ()  # the load of the cache, by the names of the report's fields
+    tag: str = ""  # entity tag of the body
+    unchanged: bool = False  # the copy that the client holds is still valid
+    issued: float | None = None  # Unix time at which the origin issued this copy
+    delay: float = 0.0  # seconds that a fill waited for its source; 0: unknown
+    report: tuple[tuple[str, float], ...] = ()  # load of the cache, by the names of the report's fields
+
+
+def _assume_connected() -> bool:
+    """Stand for a front that cannot detect a closed connection."""
+    return True
 
 
 @dataclass(slots=True, eq=False)
@@ -59,20 +67,18 @@
 
     arrival: Arrival
     deadline: float
-    wire_id: str = ""
-    tag: str = ""
+    wire_id: str = ""  # the client's own id, passed on unread
+    tag: str = ""  # entity tag of the copy that the client holds
     body: bytes = b""
-    key: str = ""  # by which caches drop the repeats of a keyed request
-    connect_only: bool = False  # the cache is wanted, not the object: reach it and no more
+    key: str = ""  # idempotency key, by which caches drop repeats
+    connect_only: bool = False  # the server's connection is wanted, not the object
     on_answer: Callable[[Answer], None] | None = None  # called once, with the final answer
-    is_client_connected: Callable[[], bool] | None = (
-        None  # whether its client is still there, looked at when called
-    )
-    cls: RequestClass | None = None  # as it was when the request came, whatever is told later
-    router: Router | None = None  # that decides it, to its end
-    guard: Timer | None = None
+    is_client_connected: Callable[[], bool] = _assume_connected  # may detect a close, which ends the request
+    cls: RequestClass | None = None  # as configured when the request arrived
+    router: Router | None = None  # decides the request to its end; set on arrival
+    expiry_timer: Timer | None = None
     answer: Answer | None = None
-    is_finished: bool = False  # nothing more is owed; attempts may still be out
+    is_finished: bool = False  # no answer is owed any more; attempts may still be active
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
@@ -82,50 +88,76 @@
 
     @property
     def must_run_once(self) -> bool:
-        """Whether it must never run twice: caches drop repeats of a keyed request by its key alone."""
+        """Whether it must never run twice: without a key no cache can drop the repeat of a keyed request."""
         if self.cls is None:
             return False
-        return self.cls.idempotency is Idempotency.NON_IDEMPOTENT or (
-            self.cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not self.key
-        )
+        if self.cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+            return not self.key
+        return self.cls.idempotency is Idempotency.NON_IDEMPOTENT
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt may have run at a cache: nothing proves the contrary."""
-        return any(a.written and not (a.reply and a.reply.result.is_proven_not_run) for a in self.attempts)
+        """Whether an attempt may have run at a cache: nothing proves that it has not."""
+        return any(attempt.may_have_run for attempt in self.attempts)
+
+    @property
+    def has_active_attempts(self) -> bool:
+        """Whether an attempt has not been reported as ended."""
+        return any(attempt.reply is None for attempt in self.attempts)
+
+    def finish(self, answer: Answer | None) -> None:
+        """Set the final answer and notify the front; `answer` is None if the client has disconnected."""
+        on_answer = self.on_answer
+        self.is_finished = True
+        self.answer = answer
+        self.on_answer = None
+        if self.expiry_timer:
+            self.expiry_timer.cancel()
+        if on_answer is None or answer is None:
+            return
+        try:
+            on_answer(answer)
+        except Exception:  # a fault of one client's connection must not stop the engine
+            log.exception("answer to request %s not delivered", self.arrival.request_id)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt at a cache, from the decision to its outcome."""
+    """One attempt at a server, from the decision to its outcome."""
 
     request: PendingRequest
-    number: int
+    number: int  # place among the attempts of its request, from 0
     fetch: Fetch
-    started: float
-    stop: Callable[[], None] | None = None  # of whoever performs it: takes it back at once
+    started_at: float
+    stop: Callable[[], None] | None = None  # set by whoever performs it: ends it at once
     written: bool = False  # a byte of it may have reached the cache
     cancelled: bool = False
     reply: AttemptReply | None = None
 
+    @property
+    def may_have_run(self) -> bool:
+        """Whether the server may have run it: it was written, and no reply proves the contrary."""
+        if not self.written:
+            return False
+        return self.reply is None or not self.reply.result.is_proven_not_run
+
     def remaining_time(self, membership: MembershipView, now: float) -> float:
-        """The time its cache has for it, if its first byte may go out at this very moment; else at most 0.
+        """Return the seconds left if the first byte is written now; 0 if it must not be written.
 
-        The one check of all that may have changed since it was decided, however long it waited, and for what.
+        This is the last check before the write: anything may have changed while the attempt was queued.
         """
-        request, fetch = self.request, self.fetch
-        if (
-            self.reply
-            or self.cancelled
-            or request.is_finished
-            or now > fetch.until
-            or not membership.allows(fetch)
-        ):
+        if not self._is_sendable(membership, now):
+            return 0.0
+        deadline = min(self.started_at + self.fetch.timeout, self.request.deadline)
+        if now >= deadline:
             return 0.0
-        left = min(self.started + fetch.timeout, request.deadline) - now
-        # Last, since it may end the request: its client may have left, unheard as yet.
-        return (
-            left
-            if left > 0 and (request.is_client_connected is None or request.is_client_connected())
-            else 0.0
-        )
+        # Checked last: detecting a closed connection may end the request.
+        if not self.request.is_client_connected():
+            return 0.0
+        return deadline - now
+
+    def _is_sendable(self, membership: MembershipView, now: float) -> bool:
+        """Whether the attempt is still wanted, decided recently enough, and its servers serve."""
+        if self.reply or self.cancelled or self.request.is_finished:
+            return False
+        return now <= self.fetch.until and membership.allows(self.fetch)
--- a/brackenlane/core/response_cache.py
+++ b/brackenlane/core/response_cache.py
@@ -1,4 +1,7 @@
-"""The response cache: objects held in memory and served while our own link to clients has room."""
+"""The response cache: objects held in memory and served while the link to clients has capacity.
+
+Times are Unix seconds, sizes are bytes.
+"""
 
 from __future__ import annotations
 
@@ -8,89 +11,122 @@
 from brackenlane.routing.events import Arrival, Purged
 from brackenlane.routing.settings import RequestClass, Settings
 
+MAX_ENTRY_SHARE = 1 / 8  # of the capacity that one response may take
+USABLE_FRESHNESS = (
+    0.8  # share of the fresh time after which caches are asked, which then renew their own copy
+)
+UNCHANGED_SIZE_DIVISOR = 20  # an answer without a body takes this part of its size on the link
+LINK_WAIT_SHARE = 1 / 8  # of the latency objective that an answer may wait for the link
+
 
 @dataclass(slots=True, frozen=True)
 class Copy:
-    """One part of an object, as a cache gave it out."""
+    """One part of an object, as a cache issued it."""
 
     arrival: Arrival  # of the request that it was fetched for: object, part and group
     body: bytes
-    tag: str
-    issued: float  # Unix time at which the origin gave it out
+    tag: str  # entity tag
+    issued: float  # time at which the origin issued it
+
+    def is_covered_by(self, purge: Purged) -> bool:
+        """Whether a purge names its object, or its group if the purge names no object."""
+        if purge.obj:
+            return self.arrival.obj == purge.obj
+        return self.arrival.group == purge.group
 
 
 class ResponseCache:
-    """Bounded in bytes; what was used longest ago goes first."""
+    """Responses by class and cache key, bounded in bytes; the least recently used is dropped first."""
 
     def __init__(self, settings: Settings, capacity: float, flow: float, link: float, slack: float) -> None:
-        self.most = self._room = capacity
-        self._flow, self._link, self._slack = flow, link, slack
+        """Create an empty cache.
+
+        capacity: bytes; flow: bytes per second of one transfer; link: bytes per second of all transfers;
+        slack: seconds by which the clocks of two machines may differ.
+        """
+        self.max_capacity = capacity
+        self._capacity = capacity
+        self._transfer_rate = flow
+        self._link_rate = link
+        self._clock_tolerance = slack
         self._classes = {c.name: c for c in settings.classes if not c.uncached}
-        self._kept: OrderedDict[tuple[str, str], Copy] = OrderedDict()
-        self._bytes = 0.0
-        self._free = 0.0  # when all that our link carries now has gone out
+        self._copies: OrderedDict[tuple[str, str], Copy] = OrderedDict()
+        self._size = 0.0
+        self._link_free_at = 0.0  # when all that the link carries now has been sent
+
+    @property
+    def share(self) -> float:
+        """The share of the configured capacity that may be used."""
+        return self._capacity / self.max_capacity if self.max_capacity else 0.0
 
-    def keep(self, copy: Copy) -> None:
-        """Keep what a cache has answered."""
+    def set_capacity(self, capacity: float) -> None:
+        """Hold at most this many bytes from now on."""
+        self._capacity = capacity
+        self._evict()
+
+    def store(self, copy: Copy) -> None:
+        """Hold a copy, unless its class is not cached or it is too large."""
         size = len(copy.body)
-        key = copy.arrival.cls, copy.arrival.cache_key
-        if copy.arrival.cls not in self._classes or not 0 < size <= self._room / 8:
+        if copy.arrival.cls not in self._classes or not 0 < size <= self._capacity * MAX_ENTRY_SHARE:
             return
+        key = (copy.arrival.cls, copy.arrival.cache_key)
         self._drop(key)
-        self._kept[key] = copy
-        self._bytes += size
-        while self._bytes > self._room:
-            self._drop(next(iter(self._kept)))
-
-    @property
-    def part(self) -> float:
-        """Which part of all room may be used."""
-        return self._room / self.most if self.most else 0.0
-
-    def allow(self, capacity: float) -> None:
-        """Keep no more bytes than so many from now on."""
-        self._room = capacity
-        while self._bytes > self._room:
-            self._drop(next(iter(self._kept)))
+        self._copies[key] = copy
+        self._size += size
+        self._evict()
 
     def holds(self, cls: str, copy: str) -> bool:
-        """Whether there is one; whether it may be served is `find`'s to say."""
-        return (cls, copy) in self._kept
+        """Whether a copy is held; whether it may be served is decided by `find`.
+
+        copy: the cache key of one part of an object.
+        """
+        return (cls, copy) in self._copies
 
     def find(self, request: Arrival, tag: str, now: float) -> Copy | None:
-        """The copy that serves a request in time by our own link, if there is one; it is taken as served."""
-        cls, copy = self._classes.get(request.cls), self._kept.get((request.cls, request.cache_key))
+        """Return the copy that serves a request in time by the link, counted as sent; None if there is none.
+
+        tag: entity tag of the copy that the client holds, which needs no body if it is the same.
+        """
+        key = (request.cls, request.cache_key)
+        cls = self._classes.get(request.cls)
+        copy = self._copies.get(key)
         if cls is None or copy is None:
             return None
-        # In the last fifth of its fresh time the caches are asked, which renew theirs behind an answer.
-        if cls.fresh_for and now - copy.issued > 0.8 * cls.fresh_for - self._slack:
-            self._drop((request.cls, request.cache_key))
+        usable_for = USABLE_FRESHNESS * cls.fresh_for - self._clock_tolerance
+        if cls.fresh_for and now - copy.issued > usable_for:
+            self._drop(key)
             return None
-        if not self._in_time(cls, len(copy.body) / 20 if tag == copy.tag else len(copy.body), now):
+        size = len(copy.body)
+        sent_size = size / UNCHANGED_SIZE_DIVISOR if tag == copy.tag else size
+        if not self._reserve_link(cls, sent_size, now):
             return None
-        self._kept.move_to_end((request.cls, request.cache_key))
+        self._copies.move_to_end(key)
         return copy
 
-    def _in_time(self, cls: RequestClass, size: float, now: float) -> bool:
-        """Whether our link sends it about as soon as one flow can; transfers share it in their order."""
-        free = max(self._free, now) + size / self._link
-        alone = size / self._flow
-        if free - now > alone + cls.latency_objective / 8:  # a cache would send it sooner
+    def purge(self, event: Purged, now: float) -> None:
+        """Drop every copy that a purge covers and that was issued before it."""
+        purged_at = now - event.age + self._clock_tolerance
+        stale = [
+            key
+            for key, copy in self._copies.items()
+            if copy.issued <= purged_at and copy.is_covered_by(event)
+        ]
+        for key in stale:
+            self._drop(key)
+
+    def _reserve_link(self, cls: RequestClass, size: float, now: float) -> bool:
+        """Reserve the link if it sends this about as soon as a cache would; transfers share it in order."""
+        free_at = max(self._link_free_at, now) + size / self._link_rate
+        transfer_time = size / self._transfer_rate
+        if free_at - now > transfer_time + cls.latency_objective * LINK_WAIT_SHARE:
             return False
-        self._free = free
+        self._link_free_at = free_at
         return True
 
-    def purge(self, event: Purged, now: float) -> None:
-        """Guards against answering from a copy older than a purge: it goes as soon as we are told."""
-        at = now - event.age + self._slack
-        for key in [
-            k
-            for k, c in self._kept.items()
-            if c.issued <= at
-            and (c.arrival.obj == event.obj if event.obj else c.arrival.group == event.group)
-        ]:
-            self._drop(key)
+    def _evict(self) -> None:
+        while self._size > self._capacity:
+            self._drop(next(iter(self._copies)))
 
     def _drop(self, key: tuple[str, str]) -> None:
-        if copy := self._kept.pop(key, None):
-            self._bytes -= len(copy.body)
+        if copy := self._copies.pop(key, None):
+            self._size -= len(copy.body)
--- a/brackenlane/core/timers.py
+++ b/brackenlane/core/timers.py
@@ -1,4 +1,4 @@
-"""Many timers, one task: a heap of calls to make, without a task or a cancel scope for each."""
+"""Timers of one process: a heap of calls served by one task, without a task or a cancel scope for each."""
 
 from __future__ import annotations
 
@@ -14,45 +14,46 @@
 
 log = logging.getLogger(__name__)
 
-QUANTUM = 0.004  # seconds between two rounds, so that calls come in batches
+BATCH_INTERVAL = 0.004  # seconds between two rounds, so that calls come in batches
 
 
 class Timer:
-    """One call to make at a time; cancelled, it holds on to nothing."""
+    """One call to make at a time."""
 
-    __slots__ = ("call", "args")
+    __slots__ = ("args", "call")
 
     def __init__(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
         self.call: Callable[..., None] | None = call
         self.args = args
 
     def cancel(self) -> None:
-        """Guards against an answer of 240 kB living on in the heap until its request's time is up."""
-        self.call, self.args = None, ()
+        """Cancel the call and release its arguments, which may hold a large answer, before the time comes."""
+        self.call = None
+        self.args = ()
 
 
 class Timers:
-    """Calls at Unix times, in their order."""
+    """Calls at Unix times, made in their order; calls of the same time in the order they were added."""
 
     def __init__(self, clock: Callable[[], float] = time.time) -> None:
-        self._clock = clock
+        self.clock = clock
         self._heap: list[tuple[float, int, Timer]] = []
-        self._order = itertools.count()
-        self.first: Callable[[], None] | None = None  # what must be heard before time is up for anything
+        self._numbers = itertools.count()
+        self.before_round: Callable[[], None] | None = None  # reads pending input before any call is made
         self._sleep = trio.CancelScope()
-        self._until = -math.inf  # when the sleeping task wakes by itself; -inf while it is awake
+        self._wakes_at = -math.inf  # when the sleeping task wakes by itself; -inf while it is awake
 
     def at(self, when: float, call: Callable[..., None], *args: Any) -> Timer:
-        """Call at a Unix time, or as soon after it as the loop is free."""
+        """Call at a Unix time, or as soon after it as the event loop is free."""
         timer = Timer(call, args)
-        heapq.heappush(self._heap, (when, next(self._order), timer))
-        if when < self._until:
-            self._until = when
-            self._sleep.deadline = trio.current_time() + max(0.0, when - self._clock())
+        heapq.heappush(self._heap, (when, next(self._numbers), timer))
+        if when < self._wakes_at:
+            self._wakes_at = when
+            self._sleep.deadline = trio.current_time() + max(0.0, when - self.clock())
         return timer
 
-    def ring(self, now: float) -> None:
-        """Make the calls that are due."""
+    def call_due(self, now: float) -> None:
+        """Make the calls that are due at a Unix time."""
         heap = self._heap
         while heap and heap[0][0] <= now:
             timer = heapq.heappop(heap)[2]
@@ -60,23 +61,32 @@
                 continue
             try:
                 timer.call(*timer.args)
-            except Exception:  # one timer must not end the others
-                log.exception("a timer failed")
+            except Exception:  # a fault of one timer must not stop the others
+                log.exception("timer failed")
 
     async def run(self) -> None:
-        """Make each call as it comes due, for good."""
+        """Make each call as it comes due, until cancelled."""
         while True:
-            while self._heap and self._heap[0][2].call is None:
-                heapq.heappop(self._heap)
-            self._until = self._heap[0][0] if self._heap else math.inf
-            # The heap is on the Unix clock; the wait for its first is taken anew each time round.
-            with trio.CancelScope() as self._sleep:
-                wait = self._until - self._clock()
-                self._sleep.deadline = trio.current_time() + max(0.0, wait)
-                if wait > 0:
-                    await trio.sleep_forever()
-            self._until = -math.inf
-            if self.first:
-                self.first()  # guards against calling late what has come, and was not read yet
-            self.ring(self._clock())
-            await trio.sleep(QUANTUM)
+            self._drop_cancelled()
+            await self._sleep_until_due()
+            # Input that has come but is not read yet must be applied before calls that would find it late.
+            if self.before_round:
+                self.before_round()
+            self.call_due(self.clock())
+            await trio.sleep(BATCH_INTERVAL)
+
+    def _drop_cancelled(self) -> None:
+        """Drop cancelled timers from the front of the heap."""
+        while self._heap and self._heap[0][2].call is None:
+            heapq.heappop(self._heap)
+
+    async def _sleep_until_due(self) -> None:
+        """Sleep until the first call is due; `at` moves the deadline if an earlier one is added."""
+        self._wakes_at = self._heap[0][0] if self._heap else math.inf
+        # The heap is on the Unix clock, which may be set: the wait is computed anew in each round.
+        with trio.CancelScope() as self._sleep:
+            wait = self._wakes_at - self.clock()
+            self._sleep.deadline = trio.current_time() + max(0.0, wait)
+            if wait > 0:
+                await trio.sleep_forever()
+        self._wakes_at = -math.inf
--- a/brackenlane/dns/server.py
+++ b/brackenlane/dns/server.py
@@ -140,7 +140,7 @@
             return self._deny(response, dns.rcode.NOERROR)
         if isinstance(question, names.CacheQuestion):
             # Guards against naming a cache that drains: its own name has no address then.
-            if not self._core.membership.serving(question.server):
+            if not self._core.membership.is_serving(question.server):
                 return self._deny(response, dns.rcode.NOERROR)
             return self._name(response, requested.name, kind, question.server)
         own = isinstance(question, names.RouterQuestion) or self._classes[question.cls].uncached
@@ -173,7 +173,7 @@
             if answer.disposition is not Disposition.SERVED:
                 raise GiveUp
             # Guards against a drain heard between the connection to the cache and this answer.
-            if self._core.membership.serving(answer.server) and answer.server in self._roster.endpoints:
+            if self._core.membership.is_serving(answer.server) and answer.server in self._roster.endpoints:
                 return self._name(response, name, kind, answer.server)
         raise GiveUp
 
--- a/brackenlane/lab/queueing.py
+++ b/brackenlane/lab/queueing.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from brackenlane.admission.controller import Admission
+from brackenlane.admission.controller import AdmissionQueue
 from brackenlane.routing.settings import Idempotency, RequestClass
 
 CLASSES = (
@@ -35,10 +35,10 @@
 class Policy(Protocol):
     """What stands at the door."""
 
-    def welcome(self, cls: str, again: bool) -> bool:
+    def has_capacity_for(self, cls: str, is_retry: bool) -> bool:
         """Whether one more may wait."""
 
-    def offer(self, item: Try, cls: str, again: bool, now: float) -> None:
+    def add(self, item: Try, cls: str, is_retry: bool, now: float) -> None:
         """One more waits."""
 
     def shed(self, now: float) -> list[Try]:
@@ -47,7 +47,7 @@
     def take(self, now: float) -> tuple[Try, float] | None:
         """Who is served next."""
 
-    def drop(self, item: Try, cls: str, again: bool) -> bool:
+    def remove(self, item: Try, cls: str, is_retry: bool) -> bool:
         """One has left."""
 
 
@@ -70,11 +70,11 @@
         self._waiting: deque[tuple[float, Try]] = deque()
         self._bound, self._dead, self._newest = bound, dead, newest
 
-    def welcome(self, cls: str, again: bool) -> bool:
+    def has_capacity_for(self, cls: str, is_retry: bool) -> bool:
         """Within the bound."""
         return len(self._waiting) < self._bound
 
-    def offer(self, item: Try, cls: str, again: bool, now: float) -> None:
+    def add(self, item: Try, cls: str, is_retry: bool, now: float) -> None:
         """Wait behind the others."""
         self._waiting.append((now, item))
 
@@ -92,7 +92,7 @@
         since, item = self._waiting.pop() if self._newest else self._waiting.popleft()
         return item, since
 
-    def drop(self, item: Try, cls: str, again: bool) -> bool:
+    def remove(self, item: Try, cls: str, is_retry: bool) -> bool:
         """A plain server does not notice that a client has left until it has served it."""
         return False
 
@@ -183,15 +183,15 @@
             now = events[0][0]
         while events and events[0][0] <= now:  # all that has come is looked at
             item = heapq.heappop(events)[2]
-            if policy.welcome(item.cls.name, item.number > 1):
-                policy.offer(item, item.cls.name, item.number > 1, now)
+            if policy.has_capacity_for(item.cls.name, item.number > 1):
+                policy.add(item, item.cls.name, item.number > 1, now)
                 heapq.heappush(leaves, (item.until, next(order), item))
                 waiting += 1
             else:
                 refuse(item)
         while leaves and leaves[0][0] <= now:
             item = heapq.heappop(leaves)[2]
-            if not item.ended and policy.drop(item, item.cls.name, item.number > 1):
+            if not item.ended and policy.remove(item, item.cls.name, item.number > 1):
                 waiting -= 1
                 end(item, "left", now)
         for item in policy.shed(now):
@@ -206,6 +206,6 @@
     return result
 
 
-def admission() -> Admission[Try]:
+def admission() -> AdmissionQueue[Try]:
     """The door's own policy."""
-    return Admission(CLASSES)
+    return AdmissionQueue(CLASSES)
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -60,7 +60,7 @@
             self.settle(
                 AttemptReply(
                     result if self.attempt.written else AttemptResult.NEVER_SENT,
-                    time.time() - self.attempt.started,
+                    time.time() - self.attempt.started_at,
                 )
             )
 
@@ -197,7 +197,7 @@
                 slot.settle(
                     AttemptReply(
                         AttemptResult.BROKEN if slot.attempt.written else AttemptResult.UNREACHABLE,
-                        time.time() - slot.attempt.started,
+                        time.time() - slot.attempt.started_at,
                     )
                 )
 
@@ -357,7 +357,7 @@
         unchanged = answer.word == "unchanged"
         if result is AttemptResult.OK:
             # Guards against a copy that is too old, or an 'unchanged' of another copy than the client holds.
-            old = answer.issued is not None and self._membership.too_old(
+            old = answer.issued is not None and self._membership.is_too_old(
                 request.cls, answer.issued, slot.sent, self._limits.age_slack
             )
             # Nor may bytes pass that only look like an answer: what is kept bears its tag and its time.
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -74,7 +74,7 @@
             return
         self.open = False
         if self._lane is not None:
-            self._front.admission.drop(self, *self._lane)
+            self._front.admission.remove(self, *self._lane)
         self._front.forget(self, self._waits)
         self._front.poller.remove(self._sock.fileno())
         self._sock.close()
@@ -160,7 +160,7 @@
         if self._waits is ClientState.CLOSING:
             if self._unasked and (found := REQUEST_START.match(data)):
                 self._unasked = False
-                self._front.counts.ended(found[1].decode(), HTTPStatus.SERVICE_UNAVAILABLE)
+                self._front.counts.count_answer(found[1].decode(), HTTPStatus.SERVICE_UNAVAILABLE)
             self._bytes_allowed -= len(data)
             return self.close() if self._bytes_allowed <= 0 else None
         if self._waits in (ClientState.NOT, ClientState.TAKE):
@@ -179,7 +179,7 @@
         if self._waits is not ClientState.REST and (plain := read_plain(data)):
             target, again = plain
             if self._front.refuses(target, again) and not self._front.leaving:
-                self._front.figures.refuse(Reason.QUEUED)
+                self._front.figures.count_rejected(Reason.QUEUED)
                 self._cls = lane_of(target)
                 return self._turn_away()
             self._raw, self._plain = data, target  # read no further until it is served
@@ -192,12 +192,12 @@
         self.wait(ClientState.NOT)
         self._cls = lane_of(target)
         self._lane = self._cls, again
-        self._front.admission.offer(self, *self._lane, self._front.poller.polled)
+        self._front.admission.add(self, *self._lane, self._front.poller.polled)
 
     def rejoin(self, since: float) -> None:
         """Wait in the door's new queue, since when it has waited."""
         assert self._lane is not None
-        self._front.admission.offer(self, *self._lane, since)
+        self._front.admission.add(self, *self._lane, since)
 
     def serve(self, since: float) -> None:
         """It is the turn of the request that waits, which came at a Unix time."""
@@ -216,7 +216,7 @@
         target = self._plain
         if target and self._front.own(target):
             return self.serve(now)
-        self._front.figures.refuse(Reason.QUEUED)
+        self._front.figures.count_rejected(Reason.QUEUED)
         if target and not self._front.leaving:
             self._raw, self._plain, self._lane = b"", "", None
             self._turn_away()
@@ -233,7 +233,7 @@
 
     def _turn_away(self) -> None:
         self._bytes_allowed, self._close = self._front.limits.head, False
-        self._front.counts.ended(self._cls, HTTPStatus.SERVICE_UNAVAILABLE)
+        self._front.counts.count_answer(self._cls, HTTPStatus.SERVICE_UNAVAILABLE)
         self._send(self._front.refusal)
         if self.open:
             self.wait(ClientState.TAKE if self._unsent else ClientState.NEXT)
@@ -268,7 +268,7 @@
         if not self.open:
             return
         status, headers, body = worded
-        self._front.counts.ended(self._cls, status)
+        self._front.counts.count_answer(self._cls, status)
         self._cls = ""
         self._close |= self._front.leaving or self._flooded
         self._send(encode_answer(status, headers, body, self._close), body)
--- a/brackenlane/net/connection_pool.py
+++ b/brackenlane/net/connection_pool.py
@@ -62,7 +62,7 @@
         slot = DispatchedAttempt(attempt, self._report)
         attempt.stop = slot.stop
         # Its time runs from the decision.
-        slot.timer = self.timers.at(attempt.started + attempt.fetch.timeout, slot.stop)
+        slot.timer = self.timers.at(attempt.started_at + attempt.fetch.timeout, slot.stop)
         self._serve(slot)
         return True
 
@@ -145,7 +145,7 @@
     def _want_link(self, slot: DispatchedAttempt) -> None:
         """Wait for a new connection. For a name's answer, that the cache takes one is all that is wanted."""
         if not self._membership.allows(slot.attempt.fetch):
-            return slot.settle(AttemptReply(AttemptResult.UNREACHABLE, time.time() - slot.attempt.started))
+            return slot.settle(AttemptReply(AttemptResult.UNREACHABLE, time.time() - slot.attempt.started_at))
         self._mail.append(slot)
         self._start_dial(keep=not slot.attempt.request.connect_only)
 
@@ -193,7 +193,7 @@
             else:
                 self._links = [*(at for at in self._links if at.open), link]
         for slot in waiting:
-            wait = time.time() - slot.attempt.started
+            wait = time.time() - slot.attempt.started_at
             if dial.starved:
                 slot.settle(NEVER_SENT)
             elif sock is None:
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from brackenlane.admission.controller import Admission
+from brackenlane.admission.controller import AdmissionQueue
 from brackenlane.admission.figures import Figures, Reason
 from brackenlane.core.claims import ClaimResult, ClaimStore
 from brackenlane.core.engine import RequestEngine
@@ -77,7 +77,7 @@
         self.claim: Callable[[str], ClaimResult] = lambda _: ClaimResult.OURS
         self.release: Callable[[str], None] = lambda _: None
         self._empty = trio.Event()  # set when the last connection ends
-        self.admission: Admission[ClientConnection] = Admission(core.settings.classes)
+        self.admission: AdmissionQueue[ClientConnection] = AdmissionQueue(core.settings.classes)
         self.figures = Figures()
         self._refusals: dict[int, bytes] = {}  # by how many steps to stay away
         self.refusal = self._refusal(time.time())  # a whole one, as it is worded now
@@ -102,7 +102,7 @@
         self._classes = {c.name: c for c in self._core.settings.classes}
         self.counts.reconfigure(self._classes)
         self._refusals = {}
-        earlier, self.admission = self.admission, Admission(self._core.settings.classes)
+        earlier, self.admission = self.admission, AdmissionQueue(self._core.settings.classes)
         while taken := earlier.take(time.time()):
             taken[0].rejoin(taken[1])
         self.set_share(self._share, self.is_handing_over)
@@ -177,7 +177,7 @@
             if self._close_idle_connection():
                 full = False
             elif self._count >= self._places + self.limits.refused:
-                self.figures.refuse(Reason.FULL)
+                self.figures.count_rejected(Reason.FULL)
                 return sock.close()
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -186,7 +186,7 @@
         self._count += 1
         client.wait(ClientState.FIRST)
         if full:  # told so: a connection closed unread tells its client nothing
-            self.figures.refuse(Reason.FULL)
+            self.figures.count_rejected(Reason.FULL)
             client.shut_out()
 
     def _close_idle_connection(self) -> bool:
@@ -271,8 +271,8 @@
         now = time.time()
         self._core.timers.at(now + self.limits.look, self._watch, now + self.limits.look)
         reported = self.figures.tick(now, max(0.0, now - due), time.process_time())
-        if reported and reported.shedding:
-            log.warning("short of CPU: %s", reported.line())
+        if reported and reported.is_shedding:
+            log.warning("short of CPU: %s", reported.summary())
         for waits in (
             ClientState.FIRST,
             ClientState.NEXT,
@@ -287,7 +287,7 @@
 
     def refuses(self, target: str, again: bool) -> bool:
         """Whether there is no room behind the queue for a request, and no copy of our own to serve it."""
-        return not self.admission.welcome(lane_of(target), again) and not self.own(target)
+        return not self.admission.has_capacity_for(lane_of(target), again) and not self.own(target)
 
     def _serve(self) -> bool:
         """Refuse what has stood too long, then serve for a bounded time; whether more waits."""
@@ -304,7 +304,7 @@
             client, since = taken
             count += 1
             self._guard(client, client.serve, since)
-            self.figures.take(now - since)
+            self.figures.count_taken(now - since)
             now = time.time()
         return self.admission.size > 0
 
@@ -318,8 +318,8 @@
 
     def own(self, target: str) -> bool:
         """Whether a copy of our own would serve this: nearly free, so it is never refused."""
-        found = TARGET.fullmatch(target) if self._core.has_copies else None
-        return found is not None and self._core.holds(found[1], f"{found[2]}/{found[3]}")
+        found = TARGET.fullmatch(target) if self._core.cached_responses.is_enabled else None
+        return found is not None and self._core.cached_responses.holds(found[1], f"{found[2]}/{found[3]}")
 
     def _refusal(self, now: float) -> bytes:
         """A whole refusal, worded once for each time to stay away."""
@@ -356,7 +356,7 @@
             return client.answer(self.encode_rejection())
         request = read_request(reading, self._classes, self.limits, self._core.new_id(), since)
         if (left := request.deadline - time.time()) <= 0:
-            self.figures.refuse(Reason.LATE)
+            self.figures.count_rejected(Reason.LATE)
             return client.answer(self.encode_rejection())
         if left < request.arrival.time_left - 0.001:
             request.arrival = replace(request.arrival, time_left=left)  # what it stood at our door is gone
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -95,7 +95,7 @@
             return 304, tag, b""
         case Disposition.REJECTED:
             return 503, _hold_off_headers(answer.hold_off, max_hold_off), REFUSED
-    return 504 if answer.late else 502, {}, b"failed\n"
+    return 504 if answer.deadline_exceeded else 502, {}, b"failed\n"
 
 
 def _hold_off_headers(hold_off: float, most: float) -> Headers:
--- a/brackenlane/observe/__init__.py
+++ b/brackenlane/observe/__init__.py
@@ -1,4 +1,4 @@
-"""What the router says of itself: so far the rate at which its log may grow.
+"""What the router reports about itself: so far the limit on the rate of its log.
 
-It never decides anything, and costs no request its time. Entry point: `throttle.Throttle`.
+It never decides anything, and adds nothing to the time of a request. Entry point: `throttle.Throttle`.
 """
--- a/brackenlane/observe/throttle.py
+++ b/brackenlane/observe/throttle.py
@@ -1,29 +1,46 @@
-"""The log's rate: bad input repeated without end must not fill a disk nor cost the time of those in hand."""
+"""Rate limit of the log, so that endless bad input neither fills a disk nor delays active requests."""
 
 from __future__ import annotations
 
 import logging
+from dataclasses import dataclass
+
+DEFAULT_KINDS = 256  # kinds of lines counted at once; past it all counts begin anew
+
+
+@dataclass(slots=True)
+class _Window:
+    """The lines of one kind since the last that began a window."""
+
+    start: float  # Unix seconds
+    count: int = 1
 
 
 class Throttle(logging.Filter):
-    """Lets through so many lines of one kind (logger and format) in a span of seconds; the next that passes
-    tells how many did not."""
+    """Log filter that passes a bounded number of lines of one kind in each span of seconds.
+
+    A kind is a logger and a format. The first line after a span tells how many were suppressed in it.
+    """
 
-    def __init__(self, most: int, span: float, kinds: int = 256) -> None:
+    def __init__(self, most: int, span: float, kinds: int = DEFAULT_KINDS) -> None:
         super().__init__()
-        self._most, self._span, self._kinds = most, span, kinds
-        self._seen: dict[tuple[str, str], tuple[float, int]] = {}  # the span's begin, lines since
+        self._max_lines = most
+        self._span = span
+        self._max_kinds = kinds
+        self._windows: dict[tuple[str, str], _Window] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether a line passes."""
-        kind = record.name, str(record.msg)
-        begin, count = self._seen.get(kind, (-self._span, 0))
-        if record.created - begin < self._span:
-            self._seen[kind] = begin, count + 1
-            return count < self._most
-        if len(self._seen) >= self._kinds:
-            self._seen.clear()
-        self._seen[kind] = record.created, 1
-        if count > self._most:
-            record.msg, record.args = f"{record.getMessage()} (and {count - self._most} more like it)", ()
+        """Return whether a line passes."""
+        kind = (record.name, str(record.msg))
+        window = self._windows.get(kind)
+        if window is not None and record.created - window.start < self._span:
+            window.count += 1
+            return window.count <= self._max_lines
+        if len(self._windows) >= self._max_kinds:
+            self._windows.clear()
+        self._windows[kind] = _Window(record.created)
+        if window is not None and window.count > self._max_lines:
+            suppressed = window.count - self._max_lines
+            record.msg = f"{record.getMessage()} (and {suppressed} more like it)"
+            record.args = ()
         return True
--- a/brackenlane/ops/admin_service.py
+++ b/brackenlane/ops/admin_service.py
@@ -85,7 +85,7 @@
 
     def figures(self) -> bytes:
         """All figures as text."""
-        listed, avoided = self._maintenance.listed, self._core.avoided
+        listed, avoided = self._maintenance.listed, self._core.routers.ejected_servers()
         ejected = sum(name in avoided or name in self._maintenance.out for name in listed)
         return expose(self._front.counts, Gauges(self._front.active, len(listed), ejected))
 
@@ -140,10 +140,10 @@
         log.info("this process is %s (it was %s)", self._state.value.name, was.value.name)
         behavior, now = self._state.value, time.time()
         self._front.set_share(behavior.share, behavior.is_handing_over)
-        self._core.keep_copies(1.0 if behavior.cold else 0.0)
+        self._core.cached_responses.set_share(1.0 if behavior.cold else 0.0)
         if behavior.cold != was.value.cold:
             # What a cold cache bears is spent by the later process. Coming back to it, this one starts anew.
-            self._core.spend_cold(now)
+            self._core.routers.spend_slow_start_budgets(now)
             self._notify(self._maintenance.shade(partial(self._cold, now) if not behavior.cold else _none))
 
     def _cold(self, now: float, member: Member) -> bool:
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -45,9 +45,9 @@
 def test_text_format() -> None:
     """Each line is a sample or a type, names and labels as the published format has them, quotes escaped."""
     counts = RequestMetrics(['a"b\\c\nd', "pages"])
-    counts.ended("pages", 200)
-    counts.ended("pages", 304)
-    counts.ended("nobody's", 200)
+    counts.count_answer("pages", 200)
+    counts.count_answer("pages", 304)
+    counts.count_answer("nobody's", 200)
     text = expose(counts, Gauges(14, 9, 1)).decode()
     sample = re.compile(r'[a-z_]+(\{kind="(\\["\\n]|[^"\\\n])*"\})? \d+')
     kinds = re.compile(r"# TYPE [a-z_]+ (counter|gauge)")
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The queue at the door in virtual time: overload, bursts, slow cores and clients that try again."""
+"""The admission queue in virtual time: overload, bursts, slow cores and clients that retry."""
 
 from __future__ import annotations
 
@@ -8,37 +8,39 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenlane.admission.controller import Admission, Phase
+from brackenlane.admission.controller import AdmissionQueue
+from brackenlane.admission.lanes import Phase
 from brackenlane.admission.figures import Figures, Reason
 from brackenlane.lab.queueing import CLASSES, Costs, Fifo, admission, play
 
 CAPACITY = 200.0  # requests a second at 5 ms each
-TARGET, INTERVAL = 0.05, 0.15  # of CLASSES, by their least aim of 0.3 s
+TARGET = 0.05  # seconds, by the shortest latency objective of CLASSES, 0.3 s
+INTERVAL = 0.15  # seconds
 
 
-def flat(factor: float) -> float:
-    """In-time answers a second at a load of so many times the capacity, past the first seconds."""
+def goodput_at(factor: float) -> float:
+    """Return in-time answers per second at a load of so many times the capacity, past the first seconds."""
     return play(admission(), lambda _: factor * 1000, 10, costs=Costs(serve=0.001)).goodput(3, 9)
 
 
-def test_goodput_never_falls() -> None:
+def test_goodput_does_not_fall_under_overload() -> None:
     """From 0.2 to 10 times the capacity goodput stays over 0.9 of its peak, once there is load for it."""
-    found = {factor: flat(factor) for factor in (0.2, 0.5, 0.8, 0.95, 1.2, 1.5, 2, 3, 5, 10)}
+    found = {factor: goodput_at(factor) for factor in (0.2, 0.5, 0.8, 0.95, 1.2, 1.5, 2, 3, 5, 10)}
     peak = max(found.values())
     for factor, good in found.items():
         assert good >= 0.9 * min(peak, factor * 1000), (factor, found)
 
 
 @pytest.mark.parametrize("factor", [2, 4, 6])
-def test_cost_of_refusals(factor: float) -> None:
-    """Where each refusal costs a thirtieth, no more is lost than refusing takes."""
+def test_rejections_cost_only_their_own_time(factor: float) -> None:
+    """Each rejection costs a thirtieth of a request; no more is lost than that."""
     result = play(admission(), lambda _: factor * CAPACITY, 12, costs=Costs(refuse=0.005 / 30))
     left = CAPACITY * max(0.0, 1 - result.refusing / 12)
     assert result.goodput(3, 10) >= 0.85 * left
 
 
 @pytest.mark.parametrize("policy", ["admission", "fifo"])
-def test_no_second_equilibrium(policy: str) -> None:
+def test_queue_recovers_after_overload(policy: str) -> None:
     """After 6 s of triple load, 0.8 of the capacity is served as before within 2 s; plain FIFO is not."""
     result = play(
         admission() if policy == "admission" else Fifo(),
@@ -59,8 +61,10 @@
     video=st.floats(0.05, 0.9),
     submit=st.floats(0.0, 0.1),
 )
-def test_bursts(burst: float, length: float, slow: float, seed: int, video: float, submit: float) -> None:
-    """Whatever the burst, the mix, a core half as fast meanwhile: each try has one end, and it comes back."""
+def test_goodput_returns_after_a_burst(
+    burst: float, length: float, slow: float, seed: int, video: float, submit: float
+) -> None:
+    """Whatever the burst, the mix, a core half as fast meanwhile: each attempt has one end."""
 
     def rate(now: float) -> float:
         return CAPACITY * (burst if 4 <= now < 4 + length else 0.7)
@@ -81,53 +85,53 @@
         assert result.classes["sheet-submit", "refused"] == 0
 
 
-def test_submits_come_first() -> None:
-    """At five times the capacity all submits are served in time, whatever else is refused."""
+def test_non_idempotent_requests_are_served_first() -> None:
+    """At five times the capacity all submits are served in time, whatever else is rejected."""
     result = play(admission(), lambda _: 5 * CAPACITY, 8, costs=Costs(refuse=0.0001))
     assert result.classes["sheet-submit", "refused"] == result.classes["sheet-submit", "left"] == 0
     assert result.classes["sheet-submit", "served"] > 200
 
 
-def test_phases() -> None:
-    """A burst shorter than an interval is served in its order; a queue that stands is shed, newest first."""
-    front: Admission[int] = Admission(CLASSES)
+def test_standing_queue_is_shed_and_served_newest_first() -> None:
+    """A burst shorter than an interval is served in its order."""
+    queue: AdmissionQueue[int] = AdmissionQueue(CLASSES)
     for n in range(10):
-        front.offer(n, "video-parts", False, 0.0)
-    assert front.phase(INTERVAL - 0.001) is Phase.CALM and front.shed(INTERVAL - 0.001) == []
-    assert front.take(INTERVAL - 0.001) == (0, 0.0)
-    front.offer(10, "video-parts", False, INTERVAL)
-    assert front.phase(INTERVAL) is Phase.STANDING
-    assert front.take(INTERVAL) == (10, INTERVAL)
-    assert front.shed(INTERVAL) == list(range(1, 10)) and front.size == 0
-    assert front.phase(INTERVAL) is Phase.CALM
-
-
-def test_standing_room() -> None:
-    """Behind a standing queue there is room for what is taken within the target, the less worth, the less."""
-    front: Admission[int] = Admission(CLASSES)
+        queue.add(n, "video-parts", False, 0.0)
+    assert queue.phase(INTERVAL - 0.001) is Phase.CALM and queue.shed(INTERVAL - 0.001) == []
+    assert queue.take(INTERVAL - 0.001) == (0, 0.0)
+    queue.add(10, "video-parts", False, INTERVAL)
+    assert queue.phase(INTERVAL) is Phase.STANDING
+    assert queue.take(INTERVAL) == (10, INTERVAL)
+    assert queue.shed(INTERVAL) == list(range(1, 10)) and queue.size == 0
+    assert queue.phase(INTERVAL) is Phase.CALM
+
+
+def test_capacity_of_a_standing_queue_follows_service_rate_and_value() -> None:
+    """It is what will be served within the target; classes of less value get less of it."""
+    queue: AdmissionQueue[int] = AdmissionQueue(CLASSES)
     numbers = itertools.count()
     for _ in range(9):
-        front.offer(next(numbers), "video-parts", False, 0.0)
+        queue.add(next(numbers), "video-parts", False, 0.0)
     now = INTERVAL + 0.001
-    front.phase(now)
+    queue.phase(now)
     for _ in range(400):  # 1,000 a second
         now += 0.001
-        front.offer(next(numbers), "video-parts", False, now)
-        front.take(now)
-    assert front.pace == pytest.approx(1000, rel=0.1)
+        queue.add(next(numbers), "video-parts", False, now)
+        queue.take(now)
+    assert queue.service_rate == pytest.approx(1000, rel=0.1)
     joined = {name: 0 for name in ("sheet-pages", "video-parts", "sheet-submit", "no-such", "health")}
     for name in joined:
-        while joined[name] < 100 and front.welcome(name, False):
-            front.offer(next(numbers), name, False, now)
+        while joined[name] < 100 and queue.has_capacity_for(name, False):
+            queue.add(next(numbers), name, False, now)
             joined[name] += 1
     assert joined["sheet-submit"] == joined["health"] == 100
     assert 0 < joined["sheet-pages"] < joined["sheet-pages"] + joined["video-parts"] <= 1000 * TARGET + 1
-    assert not front.welcome("video-parts", True)
-    assert front.hold_off(now) > INTERVAL
+    assert not queue.has_capacity_for("video-parts", True)
+    assert queue.hold_off(now) > INTERVAL
 
 
 def rank(lane: tuple[str, bool]) -> int:
-    """Who goes before whom: submits and health, first tries, retries."""
+    """Return the place in the order of service: submits and health, first attempts, retries."""
     return 0 if lane[0] in ("sheet-submit", "health") else 2 if lane[1] else 1
 
 
@@ -143,44 +147,44 @@
     )
 )
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_each_leaves_once(steps: list[tuple[str, str, bool, float]]) -> None:
-    """Whatever happens in whatever order, each request leaves the queue once, and its size is told truly."""
-    front: Admission[int] = Admission(CLASSES)
+def test_each_request_leaves_the_queue_once(steps: list[tuple[str, str, bool, float]]) -> None:
+    """Whatever happens in whatever order, and the size is right after each step."""
+    queue: AdmissionQueue[int] = AdmissionQueue(CLASSES)
     now, waiting, lanes = 0.0, set(), {}
     for number, (command, lane, again, wait) in enumerate(steps):
         now += wait
         if command == "offer":
-            front.offer(number, lane, again, now)
+            queue.add(number, lane, again, now)
             waiting.add(number)
             lanes[number] = lane, again
         elif command == "take":
-            taken = front.take(now)
+            taken = queue.take(now)
             assert (taken is None) is (not waiting)
             if taken:
                 assert rank(lanes[taken[0]]) == min(rank(lanes[n]) for n in waiting)
                 waiting.remove(taken[0])
         elif command == "shed":
-            for item in front.shed(now):
+            for item in queue.shed(now):
                 assert lanes[item][0] != "health"
                 waiting.remove(item)
         elif waiting:
             item = min(waiting)
-            assert front.drop(item, *lanes[item])
-            assert not front.drop(item, *lanes[item])
+            assert queue.remove(item, *lanes[item])
+            assert not queue.remove(item, *lanes[item])
             waiting.remove(item)
-        assert front.size == len(waiting)
+        assert queue.size == len(waiting)
 
 
-def test_figures() -> None:
-    """A second's counts, then the next; the totals keep all."""
+def test_figures_count_each_period_and_the_total() -> None:
+    """One period, then the next, which begins at zero."""
     figures = Figures()
     assert figures.tick(10.0, 0.0, 1.0) is not None
     for wait in (0.01, 0.03):
-        figures.take(wait)
-    figures.refuse(Reason.QUEUED)
+        figures.count_taken(wait)
+    figures.count_rejected(Reason.QUEUED)
     assert figures.tick(10.5, 0.2, 1.3) is None
     reported = figures.tick(11.0, 0.1, 1.5)
-    assert reported and reported.shedding and reported == figures.last
+    assert reported and reported.is_shedding and reported == figures.last
     assert (reported.taken, reported.shed, reported.wait, reported.lag) == (
         2,
         ((Reason.QUEUED, 1),),
@@ -189,4 +193,4 @@
     )
     assert reported.cpu == pytest.approx(0.5)
     again = figures.tick(12.0, 0.0, 1.5)
-    assert again and not again.shedding and figures.taken == 2 and figures.shed[Reason.QUEUED] == 1
+    assert again and not again.is_shedding and figures.taken == 2 and figures.shed[Reason.QUEUED] == 1
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""A measurement's bounds: what is missed is said, and ends a check with 1."""
+"""Bounds of a measurement: missed ones are reported, and a check with one exits with 1."""
 
 from __future__ import annotations
 
@@ -18,8 +18,10 @@
         (at_most(0), float("nan"), False),
     ],
 )
-def test_conclude(bound: Bound, figure: float, holds: bool, capsys: pytest.CaptureFixture[str]) -> None:
-    """The last line is the result; without --check a missed bound is said and nothing more."""
+def test_missed_bound_is_reported_and_fails_a_check(
+    bound: Bound, figure: float, holds: bool, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """The last line is the result; without --check a missed bound changes no exit code."""
     assert conclude({"figure": figure}, {"figure": bound}, check=True) == (0 if holds else 1)
     lines = capsys.readouterr().out.splitlines()
     assert orjson.loads(lines[-1])["missed"] == ([] if holds else ["figure"])
@@ -27,7 +29,7 @@
     assert conclude({"figure": figure}, {"figure": bound}, check=False) == 0
 
 
-def test_a_bound_without_a_figure_is_no_pass() -> None:
+def test_bound_without_a_figure_raises() -> None:
     """A figure that was renamed must not take its bound with it."""
     with pytest.raises(KeyError):
         conclude({}, {"figure": at_least(1.0)}, check=True)
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -23,7 +23,7 @@
 def test_metric_names() -> None:
     """The operators' dashboards go by these."""
     counts = RequestMetrics(["pages"])
-    counts.ended("pages", 200)
+    counts.count_answer("pages", 200)
     assert expose(counts, Gauges(14, 9, 1)).decode().splitlines() == [
         "# TYPE gw_ok counter",
         'gw_ok{kind="pages"} 1',
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -21,6 +21,7 @@
 
 from brackenlane.config import read_settings
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.requests import Attempt, AttemptReply, PendingRequest
 from brackenlane.limits import Limits
 from brackenlane.net.cache_codec import CacheResponse, Parser, encode_get
@@ -277,7 +278,9 @@
 ) -> None:
     """Worded without the request's being read: the time to stay away is bounded, and whole milliseconds."""
     settings, _ = read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})
-    front = HttpFront(RequestEngine(settings, 1, Limits(), lambda _: False), Limits(), Poller(1))
+    front = HttpFront(
+        RequestEngine(EngineConfig(settings, 1, Limits()), lambda _: False), Limits(), Poller(1)
+    )
     monkeypatch.setattr(front.admission, "hold_off", lambda now: waits)
     head = front._refusal(time.time()).partition(b"\r\n\r\n")[0].decode()
     lines = dict(line.split(": ") for line in head.split("\r\n")[1:])
@@ -290,10 +293,10 @@
     """Clients that honour less from now on are told no longer time that was worded before."""
     limits = Limits()
     settings = [read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})[0] for most in (0.04, 0.02)]
-    core = RequestEngine(settings[0], 1, limits, lambda _: False)
+    core = RequestEngine(EngineConfig(settings[0], 1, limits), lambda _: False)
     front = HttpFront(core, limits, Poller(1))
     assert b"X-Throttle-Ms: 40\r\n" in front._refusal(time.time())
-    core.reconfigure(settings[1], 1, limits, 0.0, None)
+    core.reconfigure(EngineConfig(settings[1], 1, limits))
     front.reconfigure(limits)
     assert b"X-Throttle-Ms: 20\r\n" in front._refusal(time.time())
 
@@ -457,8 +460,8 @@
             received.append(event)
         return [Fetch("q0", EDGE, 1.0, ORIGIN)] if isinstance(event, Arrival) else []
 
-    core = RequestEngine(settings, 1, Limits(), place)
-    monkeypatch.setattr(core._router, "handle", decide)
+    core = RequestEngine(EngineConfig(settings, 1, Limits()), place)
+    monkeypatch.setattr(core.routers.current, "handle", decide)
     core.submit(PendingRequest(Arrival("q0", 1.0, "video-parts", "7f3a9c21e0b4d655"), time.time() + 1.0))
     core.report(placed[0], AttemptReply(result, 0.1, **reported))
     [outcome] = received
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -17,6 +17,7 @@
 import trio
 
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.requests import Attempt, AttemptReply, PendingRequest
 from brackenlane.limits import Limits
 from brackenlane.routing.events import Arrival, AttemptResult, Membership, MembershipKind, Purged
@@ -157,32 +158,37 @@
         return True
 
     core = RequestEngine(
-        Settings("here", ("here",), (old,), may_bypass_caches=True, max_attempts=4), 1, Limits(), place
+        EngineConfig(
+            Settings("here", ("here",), (old,), may_bypass_caches=True, max_attempts=4), 1, Limits()
+        ),
+        place,
     )
     core.post(Membership(MembershipKind.FULL, (Member("box", "here"), Member("other", "here"))))
     core.post(Purged("thing", -1, 0.5))
-    first = core._router
+    first = core.routers.current
     first.servers["box"].width, first.servers["box"].ejected_until = 9.0, now + 60
     request = PendingRequest(Arrival("q", 4.0, "a", "thing", is_write=True), now + 4.0, "1" * 16)
     core.submit(request)
     core.reconfigure(
-        Settings("here", ("here",), (new,), may_bypass_caches=True, max_attempts=4), 1, Limits(), 0.0, None
+        EngineConfig(Settings("here", ("here",), (new,), may_bypass_caches=True, max_attempts=4), 1, Limits())
     )
-    assert core._router is not first and {s.width for s in core._router.servers.values()} == {0.0}
-    assert not any(s.ejected_until for s in core._router.servers.values())
-    assert core._router.purges.keys() == {"thing"}
+    assert core.routers.current is not first and {s.width for s in core.routers.current.servers.values()} == {
+        0.0
+    }
+    assert not any(s.ejected_until for s in core.routers.current.servers.values())
+    assert core.routers.current.purges.keys() == {"thing"}
     assert first.servers["box"].tokens.fill(now + 99, 5.0, 5.0) == 0.0
     core.post(Membership(MembershipKind.CHANGES, (Member("new", "here", started_at=now),)))
     assert first.servers["new"].tokens.fill(now + 99, 5.0, 5.0) == 0.0
-    assert core._router.servers["new"].tokens.fill(now + 99, 5.0, 5.0) == 5.0
+    assert core.routers.current.servers["new"].tokens.fill(now + 99, 5.0, 5.0) == 5.0
     placed[0].written = True
     core.report(
         placed[0], AttemptReply(AttemptResult.ERROR, 0.1)
     )  # by the class of now it could be tried again
-    assert len(placed) == 1 and request.is_finished and not core._earlier
+    assert len(placed) == 1 and request.is_finished and not core.routers.retired
     for _ in range(9):  # with no request in hand, settings that follow one another leave nothing behind
-        core.reconfigure(core.settings, 1, Limits(), 0.0, None)
-    assert not core._earlier
+        core.reconfigure(EngineConfig(core.settings, 1, Limits()))
+    assert not core.routers.retired
 
 
 @with_trio
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -23,6 +23,7 @@
 import trio
 
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.membership_view import MembershipView
 from brackenlane.core.requests import Attempt, PendingRequest
 from brackenlane.core.requests import AttemptReply
@@ -407,7 +408,7 @@
     """
     limits = Limits()
     core = RequestEngine(
-        Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, limits, lambda _: False
+        EngineConfig(Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, limits), lambda _: False
     )
     poller = Poller(limits.batch)
     front = HttpFront(core, limits, poller)
@@ -503,7 +504,7 @@
     assert len(passed) == 10
     for n in range(9):
         assert throttle.filter(logging.LogRecord("a", logging.INFO, "", 0, f"kind {n}", (), None))
-    assert len(throttle._seen) <= 3
+    assert len(throttle._windows) <= 3
 
 
 class SlowLog(Log):
@@ -808,7 +809,8 @@
 
     In one process: the answer is larger than the connection takes at once."""
     core = RequestEngine(
-        Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, Limits(), lambda _: False
+        EngineConfig(Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, Limits()),
+        lambda _: False,
     )
     poller = Poller(512)
     front = HttpFront(core, Limits(), poller)
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -1,4 +1,4 @@
-"""The response cache: within its room, ages and purges, and only while our link has room."""
+"""The response cache: within its capacity, ages and purges, and only while the link has capacity."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 def arrival(obj: str = "a", cls: str = "video", part: int = 0, group: int = 7) -> Arrival:
-    """A request."""
+    """Build a request."""
     return Arrival("q1", 3.0, cls, obj, part, group)
 
 
-def copies(**retained: int) -> ResponseCache:
-    """Room for 8,000 bytes, a link of 10,000 a second in flows of 1,000, and copies of so many bytes."""
-    found = ResponseCache(settings(classes=(VIDEO, TILES)), 8000, 1000.0, 10_000.0, 0.05)
-    for name, size in retained.items():
-        found.keep(Copy(arrival(name), bytes(size), "e1", 100.0))
-    return found
+def cache_with(**sizes: int) -> ResponseCache:
+    """Build a cache of 8,000 bytes with copies of these sizes; the link sends 10 kB/s, a transfer 1 kB/s."""
+    cache = ResponseCache(settings(classes=(VIDEO, TILES)), 8000, 1000.0, 10_000.0, 0.05)
+    for name, size in sizes.items():
+        cache.store(Copy(arrival(name), bytes(size), "e1", 100.0))
+    return cache
 
 
 @pytest.mark.parametrize(
@@ -37,11 +37,11 @@
         ("a", "tiles", 6.4, False),  # in the last fifth of its fresh time
     ],
 )
-def test_find(obj: str, cls: str, age: float, served: bool) -> None:
-    """A copy serves its object while it is fresh."""
-    found = copies()
-    found.keep(Copy(arrival("a", cls), b"x" * 100, "e1", 100.0))
-    assert bool(found.find(arrival(obj, cls), "", 100.0 + age)) is served
+def test_copy_serves_its_object_while_it_is_fresh(obj: str, cls: str, age: float, served: bool) -> None:
+    """Neither another object nor a copy in the last fifth of its fresh time is served."""
+    cache = cache_with()
+    cache.store(Copy(arrival("a", cls), b"x" * 100, "e1", 100.0))
+    assert bool(cache.find(arrival(obj, cls), "", 100.0 + age)) is served
 
 
 @pytest.mark.parametrize(
@@ -53,37 +53,37 @@
         (Purged("", 8, 0.0), {"a", "b"}),
     ],
 )
-def test_purge(purge: Purged, left: set[str]) -> None:
-    """A copy older than a purge of its object or its group goes at once, all parts of it."""
-    found = copies(a=100, b=100)
-    found.keep(Copy(arrival("a", part=1), bytes(100), "e1", 100.0))
-    found.keep(Copy(arrival("c", group=8), bytes(100), "e1", 100.0))
-    found.purge(purge, 110.0)
-    assert {name for name in "abc" if found.find(arrival(name), "", 110.0)} == left
-    assert bool(found.find(arrival("a", part=1), "", 110.0)) is ("a" in left)
-
-
-def test_room() -> None:
-    """Bytes are bounded; what was used longest ago goes first; what is too large is not kept."""
-    found = copies(**{f"o{n}": 1000 for n in range(8)}, large=1001)
-    assert found.find(arrival("o0"), "", 101.0) and not found.find(arrival("large"), "", 101.0)
-    found.keep(Copy(arrival("new"), bytes(1000), "e1", 100.0))
-    assert not found.find(arrival("o1"), "", 105.0) and found.find(arrival("o0"), "", 110.0)
-
-
-def test_link() -> None:
-    """A full link of our own leaves requests to the caches; telling that a copy holds takes little of it."""
-    found = copies(a=1000)
-    served = sum(bool(found.find(arrival(), "", 101.0)) for _ in range(100))
+def test_purge_drops_all_older_copies_of_its_object_or_group(purge: Purged, left: set[str]) -> None:
+    """All parts go at once; copies issued after the purge stay."""
+    cache = cache_with(a=100, b=100)
+    cache.store(Copy(arrival("a", part=1), bytes(100), "e1", 100.0))
+    cache.store(Copy(arrival("c", group=8), bytes(100), "e1", 100.0))
+    cache.purge(purge, 110.0)
+    assert {name for name in "abc" if cache.find(arrival(name), "", 110.0)} == left
+    assert bool(cache.find(arrival("a", part=1), "", 110.0)) is ("a" in left)
+
+
+def test_least_recently_used_copy_is_dropped_first() -> None:
+    """Bytes are bounded, and what is too large is not stored."""
+    cache = cache_with(**{f"o{n}": 1000 for n in range(8)}, large=1001)
+    assert cache.find(arrival("o0"), "", 101.0) and not cache.find(arrival("large"), "", 101.0)
+    cache.store(Copy(arrival("new"), bytes(1000), "e1", 100.0))
+    assert not cache.find(arrival("o1"), "", 105.0) and cache.find(arrival("o0"), "", 110.0)
+
+
+def test_full_link_leaves_requests_to_the_caches() -> None:
+    """An answer that the client's copy is still valid takes little of it."""
+    cache = cache_with(a=1000)
+    served = sum(bool(cache.find(arrival(), "", 101.0)) for _ in range(100))
     assert 5 <= served <= 20
-    assert found.find(arrival(), "", 103.0)
-    reported = sum(bool(found.find(arrival(), "e1", 201.0)) for _ in range(100))
-    assert reported > served
+    assert cache.find(arrival(), "", 103.0)
+    unchanged = sum(bool(cache.find(arrival(), "e1", 201.0)) for _ in range(100))
+    assert unchanged > served
 
 
 @with_trio
-async def test_served_once_fetched(tmp_path: Path) -> None:
-    """What was fetched for one request serves the next, until a purge is told."""
+async def test_fetched_response_serves_the_next_request_until_a_purge(tmp_path: Path) -> None:
+    """Also the client that holds it already; after the purge a cache is asked again."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
