--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -36,7 +36,7 @@
 
 async def serve(config: Config, limits: Limits) -> None:
     """Run the platform's front until SIGTERM and the last answer after it."""
-    poller = Poller(limits.batch, alone=True)
+    poller = Poller(limits.max_poll_events, alone=True)
     with SignalWatcher(poller, signal.SIGHUP) as hangups:
         async with trio.open_nursery() as nursery:
             core = RequestEngine(
@@ -103,8 +103,8 @@
     """The response cache, copies of our own, where we are told what our link bears."""
     if not config.flow or not config.link:
         return None
-    capacity = limits.copies * config.memory_mb * 2**20
-    return ResponseCache(config.settings, capacity, config.flow, config.link, limits.age_slack)
+    capacity = limits.response_cache_share * config.memory_mb * 2**20
+    return ResponseCache(config.settings, capacity, config.flow, config.link, limits.clock_tolerance)
 
 
 def _engine_config(config: Config, limits: Limits) -> EngineConfig:
@@ -115,7 +115,9 @@
 def _limits(config: Config) -> Limits:
     """The limits that follow from a configuration, and from what the system allows this process."""
     sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-    return Limits().within(sockets).suited(config.settings).before_killed(config.settings)
+    return (
+        Limits().with_descriptors(sockets).with_settings(config.settings).with_kill_deadline(config.settings)
+    )
 
 
 async def _reload(
@@ -161,7 +163,7 @@
     """Run what the command line names; 2 for a configuration that can't be used."""
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Throttle(Limits().log_lines, Limits().log_span))
+        handler.addFilter(Throttle(Limits().max_log_lines, Limits().log_window))
     # Guards against a SIGHUP that ends the program, and against a new file whose SIGHUP comes between the
     # reading of the old one and the handler; before this line `run` in the deploy file has it ignored.
     signal.signal(signal.SIGHUP, EarlySignal() if not arguments else signal.SIG_IGN)
--- a/brackenlane/admission/lanes.py
+++ b/brackenlane/admission/lanes.py
@@ -21,9 +21,7 @@
 MIN_WAIT_FACTOR = 0.5  # of the target, for a class of little value
 MAX_WAIT_FACTOR = 2.0  # of the target, for a class of much value
 PRIORITY_WAIT_SHARE = 1 / 4  # of its own latency objective, which a non-idempotent class may wait
-RETRY_CAPACITY_SHARE = (
-    1 / 4
-)  # of the capacity of first attempts, up to which retries may join a standing queue
+RETRY_CAPACITY_SHARE = 1 / 4  # of the capacity of first attempts, which retries may take in a standing queue
 UNCLASSIFIED_CAPACITY_SHARE = 0.5
 
 
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -148,7 +148,7 @@
     limits: Limits,
 ) -> None:
     """What is done while the store has not been heard since our start; old: a last list not trusted yet."""
-    await trio.sleep(limits.unknown_purges)
+    await trio.sleep(limits.purge_recovery_timeout)
     if phases.is_store_read:
         return
     # Which purges were told while we were away is unknown: each object counts as purged, for as long as a
@@ -157,7 +157,7 @@
     for group in range(-1, GROUPS):
         roster.purge("", group, time.time())
     if old is not None:
-        await trio.sleep(max(0.0, config.coldstart.patience - limits.unknown_purges))
+        await trio.sleep(max(0.0, config.coldstart.patience - limits.purge_recovery_timeout))
         if not phases.is_store_read:  # an old list is better than none
             recall(roster, phases, old)
 
@@ -182,7 +182,7 @@
             lambda attempt: pools.place(attempt),
             on_result=notice,
         )
-        poller = Poller(limits.batch)
+        poller = Poller(limits.max_poll_events)
         core.timers.before_round = poller.handle_urgent
         pools = ConnectionPools(core.membership, limits, config.settings, core.report, poller, core.timers)
         roster = Registry(MembershipMerge(config.policy, config.watches), core.post, pools.follow)
@@ -195,9 +195,9 @@
             resolver = Resolver(
                 config.resolvers,
                 nursery,
-                budget=limits.look_up,
+                budget=limits.lookup_timeout,
                 lifetimes=config.lifetimes,
-                most=limits.look_ups,
+                most=limits.max_lookups,
             )
             feeds.append(
                 DnsSource(
@@ -236,7 +236,7 @@
         else:
             phases.step(StartupEvent.READ, time.time())  # nobody else knows more
         keeper = (
-            snapshot.SnapshotWriter(roster, config.last_list, limits.last_list, shared)
+            snapshot.SnapshotWriter(roster, config.last_list, limits.snapshot_interval, shared)
             if config.last_list
             else None
         )
--- a/brackenlane/cli/main.py
+++ b/brackenlane/cli/main.py
@@ -45,8 +45,8 @@
     from brackenlane.limits import Limits
 
     site, limits = program.load(file), Limits()
-    sockets = resource.getrlimit(resource.RLIMIT_NOFILE)[0] - limits.appliance_own
-    trio.run(program.serve, site, limits.within(max(64, sockets)).suited(site.settings))
+    sockets = resource.getrlimit(resource.RLIMIT_NOFILE)[0] - limits.appliance_reserved_descriptors
+    trio.run(program.serve, site, limits.with_descriptors(max(64, sockets)).with_settings(site.settings))
 
 
 @cli.command(context_settings={"ignore_unknown_options": True})
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -34,7 +34,11 @@
     )
     async with trio.open_nursery() as nursery:
         resolver = Resolver(
-            site.resolvers, nursery, budget=limits.look_up, lifetimes=site.lifetimes, most=limits.look_ups
+            site.resolvers,
+            nursery,
+            budget=limits.lookup_timeout,
+            lifetimes=site.lifetimes,
+            most=limits.max_lookups,
         )
 
         async def srv(name: str) -> None:
--- a/brackenlane/console.py
+++ b/brackenlane/console.py
@@ -172,9 +172,9 @@
                 while True:
                     end = buffer.find(b"\n")
                     if end < 0:
-                        if len(buffer) > self._limits.console_line:
+                        if len(buffer) > self._limits.max_console_line:
                             return
-                        with trio.fail_after(self._limits.console_idle):
+                        with trio.fail_after(self._limits.console_idle_timeout):
                             data = await stream.receive_some(1024)
                         if not data:
                             return
--- a/brackenlane/core/action_executor.py
+++ b/brackenlane/core/action_executor.py
@@ -15,7 +15,8 @@
 
 log = logging.getLogger(__name__)
 
-Place = Callable[[Attempt], bool]  # hand an attempt to the connections of its server; False: it was not taken
+# Passes an attempt to the connections of its server; false if it was not accepted.
+PlaceAttempt = Callable[[Attempt], bool]
 
 
 class ActionExecutor:
@@ -25,7 +26,7 @@
     """
 
     def __init__(
-        self, requests: RequestTable, timers: Timers, place: Place, post: Callable[[Message], None]
+        self, requests: RequestTable, timers: Timers, place: PlaceAttempt, post: Callable[[Message], None]
     ) -> None:
         self._requests = requests
         self._timers = timers
@@ -62,7 +63,7 @@
             self._post(AttemptEnded(attempt, AttemptReply(AttemptResult.NEVER_SENT)))
 
     def _is_placed(self, attempt: Attempt) -> bool:
-        """Hand an attempt to its server's connections; whether it will be reported by them."""
+        """Pass an attempt to its server's connections; whether they will report its end."""
         try:
             return self._place(attempt)
         except Exception:  # a fault of one attempt must not stop the processing of other messages
--- a/brackenlane/core/cached_responses.py
+++ b/brackenlane/core/cached_responses.py
@@ -15,11 +15,11 @@
 
     @property
     def is_enabled(self) -> bool:
-        """Whether there is a response cache, so that a response may be held."""
+        """Whether there is a response cache, so that a response may be in it."""
         return self._cache is not None
 
     def holds(self, cls: str, copy: str) -> bool:
-        """Whether a response is held; `copy` is the cache key of one part of an object."""
+        """Whether a response is stored; `copy` is the cache key of one part of an object."""
         return self._cache is not None and self._cache.holds(cls, copy)
 
     def set_share(self, share: float) -> None:
@@ -34,7 +34,7 @@
         self._cache = cache
 
     def answer(self, request: PendingRequest, now: float) -> Answer | None:
-        """Return the answer by a held response, which spares the caches a request; None without one."""
+        """Return the answer by a stored response, which spares the caches a request; None without one."""
         if self._cache is None or request.connect_only:
             return None
         copy = self._cache.find(request.arrival, request.tag, now)
@@ -45,7 +45,7 @@
         return Answer(Disposition.SERVED, copy.body, copy.tag)
 
     def store(self, copy: Copy) -> None:
-        """Hold a response."""
+        """Store a response."""
         if self._cache:
             self._cache.store(copy)
 
--- a/brackenlane/core/engine.py
+++ b/brackenlane/core/engine.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from brackenlane.core.action_executor import Place
+from brackenlane.core.action_executor import PlaceAttempt
 from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.mailbox import Mailbox
 from brackenlane.core.membership_view import MembershipView
@@ -33,7 +33,7 @@
     def __init__(
         self,
         config: EngineConfig,
-        place: Place,
+        place: PlaceAttempt,
         clock: Callable[[], float] = time.time,
         on_result: ResultObserver | None = None,
     ) -> None:
--- a/brackenlane/core/membership_view.py
+++ b/brackenlane/core/membership_view.py
@@ -26,9 +26,8 @@
         self.members: dict[str, Member] = {}
         self.purges: dict[str | int, float] = {}  # by object (text) or group (number): Unix time
         self.has_list = False  # whether a list of caches has been received
-        self.catch_up: Callable[[], None] = (
-            _no_updates  # applies what another process of this router received
-        )
+        # Applies what another process of this router has received; called before each check.
+        self.catch_up: Callable[[], None] = _no_updates
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
@@ -99,12 +98,11 @@
         return any(issued <= self.purges.get(key, -math.inf) for key in (request.obj, request.group))
 
     @staticmethod
-    def is_too_old(cls: RequestClass | None, issued: float, sent: float, slack: float) -> bool:
+    def is_too_old(cls: RequestClass | None, issued: float, sent: float, clock_tolerance: float) -> bool:
         """Whether a copy is older than its class may ever be served, whatever the cache says of it.
 
-        issued, sent: Unix seconds of the issue by the origin and of the request; slack: seconds by which two
-        clocks may differ.
+        issued, sent: Unix seconds of the issue by the origin and of the request; clock_tolerance: seconds.
         """
         if cls is None or not cls.fresh_for:
             return False
-        return sent - issued > cls.fresh_for + cls.grace + slack
+        return sent - issued > cls.fresh_for + cls.grace + clock_tolerance
--- a/brackenlane/core/message_processor.py
+++ b/brackenlane/core/message_processor.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 
-from brackenlane.core.action_executor import ActionExecutor, Place
+from brackenlane.core.action_executor import ActionExecutor, PlaceAttempt
 from brackenlane.core.cached_responses import CachedResponses
 from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.membership_view import MembershipView
@@ -42,7 +42,7 @@
         config: EngineConfig,
         membership: MembershipView,
         timers: Timers,
-        place: Place,
+        place: PlaceAttempt,
         post: Callable[[Message], None],
         on_result: ResultObserver | None,
     ) -> None:
@@ -76,7 +76,7 @@
         self._limits = config.limits
         self._classes = {cls.name: cls for cls in config.settings.classes}
         self._translator = OutcomeTranslator(
-            config.limits.age_slack, config.transfer_rate, config.settings.pace_kb_per_s
+            config.limits.clock_tolerance, config.transfer_rate, config.settings.pace_kb_per_s
         )
 
     def receive(self, message: Message) -> None:
@@ -102,7 +102,7 @@
         request.cls = request.cls or self._classes.get(request.arrival.cls)
         request.router = self.routers.current
         # A request that the router forgets must be answered all the same.
-        expires_at = request.deadline + self._limits.core_slack
+        expires_at = request.deadline + self._limits.decision_grace
         self.requests.add(request, expires_at, self._expire)
         self._decide(request.arrival, now, request.router)
 
@@ -123,7 +123,7 @@
         self._decide(event, now, request.router)
 
     def _inform_routers(self, event: Event, now: float) -> None:
-        """Apply an event about the caches to what is held, then to all routers."""
+        """Apply an event about the caches to membership view and response cache, then to all routers."""
         if isinstance(event, (Membership, Purged)):
             self._membership.apply(event, now)
         if isinstance(event, Purged):
@@ -146,10 +146,10 @@
         self.requests.remove_if_done(request_id)
 
     def _store_response(self, request: PendingRequest, reply: AttemptReply) -> None:
-        """Hold the response of a cache that names its time of issue, unless a purge covers it."""
+        """Store the response of a cache that names its time of issue, unless a purge covers it."""
         if not self.cached_responses.is_enabled or not reply.issued or reply.unchanged:
             return
-        earliest_issue = reply.issued - self._limits.age_slack
+        earliest_issue = reply.issued - self._limits.clock_tolerance
         if not self._membership.is_purged(request.arrival, earliest_issue):
             self.cached_responses.store(Copy(request.arrival, reply.body, reply.tag, reply.issued))
 
--- a/brackenlane/core/request_table.py
+++ b/brackenlane/core/request_table.py
@@ -1,4 +1,4 @@
-"""The table of pending requests: who is still owed an answer, and whose attempts are still active."""
+"""The table of pending requests: which have no final answer yet, and which have active attempts."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         return self._requests.get(request_id)
 
     def find_open(self, request_id: str) -> PendingRequest | None:
-        """Return a request that is owed its final answer; None if there is none of this id."""
+        """Return a request without a final answer; None if there is none of this id."""
         request = self._requests.get(request_id)
         if request is None or request.is_finished:
             return None
--- a/brackenlane/core/requests.py
+++ b/brackenlane/core/requests.py
@@ -78,7 +78,7 @@
     router: Router | None = None  # decides the request to its end; set on arrival
     expiry_timer: Timer | None = None
     answer: Answer | None = None
-    is_finished: bool = False  # no answer is owed any more; attempts may still be active
+    is_finished: bool = False  # its front expects nothing more; attempts may still be active
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
--- a/brackenlane/core/response_cache.py
+++ b/brackenlane/core/response_cache.py
@@ -1,4 +1,4 @@
-"""The response cache: objects held in memory and served while the link to clients has capacity.
+"""The response cache: objects stored in memory and served while the link to clients has capacity.
 
 Times are Unix seconds, sizes are bytes.
 """
@@ -12,9 +12,8 @@
 from brackenlane.routing.settings import RequestClass, Settings
 
 MAX_ENTRY_SHARE = 1 / 8  # of the capacity that one response may take
-USABLE_FRESHNESS = (
-    0.8  # share of the fresh time after which caches are asked, which then renew their own copy
-)
+# Share of the fresh time; past it a cache is asked, which then revalidates its own copy.
+USABLE_FRESHNESS = 0.8
 UNCHANGED_SIZE_DIVISOR = 20  # an answer without a body takes this part of its size on the link
 LINK_WAIT_SHARE = 1 / 8  # of the latency objective that an answer may wait for the link
 
@@ -38,17 +37,24 @@
 class ResponseCache:
     """Responses by class and cache key, bounded in bytes; the least recently used is dropped first."""
 
-    def __init__(self, settings: Settings, capacity: float, flow: float, link: float, slack: float) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        capacity: float,
+        transfer_rate: float,
+        link_rate: float,
+        clock_tolerance: float,
+    ) -> None:
         """Create an empty cache.
 
-        capacity: bytes; flow: bytes per second of one transfer; link: bytes per second of all transfers;
-        slack: seconds by which the clocks of two machines may differ.
+        capacity: bytes; transfer_rate: bytes per second of one transfer; link_rate: bytes per second of all
+        transfers; clock_tolerance: seconds by which the clocks of two machines may differ.
         """
         self.max_capacity = capacity
         self._capacity = capacity
-        self._transfer_rate = flow
-        self._link_rate = link
-        self._clock_tolerance = slack
+        self._transfer_rate = transfer_rate
+        self._link_rate = link_rate
+        self._clock_tolerance = clock_tolerance
         self._classes = {c.name: c for c in settings.classes if not c.uncached}
         self._copies: OrderedDict[tuple[str, str], Copy] = OrderedDict()
         self._size = 0.0
@@ -60,12 +66,12 @@
         return self._capacity / self.max_capacity if self.max_capacity else 0.0
 
     def set_capacity(self, capacity: float) -> None:
-        """Hold at most this many bytes from now on."""
+        """Store at most this many bytes from now on."""
         self._capacity = capacity
         self._evict()
 
     def store(self, copy: Copy) -> None:
-        """Hold a copy, unless its class is not cached or it is too large."""
+        """Store a copy, unless its class is not cached or it is too large."""
         size = len(copy.body)
         if copy.arrival.cls not in self._classes or not 0 < size <= self._capacity * MAX_ENTRY_SHARE:
             return
@@ -76,7 +82,7 @@
         self._evict()
 
     def holds(self, cls: str, copy: str) -> bool:
-        """Whether a copy is held; whether it may be served is decided by `find`.
+        """Whether a copy is stored; whether it may be served is decided by `find`.
 
         copy: the cache key of one part of an object.
         """
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -50,7 +50,7 @@
         self._limits, self._connect_timeout, self._nursery = limits, connect_timeout, nursery
         self._hosts: dict[str, Watcher] = {}
         self._nudge = trio.Event()
-        self._dials = trio.CapacityLimiter(limits.discovery_dials)
+        self._dials = trio.CapacityLimiter(limits.max_discovery_dials)
         roster.changed.append(self._changed)
 
     async def run(self) -> None:
@@ -65,7 +65,7 @@
             self._nudge = trio.Event()
             if changes := self._merge.tick(time.time()):
                 self._roster.apply(changes)
-            await trio.sleep(self._limits.resolver_least / 10)  # changes that come in a burst are one
+            await trio.sleep(self._limits.min_resolve_interval / 10)  # changes that come in a burst are one
 
     def doubt(self, server: str) -> None:
         """An attempt did not reach a cache: its address may be that of a dead one."""
@@ -106,7 +106,7 @@
 
     def _retry(self, failures: int) -> float:
         """Seconds until the next try: hundreds whom one resolver failed must not come back together."""
-        first = max(self._limits.resolver_retry, self._window)
+        first = max(self._limits.resolve_retry_delay, self._window)
         return jittered(failures, first, LONGEST * first, self._chance)
 
     async def _follow_host(self, host: str) -> None:
@@ -119,7 +119,7 @@
             with trio.move_on_after(wait):
                 await watcher.again.wait()
                 self._resolver.doubt(host)
-                await trio.sleep(max(0.0, watcher.asked + self._limits.resolver_least - time.time()))
+                await trio.sleep(max(0.0, watcher.asked + self._limits.min_resolve_interval - time.time()))
             watcher.again = trio.Event()
         del self._hosts[host]
         self._merge.leave(host)
@@ -172,7 +172,7 @@
         return False
 
     def _wait(self, found: Found) -> float:
-        return max(self._limits.resolver_least, early(found.until - time.time(), self._chance))
+        return max(self._limits.min_resolve_interval, early(found.until - time.time(), self._chance))
 
     def _failed(self, name: str, why: str) -> None:
         log.warning("%s: %s", name, why)
--- a/brackenlane/dns/server.py
+++ b/brackenlane/dns/server.py
@@ -70,10 +70,10 @@
             return self._malformed(wire)
         if query.flags & dns.flags.QR:
             return None  # guards against two servers that answer each other's answers for ever
-        response = dns.message.make_response(query, our_payload=self._limits.dns_payload)
+        response = dns.message.make_response(query, our_payload=self._limits.max_dns_payload)
         response.flags &= ~dns.flags.RA
         await self._fill(query, response)
-        capacity = min(max(query.payload, 512), self._limits.dns_payload) if udp else 65535
+        capacity = min(max(query.payload, 512), self._limits.max_dns_payload) if udp else 65535
         return pack(response, capacity)
 
     def _malformed(self, wire: bytes) -> bytes | None:
@@ -104,7 +104,7 @@
             return
         response.flags |= dns.flags.AA
         try:
-            with trio.fail_after(self._limits.dns_query):
+            with trio.fail_after(self._limits.dns_query_timeout):
                 await self._look_up(requested, response)
         except (GiveUp, trio.TooSlowError):
             response.answer.clear()
@@ -160,7 +160,7 @@
         kind: dns.rdatatype.RdataType,
     ) -> None:
         """The cache that the module picks, if it still takes new work as the answer is written."""
-        deadline = self._clock() + self._limits.dns_query
+        deadline = self._clock() + self._limits.dns_query_timeout
         cls = self._classes[wanted.cls]
         # The transfer goes from cache to client, unseen by us: it counts as a usual one. Untold, the module
         # would learn the moment that a connection takes as the time to send the object.
@@ -247,7 +247,7 @@
                     log.debug("%s", fault)
                     continue
                 # Guards memory: past this many open queries a datagram is dropped, and asked again.
-                if self._open < self._limits.dns_open:
+                if self._open < self._limits.max_dns_queries:
                     nursery.start_soon(self._answer, sock, wire, peer)
 
     async def _answer(self, sock: trio.socket.SocketType, wire: bytes, peer: tuple[object, ...]) -> None:
@@ -270,7 +270,7 @@
 
     async def serve_tcp(self, stream: trio.SocketStream) -> None:
         """Queries on one connection, in turn, each behind its length."""
-        if self._connections >= self._limits.dns_connections:
+        if self._connections >= self._limits.max_dns_connections:
             return await trio.aclose_forcefully(stream)
         self._connections += 1
         buffer = bytearray()
@@ -278,7 +278,7 @@
             async with stream:
                 while True:
                     while len(buffer) < 2 or len(buffer) < 2 + int.from_bytes(buffer[:2], "big"):
-                        with trio.fail_after(self._limits.dns_idle):
+                        with trio.fail_after(self._limits.dns_idle_timeout):
                             data = await stream.receive_some(4096)
                         if not data:
                             return
@@ -289,7 +289,7 @@
                     reply = await self._respond(wire, udp=False)
                     if reply is None:
                         return
-                    with trio.fail_after(self._limits.dns_idle):
+                    with trio.fail_after(self._limits.dns_idle_timeout):
                         await stream.send_all(len(reply).to_bytes(2, "big") + reply)
         except (trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
--- a/brackenlane/lifecycle.py
+++ b/brackenlane/lifecycle.py
@@ -137,16 +137,16 @@
         log.info("%s serves on %s:%d", name, *endpoint)
         await leave.next()
     limits = front.limits
-    log.info("%s leaves: it takes what comes for %.1f s more", name, limits.leaving)
+    log.info("%s leaves: it takes what comes for %.1f s more", name, limits.shutdown_accept_time)
     # New connections and requests keep coming for a moment, and all are owed an answer.
-    await trio.sleep(limits.leaving)
+    await trio.sleep(limits.shutdown_accept_time)
     front.shut()
     front.leave()
-    with trio.move_on_after(limits.last_answers) as late:
+    with trio.move_on_after(limits.shutdown_response_timeout) as late:
         await front.emptied()
     if late.cancelled_caught:  # an answer now is better than none
         front.finish()
-        with trio.move_on_after(limits.final_rejections):
+        with trio.move_on_after(limits.shutdown_reject_timeout):
             await front.emptied()
 
 
--- a/brackenlane/limits.py
+++ b/brackenlane/limits.py
@@ -6,183 +6,191 @@
 
 from brackenlane.routing.settings import Settings
 
+DESCRIPTORS_PER_EXTRA = 24  # one rejected and one admin connection for each so many descriptors
+DESCRIPTORS_PER_LINK = 96  # one connection to each server for so many descriptors
+MIN_CONNECTIONS_PER_SERVER = 2
+MIN_CACHE_CONNECTIONS = 4
+RESPONSE_TIMEOUT_MARGIN = 0.5  # seconds past the longest time limit, for the last responses at shutdown
+
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Filled at start and handed down; sizes are in bytes, times in seconds."""
-
-    # Clients
-    head: int = 16_384  # request line and headers
-    upload: int = 48_000  # body of a write
-    clients: int = 400  # connections at once; of the 1,024 descriptors the caches need the rest
-    refused: int = 16  # more, told so while all have work in hand; what comes then is closed unread
-    submits: int = 20_000  # ids of writes remembered, so that none runs twice
-    first_request: float = 2.5  # from the connection to the end of its first request
-    client_idle: float = 5.0  # without an open request; the platform's clients go after 4 s
-    request_time: float = 2.5  # from a later request's first byte to its last
-    take_answer: float = 2.5  # to take an answer; longer where clients wait longer
-    linger: float = 0.5  # reads on after an error, so that the answer is not lost to a reset
-    linger_bytes: int = 1_048_576  # and no more than so much
-    look: float = 0.2  # between two looks at what clients' connections wait for
-    longest_wait: float = 60.0  # the most that a client may ask us to wait
-    answer_margin: float = 0.005  # of a client's time, kept for the way back
-    answer_slack: float = 0.05  # past a client's time, within which an answer still counts
-    retry_after: int = 1  # whole seconds, on a refusal for which the module names no time
-
-    # Descriptors
-    own: int = 24  # kept back for our own: listeners, epolls, signals, ledger, change log, files
-    appliance_own: int = 192  # besides, for the appliance: DNS connections, look-ups, store, console
-
-    # Operators
-    ops_head: int = 4_096  # of a call, and of what may follow it
-    ops_calls: int = 16  # callers at once; who comes then takes the place of who has waited longest
-    ops_time: float = 5.0  # from a caller's connection to its end
-    taken_out: int = 1_024  # caches taken out by hand at once; one more gets a no
+    """Bounds of one process, built at start and handed down.
+
+    Sizes are bytes, times are seconds, all else is a count. Each comment says what is bounded, then what
+    happens at the bound.
+    """
+
+    # Client connections
+    max_head_size: int = 16_384  # request line and headers; answered with an error
+    max_upload_size: int = 48_000  # body of a write; answered with an error
+    max_client_connections: int = 400  # an idle one is closed for a new one, else the new one is rejected
+    max_rejected_connections: int = 16  # beyond the maximum, answered 503; past both closed unread
+    max_remembered_submits: int = 20_000  # ids of writes, so that none runs twice; the oldest is forgotten
+    first_request_timeout: float = 2.5  # from accept to the end of the first request; closed
+    client_idle_timeout: float = 5.0  # without a request (the platform's clients close after 4 s); closed
+    request_read_timeout: float = 2.5  # from the first byte of a later request to its last; closed
+    response_write_timeout: float = 2.5  # for a client to take a response, or the longest time limit; closed
+    linger_timeout: float = 0.5  # reads on after the last response, lest a reset destroy it; then closed
+    max_linger_size: int = 1_048_576  # read within that time; then closed
+    client_check_interval: float = 0.2  # between two checks of the timeouts above
+    max_client_wait: float = 60.0  # time limit of a request; a longer one is an error, Retry-After is cut
+    response_margin: float = 0.005  # of a client's time limit, reserved for the response's way back
+    retry_after: int = 1  # whole seconds of Retry-After, where a rejection names no time
+
+    # File descriptors
+    reserved_descriptors: int = 24  # for listeners, epolls, signals, handover log, change log and files
+    appliance_reserved_descriptors: int = 192  # beside them, for DNS, lookups, store and admin console
+
+    # Admin API
+    max_admin_head_size: int = 4_096  # of a call, and of its body; answered with an error
+    max_admin_connections: int = 16  # at once; past it the one that has waited longest is closed
+    admin_call_timeout: float = 5.0  # from accept to the end of the response; closed
+    max_taken_out_servers: int = 1_024  # by operators' orders at once; one more is rejected
 
     # Handover log of the processes of one router
-    ledger: int = 2_097_152  # past it no submit is claimed, so none runs; of a foreign one no more is read
-    ledger_orders: int = 65_536  # more, for all but submits
-    ledger_tidy: int = 524_288  # from which it is rewritten, while no other process lives
-    ledger_line: int = 256  # the longest record
-    ledger_wait: float = 1.0  # at a start, for another process that starts
-    ledger_look: float = 0.2  # between two looks at who lives
-    claims: int = 4_000  # submits remembered there: a quarter of an hour of them at 4 a second
-
-    # Cache caches
-    object_size: int = 240_000  # the largest body of an answer
-    line: int = 2_048  # the longest line of an answer
-    link_waiting: int = 100  # open requests on one connection
-    links: int = 4  # connections to one cache
-    cache_connections: int = 400  # to all caches together; past it a connection that rests gives way
-    keepalive_part: float = 0.8  # of the time after which a cache closes what is idle: then we have done so
-    link_share: int = 6  # open requests on each, from which one more connection is opened
-    given_up: int = 512  # ids remembered per connection, whose late or second answers are ignored
-    redispatches: int = 1  # of an attempt to another connection, as one ends before a byte of it is out
-    answer_time: float = 6.0  # a connection whose answer takes longer is closed: no client waits so long
-    write_stall: float = 1.0  # a connection that takes no byte for so long is closed
-    watch: float = 0.05  # between two looks at the connections to caches while anything is open on one
-    watch_idle: float = 0.5  # while nothing is; and nothing there is closed before it was idle for longer
-    keepalive: float = 24.0  # own idle connections are closed, where the settings tell of no time
-    idle_probe_after: float = (
-        0.1  # with a request open and no byte for so long, a connection is asked whether it lives
-    )
-    probe_price_per_objective: float = (
-        0.0125  # of a probe, up to which it is asked an aim later; beyond, in proportion
-    )
-    pulse: float = 0.25  # for its answer to that; then the connection is given up
-    unresponsive: float = (
-        3.0  # the same where caches may not be probed: with a request open and no byte for so long
-    )
+    max_handover_log_size: int = 2_097_152  # past it no submit is claimed, so none runs
+    handover_log_order_reserve: int = 65_536  # beyond the maximum, for all records but claims; then an error
+    handover_log_compaction_size: int = 524_288  # from which it is rewritten, if no other process is alive
+    max_handover_record_size: int = 256  # a longer one is skipped
+    handover_lock_timeout: float = 1.0  # wait for another process that starts; then started without the log
+    handover_check_interval: float = 0.2  # between two checks of which processes are alive
+    max_handover_claims: int = 4_000  # submits remembered, 15 min at 4/s; the oldest is forgotten
+
+    # Connections to caches
+    max_object_size: int = 240_000  # body of a response; a longer one closes its connection
+    max_cache_line_size: int = 2_048  # line of a response; a longer one closes its connection
+    max_requests_per_connection: int = 100  # open at once; the next uses another connection or is not sent
+    max_connections_per_server: int = 4  # no more are opened
+    max_cache_connections: int = 400  # to all caches together; an idle one is closed for a new one
+    keepalive_share: float = 0.8  # of a cache's idle timeout, after which this side closes first
+    next_connection_threshold: int = 6  # open requests on every connection, from which one more is opened
+    max_abandoned_ids: int = 512  # per connection, whose late responses are ignored; the oldest is forgotten
+    max_redispatches: int = 1  # of an unwritten attempt whose connection ended; then it is unreachable
+    response_timeout: float = 6.0  # from first to last byte of a response; the connection is closed
+    write_stall_timeout: float = 1.0  # for which the cache takes no byte; the connection is closed
+    connection_check_interval: float = 0.05  # between two checks of connections while requests are open
+    idle_connection_check_interval: float = 0.5  # between two checks while none is
+    connection_idle_timeout: float = 24.0  # of an idle connection, without a keepalive setting; closed
+    idle_probe_after: float = 0.1  # without a byte while requests are open; the cache is probed
+    probe_price_per_objective: float = 0.0125  # probe price from which probes are delayed in proportion
+    probe_timeout: float = 0.25  # for the response to a probe; the connection is closed
+    unresponsive_timeout: float = 3.0  # without a byte, where caches may not be probed; closed
 
     # Log
-    log_lines: int = 10  # of one kind in a span; more are counted
-    log_span: float = 1.0
-
-    # Copies of our own
-    copies: float = 1 / 8  # of the memory that we are allowed
-
-    # Loop and mailboxes
-    batch: int = 512  # events of clients handled before the boxes' are looked at again
-    turn: float = 0.004  # for which the queue at the door is served before that
-    turn_least: int = 4  # requests of it that are, however long they take
-    accepts: int = 16  # connections accepted at a time
-    accept_pause: float = 0.1  # where there is no descriptor for one more
-    peer_mail: int = 512  # attempts that wait for one box's connection; what comes then was never sent
-
-    # List of caches
-    frame: int = 1_048_576  # the longest frame of the change log
-    log_silence: float = 3.5  # it sends something each second; silent for longer, it is asked anew
-    log_silence_most: float = 8.0  # to which that doubles while a log that is slow to begin has said nothing
-    log_dial: float = 2.0  # for a connect to it: a silence and a lost connect end before all counts as told
-    log_retry: float = 0.2  # between two tries to reach it, a half sooner or later: not all doors at once
-    log_retry_most: float = 0.5  # to which that doubles; what a break hid counts as told 2 s after it
-
-    # Purges and drains
-    age_slack: float = 0.05  # clocks of two machines
-    core_slack: float = 0.01  # past its time a request that the module forgot is failed by the core
-
-    # SIGTERM
-    leaving: float = 0.8  # goes on taking what comes
-    last_answers: float = 6.5  # then finishes what it has, at most
-    final_rejections: float = 0.1  # then, for telling those left that they are not served
-    killed: float = 0.7  # past the longest deadline after SIGTERM, the platform may end us by force
-    killed_most: float = 3.0  # which that deadline counts as where it is longer
+    max_log_lines: int = 10  # of one kind in a window; more are counted, not written
+    log_window: float = 1.0
+
+    # Response cache
+    response_cache_share: float = 1 / 8  # of the memory allowed; the least recently used is dropped
+
+    # Event loop and queues
+    max_poll_events: int = 512  # of clients handled before those of caches are polled again
+    admission_time_slice: float = 0.004  # for which queued requests are served before the next poll
+    min_requests_per_slice: int = 4  # served in each slice, however long they take
+    max_accepts: int = 16  # connections accepted before the next poll
+    accept_pause: float = 0.1  # for which nothing is accepted after the system had no descriptor
+    max_queued_attempts: int = 512  # waiting for a connection to one server; more end as never sent
+
+    # Change log
+    max_change_log_frame: int = 1_048_576  # a longer one closes the connection
+    change_log_silence_timeout: float = 3.5  # without a byte (it sends one each second); reconnected
+    max_change_log_silence_timeout: float = 8.0  # to which that doubles until the first byte has come
+    change_log_connect_timeout: float = 2.0  # then retried; updates count as received 2 s after a break
+    change_log_retry_delay: float = 0.2  # mean before a retry, jittered by half: routers must not be in step
+    max_change_log_retry_delay: float = 0.5  # to which that doubles
+
+    # Clocks and deadlines
+    clock_tolerance: float = 0.05  # by which the clocks of two machines may differ
+    decision_grace: float = 0.01  # past its deadline; a request that no decision has ended is failed
+
+    # Graceful shutdown
+    shutdown_accept_time: float = 0.8  # after SIGTERM, for which new requests are still taken
+    shutdown_response_timeout: float = 6.5  # after that, for open requests; then they are rejected
+    shutdown_reject_timeout: float = 0.1  # after that, for writing those rejections; then closed
+    kill_margin: float = 0.7  # past the longest time limit, when the platform may kill the process
+    max_kill_deadline: float = 3.0  # the most of the longest time limit that counts for that
 
     # DNS front
-    dns_query: float = 2.0  # for each query, from its arrival to its answer
-    dns_payload: int = 1_232  # the longest datagram: fits every usual path
-    dns_open: int = 256  # queries at once
-    dns_connections: int = 64
-    dns_idle: float = 10.0  # of a TCP connection
-    resolver_wait: float = 1.0  # for one look-up of a box's host name
-    resolver_least: float = 0.5  # between two look-ups that went well, whatever lifetime they gave
-    resolver_retry: float = 0.3  # after one that did not
+    dns_query_timeout: float = 2.0  # from query to response; answered SERVFAIL
+    max_dns_payload: int = 1_232  # of a datagram (DNS flag day 2020); a longer response is truncated
+    max_dns_queries: int = 256  # by UDP at once; more are dropped
+    max_dns_connections: int = 64  # by TCP at once; more are closed
+    dns_idle_timeout: float = 10.0  # of a TCP connection; closed
 
     # Discovery
-    discovery_dials: int = 64  # connections at once, to see whether a cache answers where it is said to be
-    look_up: float = 3.0  # for one look-up, over all upstreams
-    look_ups: int = 256  # at once
-    last_list: float = 1.0  # between two writes of the last list
+    min_resolve_interval: float = 0.5  # between two lookups of a name that succeeded, whatever their TTL
+    resolve_retry_delay: float = 0.3  # after one that failed, the first of a backoff
+    max_discovery_dials: int = 64  # connections at once that verify addresses; more wait
+    lookup_timeout: float = 3.0  # of one lookup, over all resolvers; it has failed
+    max_lookups: int = 256  # at once; more wait
+    snapshot_interval: float = 1.0  # between two writes of the snapshot
 
     # Shared store
-    store_wait: float = 0.3  # for one command, so that a submit is refused while it can still be sent again
-    store_block: float = 5.0  # for which the store may hold back a reply when there is no news
-    store_log: int = 10_000  # events kept there
-    store_piece: int = 500  # entries or caches asked for at once
-    store_unshared: int = 1_000  # changes that wait for the store to come back, or to be read back
-    store_purges: int = 2_000  # kept over a restart; of more the first are
-    store_tickets: int = 600  # for which the tickets of a span are remembered
-    store_filing: int = 10  # seconds for which one router alone writes the caches of a file
-    store_filed: int = 2_592_000  # for which it is remembered that they are written; then it is done anew
-    unknown_purges: float = 0.8  # after a start; the store not heard by then, all objects count as purged
-    claim_lifetime: int = 3_600  # whole seconds for which the id of a submit is remembered
-
-    # Console
-    console_line: int = 1_024
-    console_idle: float = 600.0
-
-    def within(self, sockets: int) -> Limits:
-        """With no more connections than so many descriptors allow; clients use a third of them at most.
-
-        The parts add up to less than all: whoever rests, caches, change log and operators have theirs.
+    store_command_timeout: float = 0.3  # the store is unavailable then, in time to reject a submit
+    store_block_time: float = 5.0  # for which the store may hold back a reply while there are no updates
+    max_store_events: int = 10_000  # in the stream; the store drops the oldest
+    store_page_size: int = 500  # entries or caches requested at once
+    max_unshared_changes: int = 1_000  # that wait for the store, or to be read back; the oldest is dropped
+    max_store_purges: int = 2_000  # retained over a restart; later ones are not
+    store_ticket_lifetime: int = 600  # for which the turn numbers of a period are kept
+    store_file_lock_lifetime: int = 10  # for which one router alone writes the caches of a file
+    store_file_done_lifetime: int = 2_592_000  # for which it counts as written; then it is written again
+    purge_recovery_timeout: float = 0.8  # after start without the store; then all objects count as purged
+    claim_lifetime: int = 3_600  # for which the id of a submit is claimed
+
+    # Admin console
+    max_console_line: int = 1_024  # a longer one closes the connection
+    console_idle_timeout: float = 600.0  # without a line; closed
+
+    def with_descriptors(self, descriptors: int) -> Limits:
+        """Return these limits with the connections that this many file descriptors allow.
+
+        The parts add up to less than all, so that clients, caches, change log and operators each have theirs.
         """
-        clients = min(self.clients, sockets * 2 // 5)
-        refused, ops_calls = min(self.refused, sockets // 24), min(self.ops_calls, sockets // 24)
+        # Two fifths for clients at most: each of their requests may need connections to several caches.
+        client_connections = min(self.max_client_connections, descriptors * 2 // 5)
+        extra = descriptors // DESCRIPTORS_PER_EXTRA
+        rejected_connections = min(self.max_rejected_connections, extra)
+        admin_connections = min(self.max_admin_connections, extra)
+        others = client_connections + rejected_connections + admin_connections + self.reserved_descriptors
+        per_server = max(MIN_CONNECTIONS_PER_SERVER, descriptors // DESCRIPTORS_PER_LINK)
         return replace(
             self,
-            clients=clients,
-            refused=refused,
-            ops_calls=ops_calls,
-            links=min(self.links, max(2, sockets // 96)),
-            cache_connections=max(4, sockets - clients - refused - ops_calls - self.own),
+            max_client_connections=client_connections,
+            max_rejected_connections=rejected_connections,
+            max_admin_connections=admin_connections,
+            max_connections_per_server=min(self.max_connections_per_server, per_server),
+            max_cache_connections=max(MIN_CACHE_CONNECTIONS, descriptors - others),
         )
 
-    def suited(self, settings: Settings) -> Limits:
-        """With the times that follow from what the classes' clients want."""
-        aim = min(c.latency_objective for c in settings.classes)
-        longest = max(c.time_limit for c in settings.classes)
-        unresponsive = longest / 2
-        # A dear probe waits until there is more to learn by it: what hangs for longer is likely cut off, and
-        # answers in the usual time have come by then, for nothing.
-        idle_probe_after = min(
-            aim * max(1.0, settings.probe_price / self.probe_price_per_objective), unresponsive
-        )
+    def with_settings(self, settings: Settings) -> Limits:
+        """Return these limits with the times that follow from the classes and the site's rules."""
+        objective = min(cls.latency_objective for cls in settings.classes)
+        longest = max(cls.time_limit for cls in settings.classes)
+        unresponsive_timeout = longest / 2
+        # An expensive probe waits until more is learned by it: what is silent for longer is likely cut off,
+        # and responses in the usual time have come by then without one.
+        probe_delay = objective * max(1.0, settings.probe_price / self.probe_price_per_objective)
         return replace(
             self,
-            idle_probe_after=idle_probe_after,
-            pulse=min(aim, settings.connect_timeout),
-            unresponsive=unresponsive,
-            longest_wait=max(self.longest_wait, longest),
-            take_answer=max(self.take_answer, longest),
-            keepalive=self.keepalive_part * settings.keepalive or self.keepalive,
-            link_waiting=min(self.link_waiting, settings.streams),
-            answer_time=longest,
-            last_answers=longest + 0.5,
+            idle_probe_after=min(probe_delay, unresponsive_timeout),
+            probe_timeout=min(objective, settings.connect_timeout),
+            unresponsive_timeout=unresponsive_timeout,
+            max_client_wait=max(self.max_client_wait, longest),
+            response_write_timeout=max(self.response_write_timeout, longest),
+            connection_idle_timeout=self.keepalive_share * settings.keepalive or self.connection_idle_timeout,
+            max_requests_per_connection=min(self.max_requests_per_connection, settings.streams),
+            response_timeout=longest,
+            shutdown_response_timeout=longest + RESPONSE_TIMEOUT_MARGIN,
         )
 
-    def before_killed(self, settings: Settings) -> Limits:
-        """With the last answers given before the platform ends a process by force."""
-        killed = min(max(c.time_limit for c in settings.classes), self.killed_most) + self.killed
-        leaving = min(self.leaving, killed - 2 * self.final_rejections)
-        left = killed - leaving - 2 * self.final_rejections
-        return replace(self, leaving=leaving, last_answers=min(self.last_answers, left))
+    def with_kill_deadline(self, settings: Settings) -> Limits:
+        """Return these limits with a shutdown that ends before the platform kills the process."""
+        longest = max(cls.time_limit for cls in settings.classes)
+        killed_after = min(longest, self.max_kill_deadline) + self.kill_margin
+        # Once to write the rejections, once to spare.
+        reject_time = 2 * self.shutdown_reject_timeout
+        accept_time = min(self.shutdown_accept_time, killed_after - reject_time)
+        response_time = min(self.shutdown_response_timeout, killed_after - accept_time - reject_time)
+        return replace(self, shutdown_accept_time=accept_time, shutdown_response_timeout=response_time)
--- a/brackenlane/net/cache_codec.py
+++ b/brackenlane/net/cache_codec.py
@@ -161,7 +161,9 @@
         while True:
             if self._head is None:
                 end = self._buffer.find(b"\n")
-                if end > self._limits.line or (end < 0 and len(self._buffer) > self._limits.line):
+                if end > self._limits.max_cache_line_size or (
+                    end < 0 and len(self._buffer) > self._limits.max_cache_line_size
+                ):
                     raise WireError("a line too long")
                 if end < 0:
                     return
@@ -188,7 +190,7 @@
             length = int(size)
         except ValueError:
             raise WireError(f"no answer: {line[:60]!r}") from None
-        if not 0 <= length <= self._limits.object_size:
+        if not 0 <= length <= self._limits.max_object_size:
             raise WireError(f"a body of {length} bytes")
         pairs = (pair.partition("=") for pair in reported.split(",")) if reported != "-" else ()
         return wire_id, command, {name: value for name, _, value in pairs}, length
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -129,7 +129,7 @@
         )
         return (
             self.open
-            and len(self._waiting) < self._limits.link_waiting
+            and len(self._waiting) < self._limits.max_requests_per_connection
             and not stuck
             and wire_id not in self._waiting
             and wire_id not in self._past
@@ -175,7 +175,7 @@
 
     def _remember(self, wire_id: str, answered: bool) -> None:
         self._past[wire_id] = answered
-        if len(self._past) > self._limits.given_up:
+        if len(self._past) > self._limits.max_abandoned_ids:
             self._past.popitem(last=False)
 
     def close(self) -> None:
@@ -190,7 +190,7 @@
         waiting, self._waiting = list(self._waiting.values()), {}
         for slot in waiting:
             slot.link = None
-            if not slot.attempt.written and slot.redispatches < self._limits.redispatches:
+            if not slot.attempt.written and slot.redispatches < self._limits.max_redispatches:
                 slot.redispatches += 1
                 self._again(slot)
             else:
@@ -206,17 +206,17 @@
         self._received_at += lag
         self._stuck += lag if self._stuck else 0.0
         # Guards against a mute machine behind whose full buffer every later line would wait.
-        if self._stuck and now - self._stuck > self._limits.write_stall:
+        if self._stuck and now - self._stuck > self._limits.write_stall_timeout:
             return self.close()
-        if self._begun and now - self._begun > self._limits.answer_time:
+        if self._begun and now - self._begun > self._limits.response_timeout:
             log.warning("a box's answer does not end, %d requests open", len(self._waiting))
             return self.close()
         if self._is_probed:
-            wait = self._limits.idle_probe_after + self._limits.pulse
+            wait = self._limits.idle_probe_after + self._limits.probe_timeout
         elif self.idle:
-            wait = self._limits.keepalive
+            wait = self._limits.connection_idle_timeout
         else:
-            wait = self._limits.idle_probe_after if self._may_probe else self._limits.unresponsive
+            wait = self._limits.idle_probe_after if self._may_probe else self._limits.unresponsive_timeout
         if now - self._received_at < wait:
             return
         if self.idle:
@@ -358,7 +358,7 @@
         if result is AttemptResult.OK:
             # Guards against a copy that is too old, or an 'unchanged' of another copy than the client holds.
             old = answer.issued is not None and self._membership.is_too_old(
-                request.cls, answer.issued, slot.sent, self._limits.age_slack
+                request.cls, answer.issued, slot.sent, self._limits.clock_tolerance
             )
             # Nor may bytes pass that only look like an answer: what is kept bears its tag and its time.
             bare = not request.arrival.is_write and (not tag or answer.issued is None)
--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -40,10 +40,12 @@
         self._dial: Connector | None = None
         self._sock: socket.socket | None = None
         self._received_at = 0.0  # when the connection said something last, or came up
-        self._silence = self._patience = limits.log_silence  # borne now, and on the next connection
-        self._reader = FrameReader(limits.frame)
+        self._silence = self._patience = (
+            limits.change_log_silence_timeout
+        )  # borne now, and on the next connection
+        self._reader = FrameReader(limits.max_change_log_frame)
         self._again: Timer | None = None  # the next try
-        self._random, self._wait = random.Random(seed), limits.log_retry  # before it, on average
+        self._random, self._wait = random.Random(seed), limits.change_log_retry_delay  # before it, on average
         self.cursor = 0
 
     def start(self, known: Iterable[Change], cursor: int) -> None:
@@ -69,7 +71,11 @@
     def _connect(self) -> None:
         if self._endpoint is not None:
             self._dial = Connector(
-                self._endpoint, self._poller, self._timers, self._limits.log_dial, self._dialled
+                self._endpoint,
+                self._poller,
+                self._timers,
+                self._limits.change_log_connect_timeout,
+                self._dialled,
             )
             self._dial.start()
 
@@ -79,12 +85,16 @@
         self._dial = None
         if sock is None:
             return self._end("no connection")
-        self._wait = self._limits.log_retry
-        self._sock, self._received_at, self._reader = sock, time.time(), FrameReader(self._limits.frame)
+        self._wait = self._limits.change_log_retry_delay
+        self._sock, self._received_at, self._reader = (
+            sock,
+            time.time(),
+            FrameReader(self._limits.max_change_log_frame),
+        )
         self._poller.add(sock.fileno(), self._ready, urgent=True)
         self._silence = self._patience
         # Guards against asking anew for ever where the first word takes longer than a usual silence.
-        self._patience = min(2 * self._patience, self._limits.log_silence_most)
+        self._patience = min(2 * self._patience, self._limits.max_change_log_silence_timeout)
         self._timers.at(self._received_at + self._silence, self._watch, sock)
         try:
             sock.send(self.cursor.to_bytes(8, "big"))  # a new connection takes so few at once
@@ -112,7 +122,7 @@
         if not data:
             return self._end("it ended the connection")
         self._received_at = time.time()
-        self._silence = self._patience = self._limits.log_silence
+        self._silence = self._patience = self._limits.change_log_silence_timeout
         try:
             for number, kind, payload in self._reader.feed(data):
                 self._take(read_frame(number, kind, payload, self._site, self._received_at))
@@ -129,7 +139,7 @@
         # Guards the log against all routers, which lose it at one moment and would come back at one.
         wait = self._wait * self._random.uniform(0.5, 1.5)
         self._again = self._timers.at(time.time() + wait, self._connect)
-        self._wait = min(2 * self._wait, self._limits.log_retry_most)
+        self._wait = min(2 * self._wait, self._limits.max_change_log_retry_delay)
 
     def _close(self) -> None:
         self._dial = None  # what comes of it is let go
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -113,7 +113,7 @@
 
         What comes is read on for a moment, since a close over it would reset an answer on its way.
         """
-        self._close, self._bytes_allowed = True, self._front.limits.linger_bytes
+        self._close, self._bytes_allowed = True, self._front.limits.max_linger_size
         self.wait(ClientState.CLOSING)
         try:
             self._sock.shutdown(socket.SHUT_WR)
@@ -188,7 +188,7 @@
         self._go_on()
 
     def _queue(self, target: str, again: bool) -> None:
-        self._bytes_allowed = self._front.limits.head
+        self._bytes_allowed = self._front.limits.max_head_size
         self.wait(ClientState.NOT)
         self._cls = lane_of(target)
         self._lane = self._cls, again
@@ -232,7 +232,7 @@
         self.answer(self._front.encode_rejection())
 
     def _turn_away(self) -> None:
-        self._bytes_allowed, self._close = self._front.limits.head, False
+        self._bytes_allowed, self._close = self._front.limits.max_head_size, False
         self._front.counts.count_answer(self._cls, HTTPStatus.SERVICE_UNAVAILABLE)
         self._send(self._front.refusal)
         if self.open:
--- a/brackenlane/net/connection_pool.py
+++ b/brackenlane/net/connection_pool.py
@@ -57,7 +57,7 @@
 
     def post(self, attempt: Attempt) -> bool:
         """Take an attempt; False if the mailbox is full."""
-        if len(self._mail) >= self._limits.peer_mail:
+        if len(self._mail) >= self._limits.max_queued_attempts:
             return False
         slot = DispatchedAttempt(attempt, self._report)
         attempt.stop = slot.stop
@@ -121,12 +121,12 @@
         if slot.attempt.request.connect_only:
             return self._want_link(slot)
         links = [at for at in self._links if at.takes(slot.id)]
-        few = sum(at.open for at in self._links) < self._limits.links
+        few = sum(at.open for at in self._links) < self._limits.max_connections_per_server
         capacity = few and self._membership.allows(slot.attempt.fetch)
         if links:
             link = min(links, key=lambda at: at.load)
             # Guards against losing all that is open at a cache with one connection that ends or goes mute.
-            if capacity and link.load >= self._limits.link_share:
+            if capacity and link.load >= self._limits.next_connection_threshold:
                 self._start_dial(needed=False)
             link.send(slot)
         elif capacity or self._end_known(slot):
@@ -222,10 +222,10 @@
         self._poller, self._timers, self._settings = poller, timers, settings
         self._endpoints: dict[str, Endpoint] = {}
         self._peers: dict[str, ConnectionPool] = {}
-        self._quota = ConnectionQuota(limits.cache_connections)
+        self._quota = ConnectionQuota(limits.max_cache_connections)
         self._quota.close_idle = self._end_resting
         self._gone: list[ConnectionPool] = []  # off the list, with something out
-        self._look = self._look_in(time.time(), limits.watch)
+        self._look = self._look_in(time.time(), limits.connection_check_interval)
         self._idle = False  # nothing is open anywhere: looks are far between
 
     def _look_in(self, now: float, wait: float) -> Timer:
@@ -253,7 +253,7 @@
         if self._idle:
             self._idle = False
             self._look.cancel()
-            self._look = self._look_in(time.time(), self._limits.watch)
+            self._look = self._look_in(time.time(), self._limits.connection_check_interval)
         return peer.post(attempt)
 
     def recheck(self) -> None:
@@ -263,7 +263,7 @@
 
     def reconfigure(self, limits: Limits, settings: Settings) -> None:
         """Keep to other limits and settings from now on."""
-        self._limits, self._settings, self._quota.most = limits, settings, limits.cache_connections
+        self._limits, self._settings, self._quota.most = limits, settings, limits.max_cache_connections
         for peer in (*self._peers.values(), *self._gone):
             peer.reconfigure(limits, settings)
 
@@ -307,4 +307,9 @@
             self._look_after(peer, now, lag)
         self._gone = [peer for peer in self._gone if self._look_after(peer, now, lag)]
         self._idle = not any(peer.busy for peer in (*self._peers.values(), *self._gone))
-        self._look = self._look_in(now, self._limits.watch_idle if self._idle else self._limits.watch)
+        self._look = self._look_in(
+            now,
+            self._limits.idle_connection_check_interval
+            if self._idle
+            else self._limits.connection_check_interval,
+        )
--- a/brackenlane/net/http_codec.py
+++ b/brackenlane/net/http_codec.py
@@ -135,7 +135,7 @@
         # llhttp bounds no head: what comes while one is open counts against it.
         if self._in_head:
             self._head_size = len(data) + (0 if self._begun else self._head_size)
-        if self._in_head and self._head_size > self._limits.head:
+        if self._in_head and self._head_size > self._limits.max_head_size:
             self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         return b""
 
@@ -165,7 +165,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """One header, or a trailer behind a body in chunks, which counts for nothing."""
         self._head_size += len(name) + len(value)
-        if self._head_size > 2 * self._limits.head:
+        if self._head_size > 2 * self._limits.max_head_size:
             raise BadRequest(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         known = KEPT.get(name.lower())
         if known is None or not self._in_head:
@@ -178,7 +178,7 @@
         """What must hold before any body is read."""
         self._in_head = False
         reported = self._headers
-        if self._head_size > self._limits.head:
+        if self._head_size > self._limits.max_head_size:
             raise BadRequest(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         if self._parser.get_http_version() not in ("1.1", "1.0"):
             raise BadRequest(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here")
@@ -194,7 +194,7 @@
         length = reported.get("content-length", "0")
         if not LENGTH.fullmatch(length):
             raise BadRequest(HTTPStatus.BAD_REQUEST, "Content-Length must be a number")
-        if int(length) > self._limits.upload:
+        if int(length) > self._limits.max_upload_size:
             raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self.wants_continue = reported.get("expect", "").lower() == "100-continue"
 
@@ -202,7 +202,7 @@
         """A part of its body."""
         self.wants_continue = False
         self._body_size += len(data)
-        if self._body_size > self._limits.upload:
+        if self._body_size > self._limits.max_upload_size:
             raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self._body.append(data)
 
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -72,7 +72,7 @@
             False  # answers end their connections: their clients shall come back to a successor
         )
         self._share = 1.0  # of the places for connections that are ours
-        self._places = limits.clients  # for connections
+        self._places = limits.max_client_connections  # for connections
         # Whether a submit may run here, and that one never ran, where other processes could have it too
         self.claim: Callable[[str], ClaimResult] = lambda _: ClaimResult.OURS
         self.release: Callable[[str], None] = lambda _: None
@@ -82,18 +82,22 @@
         self._refusals: dict[int, bytes] = {}  # by how many steps to stay away
         self.refusal = self._refusal(time.time())  # a whole one, as it is worded now
         poller.after.append(self._serve)
-        core.timers.at(time.time() + limits.look, self._watch, time.time() + limits.look)
+        core.timers.at(
+            time.time() + limits.client_check_interval,
+            self._watch,
+            time.time() + limits.client_check_interval,
+        )
 
     @staticmethod
     def _times(limits: Limits) -> list[float]:
         """Seconds that connections may wait, by what for."""
         return [
             math.inf,
-            limits.first_request,
-            limits.client_idle,
-            limits.request_time,
-            limits.take_answer,
-            limits.linger,
+            limits.first_request_timeout,
+            limits.client_idle_timeout,
+            limits.request_read_timeout,
+            limits.response_write_timeout,
+            limits.linger_timeout,
         ]
 
     def reconfigure(self, limits: Limits) -> None:
@@ -129,7 +133,7 @@
 
     def _accept(self, listener: socket.socket) -> bool:
         """Accept a few; whether more may wait."""
-        for _ in range(self.limits.accepts):
+        for _ in range(self.limits.max_accepts):
             try:
                 sock, _ = listener.accept()
             except BlockingIOError:
@@ -176,7 +180,7 @@
         if full:
             if self._close_idle_connection():
                 full = False
-            elif self._count >= self._places + self.limits.refused:
+            elif self._count >= self._places + self.limits.max_rejected_connections:
                 self.figures.count_rejected(Reason.FULL)
                 return sock.close()
         sock.setblocking(False)
@@ -196,7 +200,7 @@
         meanwhile stays: it may not have been looked at since it was accepted.
         """
         idle = self._spare(ClientState.CLOSING, ClientState.FIRST, ClientState.NEXT)
-        for there in list(itertools.islice(idle, self.limits.accepts)):
+        for there in list(itertools.islice(idle, self.limits.max_accepts)):
             there.retire(at_once=True)
             if not there.open:
                 return True
@@ -212,7 +216,7 @@
     def set_share(self, share: float, is_handing_over: bool) -> None:
         """Hold this share of the places for connections; parting: send their clients to a successor."""
         self._share, self.is_handing_over = share, is_handing_over
-        self._places = max(1, int(self.limits.clients * share))
+        self._places = max(1, int(self.limits.max_client_connections * share))
         idle = self._spare(ClientState.CLOSING, ClientState.FIRST, ClientState.NEXT)
         for there in list(itertools.islice(idle, max(0, self._count - self._places))):
             there.retire()
@@ -269,7 +273,9 @@
     def _watch(self, due: float) -> None:
         """Close what has waited too long."""
         now = time.time()
-        self._core.timers.at(now + self.limits.look, self._watch, now + self.limits.look)
+        self._core.timers.at(
+            now + self.limits.client_check_interval, self._watch, now + self.limits.client_check_interval
+        )
         reported = self.figures.tick(now, max(0.0, now - due), time.process_time())
         if reported and reported.is_shedding:
             log.warning("short of CPU: %s", reported.summary())
@@ -298,9 +304,11 @@
         self.refusal = self._refusal(now)
         for client in queued:
             self._guard(client, client.refuse, now)
-        end, count = now + self.limits.turn, 0
+        end, count = now + self.limits.admission_time_slice, 0
         # At least a few: on a core that others use too, time passes in which we do not run.
-        while (now < end or count < self.limits.turn_least) and (taken := self.admission.take(now)):
+        while (now < end or count < self.limits.min_requests_per_slice) and (
+            taken := self.admission.take(now)
+        ):
             client, since = taken
             count += 1
             self._guard(client, client.serve, since)
@@ -331,7 +339,7 @@
 
     def hold_off(self, now: float) -> float:
         """Seconds after which a client that the queue refuses may come back."""
-        return max(HOLD_OFF_STEP, min(self.admission.hold_off(now), self.limits.longest_wait))
+        return max(HOLD_OFF_STEP, min(self.admission.hold_off(now), self.limits.max_client_wait))
 
     def encode_answer(self, answer: Answer) -> EncodedResponse:
         """A final answer as the clients of this site understand it."""
@@ -397,7 +405,7 @@
             self.release(request.wire_id)
         elif request.must_run_once:  # guards against a submit that a client or proxy sends twice
             self._submits[request.wire_id] = None
-            if len(self._submits) > self.limits.submits:
+            if len(self._submits) > self.limits.max_remembered_submits:
                 self._submits.popitem(last=False)
 
     async def _claim(self, client: ClientConnection, request: PendingRequest, claims: ClaimStore) -> None:
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -39,11 +39,11 @@
     txn, again = reading.headers.get("x-txn", ""), reading.headers.get("x-second-try")
     if not TXN.fullmatch(txn):
         raise BadRequest(HTTPStatus.BAD_REQUEST, "X-Txn must be 16 hexadecimal digits")
-    ttl = _number(reading, "x-ttl-ms", 1, int(limits.longest_wait * 1000))
+    ttl = _number(reading, "x-ttl-ms", 1, int(limits.max_client_wait * 1000))
     shard = _number(reading, "x-shard", 0, 255)
     if again not in (None, "1"):
         raise BadRequest(HTTPStatus.BAD_REQUEST, "X-Second-Try must be 1 or absent")
-    left = ttl / 1000 - limits.answer_margin
+    left = ttl / 1000 - limits.response_margin
     if (key := reading.headers.get("x-txn-key", "")) and not KEY.fullmatch(key):
         raise BadRequest(HTTPStatus.BAD_REQUEST, "X-Txn-Key must be a word of 64 characters at most")
     have = TAG.fullmatch(reading.headers.get("if-none-match", ""))
--- a/brackenlane/observe/throttle.py
+++ b/brackenlane/observe/throttle.py
@@ -5,7 +5,7 @@
 import logging
 from dataclasses import dataclass
 
-DEFAULT_KINDS = 256  # kinds of lines counted at once; past it all counts begin anew
+DEFAULT_MAX_KINDS = 256  # kinds of lines counted at once; past it all counts begin anew
 
 
 @dataclass(slots=True)
@@ -17,23 +17,23 @@
 
 
 class Throttle(logging.Filter):
-    """Log filter that passes a bounded number of lines of one kind in each span of seconds.
+    """Log filter that passes a bounded number of lines of one kind in each window of seconds.
 
-    A kind is a logger and a format. The first line after a span tells how many were suppressed in it.
+    A kind is a logger and a format. The first line after a window tells how many were suppressed in it.
     """
 
-    def __init__(self, most: int, span: float, kinds: int = DEFAULT_KINDS) -> None:
+    def __init__(self, max_lines: int, window: float, max_kinds: int = DEFAULT_MAX_KINDS) -> None:
         super().__init__()
-        self._max_lines = most
-        self._span = span
-        self._max_kinds = kinds
+        self._max_lines = max_lines
+        self._window_length = window
+        self._max_kinds = max_kinds
         self._windows: dict[tuple[str, str], _Window] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether a line passes."""
         kind = (record.name, str(record.msg))
         window = self._windows.get(kind)
-        if window is not None and record.created - window.start < self._span:
+        if window is not None and record.created - window.start < self._window_length:
             window.count += 1
             return window.count <= self._max_lines
         if len(self._windows) >= self._max_kinds:
--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -44,7 +44,9 @@
     ) -> None:
         self.poller, self._timers, self._limits = poller, timers, limits
         self._ready, self._figures, self._order = ready, figures, order
-        self.call_limits = replace(limits, head=limits.ops_head, upload=limits.ops_head)
+        self.call_limits = replace(
+            limits, max_head_size=limits.max_admin_head_size, max_upload_size=limits.max_admin_head_size
+        )
         self._callers: dict[AdminConnection, float] = {}  # who came first is first; until when each may stay
         self._listener: socket.socket | None = None
 
@@ -65,17 +67,17 @@
 
     def _accept(self, _: int) -> None:
         assert self._listener is not None
-        for _ in range(self._limits.ops_calls):
+        for _ in range(self._limits.max_admin_connections):
             try:
                 sock, _ = self._listener.accept()
             except OSError:
                 return  # none waits, or there is no descriptor: the next round asks again
-            if len(self._callers) >= self._limits.ops_calls:
+            if len(self._callers) >= self._limits.max_admin_connections:
                 # Guards against callers who connect and finish no call: the oldest gives way.
                 next((c for c in self._callers if c.is_answered), next(iter(self._callers))).close()
             sock.setblocking(False)
             caller = AdminConnection(self, sock)
-            self._callers[caller] = time.time() + self._limits.ops_time
+            self._callers[caller] = time.time() + self._limits.admin_call_timeout
             self.poller.add(sock.fileno(), caller.ready, urgent=True)
 
     def gone(self, caller: AdminConnection) -> None:
@@ -87,7 +89,7 @@
         for caller in [c for c, until in self._callers.items() if until < now]:
             caller.close()
         if self._listener:
-            self._timers.at(now + self._limits.ops_time / 4, self._watch)
+            self._timers.at(now + self._limits.admin_call_timeout / 4, self._watch)
 
     def answer(self, call: ParsedRequest) -> EncodedResponse:
         """What one call gets."""
@@ -115,7 +117,7 @@
         self._api, self._sock = api, sock
         self._requests = RequestParser(api.call_limits)
         self._unsent = memoryview(b"")
-        self._bytes_allowed = api.call_limits.head  # bytes that may still come once it is answered
+        self._bytes_allowed = api.call_limits.max_head_size  # bytes that may still come once it is answered
         self.is_answered = False
         self._open = True
 
--- a/brackenlane/ops/admin_service.py
+++ b/brackenlane/ops/admin_service.py
@@ -39,7 +39,7 @@
     ) -> None:
         """Without a ledger, what is ordered is known to this process alone."""
         self._core, self._front, self._limits, self._ledger = core, front, limits, ledger
-        self._maintenance = Maintenance(limits.taken_out)
+        self._maintenance = Maintenance(limits.max_taken_out_servers)
         self._state = HandoverState.ALONE
         if ledger:
             self._maintenance.out.update(ledger.index.out)
@@ -62,7 +62,7 @@
         known = server in self._maintenance.out
         if known is out or (not known and server not in self._maintenance.listed):
             return self._carry_out(server, out, now)  # nothing changes
-        if out and len(self._maintenance.out) >= self._limits.taken_out:
+        if out and len(self._maintenance.out) >= self._limits.max_taken_out_servers:
             return ANSWERS[MaintenanceResult.FULL]
         try:
             self._ledger.append(RecordType.ENTER if out else RecordType.EXIT, server, repr(now))
@@ -119,7 +119,7 @@
 
     def _tend(self, ledger: HandoverLog) -> None:
         """Look after the ledger, and at who lives."""
-        self._core.timers.at(time.time() + self._limits.ledger_look, self._tend, ledger)
+        self._core.timers.at(time.time() + self._limits.handover_check_interval, self._tend, ledger)
         try:
             ledger.look()
             ledger.tend()
--- a/brackenlane/ops/handover_log.py
+++ b/brackenlane/ops/handover_log.py
@@ -34,7 +34,7 @@
         self._folder, self._limits = folder, limits
         self._path = folder / "ledger"
         self.me = os.urandom(4).hex()
-        self.index = HandoverIndex(limits.claims)
+        self.index = HandoverIndex(limits.max_handover_claims)
         self.on_record: Callable[[Record], None] = lambda _: None
         self._file = self._life = -1
         try:
@@ -61,7 +61,7 @@
         """One process at a time starts or rewrites the ledger; who holds it up for long is not waited for."""
         fd = os.open(self._folder / "starting", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            end = time.monotonic() + self._limits.ledger_wait
+            end = time.monotonic() + self._limits.handover_lock_timeout
             while not _locked(fd):
                 if time.monotonic() > end:
                     raise HandoverLogError("another process starts, and does not get on")
@@ -100,9 +100,9 @@
             os.replace(self._path, self._folder / "ledger.foreign")
         self._file = os.open(self._path, os.O_RDWR | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600)
         # Of one that is too large, which nobody here has written, the end alone is read.
-        most = self._limits.ledger + self._limits.ledger_orders
+        most = self._limits.max_handover_log_size + self._limits.handover_log_order_reserve
         self._size = max(0, os.fstat(self._file).st_size - most)
-        self._reader = Reader(self._limits.ledger_line)
+        self._reader = Reader(self._limits.max_handover_record_size)
 
     def look(self) -> None:
         """Take in what is new."""
@@ -120,7 +120,9 @@
         """Append a record and take in all up to it. Raises HandoverLogError where it can't be kept."""
         data = encode(Record(kind, fields))
         try:
-            capacity = self._limits.ledger + (0 if kind is RecordType.CLAIM else self._limits.ledger_orders)
+            capacity = self._limits.max_handover_log_size + (
+                0 if kind is RecordType.CLAIM else self._limits.handover_log_order_reserve
+            )
             if os.fstat(self._file).st_size + len(data) > capacity:
                 raise HandoverLogError("the ledger is full")
             if os.write(self._file, data) < len(data):
@@ -135,7 +137,7 @@
             there = os.stat(self._path).st_ino == os.fstat(self._file).st_ino
         except OSError:
             there = False
-        if there and self._size < self._limits.ledger_tidy:
+        if there and self._size < self._limits.handover_log_compaction_size:
             return
         try:
             with self._starting_now() as mine:
--- a/brackenlane/store/replica.py
+++ b/brackenlane/store/replica.py
@@ -65,13 +65,13 @@
         self._orders, self._hint = f"brackenlane:{site}:orders", f"brackenlane:{site}:pace"
         self._filed, self._tickets = f"brackenlane:{site}:filed:", f"brackenlane:{site}:loads:"
         self._claims = f"brackenlane:{site}:claim:"
-        self._commands = Connection(endpoint, limits.store_wait)
-        self._follows = Connection(endpoint, limits.store_wait)
+        self._commands = Connection(endpoint, limits.store_command_timeout)
+        self._follows = Connection(endpoint, limits.store_command_timeout)
         self.phases, self.place = phases or StartupPhases(time.time()), place
         self._chance = random.Random()
         self.pace = StorePacing(name, capacity or Capacity(), self._chance)
         self.fault = ""  # why the store is away
-        self._unshared: deque[Change] = deque(maxlen=limits.store_unshared)
+        self._unshared: deque[Change] = deque(maxlen=limits.max_unshared_changes)
         # Told to the store, not read back yet: a store that is set back may have lost it.
         self._unread: OrderedDict[str, Change] = OrderedDict()
         self._there: dict[str, OperatorOrder] = {}  # orders that the store has
@@ -120,7 +120,7 @@
         self._roster.purge(obj, group, at)
         since = time.time() - self._counts
         self.purges = {key: t for key, t in self.purges.items() if t > since}
-        if at > since and len(self.purges) < self._limits.store_purges:
+        if at > since and len(self.purges) < self._limits.max_store_purges:
             self.purges[obj, group] = max(at, self.purges.get((obj, group), at))
 
     def recall(self, purges: Mapping[tuple[str, int], float]) -> None:
@@ -141,14 +141,14 @@
         first, event = change
         text = orjson.dumps(event).decode()
         self._unread[text] = change
-        if len(self._unread) > self._limits.store_unshared:
+        if len(self._unread) > self._limits.max_unshared_changes:
             self._unread.popitem(last=False)
         added: list[str | int] = [
             "XADD",
             self._events,
             "MAXLEN",
             "~",
-            self._limits.store_log,
+            self._limits.max_store_events,
             "*",
             "event",
             text,
@@ -193,21 +193,21 @@
             self._unshared.popleft()
         requested = time.monotonic()
         begin = self.place if self.place != NOWHERE else "+"  # behind all: nothing is asked for
-        mine = sorted(self._roster.merge.orders)[: self._limits.store_piece]
+        mine = sorted(self._roster.merge.orders)[: self._limits.store_page_size]
         orders: list[list[str | int]] = [["HMGET", self._orders, *mine]] if mine else []
         entries, [hint, filed], reported, *texts = await self._follows.call(
-            ["XRANGE", self._events, begin, "+", "COUNT", self._limits.store_piece],
+            ["XRANGE", self._events, begin, "+", "COUNT", self._limits.store_page_size],
             ["MGET", self._hint, filing.key],
             ["TIME"],
             *orders,
         )
         self._ahead = int(reported[0]) + int(reported[1]) / 1e6 - time.monotonic()
         # Over half of what a submit would wait, the store is slow: all should spread more.
-        self.pace.answered(time.monotonic() - requested, self._limits.store_wait / 2)
+        self.pace.answered(time.monotonic() - requested, self._limits.store_command_timeout / 2)
         self._obey(hint)
         filing.done = not filing.own or filed == "done"  # it may have lost them since
         page = entries
-        while len(page) >= self._limits.store_piece:
+        while len(page) >= self._limits.store_page_size:
             page = await self._updates(str(page[-1][0]))
             entries += page
         if continues(self.place, {str(place) for place, _ in entries}):
@@ -242,7 +242,9 @@
         bucket = self.pace.bucket(time.time())
         while True:
             key = f"{self._tickets}{bucket}"
-            ticket, _ = await self._follows.call(["INCR", key], ["EXPIRE", key, self._limits.store_tickets])
+            ticket, _ = await self._follows.call(
+                ["INCR", key], ["EXPIRE", key, self._limits.store_ticket_lifetime]
+            )
             if not (ahead := self.pace.ahead(int(ticket))):
                 return await trio.sleep(self.pace.turn(bucket, int(ticket), time.time()))
             bucket += ahead
@@ -269,7 +271,7 @@
         cursor = "0"
         while True:
             [(cursor, flat)] = await self._follows.call(
-                ["HSCAN", key, cursor, "COUNT", self._limits.store_piece]
+                ["HSCAN", key, cursor, "COUNT", self._limits.store_page_size]
             )
             for value in flat[1::2]:
                 yield value
@@ -288,14 +290,14 @@
     async def _updates(self, place: str, *block: str | int) -> list[Any]:
         """Entries behind a place; block: how long the store may hold back a reply while there are none."""
         [updates] = await self._follows.call(
-            ["XREAD", "COUNT", self._limits.store_piece, *block, "STREAMS", self._events, place],
-            wait=(int(block[1]) / 1000 if block else 0.0) + self._limits.store_wait,
+            ["XREAD", "COUNT", self._limits.store_page_size, *block, "STREAMS", self._events, place],
+            wait=(int(block[1]) / 1000 if block else 0.0) + self._limits.store_command_timeout,
         )
         return [entry for _, entries in updates or () for entry in entries]
 
     async def _follow(self) -> None:
         """Wait for news and take them in."""
-        self._read(await self._updates(self.place, "BLOCK", int(self._limits.store_block * 1000)))
+        self._read(await self._updates(self.place, "BLOCK", int(self._limits.store_block_time * 1000)))
 
     async def _mend(self) -> None:
         """Tell a store that was set back what it has lost of ours, and the orders that it lacks."""
@@ -323,7 +325,8 @@
     async def _file(self, filing: FileRegistration) -> None:
         """Write those caches of our file that the store has not, unless another is about to."""
         mine, value = await self._follows.call(
-            ["SET", filing.key, self._name, "NX", "EX", self._limits.store_filing], ["GET", filing.key]
+            ["SET", filing.key, self._name, "NX", "EX", self._limits.store_file_lock_lifetime],
+            ["GET", filing.key],
         )
         filing.done = value == "done"
         if mine != "OK":
@@ -340,7 +343,7 @@
                         self._events,
                         "MAXLEN",
                         "~",
-                        self._limits.store_log,
+                        self._limits.max_store_events,
                         "*",
                         "event",
                         orjson.dumps({"box": definition}).decode(),
@@ -350,9 +353,9 @@
         await self._follows.call(
             ["MULTI"],
             *writes,
-            ["SET", filing.key, "done", "EX", self._limits.store_filed],
+            ["SET", filing.key, "done", "EX", self._limits.store_file_done_lifetime],
             ["EXEC"],
-            wait=self._limits.store_block,
+            wait=self._limits.store_block_time,
         )
         filing.done = True
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -121,7 +121,12 @@
 
 def test_bounds(tmp_path: Path) -> None:
     """Past its bound it takes no claim, but orders; alone, it is rewritten and takes claims again."""
-    limits = Limits(ledger=4_000, ledger_tidy=1_000, ledger_orders=1_000, claims=5)
+    limits = Limits(
+        max_handover_log_size=4_000,
+        handover_log_compaction_size=1_000,
+        handover_log_order_reserve=1_000,
+        max_handover_claims=5,
+    )
     old = HandoverLog(tmp_path / "x", limits)
     new = HandoverLog(tmp_path / "x", limits)
     with pytest.raises(HandoverLogError):
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -370,7 +370,9 @@
                         )
                         client.sendall(request(f"{n:016x}").replace(b"3000", b"25000"))
                         requested.append(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
-                    await trio.sleep(Limits().leaving)  # by the doorman's clock it is time to shut
+                    await trio.sleep(
+                        Limits().shutdown_accept_time
+                    )  # by the doorman's clock it is time to shut
                 found = [await stream.receive_some(12) for stream in requested]
             assert found == [b"HTTP/1.1 200"] * 40
             assert await router_process.process.wait() == 0
@@ -410,7 +412,7 @@
     core = RequestEngine(
         EngineConfig(Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, limits), lambda _: False
     )
-    poller = Poller(limits.batch)
+    poller = Poller(limits.max_poll_events)
     front = HttpFront(core, limits, poller)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         peer = socket.create_connection(listener.getsockname())
@@ -494,7 +496,7 @@
 
 
 def test_a_line_that_passes_tells_of_those_that_did_not() -> None:
-    throttle, passed = Throttle(2, 1.0, kinds=3), []
+    throttle, passed = Throttle(2, 1.0, max_kinds=3), []
     for n in range(50):
         record = logging.LogRecord("a", logging.WARNING, "", 0, "%s is bad", (f"box {n}",), None)
         record.created = n / 10  # five spans of ten lines
@@ -822,7 +824,7 @@
         front._admit(mine)
         [client] = front._waiting[ClientState.FIRST]
         client.wait(ClientState.NOT)
-        client._bytes_allowed = Limits().head
+        client._bytes_allowed = Limits().max_head_size
         client.answer((200, {}, bytes(8_000_000)))
         assert client in front._waiting[ClientState.TAKE]
         peer.sendall(b"x" * 20_000)
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -414,7 +414,7 @@
     raw = changed(WITH_HUBS, *edits)
     reported = read_settings(raw)
     assert reported.may_probe is (("Limits", "MayProbe") not in [path for path, _ in edits])
-    assert Limits().suited(reported).idle_probe_after > 0
+    assert Limits().with_settings(reported).idle_probe_after > 0
     assert asked(started(raw, ("north",)), "films").server.startswith("edge-")
 
 
@@ -422,7 +422,7 @@
     """No answer comes after the deadline, so an aim beyond it is in effect the deadline."""
     raw = changed(WITH_HUBS, (("Classes", 1, "TargetS"), 3600))
     assert read_settings(raw).classes[1].latency_objective == 2.0
-    assert Limits().suited(read_settings(raw)).longest_wait >= 2.0
+    assert Limits().with_settings(read_settings(raw)).max_client_wait >= 2.0
     assert asked(started(raw, ("north",)), "maps").timeout <= 1.5
 
 
@@ -582,7 +582,7 @@
         assert str(fault).startswith(fault.path) and fault.path.startswith("settings")
         assert len(str(fault)) < 300 and str(fault).isprintable()
         return
-    Limits().suited(reported).before_killed(reported)
+    Limits().with_settings(reported).with_kill_deadline(reported)
     play(reported, roles)
 
 
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -131,7 +131,7 @@
     caches.place(attempt)
     before = clock.rung
     clock.run_to(clock.now + 1)
-    assert clock.rung - before >= 0.8 / limits.watch
+    assert clock.rung - before >= 0.8 / limits.connection_check_interval
 
 
 LOCATIONS = [f"site-{n}" for n in range(33)]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -208,7 +208,7 @@
 def test_ledger_records_are_read_and_written_the_same() -> None:
     """Every kind of record, and what they add up to."""
     data = (DATA / "ledger").read_bytes()
-    reader, book = Reader(Limits().ledger_line), HandoverIndex(Limits().claims)
+    reader, book = Reader(Limits().max_handover_record_size), HandoverIndex(Limits().max_handover_claims)
     assert tuple(reader.feed(data)) == RECORDS and reader.spoilt == 0
     assert {record.kind for record in RECORDS} == set(RecordType)
     assert b"".join(map(encode, RECORDS)) == data
--- a/tests/test_unresponsive_caches.py
+++ b/tests/test_unresponsive_caches.py
@@ -84,8 +84,8 @@
         RequestClass("a", latency_objective=0.2, time_limit=6.0),
         RequestClass("b", latency_objective=0.5, time_limit=2.0),
     )
-    reported = Limits().suited(settings(classes=classes, may_probe=True, probe_price=price))
+    reported = Limits().with_settings(settings(classes=classes, may_probe=True, probe_price=price))
     assert (
         reported.idle_probe_after == pytest.approx(quiet)
-        and reported.idle_probe_after <= reported.unresponsive == 3.0
+        and reported.idle_probe_after <= reported.unresponsive_timeout == 3.0
     )
