--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -14,6 +14,7 @@
 
 from brackenlane.config import Config, ConfigError, load
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.metrics import RequestMetrics
 from brackenlane.core.response_cache import ResponseCache
 from brackenlane.lifecycle import EarlySignal, SignalWatcher, listen_plain, serve_until_signal
@@ -35,21 +36,23 @@
 
 async def serve(config: Config, limits: Limits) -> None:
     """Run the platform's front until SIGTERM and the last answer after it."""
-    poller = Poller(limits.batch, alone=True)
+    poller = Poller(limits.max_poll_events, alone=True)
     with SignalWatcher(poller, signal.SIGHUP) as hangups:
         async with trio.open_nursery() as nursery:
             core = RequestEngine(
-                config.settings,
-                config.seed,
-                limits,
+                _engine_config(config, limits),
                 lambda attempt: pools.place(attempt),
-                flow=config.flow,
-                cache=_response_cache(config, limits),
             )
-            core.timers.first = poller.handle_urgent
+            core.timers.before_round = poller.handle_urgent
             counts = RequestMetrics(c.name for c in config.settings.classes)
             pools = ConnectionPools(
-                core.membership, limits, config.settings, core.report, poller, core.timers, counts.tried
+                core.membership,
+                limits,
+                config.settings,
+                core.report,
+                poller,
+                core.timers,
+                counts.count_attempt,
             )
             front = HttpFront(core, limits, poller, counts=counts)
             operators = AdminService(core, front, limits, _ledger(config, limits) if config.ops else None)
@@ -100,14 +103,21 @@
     """The response cache, copies of our own, where we are told what our link bears."""
     if not config.flow or not config.link:
         return None
-    capacity = limits.copies * config.memory_mb * 2**20
-    return ResponseCache(config.settings, capacity, config.flow, config.link, limits.age_slack)
+    capacity = limits.response_cache_share * config.memory_mb * 2**20
+    return ResponseCache(config.settings, capacity, config.flow, config.link, limits.clock_tolerance)
+
+
+def _engine_config(config: Config, limits: Limits) -> EngineConfig:
+    """Return what the request engine runs with by a configuration."""
+    return EngineConfig(config.settings, config.seed, limits, config.flow, _response_cache(config, limits))
 
 
 def _limits(config: Config) -> Limits:
     """The limits that follow from a configuration, and from what the system allows this process."""
     sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-    return Limits().within(sockets).suited(config.settings).before_killed(config.settings)
+    return (
+        Limits().with_descriptors(sockets).with_settings(config.settings).with_kill_deadline(config.settings)
+    )
 
 
 async def _reload(
@@ -130,7 +140,7 @@
             known = list(read_known(new.known, new.site, time.time()))  # all faults come before any change
             if any(getattr(new, name) != getattr(config, name) for name in APPLIED):
                 limits = _limits(new)
-                core.reconfigure(new.settings, new.seed, limits, new.flow, _response_cache(new, limits))
+                core.reconfigure(_engine_config(new, limits))
                 pools.reconfigure(limits, new.settings)
                 front.reconfigure(limits)
                 log.info("SIGHUP: other settings hold")
@@ -153,7 +163,7 @@
     """Run what the command line names; 2 for a configuration that can't be used."""
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Throttle(Limits().log_lines, Limits().log_span))
+        handler.addFilter(Throttle(Limits().max_log_lines, Limits().log_window))
     # Guards against a SIGHUP that ends the program, and against a new file whose SIGHUP comes between the
     # reading of the old one and the handler; before this line `run` in the deploy file has it ignored.
     signal.signal(signal.SIGHUP, EarlySignal() if not arguments else signal.SIG_IGN)
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -16,6 +16,7 @@
 from brackenlane.coldstart.stream_position import STREAM_START
 from brackenlane.config import ConfigError, Endpoint, read_endpoint
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.discovery import snapshot
 from brackenlane.discovery.dns_cache import Lifetimes
 from brackenlane.discovery.dns_source import DnsSource
@@ -148,7 +149,7 @@
     limits: Limits,
 ) -> None:
     """What is done while the store has not been heard since our start; old: a last list not trusted yet."""
-    await trio.sleep(limits.unknown_purges)
+    await trio.sleep(limits.purge_recovery_timeout)
     if phases.is_store_read:
         return
     # Which purges were told while we were away is unknown: each object counts as purged, for as long as a
@@ -157,7 +158,7 @@
     for group in range(-1, GROUPS):
         roster.purge("", group, time.time())
     if old is not None:
-        await trio.sleep(max(0.0, config.coldstart.patience - limits.unknown_purges))
+        await trio.sleep(max(0.0, config.coldstart.patience - limits.purge_recovery_timeout))
         if not phases.is_store_read:  # an old list is better than none
             recall(roster, phases, old)
 
@@ -178,10 +179,12 @@
 
     async with trio.open_nursery() as nursery:
         core = RequestEngine(
-            config.settings, time.time_ns(), limits, lambda attempt: pools.place(attempt), notice=notice
+            EngineConfig(config.settings, time.time_ns(), limits),
+            lambda attempt: pools.place(attempt),
+            on_result=notice,
         )
-        poller = Poller(limits.batch)
-        core.timers.first = poller.handle_urgent
+        poller = Poller(limits.max_poll_events)
+        core.timers.before_round = poller.handle_urgent
         pools = ConnectionPools(core.membership, limits, config.settings, core.report, poller, core.timers)
         roster = Registry(MembershipMerge(config.policy, config.watches), core.post, pools.follow)
         nursery.start_soon(core.run)
@@ -193,9 +196,9 @@
             resolver = Resolver(
                 config.resolvers,
                 nursery,
-                budget=limits.look_up,
+                budget=limits.lookup_timeout,
                 lifetimes=config.lifetimes,
-                most=limits.look_ups,
+                most=limits.max_lookups,
             )
             feeds.append(
                 DnsSource(
@@ -236,7 +239,7 @@
         else:
             phases.step(StartupEvent.CAUGHT_UP, time.time())  # nobody else knows more
         keeper = (
-            snapshot.SnapshotWriter(roster, config.last_list, limits.last_list, shared)
+            snapshot.SnapshotWriter(roster, config.last_list, limits.snapshot_interval, shared)
             if config.last_list
             else None
         )
--- a/brackenlane/console.py
+++ b/brackenlane/console.py
@@ -137,7 +137,7 @@
     def _load(self) -> str:
         total = ", ".join(f"{n} {REASON_NAMES[reason]}" for reason, n in self._figures.shed.items()) or "none"
         return (
-            f"last second: {self._figures.last.line()}\n"
+            f"last second: {self._figures.last.summary()}\n"
             f"since the start: taken {self._figures.taken}, refused at the door: {total}\n"
         )
 
@@ -170,9 +170,9 @@
                 while True:
                     end = buffer.find(b"\n")
                     if end < 0:
-                        if len(buffer) > self._limits.console_line:
+                        if len(buffer) > self._limits.max_console_line:
                             return
-                        with trio.fail_after(self._limits.console_idle):
+                        with trio.fail_after(self._limits.console_idle_timeout):
                             data = await stream.receive_some(1024)
                         if not data:
                             return
--- a/brackenlane/dns/responder.py
+++ b/brackenlane/dns/responder.py
@@ -87,7 +87,7 @@
             return self._malformed(wire)
         if query.flags & dns.flags.QR:
             return None  # else two servers could answer each other's responses for ever
-        response = dns.message.make_response(query, our_payload=self._limits.dns_payload)
+        response = dns.message.make_response(query, our_payload=self._limits.max_dns_payload)
         response.flags &= ~dns.flags.RA
         await self._fill(query, response)
         return encode_response(response, self._largest_response(query, udp))
@@ -96,7 +96,7 @@
         """Return how many bytes the client takes."""
         if not udp:
             return LARGEST_TCP_MESSAGE
-        return min(max(query.payload, SMALLEST_UDP_PAYLOAD), self._limits.dns_payload)
+        return min(max(query.payload, SMALLEST_UDP_PAYLOAD), self._limits.max_dns_payload)
 
     def _malformed(self, wire: bytes) -> bytes | None:
         """Return an error response under the query's id, if its header can be read."""
@@ -114,7 +114,7 @@
             return
         response.flags |= dns.flags.AA
         try:
-            with trio.fail_after(self._limits.dns_query):
+            with trio.fail_after(self._limits.dns_query_timeout):
                 await self._answer(query.question[0], response)
         except (NoCacheError, trio.TooSlowError):
             response.answer.clear()
@@ -178,7 +178,7 @@
         server: str,
     ) -> None:
         """Answer a question for one cache by its id; while it drains, its name has no address."""
-        if self._engine.membership.serving(server):
+        if self._engine.membership.is_serving(server):
             self._add_records(response, name, record_type, server)
         else:
             self._deny(response, dns.rcode.NOERROR)
@@ -209,7 +209,7 @@
         record_type: dns.rdatatype.RdataType,
     ) -> None:
         """Name the cache that the router picks, if it still takes new work as the answer is written."""
-        deadline = self._clock() + self._limits.dns_query
+        deadline = self._clock() + self._limits.dns_query_timeout
         cls = self._classes[question.cls]
         # The transfer goes from cache to client, unseen by us: it counts as a usual one. Without a size, the
         # router would learn the time that a connect takes as the time to send the object.
@@ -222,7 +222,7 @@
             if answer.disposition is not Disposition.SERVED:
                 raise NoCacheError(question.obj)
             # The cache may have begun to drain between the connection to it and this answer.
-            if self._engine.membership.serving(answer.server) and answer.server in self._addresses.endpoints:
+            if self._engine.membership.is_serving(answer.server) and answer.server in self._addresses.endpoints:
                 self._add_records(response, name, record_type, answer.server)
                 return
         raise NoCacheError(question.obj)
--- a/brackenlane/dns/server.py
+++ b/brackenlane/dns/server.py
@@ -35,7 +35,7 @@
                     log.debug("DNS datagram not received: %s", error)
                     continue
                 # Beyond this many open queries a datagram is dropped, and its client asks again.
-                if self._open_queries < self._limits.dns_open:
+                if self._open_queries < self._limits.max_dns_queries:
                     nursery.start_soon(self._answer_datagram, sock, wire, peer)
 
     async def _answer_datagram(
@@ -60,7 +60,7 @@
 
     async def serve_tcp(self, stream: trio.SocketStream) -> None:
         """Answer the queries of one connection, one after another."""
-        if self._connections >= self._limits.dns_connections:
+        if self._connections >= self._limits.max_dns_connections:
             await trio.aclose_forcefully(stream)
             return
         self._connections += 1
@@ -81,13 +81,13 @@
             reply = await self._respond(wire, udp=False)
             if reply is None:
                 return
-            with trio.fail_after(self._limits.dns_idle):
+            with trio.fail_after(self._limits.dns_idle_timeout):
                 await stream.send_all(len(reply).to_bytes(LENGTH_BYTES, "big") + reply)
 
     async def _receive_message(self, stream: trio.SocketStream, buffer: bytearray) -> bytes | None:
         """Return the next message; None at the end of the stream. Raises trio.TooSlowError."""
         while not _is_message_complete(buffer):
-            with trio.fail_after(self._limits.dns_idle):
+            with trio.fail_after(self._limits.dns_idle_timeout):
                 data = await stream.receive_some(RECEIVE_BYTES)
             if not data:
                 return None
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -58,7 +58,7 @@
         """
         if not self.is_open or self._is_behind_unwanted_response():
             return False
-        if len(self._in_flight) >= self._context.limits.link_waiting:
+        if len(self._in_flight) >= self._context.limits.max_requests_per_connection:
             return False
         return wire_id not in self._in_flight and wire_id not in self._past_ids
 
@@ -105,7 +105,7 @@
 
     def _remember_id(self, wire_id: str, answered: bool) -> None:
         self._past_ids[wire_id] = answered
-        if len(self._past_ids) > self._context.limits.given_up:
+        if len(self._past_ids) > self._context.limits.max_abandoned_ids:
             self._past_ids.popitem(last=False)
 
     def _flush(self) -> None:
@@ -207,10 +207,10 @@
         if self._blocked_since:
             self._blocked_since += lag
         # Behind the full buffer of an unresponsive machine every later request would wait.
-        if self._blocked_since and now - self._blocked_since > limits.write_stall:
+        if self._blocked_since and now - self._blocked_since > limits.write_stall_timeout:
             self.close()
             return
-        if self._response_began_at and now - self._response_began_at > limits.answer_time:
+        if self._response_began_at and now - self._response_began_at > limits.response_timeout:
             log.warning("connection closed: a response does not end, %d requests in flight", self.load)
             self.close()
             return
@@ -221,10 +221,10 @@
         """Return the seconds for which nothing may come."""
         limits = self._context.limits
         if self._is_probed:
-            return limits.idle_probe_after + limits.pulse
+            return limits.idle_probe_after + limits.probe_timeout
         if self.is_idle:
-            return limits.keepalive
-        return limits.idle_probe_after if self._context.settings.may_probe else limits.unresponsive
+            return limits.connection_idle_timeout
+        return limits.idle_probe_after if self._context.settings.may_probe else limits.unresponsive_timeout
 
     def _handle_silence(self) -> None:
         if self.is_idle:
@@ -257,7 +257,7 @@
     def _redispatch_or_fail(self, dispatched: DispatchedAttempt) -> None:
         if dispatched.attempt.written:
             dispatched.finish(AttemptReply(AttemptResult.BROKEN, dispatched.elapsed_time()))
-        elif dispatched.redispatches < self._context.limits.redispatches:
+        elif dispatched.redispatches < self._context.limits.max_redispatches:
             dispatched.redispatches += 1
             self._redispatch(dispatched)
         else:
@@ -349,8 +349,8 @@
     def _is_servable(self, response: cache_codec.CacheResponse, dispatched: DispatchedAttempt) -> bool:
         """Return whether a good response may be passed to the client."""
         request: PendingRequest = dispatched.attempt.request
-        if response.issued is not None and self._context.membership.too_old(
-            request.cls, response.issued, dispatched.sent_at, self._context.limits.age_slack
+        if response.issued is not None and self._context.membership.is_too_old(
+            request.cls, response.issued, dispatched.sent_at, self._context.limits.clock_tolerance
         ):
             return False
         # A stored copy bears its tag and the time at which the origin gave it out.
--- a/brackenlane/net/connection_pool.py
+++ b/brackenlane/net/connection_pool.py
@@ -28,12 +28,12 @@
 
     def dispatch(self, attempt: Attempt) -> bool:
         """Take an attempt; return False if too many wait already."""
-        if len(self._waiting) >= self._context.limits.peer_mail:
+        if len(self._waiting) >= self._context.limits.max_queued_attempts:
             return False
         dispatched = DispatchedAttempt(attempt, self._context.report)
         attempt.stop = dispatched.stop
         # Its time runs from the decision.
-        deadline = attempt.started + attempt.fetch.timeout
+        deadline = attempt.started_at + attempt.fetch.timeout
         dispatched.timer = self._context.timers.at(deadline, dispatched.stop)
         self._assign(dispatched)
         return True
@@ -106,7 +106,7 @@
         if usable:
             connection = min(usable, key=lambda one: one.load)
             # One connection that ends or hangs must not take all requests at this server with it.
-            if may_open_another and connection.load >= self._context.limits.link_share:
+            if may_open_another and connection.load >= self._context.limits.next_connection_threshold:
                 self._start_connecting(needed=False)
             connection.send(dispatched)
         elif may_open_another or self._close_one_idle(dispatched):
@@ -115,7 +115,7 @@
             dispatched.finish(NEVER_SENT)
 
     def _is_below_limit(self) -> bool:
-        return sum(one.is_open for one in self._connections) < self._context.limits.links
+        return sum(one.is_open for one in self._connections) < self._context.limits.max_connections_per_server
 
     def _close_one_idle(self, dispatched: DispatchedAttempt) -> bool:
         """Close an idle connection that cannot carry this id again; return whether there was one."""
--- a/brackenlane/net/connection_pools.py
+++ b/brackenlane/net/connection_pools.py
@@ -36,7 +36,7 @@
         timers: Timers,
         count_written: CountWrittenAttempt = lambda _: None,
     ) -> None:
-        quota = ConnectionQuota(limits.cache_connections)
+        quota = ConnectionQuota(limits.max_cache_connections)
         quota.close_idle = self._close_longest_idle
         self._context = ConnectionContext(
             membership,
@@ -52,7 +52,7 @@
         self._pools: dict[str, ConnectionPool] = {}
         self._removed_pools: list[ConnectionPool] = []  # off the list, with requests in flight
         self._are_all_idle = False  # then checks are far between
-        self._next_check = self._schedule_check(time.time(), limits.watch)
+        self._next_check = self._schedule_check(time.time(), limits.connection_check_interval)
 
     def place(self, attempt: Attempt) -> bool:
         """Hand an attempt to the pool of its server; return False if it cannot be taken."""
@@ -62,7 +62,9 @@
         if self._are_all_idle:
             self._are_all_idle = False
             self._next_check.cancel()
-            self._next_check = self._schedule_check(time.time(), self._context.limits.watch)
+            self._next_check = self._schedule_check(
+                time.time(), self._context.limits.connection_check_interval
+            )
         return pool.dispatch(attempt)
 
     def _pool_for(self, server: str) -> ConnectionPool | None:
@@ -100,7 +102,7 @@
         context = self._context
         context.limits = limits
         context.settings = settings
-        context.quota.maximum = limits.cache_connections
+        context.quota.maximum = limits.max_cache_connections
 
     def _all_pools(self) -> tuple[ConnectionPool, ...]:
         return (*self._pools.values(), *self._removed_pools)
@@ -129,7 +131,9 @@
         self._removed_pools = [pool for pool in self._removed_pools if self._check_pool(pool, now, lag)]
         self._are_all_idle = not any(pool.is_busy for pool in self._all_pools())
         limits = self._context.limits
-        delay = limits.watch_idle if self._are_all_idle else limits.watch
+        delay = (
+            limits.idle_connection_check_interval if self._are_all_idle else limits.connection_check_interval
+        )
         self._next_check = self._schedule_check(now, delay)
 
     @staticmethod
--- a/brackenlane/net/dispatched_attempt.py
+++ b/brackenlane/net/dispatched_attempt.py
@@ -69,4 +69,4 @@
 
     def elapsed_time(self) -> float:
         """Return the seconds since the attempt was decided."""
-        return time.time() - self.attempt.started
+        return time.time() - self.attempt.started_at
--- a/brackenlane/net/http_codec.py
+++ b/brackenlane/net/http_codec.py
@@ -139,7 +139,7 @@
         # llhttp does not bound the head: all bytes that come while one is open count.
         if self._in_head:
             self._head_size = len(data) + (0 if self._begun else self._head_size)
-        if self._in_head and self._head_size > self._limits.head:
+        if self._in_head and self._head_size > self._limits.max_head_size:
             self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         return b""
 
@@ -171,7 +171,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add one header; trailers behind a chunked body are ignored."""
         self._head_size += len(name) + len(value)
-        if self._head_size > 2 * self._limits.head:
+        if self._head_size > 2 * self._limits.max_head_size:
             raise BadRequest(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         known = READ_HEADERS.get(name.lower())
         if known is None or not self._in_head:
@@ -184,7 +184,7 @@
         """Check the head before any body is read. Raises BadRequest."""
         self._in_head = False
         headers = self._headers
-        if self._head_size > self._limits.head:
+        if self._head_size > self._limits.max_head_size:
             raise BadRequest(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         if self._parser.get_http_version() not in ("1.1", "1.0"):
             raise BadRequest(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here")
@@ -200,7 +200,7 @@
         length = headers.get("content-length", "0")
         if not LENGTH.fullmatch(length):
             raise BadRequest(HTTPStatus.BAD_REQUEST, "Content-Length must be a number")
-        if int(length) > self._limits.upload:
+        if int(length) > self._limits.max_upload_size:
             raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self.wants_continue = headers.get("expect", "").lower() == "100-continue"
 
@@ -208,7 +208,7 @@
         """Add a part of the body. Raises BadRequest if it is too large."""
         self.wants_continue = False
         self._body_size += len(data)
-        if self._body_size > self._limits.upload:
+        if self._body_size > self._limits.max_upload_size:
             raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self._body.append(data)
 
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -39,11 +39,11 @@
     txn, again = reading.headers.get("x-txn", ""), reading.headers.get("x-second-try")
     if not TXN.fullmatch(txn):
         raise BadRequest(HTTPStatus.BAD_REQUEST, "X-Txn must be 16 hexadecimal digits")
-    ttl = _number(reading, "x-ttl-ms", 1, int(limits.longest_wait * 1000))
+    ttl = _number(reading, "x-ttl-ms", 1, int(limits.max_client_wait * 1000))
     shard = _number(reading, "x-shard", 0, 255)
     if again not in (None, "1"):
         raise BadRequest(HTTPStatus.BAD_REQUEST, "X-Second-Try must be 1 or absent")
-    left = ttl / 1000 - limits.answer_margin
+    left = ttl / 1000 - limits.response_margin
     if (key := reading.headers.get("x-txn-key", "")) and not KEY.fullmatch(key):
         raise BadRequest(HTTPStatus.BAD_REQUEST, "X-Txn-Key must be a word of 64 characters at most")
     have = TAG.fullmatch(reading.headers.get("if-none-match", ""))
@@ -95,7 +95,7 @@
             return 304, tag, b""
         case Disposition.REJECTED:
             return 503, _hold_off_headers(answer.hold_off, max_hold_off), REFUSED
-    return 504 if answer.late else 502, {}, b"failed\n"
+    return 504 if answer.deadline_exceeded else 502, {}, b"failed\n"
 
 
 def _hold_off_headers(hold_off: float, most: float) -> Headers:
--- a/brackenlane/ops/admin_service.py
+++ b/brackenlane/ops/admin_service.py
@@ -39,7 +39,7 @@
     ) -> None:
         """Without a ledger, what is ordered is known to this process alone."""
         self._core, self._front, self._limits, self._ledger = core, front, limits, ledger
-        self._maintenance = Maintenance(limits.taken_out)
+        self._maintenance = Maintenance(limits.max_taken_out_servers)
         self._state = HandoverState.ALONE
         if ledger:
             self._maintenance.out.update(ledger.index.out)
@@ -62,7 +62,7 @@
         known = server in self._maintenance.out
         if known is out or (not known and server not in self._maintenance.listed):
             return self._carry_out(server, out, now)  # nothing changes
-        if out and len(self._maintenance.out) >= self._limits.taken_out:
+        if out and len(self._maintenance.out) >= self._limits.max_taken_out_servers:
             return ANSWERS[MaintenanceResult.FULL]
         try:
             self._ledger.append(RecordType.ENTER if out else RecordType.EXIT, server, repr(now))
@@ -85,7 +85,7 @@
 
     def figures(self) -> bytes:
         """All figures as text."""
-        listed, avoided = self._maintenance.listed, self._core.avoided
+        listed, avoided = self._maintenance.listed, self._core.routers.ejected_servers()
         ejected = sum(name in avoided or name in self._maintenance.out for name in listed)
         return expose(self._front.counts, Gauges(self._front.active, len(listed), ejected))
 
@@ -119,7 +119,7 @@
 
     def _tend(self, ledger: HandoverLog) -> None:
         """Look after the ledger, and at who lives."""
-        self._core.timers.at(time.time() + self._limits.ledger_look, self._tend, ledger)
+        self._core.timers.at(time.time() + self._limits.handover_check_interval, self._tend, ledger)
         try:
             ledger.look()
             ledger.tend()
@@ -140,10 +140,10 @@
         log.info("this process is %s (it was %s)", self._state.value.name, was.value.name)
         behavior, now = self._state.value, time.time()
         self._front.set_share(behavior.share, behavior.is_handing_over)
-        self._core.keep_copies(1.0 if behavior.cold else 0.0)
+        self._core.cached_responses.set_share(1.0 if behavior.cold else 0.0)
         if behavior.cold != was.value.cold:
             # What a cold cache bears is spent by the later process. Coming back to it, this one starts anew.
-            self._core.spend_cold(now)
+            self._core.routers.spend_slow_start_budgets(now)
             self._notify(self._maintenance.shade(partial(self._cold, now) if not behavior.cold else _none))
 
     def _cold(self, now: float, member: Member) -> bool:
--- a/brackenlane/store/file_registration.py
+++ b/brackenlane/store/file_registration.py
@@ -39,7 +39,7 @@
     async def register(self, connection: Connection) -> None:
         """Write the caches that the store lacks unless another router is about to; StoreError if it fails."""
         reply, value = await connection.call(
-            ["SET", self.key, self._router_name, "NX", "EX", self._limits.store_filing],
+            ["SET", self.key, self._router_name, "NX", "EX", self._limits.store_file_lock_lifetime],
             ["GET", self.key],
         )
         self.is_done = value == DONE
@@ -50,10 +50,10 @@
         commands: list[Command] = []
         for cache, text in zip(self._caches, stored, strict=True):
             if text is None:
-                commands += write_commands(CacheDefined(cache), self._keys, self._limits.store_log)
-        commands.append(["SET", self.key, DONE, "EX", self._limits.store_filed])
+                commands += write_commands(CacheDefined(cache), self._keys, self._limits.max_store_events)
+        commands.append(["SET", self.key, DONE, "EX", self._limits.store_file_done_lifetime])
         # In one transaction: a router that ends in between would leave a cache that no follower learns of.
-        await connection.call(*transaction(commands), time_limit=self._limits.store_block)
+        await connection.call(*transaction(commands), time_limit=self._limits.store_block_time)
         self.is_done = True
 
 
--- a/brackenlane/store/publisher.py
+++ b/brackenlane/store/publisher.py
@@ -25,9 +25,9 @@
     def __init__(self, connection: Connection, keys: StoreKeys, limits: Limits) -> None:
         self._connection = connection
         self._keys = keys
-        self._stream_length = limits.store_log
-        self._max_unacknowledged = limits.store_unshared
-        self._pending: deque[StoreEvent] = deque(maxlen=limits.store_unshared)
+        self._stream_length = limits.max_store_events
+        self._max_unacknowledged = limits.max_unshared_changes
+        self._pending: deque[StoreEvent] = deque(maxlen=limits.max_unshared_changes)
         # By the event's text, oldest first. A store that is set back may have lost them.
         self._unacknowledged: OrderedDict[str, StoreEvent] = OrderedDict()
 
--- a/brackenlane/store/reader.py
+++ b/brackenlane/store/reader.py
@@ -33,8 +33,8 @@
     def __init__(self, connection: Connection, keys: StoreKeys, limits: Limits) -> None:
         self._connection = connection
         self._keys = keys
-        self._page_size = limits.store_piece
-        self._timeout = limits.store_wait
+        self._page_size = limits.store_page_size
+        self._timeout = limits.store_command_timeout
 
     async def read_state(
         self, position: StreamPosition, registration_key: str, order_ids: Sequence[str]
--- a/brackenlane/store/shared_store.py
+++ b/brackenlane/store/shared_store.py
@@ -74,14 +74,14 @@
         self._random = random.Random()
         self.pacing = StorePacing(settings.router_name, settings.capacity, self._random)
         # Two connections: a read that waits for updates must not hold up a claim.
-        command_connection = Connection(settings.endpoint, limits.store_wait)
-        self._read_connection = Connection(settings.endpoint, limits.store_wait)
+        command_connection = Connection(settings.endpoint, limits.store_command_timeout)
+        self._read_connection = Connection(settings.endpoint, limits.store_command_timeout)
         self._reader = StoreReader(self._read_connection, self._keys, limits)
         self._tickets = LoadTickets(
-            self._read_connection, self._keys, self.pacing, lifetime=limits.store_tickets
+            self._read_connection, self._keys, self.pacing, lifetime=limits.store_ticket_lifetime
         )
         self._purges = RecentPurges(
-            PURGE_LIFETIME_FACTOR * settings.purge_propagation_time, limit=limits.store_purges
+            PURGE_LIFETIME_FACTOR * settings.purge_propagation_time, limit=limits.max_store_purges
         )
         self.applier = EventApplier(registry, self._purges)
         self.claims = RedisClaimStore(
@@ -127,7 +127,7 @@
                 while True:
                     if not registration.is_done:
                         await registration.register(self._read_connection)
-                    await self.replica.follow(self._limits.store_block)
+                    await self.replica.follow(self._limits.store_block_time)
         except* StoreError as group:
             failures.extend(group.exceptions)
         return failures[0]
@@ -141,7 +141,7 @@
         )
         self.applier.clock.synchronize(state.clock_seconds, state.clock_microseconds)
         # If the store takes over half of what a submit may wait, the fleet should spread its requests more.
-        self.pacing.record_answer(time.monotonic() - requested_at, self._limits.store_wait / 2)
+        self.pacing.record_answer(time.monotonic() - requested_at, self._limits.store_command_timeout / 2)
         self._apply_capacity_hint(state)
         registration.observe(state.registration)
         if not await self.replica.catch_up(state):
