--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -61,20 +61,20 @@
     memory = 0.0
     for size in sizes:
         tracemalloc.start()
-        made = MembershipMerge(Policy(caches=4 * size), [SrvWatch(SRV, "branch")])
+        made = MembershipMerge(Policy(max_caches=4 * size), [SrvWatch(SRV, "branch")])
         third = size // 3
         records = [SrvRecord(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", 80, 0, 8) for n in range(size)]
         for origin, part in (
             (DefinitionSource.FILE, records[:third]),
             (DefinitionSource.STORE, records[third // 2 : 2 * third]),
         ):
-            made._said[origin] = {
-                what.id: what
-                for what in (  # at once: one by one would be n merges
+            made.definitions.replace_all(  # at once: one by one would be n merges
+                origin,
+                [
                     CacheDefinition(f"{origin.name.lower()}-{n}", t.host, 80, "branch")
                     for n, t in enumerate(part)
-                )
-            }
+                ],
+            )
         made.answer(SRV, records, "u", 1.0)
         memory = tracemalloc.get_traced_memory()[0] / size
         tracemalloc.stop()
@@ -86,7 +86,7 @@
         drains = []
         for number in range(20):
             begun = time.perf_counter()
-            made.order(srv_cache_id(records[-30 - number].host, 80), OperatorOrder(True, 3.0, "b"), 3.0)
+            made.order(srv_cache_id(records[-30 - number].host, 80), OperatorOrder(True, 3.0, "b"))
             drains.append(time.perf_counter() - begun)
         found[size] = sorted(took)[2]
         print(
--- a/brackenlane/appliance.py
+++ b/brackenlane/appliance.py
@@ -29,6 +29,7 @@
 )
 from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import Resolver
+from brackenlane.discovery.snapshot_codec import Snapshot
 from brackenlane.dns.names import read_zone
 from brackenlane.dns.server import Responder, Server
 from brackenlane.lifecycle import listen, serve_until_signal
@@ -106,7 +107,7 @@
 
 
 def start_merge(
-    config: ApplianceConfig, roster: Registry, retained: snapshot.Snapshot | None, phases: StartupPhases
+    config: ApplianceConfig, roster: Registry, retained: Snapshot | None, phases: StartupPhases
 ) -> bool:
     """What is known before anybody is asked: the last list's orders and caches, then the file's own.
 
@@ -131,7 +132,7 @@
     return trusted
 
 
-def recall(roster: Registry, phases: StartupPhases, retained: snapshot.Snapshot) -> None:
+def recall(roster: Registry, phases: StartupPhases, retained: Snapshot) -> None:
     """Serve from a last list."""
     now = time.time()
     roster.apply(roster.merge.restore_snapshot(retained.memory, retained.saved, now))
@@ -143,7 +144,7 @@
     config: ApplianceConfig,
     roster: Registry,
     phases: StartupPhases,
-    old: snapshot.Snapshot | None,
+    old: Snapshot | None,
     limits: Limits,
 ) -> None:
     """What is done while the store has not been heard since our start; old: a last list not trusted yet."""
--- /dev/null
+++ b/brackenlane/discovery/definition_codec.py
@@ -0,0 +1,52 @@
+"""Codec of cache definitions as the store and the snapshot keep them. The field names are stored data."""
+
+from __future__ import annotations
+
+import re
+from typing import Any
+
+from brackenlane.discovery.errors import InvalidDefinitionError
+from brackenlane.discovery.records import PORT_LIMIT, CacheDefinition
+from brackenlane.routing.members import Role
+
+CACHE_ID = re.compile(r"[0-9a-z-]{1,63}")
+WEIGHT_LIMIT = 1e9
+
+
+def encode_definition(definition: CacheDefinition) -> dict[str, Any]:
+    """Return the stored form of a definition."""
+    return {
+        "id": definition.id,
+        "host": definition.host,
+        "port": definition.port,
+        "zone": definition.zone,
+        "role": definition.role.value,
+        "weight": definition.weight,
+        "priority": definition.priority,
+    }
+
+
+def read_definition(raw: Any) -> CacheDefinition:
+    """Return the definition of a stored form; InvalidDefinitionError if it is none."""
+    try:
+        definition = CacheDefinition(
+            str(raw["id"]).lower(),
+            str(raw["host"]).rstrip(".").lower(),
+            int(raw["port"]),
+            str(raw["zone"]),
+            Role(raw.get("role", "edge")),
+            float(raw.get("weight", 1.0)),
+            int(raw.get("priority", 0)),
+        )
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise InvalidDefinitionError(f"box {raw!r}: {type(error).__name__}: {error}") from error
+    is_usable = (
+        0 < definition.port < PORT_LIMIT
+        and CACHE_ID.fullmatch(definition.id)
+        and 0 < definition.weight < WEIGHT_LIMIT
+    )
+    if not is_usable:
+        raise InvalidDefinitionError(
+            f"box {raw!r}: an id of letters, digits and '-', a port and a weight are needed"
+        )
+    return definition
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -71,7 +71,9 @@
         """An attempt did not reach a cache: its address may be that of a dead one."""
         cache = self._merge.caches.get(server)
         if cache and cache.endpoint and (watcher := self._hosts.get(cache.definition.host)):
-            if changes := self._merge.doubt(cache.definition.host, cache.endpoint[0], time.time()):
+            if changes := self._merge.replace_unreachable(
+                cache.definition.host, cache.endpoint[0], time.time()
+            ):
                 self._roster.apply(changes)
             watcher.again.set()
 
@@ -122,7 +124,7 @@
                 await trio.sleep(max(0.0, watcher.asked + self._limits.resolver_least - time.time()))
             watcher.again = trio.Event()
         del self._hosts[host]
-        self._merge.leave(host)
+        self._merge.discard_unnamed_host(host)
 
     async def _locate(self, host: str, watcher: Watcher) -> float:
         """Look up once; seconds until the next time."""
@@ -135,7 +137,7 @@
         if found.stale:
             self._failed(host, f"the last answer is used on: {found.why}")
             return self._retry(watcher.failures)
-        spot = self._merge.places.get(host)
+        spot = self._merge.addresses.by_host.get(host)
         known = spot.address if spot else None
         if known is not None and found.addresses == (known,):
             # Told again what is in use: no look, or all routers dial all caches each lifetime.
@@ -148,7 +150,7 @@
         }
         alive = [address for address in found.addresses if await self._alive(address, ports)]
         if found.addresses and not alive:
-            self._merge.locate_failed(host, f"nobody answers at {', '.join(found.addresses)}")
+            self._merge.addresses.record_unreachable(host, f"nobody answers at {', '.join(found.addresses)}")
             self._resolver.doubt(host)
             return self._retry(watcher.failures)
         # A cache that has left its old address moves at once; two that both answer move it once in a while.
--- /dev/null
+++ b/brackenlane/discovery/operator_orders.py
@@ -0,0 +1,57 @@
+"""The operators' drains and restores, each kept until a later one replaces it. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator, Mapping
+
+from brackenlane.discovery.records import OperatorOrder
+
+
+class OperatorOrders(Mapping[str, OperatorOrder]):
+    """The last order for each cache id, whether a cache of that id is known or not."""
+
+    def __init__(self, max_orders: int) -> None:
+        self._by_id: dict[str, OperatorOrder] = {}
+        self._max_orders = max_orders
+
+    def __getitem__(self, cache_id: str) -> OperatorOrder:
+        return self._by_id[cache_id]
+
+    def __iter__(self) -> Iterator[str]:
+        return iter(self._by_id)
+
+    def __len__(self) -> int:
+        return len(self._by_id)
+
+    def add(self, cache_id: str, order: OperatorOrder) -> bool:
+        """Keep an order if it holds against the one that is there; return whether it is kept.
+
+        At the bound the oldest restore is discarded. A drain never is: if there are only drains, the new
+        order is refused.
+        """
+        if not order.beats(self._by_id.get(cache_id)):
+            return False
+        if cache_id not in self._by_id and len(self._by_id) >= self._max_orders:
+            restored = [known_id for known_id, known in self._by_id.items() if not known.drained]
+            if not restored:
+                return False
+            del self._by_id[min(restored, key=self._given_at)]
+        self._by_id[cache_id] = order
+        return True
+
+    def restore(self, orders: Mapping[str, OperatorOrder]) -> None:
+        """Keep the orders of a snapshot that hold against those that are there."""
+        for cache_id, order in orders.items():
+            if order.beats(self._by_id.get(cache_id)):
+                self._by_id[cache_id] = order
+
+    def drain_of(self, cache_ids: Iterable[str]) -> OperatorOrder | None:
+        """Return the first drain that holds for any of a cache's ids."""
+        for cache_id in cache_ids:
+            order = self._by_id.get(cache_id)
+            if order and order.drained:
+                return order
+        return None
+
+    def _given_at(self, cache_id: str) -> float:
+        return self._by_id[cache_id].at
--- /dev/null
+++ b/brackenlane/discovery/order_codec.py
@@ -0,0 +1,31 @@
+"""Codec of operators' orders as the store and the snapshot keep them. The field names are stored data."""
+
+from __future__ import annotations
+
+import time
+from typing import Any
+
+from brackenlane.discovery.definition_codec import CACHE_ID
+from brackenlane.discovery.errors import InvalidOrderError
+from brackenlane.discovery.records import OperatorOrder
+
+MAX_CLOCK_AHEAD = 60.0  # seconds by which the clock of the router that gave an order may be ahead of ours
+MAX_ISSUER_LENGTH = 64  # characters
+
+
+def encode_order(cache_id: str, order: OperatorOrder) -> dict[str, Any]:
+    """Return the stored form of an order."""
+    return {"id": cache_id, "drained": order.drained, "at": order.at, "by": order.by}
+
+
+def read_order(raw: Any) -> tuple[str, OperatorOrder]:
+    """Return the cache id and the order of a stored form; InvalidOrderError if it is none."""
+    try:
+        cache_id = str(raw["id"])
+        order = OperatorOrder(bool(raw["drained"]), float(raw["at"]), str(raw["by"])[:MAX_ISSUER_LENGTH])
+    except (KeyError, TypeError, ValueError) as error:
+        raise InvalidOrderError(f"order {raw!r}: {type(error).__name__}: {error}") from error
+    # An order from a clock far ahead could never be taken back.
+    if not CACHE_ID.fullmatch(cache_id) or not 0 <= order.at <= time.time() + MAX_CLOCK_AHEAD:
+        raise InvalidOrderError(f"order {raw!r}: an id and a time that has been are needed")
+    return cache_id, order
--- a/brackenlane/discovery/records.py
+++ b/brackenlane/discovery/records.py
@@ -1,4 +1,4 @@
-"""The records of which discovery's one list of caches is made: what is told, by whom, and what follows.
+"""Records of the merged list: definitions and orders that come in, caches and changes that come out.
 
 Pure. Times are Unix seconds. The rule that joins them: merge.py, docs/design/discovery.md.
 """
@@ -15,20 +15,22 @@
 from brackenlane.routing.members import Member, Role, ServerState
 
 NEVER = float("-inf")
+PORT_LIMIT = 65536
+MAX_LABEL_LENGTH = 40  # characters of a host name's first label in a cache id
 
 
 class DefinitionSource(IntEnum):
-    """Who says that there is a cache; where two describe the same one, the lower number's words hold."""
+    """The source of a definition; where two define the same cache, the one with the lower number holds."""
 
     CONSOLE = 0
     STORE = 1
     FILE = 2
     SRV = 3
-    MEMORY = 4  # the last list, from disk
+    MEMORY = 4  # the snapshot on disk
 
 
 class MergedState(Enum):
-    """What has become of a cache. Only SERVING gets new work, only the first two are on the list."""
+    """The state of a cache. Only SERVING gets new requests, only the first two are on the list."""
 
     SERVING = "serving"
     DRAINING = "draining"  # by an operator
@@ -36,9 +38,12 @@
     LOST = "not found"  # no address is known for its host name
 
 
+SERVER_STATES = {MergedState.SERVING: ServerState.SERVING, MergedState.DRAINING: ServerState.DRAINING}
+
+
 @dataclass(frozen=True, slots=True)
 class CacheDefinition:
-    """One cache as one source describes it. weight: in transfers, as the module takes it."""
+    """One cache as one source defines it; `weight` is in transfers at once."""
 
     id: str
     host: str  # an address or a name
@@ -67,84 +72,39 @@
     zone: str
     role: Role = Role.EDGE
     weight_scale: float = 1.0  # transfers for each unit of an SRV weight
-    enough: int = 1  # so many serving targets of better priority keep the others on standby
+    standby_threshold: int = 1  # this many serving targets of better priority keep the others on standby
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Seconds, and shares of a list."""
+    """Bounds of the merge; times in seconds."""
 
-    grace: float = 5.0  # for which a cache that a whole answer lacks stays
-    most_gone: float = 0.5  # of a list that one answer may take away unconfirmed
-    confirm: float = 2.0  # after which a later answer of the same upstream confirms
-    settle: float = 5.0  # between two moves of one cache to another address, unless it is dead there
-    remembered: float = 7 * 86_400.0  # the oldest last list that is used
-    warm: float = 600.0  # a last list younger than this names caches that are warm still
-    caches: int = 10_000  # known at once; more are left out, and said to be
-    drains: int = 10_000  # ids whose drain or restore is kept; restored ones go first
+    removal_grace: float = 5.0  # for which a cache stays that complete answers lack
+    max_unconfirmed_share: float = 0.5  # of an entry's members that one answer may remove unconfirmed
+    confirmation_delay: float = 2.0  # after which a later answer of the same upstream confirms a removal
+    min_move_interval: float = 5.0  # between two addresses of one host, unless nobody answers at the first
+    max_snapshot_age: float = 7 * 86_400.0  # an older snapshot's caches are ignored
+    warm: float = 600.0  # the caches of a snapshot that is older count as cold
+    max_caches: int = 10_000  # known at once; more are left out, and counted
+    max_orders: int = 10_000  # ids whose drain or restore is kept; the oldest restore goes first
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorOrder:
-    """What an operator last said of a cache: drain or restore. The later holds; at one time, the drain."""
+    """An operator's drain or restore of a cache. The later one holds; of two at the same time, the drain."""
 
-    drained: bool
-    at: float
+    drained: bool  # False: restored
+    at: float  # Unix time at which it was given
     by: str
 
     def beats(self, other: OperatorOrder | None) -> bool:
-        """Whether this one holds against another, wherever each was heard first."""
+        """Whether this order holds against another one, in whichever sequence they were received."""
         return other is None or (self.at, self.drained, self.by) > (other.at, other.drained, other.by)
 
 
-@dataclass(slots=True)
-class SrvMember:
-    """One target of an SRV entry, on its list."""
-
-    definition: CacheDefinition
-    first: float  # when it was told first
-    last: float  # and last
-    missing: float | None = None  # since when whole answers lack it
-    cold: bool = True  # added later than the first answer
-
-
-@dataclass(slots=True)
-class PendingRemoval:
-    """A mass disappearance that is reported, not obeyed, until it is confirmed."""
-
-    gone: frozenset[str]
-    upstream: str
-    since: float
-
-
-@dataclass(slots=True)
-class SrvEntry:
-    """What one SRV entry's answers have come to."""
-
-    watch: SrvWatch
-    listed: dict[str, SrvMember] = field(default_factory=dict)
-    held: PendingRemoval | None = None
-    answered: float = NEVER  # the last whole answer
-    fault: str = ""  # why the last look-up was none
-    left_out: int = 0
-
-
-@dataclass(slots=True)
-class HostAddresses:
-    """Where a host name is."""
-
-    addresses: tuple[str, ...] = ()
-    address: str | None = None  # the one in use
-    received_at: float = NEVER
-    moved: float = NEVER
-    once: bool = False  # it has had an address before
-    missing: float | None = None  # since when whole answers have none
-    fault: str = ""
-
-
 @dataclass(frozen=True, slots=True)
 class MergedCache:
-    """One cache of the merged list, and why it stands as it does."""
+    """One cache of the merged list, with its state and the reason for it."""
 
     definition: CacheDefinition
     state: MergedState
@@ -156,10 +116,8 @@
 
     @property
     def member(self) -> Member:
-        """As the module takes it."""
-        state = {MergedState.SERVING: ServerState.SERVING, MergedState.DRAINING: ServerState.DRAINING}.get(
-            self.state, ServerState.GONE
-        )
+        """The cache as `routing` takes it."""
+        state = SERVER_STATES.get(self.state, ServerState.GONE)
         return Member(
             self.definition.id,
             self.definition.zone,
@@ -172,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One box's change: the member to tell, and its address while it has one."""
+    """A published change of one cache: the member, and its endpoint while it is on the list."""
 
     member: Member
     endpoint: Endpoint | None
@@ -180,22 +138,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RememberedMembers:
-    """What is kept over a restart."""
+    """What the merge keeps over a restart."""
 
-    others: tuple[CacheDefinition, ...] = ()  # from the store and consoles
-    listed: dict[str, tuple[CacheDefinition, ...]] = field(default_factory=dict)  # by SRV owner name
-    places: dict[str, str] = field(default_factory=dict)  # addresses by host name
-    orders: dict[str, OperatorOrder] = field(default_factory=dict)  # by cache
+    definitions: tuple[CacheDefinition, ...] = ()  # by the store and the consoles
+    srv_members: dict[str, tuple[CacheDefinition, ...]] = field(default_factory=dict)  # by SRV owner name
+    addresses: dict[str, str] = field(default_factory=dict)  # in use, by host name
+    orders: dict[str, OperatorOrder] = field(default_factory=dict)  # by cache id
 
 
 def srv_cache_id(host: str, port: int) -> str:
-    """The id of an SRV target, the same for good: a renumbered cache is the same cache elsewhere."""
-    label = re.sub(r"[^0-9a-z-]", "-", host.split(".")[0].lower())[:40].strip("-") or "box"
+    """Return the id of an SRV target; it does not depend on the address, so a renumbered cache keeps it."""
+    label = re.sub(r"[^0-9a-z-]", "-", host.split(".")[0].lower())[:MAX_LABEL_LENGTH].strip("-") or "box"
     return f"{label}-{blake2b(f'{host}:{port}'.encode(), digest_size=4).hexdigest()}"
 
 
 def fixed(host: str) -> str | None:
-    """The address that a host already is; None if it is a name."""
+    """Return the address that a host already is; None if it is a name."""
     try:
         return str(ipaddress.ip_address(host))
     except ValueError:
--- /dev/null
+++ b/brackenlane/discovery/srv_entries.py
@@ -0,0 +1,156 @@
+"""SRV entries: the members that complete answers named, and the removals that wait to be confirmed.
+
+Pure. Times are Unix seconds. The rules: RFC 2782 and docs/design/discovery.md.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass, field
+
+from brackenlane.discovery.records import (
+    NEVER,
+    PORT_LIMIT,
+    CacheDefinition,
+    Policy,
+    SrvRecord,
+    SrvWatch,
+    srv_cache_id,
+)
+
+MIN_SRV_WEIGHT = 0.1  # weight 0 means "nearly never" (RFC 2782), but a cache's weight must be above 0
+
+
+@dataclass(slots=True)
+class SrvMember:
+    """One target of an SRV entry."""
+
+    definition: CacheDefinition
+    first_seen_at: float
+    last_seen_at: float
+    missing_since: float | None = None  # since when complete answers lack it
+    is_cold: bool = True  # added after the entry's first answer
+
+
+@dataclass(slots=True)
+class PendingRemoval:
+    """A mass disappearance that is reported but not applied until a second answer confirms it."""
+
+    gone: frozenset[str]
+    upstream: str
+    since: float
+
+
+@dataclass(slots=True)
+class SrvEntry:
+    """The state of one watched SRV entry; it alone adds and removes its members."""
+
+    watch: SrvWatch
+    policy: Policy
+    listed: dict[str, SrvMember] = field(default_factory=dict)
+    held: PendingRemoval | None = None
+    answered: float = NEVER  # time of the last complete answer
+    fault: str = ""  # reason why the last look-up failed
+    left_out: int = 0  # targets of the last answer that exceeded the capacity
+
+    def apply_answer(
+        self, records: Iterable[SrvRecord], upstream: str, now: float, remaining_capacity: int
+    ) -> None:
+        """Apply a complete answer; at most `remaining_capacity` members are added."""
+        # Without an earlier answer or a snapshot it is unknown which caches are new: all count as warm.
+        is_first = self.answered == NEVER and not self.listed
+        reported = definitions_of(records, self.watch)
+        self.left_out = 0
+        for cache_id, definition in reported.items():
+            member = self.listed.get(cache_id)
+            if member is not None:
+                member.definition = definition
+                member.last_seen_at = now
+                member.missing_since = None
+            elif remaining_capacity > 0:
+                self.listed[cache_id] = SrvMember(definition, now, now, is_cold=not is_first)
+                remaining_capacity -= 1
+            else:
+                self.left_out += 1
+        self._record_missing(frozenset(self.listed.keys() - reported.keys()), upstream, now)
+        self.answered = now
+        self.fault = ""
+
+    def restore(
+        self, definitions: Iterable[CacheDefinition], saved_at: float, now: float, is_cold: bool
+    ) -> None:
+        """Add the members of a snapshot that was written at `saved_at`."""
+        for definition in definitions:
+            self.listed.setdefault(definition.id, SrvMember(definition, now, saved_at, is_cold=is_cold))
+
+    def remove_expired(self, now: float) -> bool:
+        """Remove members that were missing for the whole grace period; return whether there were any."""
+        expired = [
+            cache_id
+            for cache_id, member in self.listed.items()
+            if member.missing_since is not None and now - member.missing_since >= self.policy.removal_grace
+        ]
+        for cache_id in expired:
+            del self.listed[cache_id]
+        return bool(expired)
+
+    def removal_times(self) -> Iterator[float]:
+        """Yield the end of the grace period of each missing member."""
+        for member in self.listed.values():
+            if member.missing_since is not None:
+                yield member.missing_since + self.policy.removal_grace
+
+    def cold_since(self, cache_id: str) -> float | None:
+        """Return when a member was added; None if it is no member, or was there from the first answer."""
+        member = self.listed.get(cache_id)
+        if member is None or not member.is_cold:
+            return None
+        return member.first_seen_at
+
+    def _record_missing(self, missing: frozenset[str], upstream: str, now: float) -> None:
+        """Start the grace period of members that an answer lacks, unless they are too many to be believed."""
+        most = max(1.0, self.policy.max_unconfirmed_share * len(self.listed))
+        if len(missing) > most:
+            missing = self._confirm_removal(missing, upstream, now)
+            if not missing:
+                return
+        self.held = None
+        for cache_id in missing:
+            member = self.listed[cache_id]
+            if member.missing_since is None:
+                member.missing_since = now
+
+    def _confirm_removal(self, missing: frozenset[str], upstream: str, now: float) -> frozenset[str]:
+        """Return the members whose mass disappearance is confirmed now; none if it stays pending.
+
+        Another upstream confirms at once, the same one after `Policy.confirmation_delay`.
+        """
+        pending = self.held
+        confirmed = pending.gone & missing if pending else frozenset()
+        if pending is None or not confirmed:
+            self.held = PendingRemoval(missing, upstream, now)
+            return frozenset()
+        if upstream == pending.upstream and now - pending.since < self.policy.confirmation_delay:
+            self.held = PendingRemoval(confirmed, upstream, pending.since)
+            return frozenset()
+        return confirmed
+
+
+def definitions_of(records: Iterable[SrvRecord], watch: SrvWatch) -> dict[str, CacheDefinition]:
+    """Return the caches that an answer names, by id; of two records for one cache the better priority holds.
+
+    The target "." means that there is no service (RFC 2782) and defines no cache.
+    """
+    reported: dict[str, CacheDefinition] = {}
+    for record in records:
+        host = record.host.rstrip(".").lower()
+        if not host or not 0 < record.port < PORT_LIMIT:
+            continue
+        cache_id = srv_cache_id(host, record.port)
+        if cache_id in reported and reported[cache_id].priority <= record.priority:
+            continue
+        weight = watch.weight_scale * max(record.weight, MIN_SRV_WEIGHT)
+        reported[cache_id] = CacheDefinition(
+            cache_id, host, record.port, watch.zone, watch.role, weight, record.priority
+        )
+    return reported
--- /dev/null
+++ b/brackenlane/discovery/warm_up.py
@@ -0,0 +1,35 @@
+"""Since when a cache counts as cold, by what added it to the list. Pure. Times: Unix seconds, 0 for warm."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from brackenlane.discovery.host_addresses import HostAddressTable
+from brackenlane.discovery.records import CacheDefinition, DefinitionSource
+from brackenlane.discovery.srv_entries import SrvEntry
+
+
+class WarmUpTimes:
+    """The start of each cache's warm-up."""
+
+    def __init__(self) -> None:
+        self.all_cold_since = 0.0  # it is unknown whether any cache was running before
+        self.snapshot_cold_since = 0.0  # of caches that the snapshot alone names, if it was old
+
+    def started_at(
+        self,
+        source: DefinitionSource,
+        definition: CacheDefinition,
+        entries: Iterable[SrvEntry],
+        addresses: HostAddressTable,
+    ) -> float:
+        """Return when a cache was added or moved, whichever is later; 0 if it is warm."""
+        return max(addresses.cold_since(definition.host), self._added_at(source, definition.id, entries))
+
+    def _added_at(self, source: DefinitionSource, cache_id: str, entries: Iterable[SrvEntry]) -> float:
+        if source is DefinitionSource.MEMORY:
+            return max(self.all_cold_since, self.snapshot_cold_since)
+        if source is not DefinitionSource.SRV:
+            return self.all_cold_since
+        times = [added_at for entry in entries if (added_at := entry.cold_since(cache_id)) is not None]
+        return max(times, default=self.all_cold_since)
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -16,7 +16,7 @@
 import orjson
 import trio
 
-from brackenlane.discovery import snapshot
+from brackenlane.discovery import snapshot_codec
 from brackenlane.lab.cluster import invariants
 from brackenlane.lab.cluster.cache_servers import ClusterCache, Strength
 from brackenlane.lab.cluster.clients import Clients, served
@@ -386,7 +386,7 @@
         ports = [box["port"] for box in raw["others"]]
         for box, port in zip(raw["others"], ports[1:] + ports[:1], strict=True):
             box["port"] = port
-    path.write_bytes(snapshot.sign(orjson.dumps(raw)))
+    path.write_bytes(snapshot_codec.sign(orjson.dumps(raw)))
 
 
 def play_in_virtual_time(script: Script, seed: int, folder: Path) -> Outcome:
--- a/brackenlane/store/replica.py
+++ b/brackenlane/store/replica.py
@@ -24,14 +24,10 @@
 from brackenlane.coldstart.stream_position import NOWHERE, before, continues, lacking, read_place
 from brackenlane.config import Endpoint
 from brackenlane.core.claims import ClaimResult
+from brackenlane.discovery.definition_codec import encode_definition, read_definition
+from brackenlane.discovery.order_codec import encode_order, read_order
 from brackenlane.discovery.records import CacheDefinition, DefinitionSource, OperatorOrder
-from brackenlane.discovery.registry import (
-    Registry,
-    encode_definition,
-    encode_order,
-    read_definition,
-    read_order,
-)
+from brackenlane.discovery.registry import Registry
 from brackenlane.limits import Limits
 from brackenlane.store.connection import Connection, StoreError, StoreUnavailableError
 
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -12,7 +12,7 @@
 from brackenlane.coldstart.pacing import LONGEST, Capacity, StorePacing, early, jittered, place
 from brackenlane.coldstart.phases import StartupEvent, StartupPhase, StartupPhases
 from brackenlane.coldstart.stream_position import NOWHERE, before, continues, lacking, read_place
-from brackenlane.discovery import snapshot
+from brackenlane.discovery import snapshot_codec
 from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.records import OperatorOrder, Policy, RememberedMembers
 from brackenlane.discovery.registry import Registry
@@ -254,10 +254,10 @@
     shared.recall({("clip", -1): now - 3.0, ("", 7): now - 11.0, ("old", -1): now - 13.0})
     found = {(e.obj, e.group): e.age for e in events if isinstance(e, Purged)}
     assert found == {("clip", -1): pytest.approx(3.0, abs=0.2), ("", 7): pytest.approx(11.0, abs=0.2)}
-    retained = snapshot.Snapshot(
+    retained = snapshot_codec.Snapshot(
         RememberedMembers(), now, "5-1", True, tuple((*key, at) for key, at in shared.purges.items())
     )
-    assert snapshot.parse(snapshot.dump(retained)) == retained and len(retained.purges) == 2
+    assert snapshot_codec.parse(snapshot_codec.dump(retained)) == retained and len(retained.purges) == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from brackenlane.discovery import snapshot
+from brackenlane.discovery import snapshot, snapshot_codec
 from brackenlane.discovery.records import CacheDefinition, OperatorOrder, RememberedMembers, srv_cache_id
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
 from tests.stand_ins import ROOT, Asked, Box, Program, ScriptedReply, appliance, data, with_trio
@@ -347,16 +347,16 @@
 
 def test_last_list_cut(tmp_path: Path) -> None:
     """A last list reads back as it was; cut or changed at any byte it is refused, never half believed."""
-    retained = snapshot.Snapshot(MEMORY, 7.0, "17-3", True, (("clip", -1, 5.0),))
-    complete = snapshot.dump(retained)
-    assert snapshot.parse(complete) == retained
+    retained = snapshot_codec.Snapshot(MEMORY, 7.0, "17-3", True, (("clip", -1, 5.0),))
+    complete = snapshot_codec.dump(retained)
+    assert snapshot_codec.parse(complete) == retained
     for place in range(len(complete)):
         for damaged in (
             complete[:place],
             complete[:place] + bytes([complete[place] ^ 1]) + complete[place + 1 :],
         ):
             try:
-                found = snapshot.parse(damaged)
+                found = snapshot_codec.parse(damaged)
             except ValueError:
                 continue
             assert found == retained, (place, damaged)
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -26,12 +26,12 @@
 SRV = "_cache._tcp.branch.test."
 HOSTS = ("one.branch.test", "two.branch.test", "three.branch.test")
 IDS = [srv_cache_id(host, 80) for host in HOSTS]
-POLICY = Policy(grace=5.0, confirm=2.0, settle=5.0)
+POLICY = Policy(removal_grace=5.0, confirmation_delay=2.0, min_move_interval=5.0)
 
 
 def merge(enough: int = 99, hosts: tuple[str, ...] = HOSTS) -> MembershipMerge:
     """A merge that watches one SRV entry, whose hosts are all found."""
-    made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", enough=enough)])
+    made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", standby_threshold=enough)])
     for number, host in enumerate(hosts):
         made.locate(host, [f"127.0.1.{number + 1}"], 0.0)
     return made
@@ -69,9 +69,7 @@
     """A drain holds at once, over each new answer, priority, absence and return elsewhere, until restored."""
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
-    assert states(made.order(IDS[0], OperatorOrder(True, 11.0, "console"), 11.0)) == {
-        IDS[0]: ServerState.DRAINING
-    }
+    assert states(made.order(IDS[0], OperatorOrder(True, 11.0, "console"))) == {IDS[0]: ServerState.DRAINING}
     made.answer(SRV, targets(*HOSTS, priority=0, weight=99), "u1", 12.0)
     made.answer(SRV, targets(*HOSTS[1:]), "u1", 13.0)
     made.tick(19.0)
@@ -81,8 +79,8 @@
     assert back.member.state is ServerState.DRAINING and back.endpoint == ("127.0.9.9", 80)
     assert serving(made) == set(IDS[1:])
     assert "drained by console" in made.explain(IDS[0], 22.0)[0]
-    assert made.order(IDS[0], OperatorOrder(False, 10.5, "late news"), 23.0) == []  # older than the drain
-    [again] = made.order(IDS[0], OperatorOrder(False, 24.0, "console"), 24.0)
+    assert made.order(IDS[0], OperatorOrder(False, 10.5, "late news")) == []  # older than the drain
+    [again] = made.order(IDS[0], OperatorOrder(False, 24.0, "console"))
     assert again.member.state is ServerState.SERVING and again.member.started_at == 21.0  # and cold
 
 
@@ -169,9 +167,9 @@
         made.locate(host, [f"127.0.4.{number + 1}"], 20.0 + 20 * number)
         made.answer(SRV, targets(*HOSTS), "u1", 22.0 + 20 * number)
         made.tick(30.0 + 20 * number)
-        made.leave(host)
-        made.leave(HOSTS[0])
-    assert made.places.keys() == set(HOSTS) and serving(made) == set(IDS)
+        made.discard_unnamed_host(host)
+        made.discard_unnamed_host(HOSTS[0])
+    assert made.addresses.by_host.keys() == set(HOSTS) and serving(made) == set(IDS)
 
 
 def test_dead_address() -> None:
@@ -200,16 +198,16 @@
     made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
     made.locate(HOSTS[0], ["127.0.1.1"], 0.0)
     made.locate(HOSTS[1], ["127.0.1.2"], 0.0)
-    made.define(DefinitionSource.FILE, CacheDefinition("box-1", HOSTS[0], 80, "branch", weight=5.0), 1.0)
-    made.define(DefinitionSource.FILE, CacheDefinition("box-2", "127.0.1.2", 80, "branch"), 1.0)
+    made.define(DefinitionSource.FILE, CacheDefinition("box-1", HOSTS[0], 80, "branch", weight=5.0))
+    made.define(DefinitionSource.FILE, CacheDefinition("box-2", "127.0.1.2", 80, "branch"))
     made.answer(SRV, targets(*HOSTS[:2], weight=50), "u1", 2.0)
     assert made.caches.keys() == {"box-1", "box-2"} and made.caches["box-1"].definition.weight == 5.0
     assert made.caches["box-1"].sources == (DefinitionSource.FILE, DefinitionSource.SRV)
     # Drained by either name it is drained.
-    [drained] = made.order(IDS[0], OperatorOrder(True, 3.0, "console"), 3.0)
+    [drained] = made.order(IDS[0], OperatorOrder(True, 3.0, "console"))
     assert (drained.member.server, drained.member.state) == ("box-1", ServerState.DRAINING)
     assert any("the same box as" in line for line in made.explain("box-1", 4.0))
-    made.remove(DefinitionSource.FILE, "box-2", 4.0)
+    made.remove(DefinitionSource.FILE, "box-2")
     assert made.caches.keys() == {"box-1", IDS[1]}
 
 
@@ -218,14 +216,12 @@
     made = merge(enough=2)
     changes = made.answer(SRV, [*targets(*HOSTS[:2]), *targets(HOSTS[2], priority=10)], "u1", 10.0)
     assert states(changes).keys() == set(IDS[:2]) and made.caches[IDS[2]].state is MergedState.STANDBY
-    changes = made.order(IDS[0], OperatorOrder(True, 11.0, "console"), 11.0)
+    changes = made.order(IDS[0], OperatorOrder(True, 11.0, "console"))
     assert states(changes) == {
         IDS[0]: ServerState.DRAINING
     }  # the drain alone, at once, whatever the list's size
     assert made.next_due() < 11.0 and states(made.tick(11.0)) == {IDS[2]: ServerState.SERVING}
-    assert states(made.order(IDS[0], OperatorOrder(False, 12.0, "console"), 12.0)) == {
-        IDS[0]: ServerState.SERVING
-    }
+    assert states(made.order(IDS[0], OperatorOrder(False, 12.0, "console"))) == {IDS[0]: ServerState.SERVING}
     assert states(made.tick(12.0)) == {IDS[2]: ServerState.GONE} and made.next_due() > 12.0
 
 
@@ -236,8 +232,8 @@
     """A start with the resolver away goes on with the last list, by its age; drains hold at any age."""
     old = merge()
     old.answer(SRV, targets(*HOSTS), "u1", 10.0)
-    old.define(DefinitionSource.STORE, CacheDefinition("box-9", "127.0.1.9", 80, "branch"), 10.0)
-    old.order(IDS[0], OperatorOrder(True, 11.0, "console"), 11.0)
+    old.define(DefinitionSource.STORE, CacheDefinition("box-9", "127.0.1.9", 80, "branch"))
+    old.order(IDS[0], OperatorOrder(True, 11.0, "console"))
     now = 12.0 + age
     made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
     made.restore_snapshot(old.memory(), 12.0, now)
@@ -255,17 +251,17 @@
 
 def test_bounds() -> None:
     """More caches than there is room for are left out and counted; a drain is never forgotten for another."""
-    made = MembershipMerge(Policy(caches=5, drains=3), [SrvWatch(SRV, "branch")])
+    made = MembershipMerge(Policy(max_caches=5, max_orders=3), [SrvWatch(SRV, "branch")])
     made.answer(SRV, [SrvRecord(f"127.0.0.{n}", 80) for n in range(1, 9)], "u1", 1.0)
     assert len(made.caches) == 5 and made.entries[SRV].left_out == 3
-    made.define(DefinitionSource.FILE, CacheDefinition("late", "127.0.0.99", 80, "branch"), 2.0)
+    made.define(DefinitionSource.FILE, CacheDefinition("late", "127.0.0.99", 80, "branch"))
     assert made.left_out == 1 and "late" not in made.caches
     for number in range(3):
-        made.order(f"b{number}", OperatorOrder(True, float(number), "console"), 3.0)
-    made.order("b3", OperatorOrder(True, 9.0, "console"), 9.0)
+        made.order(f"b{number}", OperatorOrder(True, float(number), "console"))
+    made.order("b3", OperatorOrder(True, 9.0, "console"))
     assert set(made.orders) == {"b0", "b1", "b2"}
-    made.order("b1", OperatorOrder(False, 10.0, "console"), 10.0)
-    made.order("b3", OperatorOrder(True, 11.0, "console"), 11.0)
+    made.order("b1", OperatorOrder(False, 10.0, "console"))
+    made.order("b3", OperatorOrder(True, 11.0, "console"))
     assert set(made.orders) == {"b0", "b2", "b3"}
 
 
@@ -287,7 +283,7 @@
     made = merge()
     made.answer(SRV, targets(*HOSTS), "u1", 0.5)
     for order in orders:
-        made.order(IDS[0], order, 5.0)
+        made.order(IDS[0], order)
     assert made.orders[IDS[0]] == OperatorOrder(True, 2.0, "c")
     assert made.caches[IDS[0]].state is MergedState.DRAINING
 
@@ -326,15 +322,15 @@
     @rule(which=st.integers(0, 2))
     def doubt(self, which: int) -> None:
         """A cache does not answer where it is said to be."""
-        if place := self.made.places.get(HOSTS[which]):
-            self.hear(self.made.doubt(HOSTS[which], place.address or "", self.now))
+        if place := self.made.addresses.by_host.get(HOSTS[which]):
+            self.hear(self.made.replace_unreachable(HOSTS[which], place.address or "", self.now))
 
     @rule(which=st.integers(0, 2), drain=st.booleans())
     def order(self, which: int, drain: bool) -> None:
         """An operator acts: it holds with the very events that come of it."""
         self.now += 0.001
         (self.drained.add if drain else self.drained.discard)(IDS[which])
-        self.hear(self.made.order(IDS[which], OperatorOrder(drain, self.now, "console"), self.now))
+        self.hear(self.made.order(IDS[which], OperatorOrder(drain, self.now, "console")))
         self.drains_hold()
         self.hear(self.made.tick(self.now))
 
@@ -343,7 +339,7 @@
         """News from another router, perhaps older than what is known here."""
         at = self.now - late
         known = self.made.orders.get(IDS[which])
-        self.hear(self.made.order(IDS[which], OperatorOrder(drain, at, "other"), self.now))
+        self.hear(self.made.order(IDS[which], OperatorOrder(drain, at, "other")))
         self.hear(self.made.tick(self.now))
         if known is None or at > known.at:
             (self.drained.add if drain else self.drained.discard)(IDS[which])
@@ -361,7 +357,7 @@
         """The router starts anew, with its last list alone."""
         memory, saved = self.made.memory(), self.now
         self.now += age
-        self.made, self.heard = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", enough=2)]), {}
+        self.made, self.heard = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", standby_threshold=2)]), {}
         self.hear(self.made.restore_snapshot(memory, saved, self.now))
 
     @invariant()
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -21,7 +21,7 @@
 from brackenlane.coldstart.stream_position import NOWHERE
 from brackenlane.config import load as load_config
 from brackenlane.core.claims import ClaimResult
-from brackenlane.discovery import snapshot
+from brackenlane.discovery import snapshot, snapshot_codec
 from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.records import CacheDefinition, OperatorOrder, Policy, RememberedMembers
 from brackenlane.discovery.registry import Registry
@@ -44,7 +44,7 @@
 RESTORE = OperatorOrder(False, 1_700_000_100.5, "the console of door-b")
 
 SAVED = 1_700_000_200.75
-KEPT = snapshot.Snapshot(
+KEPT = snapshot_codec.Snapshot(
     RememberedMembers(
         (EDGE, PARENT),
         {"_cache._tcp.branch.example": (ORIGIN,), "_empty._tcp.branch.example": ()},
@@ -163,7 +163,7 @@
             assert await shared.claim("txn-2") is ClaimResult.OURS
             nursery.cancel_scope.cancel()
         memory = merge.memory()
-        assert set(memory.others) == others and not memory.listed
+        assert set(memory.definitions) == others and not memory.srv_members
         assert memory.orders == {"e-1": DRAIN, "p-1": RESTORE}
         assert shared.place == "1700000200750-5"
         told_at = pytest.approx(SAVED, abs=5.0)  # by the store's clock, less the time of an answer
@@ -179,12 +179,12 @@
         ("last-list-2.json", KEPT),
         (
             "last-list-1.json",
-            snapshot.Snapshot(KEPT.memory, SAVED),
+            snapshot_codec.Snapshot(KEPT.memory, SAVED),
         ),  # knew neither place nor leaving nor purges
     ],
 )
 def test_last_list_is_read_to_the_same_state(
-    sample: str, retained: snapshot.Snapshot, tmp_path: Path
+    sample: str, retained: snapshot_codec.Snapshot, tmp_path: Path
 ) -> None:
     """Boxes, lists, addresses, orders, place and purges, of each version."""
     path = Path(shutil.copy(DATA / sample, tmp_path))  # a copy, since one that can't be read is moved
@@ -193,7 +193,7 @@
 
 def test_last_list_is_written_the_same(tmp_path: Path) -> None:
     """Byte for byte, under a version and a checksum, and nothing beside it."""
-    snapshot.save(tmp_path / "last-list.json", snapshot.dump(KEPT))
+    snapshot.save(tmp_path / "last-list.json", snapshot_codec.dump(KEPT))
     assert (tmp_path / "last-list.json").read_bytes() == (DATA / "last-list-2.json").read_bytes()
     assert os.listdir(tmp_path) == ["last-list.json"]
 
