--- a/brackenlane/discovery/__init__.py
+++ b/brackenlane/discovery/__init__.py
@@ -1,5 +1,5 @@
-"""Where caches come from: every source of caches, one merge, one list.
+"""Where caches come from: owns the definitions of all sources, their merged list, resolver and snapshot.
 
 It never picks a server for a request, and no answer of any source undoes an operator's drain. Entry points:
-`Merge` (pure; the clock is handed in) and `Resolver` (the appliance's own, for SRV and address records).
+`registry.Registry` (publishes the list), `merge.MembershipMerge` (pure) and `dns_source.DnsSource` (actor).
 """
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -1,38 +1,38 @@
-"""The actor that asks: SRV entries and host names, time and again, into the merge."""
+"""The actor that looks up SRV entries and host names repeatedly and applies the answers to the merge."""
 
 from __future__ import annotations
 
 import logging
-import random
 import time
+from collections.abc import Awaitable
 from dataclasses import dataclass, field
 
 import trio
 
-from brackenlane.coldstart.pacing import early, jittered, place
+from brackenlane.discovery.address_probe import AddressProbe
+from brackenlane.discovery.look_up_schedule import LookUpSchedule
 from brackenlane.discovery.query import Kind
+from brackenlane.discovery.records import Change
 from brackenlane.discovery.registry import Registry
-from brackenlane.discovery.resolver import Found, LookUpFailed, Resolver
+from brackenlane.discovery.resolver import LookUpFailed, LookUpResult, Resolver
 from brackenlane.limits import Limits
-from brackenlane.net.connector import connect
 
 log = logging.getLogger(__name__)
 
-
-LONGEST = 16.0  # times the wait after a first failure that a later one may take
+TICKS_PER_LOOK_UP = 10  # at most, in the shortest time between two look-ups: changes of one burst are one
 
 
 @dataclass(slots=True)
-class Watcher:
-    """One name that is asked for; `again` is set when its answer has been found wanting."""
+class HostWatch:
+    """One host name that is looked up; `refresh` is set when its address proved wrong."""
 
-    again: trio.Event = field(default_factory=trio.Event)
-    asked: float = 0.0
+    refresh: trio.Event = field(default_factory=trio.Event)
+    looked_up_at: float = 0.0  # Unix time
     failures: int = 0  # in a row
 
 
 class DnsSource:
-    """Keeps the merge's SRV entries and addresses right for as long as something names them."""
+    """Looks up the merge's SRV entries, and each host name for as long as a definition names it."""
 
     def __init__(
         self,
@@ -44,138 +44,129 @@
         name: str = "",
         window: float = 0.0,
     ) -> None:
-        """name: of this router; window: seconds in which the whole fleet asks for one name."""
-        self._name, self._window, self._chance = name, window, random.Random()
-        self._roster, self._merge, self._resolver = roster, roster.merge, resolver
-        self._limits, self._connect_timeout, self._nursery = limits, connect_timeout, nursery
-        self._hosts: dict[str, Watcher] = {}
-        self._nudge = trio.Event()
-        self._dials = trio.CapacityLimiter(limits.discovery_dials)
-        roster.changed.append(self._changed)
+        """`name`: of this router; `window`: seconds in which all routers of the site look up one name."""
+        self._registry = roster
+        self._merge = roster.merge
+        self._resolver = resolver
+        self._nursery = nursery
+        self._min_interval = limits.resolver_least
+        self._schedule = LookUpSchedule(name, window, limits)
+        self._probe = AddressProbe(connect_timeout, limits.discovery_dials)
+        self._hosts: dict[str, HostWatch] = {}
+        self._merge_changed = trio.Event()
+        roster.changed.append(self._on_change)
 
     async def run(self) -> None:
-        """Ask for good."""
+        """Look up until cancelled."""
         for srv in self._merge.entries:
             self._nursery.start_soon(self._follow_srv, srv)
-        self._changed()
+        self._on_change()
         while True:
-            now = time.time()
-            with trio.move_on_after(max(0.0, self._merge.next_due() - now)):
-                await self._nudge.wait()
-            self._nudge = trio.Event()
-            if changes := self._merge.tick(time.time()):
-                self._roster.apply(changes)
-            await trio.sleep(self._limits.resolver_least / 10)  # changes that come in a burst are one
+            with trio.move_on_after(max(0.0, self._merge.next_due() - time.time())):
+                await self._merge_changed.wait()
+            self._merge_changed = trio.Event()
+            self._apply_if_any(self._merge.tick(time.time()))
+            await trio.sleep(self._min_interval / TICKS_PER_LOOK_UP)
 
     def doubt(self, server: str) -> None:
-        """An attempt did not reach a cache: its address may be that of a dead one."""
+        """Move a cache that could not be reached to another address, and look up its host name again."""
         cache = self._merge.caches.get(server)
-        if cache and cache.endpoint and (watcher := self._hosts.get(cache.definition.host)):
-            if changes := self._merge.replace_unreachable(
-                cache.definition.host, cache.endpoint[0], time.time()
-            ):
-                self._roster.apply(changes)
-            watcher.again.set()
-
-    def _changed(self) -> None:
-        self._nudge.set()
+        if cache is None or cache.endpoint is None:
+            return
+        host = cache.definition.host
+        watch = self._hosts.get(host)
+        if watch is None:
+            return
+        address, _ = cache.endpoint
+        self._apply_if_any(self._merge.replace_unreachable(host, address, time.time()))
+        watch.refresh.set()
+
+    def _apply_if_any(self, changes: list[Change]) -> None:
+        if changes:
+            self._registry.apply(changes)
+
+    def _on_change(self) -> None:
+        self._merge_changed.set()
         for host in self._merge.hosts - self._hosts.keys():
-            self._hosts[host] = Watcher()
+            self._hosts[host] = HostWatch()
             self._nursery.start_soon(self._follow_host, host)
 
     async def _follow_srv(self, srv: str) -> None:
-        """One SRV entry: its answers, by their lifetimes."""
-        await self._turn(srv)
+        """Look up one SRV entry whenever its answer expires."""
+        await self._wait_for_turn(srv)
         failures = 0
         while True:
-            failures += 1
-            try:
-                found = await self._resolver.look_up(srv, Kind.SRV)
-            except LookUpFailed as fault:
-                self._failed(srv, str(fault))
-            else:
-                if found.stale:
-                    self._failed(srv, f"the last answer is used on: {found.why}")
-                else:
-                    self._roster.apply(self._merge.answer(srv, found.targets, found.upstream, time.time()))
-                    failures = 0
-            await trio.sleep(self._retry(failures) if failures else self._wait(found))
-
-    async def _turn(self, name: str) -> None:
-        """This doorman's own place in the time in which all ask for a name first."""
-        names = max(1, len(self._hosts) + len(self._merge.entries))
-        await trio.sleep(place(self._name, name) * self._window * names)
-
-    def _retry(self, failures: int) -> float:
-        """Seconds until the next try: hundreds whom one resolver failed must not come back together."""
-        first = max(self._limits.resolver_retry, self._window)
-        return jittered(failures, first, LONGEST * first, self._chance)
+            result = await self._fresh(srv, self._resolver.look_up(srv, Kind.SRV))
+            if result is None:
+                failures += 1
+                await trio.sleep(self._schedule.retry_wait(failures))
+                continue
+            failures = 0
+            self._registry.apply(self._merge.answer(srv, result.targets, result.upstream, time.time()))
+            await trio.sleep(self._schedule.refresh_wait(result.expires_at))
 
     async def _follow_host(self, host: str) -> None:
-        """One host name, until nothing names it any more."""
-        watcher = self._hosts[host]
-        await self._turn(host)
+        """Look up one host name whenever its answer expires or proves wrong, until nothing names it."""
+        watch = self._hosts[host]
+        await self._wait_for_turn(host)
         while host in self._merge.hosts:
-            wait = await self._locate(host, watcher)
-            watcher.asked = time.time()
+            wait = await self._locate(host, watch)
+            watch.looked_up_at = time.time()
             with trio.move_on_after(wait):
-                await watcher.again.wait()
-                self._resolver.doubt(host)
-                await trio.sleep(max(0.0, watcher.asked + self._limits.resolver_least - time.time()))
-            watcher.again = trio.Event()
+                await watch.refresh.wait()
+                self._resolver.expire_addresses(host)
+                earliest = watch.looked_up_at + self._min_interval
+                await trio.sleep(max(0.0, earliest - time.time()))
+            watch.refresh = trio.Event()
         del self._hosts[host]
         self._merge.discard_unnamed_host(host)
 
-    async def _locate(self, host: str, watcher: Watcher) -> float:
-        """Look up once; seconds until the next time."""
-        watcher.failures += 1
+    async def _wait_for_turn(self, name: str) -> None:
+        name_count = len(self._hosts) + len(self._merge.entries)
+        await trio.sleep(self._schedule.first_wait(name, name_count))
+
+    async def _fresh(self, name: str, look_up: Awaitable[LookUpResult]) -> LookUpResult | None:
+        """Return the result of a look-up; None if it failed or is stale, which is recorded."""
         try:
-            found = await self._resolver.addresses(host)
-        except LookUpFailed as fault:
-            self._failed(host, str(fault))
-            return self._retry(watcher.failures)
-        if found.stale:
-            self._failed(host, f"the last answer is used on: {found.why}")
-            return self._retry(watcher.failures)
-        spot = self._merge.addresses.by_host.get(host)
-        known = spot.address if spot else None
-        if known is not None and found.addresses == (known,):
-            # Told again what is in use: no look, or all routers dial all caches each lifetime.
-            self._roster.apply(self._merge.locate(host, found.addresses, time.time()))
-            watcher.failures = 0
-            return self._wait(found)
-        # Guards against a stale cached answer: an address is taken only if a cache answers there.
+            result = await look_up
+        except LookUpFailed as error:
+            reason = str(error)
+        else:
+            if not result.is_stale:
+                return result
+            reason = f"the last answer is used on: {result.stale_reason}"
+        log.warning("%s: %s", name, reason)
+        self._merge.failed(name, reason)
+        return None
+
+    async def _locate(self, host: str, watch: HostWatch) -> float:
+        """Look up a host name once and return the seconds until the next time."""
+        result = await self._fresh(host, self._resolver.addresses(host))
+        is_located = result is not None and await self._apply_addresses(host, result.addresses)
+        if result is None or not is_located:
+            watch.failures += 1
+            return self._schedule.retry_wait(watch.failures)
+        watch.failures = 0
+        return self._schedule.refresh_wait(result.expires_at)
+
+    async def _apply_addresses(self, host: str, addresses: tuple[str, ...]) -> bool:
+        """Apply those addresses of an answer at which a cache answers; return whether there are any."""
+        known = self._merge.addresses.by_host.get(host)
+        if known is not None and known.address is not None and addresses == (known.address,):
+            # The address in use is not probed, or all routers would connect to all caches each lifetime.
+            self._registry.apply(self._merge.locate(host, addresses, time.time()))
+            return True
         ports = {
             cache.definition.port for cache in self._merge.caches.values() if cache.definition.host == host
         }
-        alive = [address for address in found.addresses if await self._alive(address, ports)]
-        if found.addresses and not alive:
-            self._merge.addresses.record_unreachable(host, f"nobody answers at {', '.join(found.addresses)}")
-            self._resolver.doubt(host)
-            return self._retry(watcher.failures)
-        # A cache that has left its old address moves at once; two that both answer move it once in a while.
-        old = spot.address if spot and spot.address not in alive else None
-        dead = old is not None and not await self._alive(old, ports)
-        self._roster.apply(self._merge.locate(host, alive, time.time(), dead))
-        if not alive:
-            return self._retry(watcher.failures)
-        watcher.failures = 0
-        return self._wait(found)
-
-    async def _alive(self, address: str, ports: set[int]) -> bool:
-        for port in ports:
-            async with self._dials:
-                with trio.move_on_after(self._connect_timeout):
-                    try:
-                        await trio.aclose_forcefully(await connect((address, port)))
-                    except OSError:
-                        continue
-                    return True
-        return False
-
-    def _wait(self, found: Found) -> float:
-        return max(self._limits.resolver_least, early(found.until - time.time(), self._chance))
-
-    def _failed(self, name: str, why: str) -> None:
-        log.warning("%s: %s", name, why)
-        self._merge.failed(name, why)
+        reachable = await self._probe.select_reachable(addresses, ports)
+        if addresses and not reachable:
+            self._merge.addresses.record_unreachable(host, f"nobody answers at {', '.join(addresses)}")
+            self._resolver.expire_addresses(host)
+            return False
+        # A cache that left its old address moves at once; with two that answer it moves at intervals.
+        is_current_dead = False
+        if known is not None and known.address is not None and known.address not in reachable:
+            is_current_dead = not await self._probe.is_reachable(known.address, ports)
+        self._registry.apply(self._merge.locate(host, reachable, time.time(), is_current_dead))
+        return bool(reachable)
--- a/brackenlane/discovery/errors.py
+++ b/brackenlane/discovery/errors.py
@@ -33,3 +33,7 @@
 
 class SnapshotCorruptError(SnapshotError):
     """A snapshot that is damaged."""
+
+
+class IncompleteReplyError(DiscoveryError):
+    """A connection that an upstream closed before its reply was complete."""
--- a/brackenlane/discovery/query.py
+++ b/brackenlane/discovery/query.py
@@ -1,6 +1,6 @@
-"""DNS queries and what their answers say, apart from any socket (RFC 1035, 2308, 2782, 6891).
+"""Codec of DNS queries and replies (RFC 1035, 2308, 2782, 6891).
 
-A codec: bytes to values and back. It decides nothing but whether bytes are the answer to what was asked.
+Bytes to values and back; the only decision is whether bytes are the reply to a query that was sent.
 """
 
 from __future__ import annotations
@@ -20,28 +20,30 @@
 
 from brackenlane.discovery.records import SrvRecord
 
-CHAIN = 8  # aliases followed, in one answer and over several
-PAYLOAD = 1_232  # bytes of a datagram that fit every usual path (EDNS(0), RFC 6891)
-WEEK = 7 * 86_400
+MAX_ALIASES = 8  # followed, in one reply and over several
+MAX_PAYLOAD = 1_232  # bytes of a datagram that fit every usual path (EDNS(0), RFC 6891)
+MAX_TTL = 7 * 86_400.0  # seconds
+TTL_LIMIT = 2**31  # a lifetime with its highest bit set counts as 0 (RFC 2181, 8)
+HEADER_SIZE = 12  # bytes
 
 
 class Kind(Enum):
-    """What is asked for."""
+    """The type of record that is asked for."""
 
     SRV = dns.rdatatype.SRV
     A = dns.rdatatype.A
     AAAA = dns.rdatatype.AAAA
 
 
-class Says(Enum):
-    """What an answer says."""
+class ReplyKind(Enum):
+    """What a reply means for its query."""
 
     FOUND = "found"  # records, or an alias to ask for next
-    NONE = "none"  # no such name, or none of this kind: true, and to be kept
-    CUT = "truncated"  # ask over TCP
+    NONE = "none"  # no such name, or no record of this type: an answer, which is cached
+    TRUNCATED = "truncated"  # ask over TCP
     FORMERR = "FORMERR"  # ask again without EDNS
-    LAME = "lame"  # another server may know
-    NOT_OURS = "not an answer to this"  # goes on waiting
+    LAME = "lame"  # another upstream may know
+    MISMATCH = "not an answer to this"  # ignored; the reply may still come
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,8 +55,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """A question as it was put: only its answer bears the same id and the same case (0x20)."""
+class SentQuery:
+    """A query as it was sent: only its reply has the same id and the same case of letters (0x20)."""
 
     question: Question
     id: int
@@ -65,117 +67,138 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What one answer says."""
+    """The content of one reply."""
 
-    says: Says
+    kind: ReplyKind
     targets: tuple[SrvRecord, ...] = ()  # of SRV
     addresses: tuple[str, ...] = ()  # of A and AAAA
-    ttl: float = 0.0  # seconds for which it may be kept
+    ttl: float = 0.0  # seconds for which it may be cached
     alias: str = ""  # the name to ask for instead
-    beside: dict[str, tuple[str, ...]] = field(default_factory=dict)  # in bailiwick: addresses of targets
-    why: str = ""
+    additional: dict[str, tuple[str, ...]] = field(default_factory=dict)  # addresses of targets, in bailiwick
+    reason: str = ""  # why it is no answer
 
 
 def text_of(name: dns.name.Name) -> str:
-    """A name in lower case, without its last dot."""
+    """Return a name in lower case, without its last dot."""
     return name.to_text(omit_final_dot=True).lower()
 
 
-def put(question: Question, rng: random.Random, edns: bool) -> Sent:
-    """A query with a random id and random case, against answers by those who did not see it."""
-    name = dns.name.from_text("".join(c.upper() if rng.random() < 0.5 else c for c in question.name) + ".")
+def encode_query(question: Question, rng: random.Random, edns: bool) -> SentQuery:
+    """Return a query with random id and random case of letters, which a forger would have to guess."""
+    letters = [letter.upper() if rng.random() < 0.5 else letter for letter in question.name]
+    name = dns.name.from_text("".join(letters) + ".")
     message = dns.message.make_query(
-        name, question.kind.value, use_edns=0 if edns else -1, payload=PAYLOAD, id=rng.getrandbits(16)
+        name, question.kind.value, use_edns=0 if edns else -1, payload=MAX_PAYLOAD, id=rng.getrandbits(16)
     )
-    return Sent(question, message.id, name, message.to_wire(), edns)
+    return SentQuery(question, message.id, name, message.to_wire(), edns)
 
 
-def read(wire: bytes, sent: Sent, tcp: bool) -> Reply:
-    """What an answer says, if it is one to what was sent."""
+def decode_reply(wire: bytes, query: SentQuery, is_tcp: bool) -> Reply:
+    """Return what bytes mean for a query; it never raises."""
     try:
         message = dns.message.from_wire(wire, raise_on_truncation=False)
-    except (dns.exception.DNSException, ValueError, IndexError) as fault:
-        # Bytes that begin like the answer are its sender's fault; all else is somebody's noise.
-        if len(wire) >= 3 and int.from_bytes(wire[:2], "big") == sent.id and wire[2] & 0x80:
-            if len(wire) >= 12 and wire[3] & 15 == dns.rcode.FORMERR:
-                return Reply(Says.FORMERR)
-            return Reply(Says.NOT_OURS, why=f"can't be read: {type(fault).__name__}")
-        return Reply(Says.NOT_OURS, why="not DNS")
-    if message.id != sent.id or not message.flags & dns.flags.QR:
-        return Reply(Says.NOT_OURS, why="another id")
-    rcode = message.rcode()
-    if rcode == dns.rcode.FORMERR and sent.edns:
-        return Reply(Says.FORMERR)  # some that know no EDNS don't repeat the question either
-    if (
-        len(message.question) != 1
-        or message.question[0].rdtype != sent.question.kind.value
-        or (message.question[0].name.labels != sent.name.labels)
-    ):
-        return Reply(Says.NOT_OURS, why="another question, or case")
+    except (dns.exception.DNSException, ValueError, IndexError) as error:
+        return _classify_malformed(wire, query, error)
+    if message.id != query.id or not message.flags & dns.flags.QR:
+        return Reply(ReplyKind.MISMATCH, reason="another id")
+    if message.rcode() == dns.rcode.FORMERR and query.edns:
+        return Reply(ReplyKind.FORMERR)  # some servers without EDNS don't repeat the question either
+    if not _has_question(message, query):
+        return Reply(ReplyKind.MISMATCH, reason="another question, or case")
+    return _read_reply(message, query.question, is_tcp)
+
+
+def _classify_malformed(wire: bytes, query: SentQuery, error: Exception) -> Reply:
+    """Tell a faulty upstream, whose bytes begin like the reply, from the noise of others."""
+    is_reply = len(wire) >= 3 and int.from_bytes(wire[:2], "big") == query.id and wire[2] & 0x80
+    if not is_reply:
+        return Reply(ReplyKind.MISMATCH, reason="not DNS")
+    if len(wire) >= HEADER_SIZE and wire[3] & 15 == dns.rcode.FORMERR:
+        return Reply(ReplyKind.FORMERR)
+    return Reply(ReplyKind.MISMATCH, reason=f"can't be read: {type(error).__name__}")
+
+
+def _has_question(message: dns.message.Message, query: SentQuery) -> bool:
+    if len(message.question) != 1:
+        return False
+    question = message.question[0]
+    return question.rdtype == query.question.kind.value and question.name.labels == query.name.labels
+
+
+def _read_reply(message: dns.message.Message, question: Question, is_tcp: bool) -> Reply:
     if message.flags & dns.flags.TC:
-        return Reply(Says.LAME, why="truncated over TCP") if tcp else Reply(Says.CUT)
-    if rcode not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
-        return Reply(Says.LAME, why=dns.rcode.to_text(rcode))
-    return _read_records(message, sent.question, rcode)
+        if is_tcp:
+            return Reply(ReplyKind.LAME, reason="truncated over TCP")
+        return Reply(ReplyKind.TRUNCATED)
+    if message.rcode() not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
+        return Reply(ReplyKind.LAME, reason=dns.rcode.to_text(message.rcode()))
+    return _read_records(message, question)
 
 
-def _read_records(message: dns.message.Message, question: Question, rcode: dns.rcode.Rcode) -> Reply:
+def _read_records(message: dns.message.Message, question: Question) -> Reply:
+    """Follow the aliases of one reply to its records."""
     name = dns.name.from_text(question.name)
-    ttl, seen = float(WEEK), {name}
+    ttl = MAX_TTL
+    seen = {name}
     while True:
         if rrset := _find(message.answer, name, question.kind.value):
-            ttl = min(ttl, _ttl(rrset))
-            if question.kind is not Kind.SRV:
-                return Reply(Says.FOUND, addresses=tuple(sorted(r.to_text() for r in rrset)), ttl=ttl)
-            targets = tuple(SrvRecord(text_of(r.target) or ".", r.port, r.priority, r.weight) for r in rrset)
-            return Reply(Says.FOUND, targets, ttl=ttl, beside=_beside(message, targets, question))
+            return _read_found(message, question, rrset, min(ttl, _ttl(rrset)))
         alias = _find(message.answer, name, dns.rdatatype.CNAME)
         if alias is None:
             break
-        ttl, name = min(ttl, _ttl(alias)), alias[0].target
-        if name in seen or len(seen) > CHAIN:
-            return Reply(Says.LAME, why="a loop of aliases")
+        ttl = min(ttl, _ttl(alias))
+        name = alias[0].target
+        if name in seen or len(seen) > MAX_ALIASES:
+            return Reply(ReplyKind.LAME, reason="a loop of aliases")
         seen.add(name)
-    if rcode == dns.rcode.NXDOMAIN or len(seen) == 1:
-        soa = next((rrset for rrset in message.authority if rrset.rdtype == dns.rdatatype.SOA), None)
-        if (
-            soa is None
-            and rcode == dns.rcode.NOERROR
-            and any(rrset.rdtype == dns.rdatatype.NS for rrset in message.authority)
-        ):
-            return Reply(Says.LAME, why="a referral")
-        # RFC 2308, 5: the lesser of the SOA's own lifetime and its minimum; without one, not kept.
-        return Reply(
-            Says.NONE,
-            ttl=min(ttl, _ttl(soa), float(soa[0].minimum)) if soa else 0.0,
-            why=dns.rcode.to_text(rcode),
-        )
-    return Reply(Says.FOUND, ttl=ttl, alias=text_of(name))
+    if message.rcode() == dns.rcode.NXDOMAIN or len(seen) == 1:
+        return _read_absence(message, ttl)
+    return Reply(ReplyKind.FOUND, ttl=ttl, alias=text_of(name))
+
+
+def _read_found(
+    message: dns.message.Message, question: Question, rrset: dns.rrset.RRset, ttl: float
+) -> Reply:
+    if question.kind is not Kind.SRV:
+        addresses = tuple(sorted(record.to_text() for record in rrset))
+        return Reply(ReplyKind.FOUND, addresses=addresses, ttl=ttl)
+    targets = tuple(
+        SrvRecord(text_of(record.target) or ".", record.port, record.priority, record.weight)
+        for record in rrset
+    )
+    return Reply(ReplyKind.FOUND, targets, ttl=ttl, additional=_additional(message, targets, question))
+
+
+def _read_absence(message: dns.message.Message, ttl: float) -> Reply:
+    """Return that there is no such name or record, with the lifetime of that (RFC 2308, 5)."""
+    rcode = message.rcode()
+    types = {rrset.rdtype for rrset in message.authority}
+    if rcode == dns.rcode.NOERROR and dns.rdatatype.NS in types and dns.rdatatype.SOA not in types:
+        return Reply(ReplyKind.LAME, reason="a referral")
+    # The lesser of the SOA's own lifetime and its minimum; without an SOA it is not cached.
+    negative_ttl = 0.0
+    soa = next((rrset for rrset in message.authority if rrset.rdtype == dns.rdatatype.SOA), None)
+    if soa:
+        negative_ttl = min(ttl, _ttl(soa), float(soa[0].minimum))
+    return Reply(ReplyKind.NONE, ttl=negative_ttl, reason=dns.rcode.to_text(rcode))
 
 
 def _find(section: list[dns.rrset.RRset], name: dns.name.Name, kind: int) -> dns.rrset.RRset | None:
-    return next(
-        (
-            rrset
-            for rrset in section
-            if rrset.name == name
-            and rrset.rdtype == kind
-            and len(rrset)
-            and rrset.rdclass == dns.rdataclass.IN
-        ),
-        None,
-    )
+    for rrset in section:
+        is_wanted = rrset.name == name and rrset.rdtype == kind and rrset.rdclass == dns.rdataclass.IN
+        if is_wanted and len(rrset):
+            return rrset
+    return None
 
 
 def _ttl(rrset: dns.rrset.RRset) -> float:
-    """A lifetime; one with its highest bit set counts as 0 (RFC 2181, 8)."""
-    return float(rrset.ttl) if rrset.ttl < 2**31 else 0.0
+    return float(rrset.ttl) if rrset.ttl < TTL_LIMIT else 0.0
 
 
-def _beside(
+def _additional(
     message: dns.message.Message, targets: tuple[SrvRecord, ...], question: Question
 ) -> dict[str, tuple[str, ...]]:
-    """Addresses sent along: only of targets asked for, and of the domain that was asked."""
+    """Return the addresses in the additional section: of these targets only, and of the question's domain."""
     domain = dns.name.from_text(question.name)
     while len(domain.labels) > 1 and domain.labels[0].startswith(b"_"):
         domain = domain.parent()
--- a/brackenlane/discovery/resolver.py
+++ b/brackenlane/discovery/resolver.py
@@ -1,6 +1,6 @@
-"""The appliance's own resolver: questions to the site's upstreams, each once, within a budget.
+"""The resolver: asks the site's upstreams, each question once at a time and within a budget of seconds.
 
-An actor in small: one look-up in flight for each question, joined by all who wait for it.
+An actor: one look-up in flight for each question, which all callers that need its answer join.
 """
 
 from __future__ import annotations
@@ -14,45 +14,55 @@
 import trio
 
 from brackenlane.config import Endpoint
-from brackenlane.discovery.dns_cache import Cache, CachedAnswer, Lifetimes
-from brackenlane.discovery.query import CHAIN, Kind, Question, Reply, Says, Sent, put, read
+from brackenlane.discovery.dns_cache import AnswerCache, CachedAnswer, Lifetimes
+from brackenlane.discovery.dns_transport import query_tcp, query_udp
+from brackenlane.discovery.errors import DiscoveryError, IncompleteReplyError
+from brackenlane.discovery.query import (
+    MAX_ALIASES,
+    Kind,
+    Question,
+    Reply,
+    ReplyKind,
+    SentQuery,
+    encode_query,
+)
 from brackenlane.discovery.records import SrvRecord
-from brackenlane.discovery.upstreams import Patience, Upstream, Upstreams
-from brackenlane.net.connector import connect, family_of
+from brackenlane.discovery.upstreams import Upstream, Upstreams, UpstreamTimeouts
 
 log = logging.getLogger(__name__)
 
-NOISE = 64  # datagrams that are no answer, after which a question goes over TCP, where nobody can forge one
+ROUNDS = 2  # over all upstreams, for one look-up
+ATTEMPTS_PER_UPSTREAM = 3  # FORMERR and truncation lead to one more each
+TCP_TIMEOUT_FACTOR = 2  # a connection takes one more round trip
 
 
-class LookUpFailed(Exception):
-    """Nobody has answered, and there is no earlier answer that will do."""
+class LookUpFailed(DiscoveryError):
+    """A look-up that no upstream answered and no cached answer serves."""
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What is known of a question now; neither targets nor addresses: there are none, truly."""
+class LookUpResult:
+    """The answer to a question; with neither targets nor addresses there are none."""
 
     targets: tuple[SrvRecord, ...] = ()
     addresses: tuple[str, ...] = ()
-    beside: tuple[tuple[str, tuple[str, ...]], ...] = ()  # addresses of targets, sent along in bailiwick
-    until: float = 0.0  # Unix time for which it may be used
+    additional: tuple[tuple[str, tuple[str, ...]], ...] = ()  # addresses of targets, in bailiwick
+    expires_at: float = 0.0  # Unix time until which it may be used
     upstream: str = ""
-    stale: bool = False  # past its lifetime: nobody answers now
-    why: str = ""  # of a stale one: why nobody does
+    is_stale: bool = False  # past its lifetime: no upstream answers now
+    stale_reason: str = ""  # why no upstream answers
 
 
 @dataclass(slots=True, eq=False)
-class Flight:
-    """One look-up under way."""
+class PendingLookUp:
+    """One look-up in flight."""
 
     done: trio.Event
-    result: Found | None = None
-    fault: str = ""
+    error: str = ""  # why it failed
 
 
 class Resolver:
-    """Asks upstreams, keeps what they say, and goes on with it while they say nothing."""
+    """Asks upstreams and caches their answers, which it goes on using while no upstream answers."""
 
     def __init__(
         self,
@@ -61,162 +71,148 @@
         *,
         budget: float = 3.0,
         lifetimes: Lifetimes | None = None,
-        patience: Patience | None = None,
+        timeouts: UpstreamTimeouts | None = None,
         most: int = 256,
         rng: random.Random | None = None,
     ) -> None:
-        self.upstreams = Upstreams(upstreams, patience or Patience())
-        self.cache = Cache(lifetimes or Lifetimes())
-        self._nursery, self._budget = nursery, budget
-        self._open = trio.CapacityLimiter(most)  # look-ups at once, so sockets
+        """`budget`: seconds of one look-up; `most`: look-ups at once, each with one socket."""
+        self.upstreams = Upstreams(upstreams, timeouts or UpstreamTimeouts())
+        self.cache = AnswerCache(lifetimes or Lifetimes())
+        self._nursery = nursery
+        self._budget = budget
+        self._capacity = trio.CapacityLimiter(most)
         self._random = rng or random.SystemRandom()
-        self._flights: dict[Question, Flight] = {}
-        self.queries = 0  # sent, over all
+        self._pending: dict[Question, PendingLookUp] = {}
 
-    async def look_up(self, name: str, kind: Kind) -> Found:
-        """What a name's records are, over aliases; LookUpFailed if nobody can tell."""
+    async def look_up(self, name: str, kind: Kind) -> LookUpResult:
+        """Return the records of a name, aliases followed; LookUpFailed if no answer can be had."""
         question = Question(name.rstrip(".").lower(), kind)
-        for _ in range(CHAIN):
-            found, reply = await self._one(question)
-            if not reply.alias:
-                return found
-            question = Question(reply.alias, kind)
+        for _ in range(MAX_ALIASES):
+            answer, error = await self._answer(question)
+            if not answer.reply.alias:
+                return _result(answer, error)
+            question = Question(answer.reply.alias, kind)
         raise LookUpFailed(f"{name}: a loop of aliases, or too many")
 
-    async def addresses(self, name: str) -> Found:
-        """A name's addresses, IPv4 first; IPv6 only where there is no other."""
-        four = await self.look_up(name, Kind.A)
-        return four if four.addresses else await self.look_up(name, Kind.AAAA)
+    async def addresses(self, name: str) -> LookUpResult:
+        """Return the IPv4 addresses of a name, or its IPv6 addresses if it has no others."""
+        ipv4 = await self.look_up(name, Kind.A)
+        return ipv4 if ipv4.addresses else await self.look_up(name, Kind.AAAA)
 
-    def doubt(self, name: str) -> None:
-        """A name's addresses have been found wrong: the next look-up asks, whatever their lifetime."""
+    def expire_addresses(self, name: str) -> None:
+        """Let the next look-up of a name's addresses ask the upstreams: the cached ones proved wrong."""
         for kind in (Kind.A, Kind.AAAA):
             self.cache.expire(Question(name.rstrip(".").lower(), kind), time.time())
 
-    async def _one(self, question: Question) -> tuple[Found, Reply]:
-        """One question, without following aliases."""
+    async def _answer(self, question: Question) -> tuple[CachedAnswer, str]:
+        """Return the answer to one question, and why it is a stale one if it is; aliases are not followed."""
         now = time.time()
-        if retained := self.cache.fresh(question, now):
-            return _found(retained), retained.reply
-        if why := self.cache.failing(question, now):
-            return self._past(question, why, now)
-        flight = self._flights.get(question)
-        if flight is None:
-            flight = self._flights[question] = Flight(trio.Event())
-            # A task of its own: whoever asked first may leave, and the others still wait for it.
-            self._nursery.start_soon(self._fly, question, flight)
-        await flight.done.wait()
+        if answer := self.cache.fresh(question, now):
+            return answer, ""
+        if error := self.cache.failure_reason(question, now):
+            return self._stale_answer(question, error, now), error
+        pending = self._pending.get(question)
+        if pending is None:
+            pending = self._pending[question] = PendingLookUp(trio.Event())
+            # A task of its own: the caller that started it may be cancelled while others wait for it.
+            self._nursery.start_soon(self._run_look_up, question, pending)
+        await pending.done.wait()
         now = time.time()
-        if retained := self.cache.fresh(question, now):
-            return _found(retained), retained.reply
-        return self._past(question, flight.fault or "no answer", now)
+        if answer := self.cache.fresh(question, now):
+            return answer, ""
+        error = pending.error or "no answer"
+        return self._stale_answer(question, error, now), error
 
-    def _past(self, question: Question, why: str, now: float) -> tuple[Found, Reply]:
-        if retained := self.cache.stale(question, now):
-            return _found(retained, why), retained.reply
-        raise LookUpFailed(f"{question.name} {question.kind.name}: {why}")
+    def _stale_answer(self, question: Question, error: str, now: float) -> CachedAnswer:
+        if answer := self.cache.stale(question, now):
+            return answer
+        raise LookUpFailed(f"{question.name} {question.kind.name}: {error}")
 
-    async def _fly(self, question: Question, flight: Flight) -> None:
+    async def _run_look_up(self, question: Question, pending: PendingLookUp) -> None:
         try:
-            async with self._open:
-                flight.fault = await self._ask_all(question)
+            async with self._capacity:
+                pending.error = await self._ask_all(question)
         finally:
-            del self._flights[question]
-            if flight.fault:
-                self.cache.fail(question, flight.fault, time.time())
-            flight.done.set()
+            del self._pending[question]
+            if pending.error:
+                self.cache.fail(question, pending.error, time.time())
+            pending.done.set()
 
     async def _ask_all(self, question: Question) -> str:
-        """Ask one upstream after another, twice round; why all failed, or nothing."""
-        faults: dict[str, str] = {}
+        """Ask one upstream after another; return why all failed, or nothing if one answered."""
+        errors: dict[str, str] = {}
         with trio.move_on_after(self._budget):
-            for _ in range(2):
+            for _ in range(ROUNDS):
                 for upstream in self.upstreams.order(time.time()):
-                    reply = await self._ask(upstream, question, faults)
-                    if reply and reply.says in (Says.FOUND, Says.NONE):
-                        self._keep(question, reply, upstream.name)
+                    reply = await self._ask(upstream, question, errors)
+                    if reply and reply.kind in (ReplyKind.FOUND, ReplyKind.NONE):
+                        self._store(question, reply, upstream.name)
                         return ""
-        return "; ".join(f"{name}: {why}" for name, why in faults.items()) or "no upstream in time"
+        return "; ".join(f"{name}: {error}" for name, error in errors.items()) or "no upstream in time"
 
-    def _keep(self, question: Question, reply: Reply, upstream: str) -> None:
+    def _store(self, question: Question, reply: Reply, upstream: str) -> None:
+        """Cache a reply and the addresses that came with it, which spares a query for each target."""
         now = time.time()
         self.cache.put(question, reply, upstream, now)
-        for host, addresses in reply.beside.items():  # what was sent along spares a query for each target
-            if four := tuple(address for address in addresses if ":" not in address):
-                self.cache.put(
-                    Question(host, Kind.A), Reply(Says.FOUND, addresses=four, ttl=reply.ttl), upstream, now
-                )
+        for host, addresses in reply.additional.items():
+            ipv4 = tuple(address for address in addresses if ":" not in address)
+            if ipv4:
+                found = Reply(ReplyKind.FOUND, addresses=ipv4, ttl=reply.ttl)
+                self.cache.put(Question(host, Kind.A), found, upstream, now)
 
-    async def _ask(self, upstream: Upstream, question: Question, faults: dict[str, str]) -> Reply | None:
-        """One upstream's answer, by whichever way it takes; a cut answer is thrown away.
+    async def _ask(self, upstream: Upstream, question: Question, errors: dict[str, str]) -> Reply | None:
+        """Return one upstream's reply, asked without EDNS or over TCP if need be; None without a usable one.
 
-        What is wrong so far stands in faults, also when the budget ends it.
+        The error so far is in `errors` at every instant, since the look-up's budget may end this anywhere.
         """
-        edns, tcp = upstream.edns, False
-        for _ in range(3):  # FORMERR and TC lead to one more try each
-            sent = put(question, self._random, edns)
-            wait, begun = self.upstreams.wait(upstream), trio.current_time()
-            reply: Reply | None = None
-            way = "truncated, and TCP: " if tcp else ""
-            faults[upstream.name] = f"{way}no answer within {wait:.2f} s"
-            upstream.asked += 1
-            self.queries += 1
-            with trio.move_on_after(wait * (2 if tcp else 1)):
-                try:
-                    reply = await (self._tcp if tcp else self._udp)(upstream, sent)
-                except (OSError, trio.BrokenResourceError, EOFError) as wrong:
-                    faults[upstream.name] = way + (str(wrong) or type(wrong).__name__)
+        edns = upstream.edns
+        is_tcp = False
+        for _ in range(ATTEMPTS_PER_UPSTREAM):
+            query = encode_query(question, self._random, edns)
+            reply = await self._send(upstream, query, is_tcp, errors)
             if reply is None:
-                self.upstreams.failed(upstream, time.time())
                 return None
-            faults[upstream.name] = way + reply.why
-            self.upstreams.answered(upstream, trio.current_time() - begun)
-            if reply.says is Says.FORMERR and edns:
-                upstream.edns = edns = False
-            elif reply.says is Says.CUT or reply.says is Says.NOT_OURS:
-                tcp = True
+            if reply.kind is ReplyKind.FORMERR and edns:
+                edns = False
+                upstream.edns = False
+            elif reply.kind in (ReplyKind.TRUNCATED, ReplyKind.MISMATCH):
+                is_tcp = True
             else:
                 return reply
         return None
 
-    async def _udp(self, upstream: Upstream, sent: Sent) -> Reply:
-        """One datagram and its answer. The socket is new, so its port is, and hears this upstream alone."""
-        kind = trio.socket.SOCK_DGRAM
-        with trio.socket.socket(family_of(upstream.endpoint), kind) as sock:
-            await sock.connect(upstream.endpoint)
-            await sock.send(sent.wire)
-            reply = Reply(Says.NOT_OURS)
-            for _ in range(NOISE):
-                reply = read(await sock.recv(65_535), sent, tcp=False)
-                if reply.says is not Says.NOT_OURS:
-                    break
-            return reply
-
-    async def _tcp(self, upstream: Upstream, sent: Sent) -> Reply:
-        """The same over TCP, where an answer stands behind its length."""
-        stream = await connect(upstream.endpoint)
-        async with stream:
-            wire: bytes = sent.wire
-            await stream.send_all(len(wire).to_bytes(2, "big") + wire)
-            buffer = bytearray()
-            while len(buffer) < 2 or len(buffer) < 2 + int.from_bytes(buffer[:2], "big"):
-                data = await stream.receive_some(65_537)
-                if not data:
-                    raise EOFError("ended in the middle of an answer")
-                buffer += data
-            end = 2 + int.from_bytes(buffer[:2], "big")
-            reply = read(bytes(buffer[2:end]), sent, tcp=True)
-        return reply if reply.says is not Says.NOT_OURS else Reply(Says.LAME, why=reply.why)
-
-
-def _found(retained: CachedAnswer, why: str = "") -> Found:
-    reply = retained.reply
-    return Found(
+    async def _send(
+        self, upstream: Upstream, query: SentQuery, is_tcp: bool, errors: dict[str, str]
+    ) -> Reply | None:
+        """Send one query and record the upstream's response time; None if it does not reply in time."""
+        timeout = self.upstreams.timeout(upstream)
+        started = trio.current_time()
+        prefix = "truncated, and TCP: " if is_tcp else ""
+        errors[upstream.name] = f"{prefix}no answer within {timeout:.2f} s"
+        upstream.asked += 1
+        reply: Reply | None = None
+        with trio.move_on_after(timeout * TCP_TIMEOUT_FACTOR if is_tcp else timeout):
+            try:
+                send = query_tcp if is_tcp else query_udp
+                reply = await send(upstream.endpoint, query)
+            except (OSError, trio.BrokenResourceError, IncompleteReplyError) as error:
+                errors[upstream.name] = prefix + (str(error) or type(error).__name__)
+        if reply is None:
+            self.upstreams.record_failure(upstream, time.time())
+            return None
+        errors[upstream.name] = prefix + reply.reason
+        self.upstreams.record_answer(upstream, trio.current_time() - started)
+        return reply
+
+
+def _result(answer: CachedAnswer, error: str) -> LookUpResult:
+    reply = answer.reply
+    return LookUpResult(
         reply.targets,
         reply.addresses,
-        tuple(sorted(reply.beside.items())),
-        retained.until,
-        retained.upstream,
-        bool(why),
-        why,
+        tuple(sorted(reply.additional.items())),
+        answer.expires_at,
+        answer.upstream,
+        bool(error),
+        error,
     )
--- a/brackenlane/discovery/upstreams.py
+++ b/brackenlane/discovery/upstreams.py
@@ -1,4 +1,4 @@
-"""Which resolver is asked next, and for how long its answer is waited for. Pure: the clock is handed in."""
+"""The order in which upstream resolvers are asked, and the timeout of each. Pure: the clock is handed in."""
 
 from __future__ import annotations
 
@@ -7,64 +7,82 @@
 
 from brackenlane.config import Endpoint
 
+# Smoothing of response times (RFC 6298, 2.3).
+MEAN_GAIN = 1 / 8
+DEVIATION_GAIN = 1 / 4
+DEVIATIONS_IN_TIMEOUT = 4
+MAX_TIMEOUT_DOUBLINGS = 6
+MAX_BACKOFF_DOUBLINGS = 8
+
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class UpstreamTimeouts:
     """Seconds."""
 
-    first: float = 0.4  # for an upstream of which nothing is known
-    least: float = 0.05
-    most: float = 1.0
-    rest: float = 0.5  # for which one that failed is asked last; doubled each time
-    longest_rest: float = 8.0
+    initial: float = 0.4  # timeout of an upstream whose response time is unknown
+    shortest: float = 0.05
+    longest: float = 1.0
+    backoff: float = 0.5  # for which an upstream that failed is asked last; doubled with each failure
+    max_backoff: float = 8.0
 
 
 @dataclass(slots=True)
 class Upstream:
-    """What is known of one resolver (smoothed time and deviation as in RFC 6298)."""
+    """What is known of one resolver; its response time is smoothed as in RFC 6298."""
 
     endpoint: Endpoint
-    mean: float = 0.0
+    mean: float = 0.0  # seconds; 0: unknown
     deviation: float = 0.0
     failures: int = 0  # in a row
-    resting: float = 0.0  # asked last until then
-    edns: bool = True
+    backoff_until: float = 0.0  # Unix time until which it is asked last
+    edns: bool = True  # whether it understands EDNS
     asked: int = 0
 
     @property
     def name(self) -> str:
-        """As the log and the console name it."""
+        """The name in the log and on the console."""
         return f"{self.endpoint[0]}:{self.endpoint[1]}"
 
 
 class Upstreams:
-    """The order in which resolvers are asked."""
+    """All upstream resolvers."""
 
-    def __init__(self, endpoints: Iterable[Endpoint], patience: Patience) -> None:
+    def __init__(self, endpoints: Iterable[Endpoint], timeouts: UpstreamTimeouts) -> None:
         self.all = [Upstream(endpoint) for endpoint in endpoints]
-        self._patience = patience
+        self._timeouts = timeouts
 
     def order(self, now: float) -> list[Upstream]:
-        """Those that answer first, the quickest first; the others after them, in case they are back."""
-        return sorted(self.all, key=lambda u: (now < u.resting, u.resting if now < u.resting else u.mean))
+        """Return those that answer, the fastest first, then the failed ones, the earliest back first."""
+
+        def rank(upstream: Upstream) -> tuple[bool, float]:
+            is_backing_off = now < upstream.backoff_until
+            return is_backing_off, upstream.backoff_until if is_backing_off else upstream.mean
 
-    def wait(self, upstream: Upstream) -> float:
-        """Seconds to wait for an answer: a usual one and four deviations, doubled after each silence."""
-        p = self._patience
-        usual = upstream.mean + 4 * upstream.deviation if upstream.mean else p.first
-        return float(min(p.most, max(p.least, usual) * 2 ** min(upstream.failures, 6)))
+        return sorted(self.all, key=rank)
+
+    def timeout(self, upstream: Upstream) -> float:
+        """Return the seconds to wait for an answer: the mean and four deviations, doubled by each failure."""
+        limits = self._timeouts
+        expected = limits.initial
+        if upstream.mean:
+            expected = upstream.mean + DEVIATIONS_IN_TIMEOUT * upstream.deviation
+        doublings = min(upstream.failures, MAX_TIMEOUT_DOUBLINGS)
+        return float(min(limits.longest, max(limits.shortest, expected) * 2**doublings))
 
-    def answered(self, upstream: Upstream, took: float) -> None:
-        """It has answered, whatever it said of the question."""
+    def record_answer(self, upstream: Upstream, seconds: float) -> None:
+        """Record the response time of an answer, whatever it says of the question."""
         if upstream.mean:
-            upstream.deviation += (abs(took - upstream.mean) - upstream.deviation) / 4
-            upstream.mean += (took - upstream.mean) / 8
+            upstream.deviation += (abs(seconds - upstream.mean) - upstream.deviation) * DEVIATION_GAIN
+            upstream.mean += (seconds - upstream.mean) * MEAN_GAIN
         else:
-            upstream.mean, upstream.deviation = took, took / 2
-        upstream.failures, upstream.resting = 0, 0.0
+            upstream.mean = seconds
+            upstream.deviation = seconds / 2
+        upstream.failures = 0
+        upstream.backoff_until = 0.0
 
-    def failed(self, upstream: Upstream, now: float) -> None:
-        """It said nothing in time, or could not be reached."""
+    def record_failure(self, upstream: Upstream, now: float) -> None:
+        """Record that an upstream did not answer in time, or could not be reached."""
         upstream.failures += 1
-        p = self._patience
-        upstream.resting = now + min(p.longest_rest, p.rest * 2 ** min(upstream.failures - 1, 8))
+        doublings = min(upstream.failures - 1, MAX_BACKOFF_DOUBLINGS)
+        backoff = self._timeouts.backoff * 2**doublings
+        upstream.backoff_until = now + min(self._timeouts.max_backoff, backoff)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -92,6 +92,15 @@
         await trio.sleep(0.05)
 
 
+async def explained(path: Path, cache_id: str, state: str) -> str:
+    """Wait until the console's explanation of a cache begins with this state."""
+    while True:
+        text = await console(path, "why", cache_id)
+        if text.startswith(state):
+            return text
+        await trio.sleep(0.05)
+
+
 @with_trio
 async def test_drain_under_churn(tmp_path: Path) -> None:
     """A drained cache is named by no answer and asked by no request, whatever SRV and the resolver do."""
@@ -120,7 +129,13 @@
                     )
                     await trio.sleep(0.07)
 
-            nursery.start_soon(churn)
+            churn_scope = trio.CancelScope()
+
+            async def churn_until_cancelled() -> None:
+                with churn_scope:
+                    await churn()
+
+            nursery.start_soon(churn_until_cancelled)
             named: set[str] = set()
             while time.monotonic() < reported + 2.5:
                 for obj in objects:
@@ -128,9 +143,17 @@
                     named |= {text.split()[3].split(".")[0] for text in texts(answer)}
                     await router_process.ask(obj=obj)
             assert site.ids[0] not in named and named and len(first.asked) == before
-            why = await console(path, "why", site.ids[0])
-            assert "drained by the console of a1" in why
-            assert "is draining" in why or "named by nobody now" in why
+            assert "drained by the console of a1" in await console(path, "why", site.ids[0])
+            # The churn may have kept the cache off SRV for longer than the grace period, or its address
+            # unknown: that it is drained and not merely absent shows once all answers name it again.
+            churn_scope.cancel()
+            site.server.fail()
+            site.name(*range(3))
+            why = await explained(path, site.ids[0], f"{site.ids[0]} is draining at 127.0.0.1")
+            assert "drained by the console of a1" in why.splitlines()[0]
+            for obj in objects:
+                await router_process.ask(obj=obj)
+            assert len(first.asked) == before
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -84,6 +84,22 @@
     assert again.member.state is ServerState.SERVING and again.member.started_at == 21.0  # and cold
 
 
+def test_drained_cache_named_again_before_its_address_is_known() -> None:
+    """Off the list past its grace period a cache has no address; its drain holds when it is named again."""
+    made = merge()
+    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
+    made.order(IDS[0], OperatorOrder(True, 11.0, "console"))
+    made.answer(SRV, targets(*HOSTS[1:]), "u1", 12.0)
+    made.tick(19.0)
+    made.discard_unnamed_host(HOSTS[0])
+    assert made.explain(IDS[0], 19.0)[0].startswith(f"{IDS[0]} is named by nobody now")
+    assert made.answer(SRV, targets(*HOSTS), "u1", 20.0) == []
+    assert made.explain(IDS[0], 20.0)[0] == f"{IDS[0]} is not found: drained by console"
+    [found] = made.locate(HOSTS[0], ["127.0.1.1"], 21.0)
+    assert found.member.state is ServerState.DRAINING
+    assert made.explain(IDS[0], 21.0)[0].startswith(f"{IDS[0]} is draining at 127.0.1.1")
+
+
 @pytest.mark.parametrize(("hosts", "held"), [(HOSTS[:2], False), (HOSTS[:1], True), ((), True)])
 def test_mass_disappearance(hosts: tuple[str, ...], held: bool) -> None:
     """One answer takes away half of a list, until a second upstream, or a later answer, says so too."""
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -13,18 +13,18 @@
 from hypothesis import strategies as st
 
 from brackenlane.config import Endpoint
-from brackenlane.discovery.dns_cache import Cache, Lifetimes
+from brackenlane.discovery.dns_cache import AnswerCache, Lifetimes
 from brackenlane.discovery.merge import MembershipMerge
-from brackenlane.discovery.query import Kind, Question, Reply, Says, put, read
+from brackenlane.discovery.query import Kind, Question, Reply, ReplyKind, decode_reply, encode_query
 from brackenlane.discovery.records import Policy, SrvRecord, SrvWatch
 from brackenlane.discovery.resolver import LookUpFailed, Resolver
-from brackenlane.discovery.upstreams import Patience, Upstreams
+from brackenlane.discovery.upstreams import Upstreams, UpstreamTimeouts
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
 from tests.stand_ins import free_port, with_trio
 
 SRV = "_cache._tcp.branch.test"
 SEEDS = itertools.count(1)
-QUICK = Patience(first=0.15, least=0.1, most=0.3, rest=0.2)
+QUICK = UpstreamTimeouts(initial=0.15, shortest=0.1, longest=0.3, backoff=0.2)
 TARGETS = tuple(SrvRecord(f"box-{n}.branch.test", 7100 + n, 0, 8) for n in range(4))
 
 
@@ -42,7 +42,7 @@
         nursery,
         budget=budget,
         lifetimes=Lifetimes(**lifetimes),  # type: ignore[arg-type]
-        patience=QUICK,
+        timeouts=QUICK,
         rng=random.Random(next(SEEDS)),
     )
 
@@ -55,8 +55,8 @@
         script(server, ttl=60)
         resolver = made(nursery, server)
         found = await resolver.look_up(SRV + ".", Kind.SRV)
-        assert set(found.targets) == set(TARGETS) and not found.stale
-        assert dict(found.beside)["box-2.branch.test"] == ("127.0.1.3",)
+        assert set(found.targets) == set(TARGETS) and not found.is_stale
+        assert dict(found.additional)["box-2.branch.test"] == ("127.0.1.3",)
         assert await resolver.look_up(SRV.upper(), Kind.SRV) == found
         for number in range(4):
             one = await resolver.addresses(f"box-{number}.branch.test")
@@ -64,7 +64,7 @@
         assert len(server.asked) == 1  # the addresses were sent along
         server.additional = False
         another = made(nursery, server)
-        assert not (await another.look_up(SRV, Kind.SRV)).beside
+        assert not (await another.look_up(SRV, Kind.SRV)).additional
         for number in range(3):
             await another.addresses(f"box-{number}.branch.test")
         assert len(server.asked) == 5 and all(requested.edns for requested in server.asked)
@@ -137,10 +137,10 @@
         server.fail(Fault.CUT, fault)
         await trio.sleep(0.06)
         found = await resolver.look_up(SRV, Kind.SRV)
-        assert found.stale and found.targets == first.targets and "TCP" in found.why
+        assert found.is_stale and found.targets == first.targets and "TCP" in found.stale_reason
         server.fail()
         await trio.sleep(1.05)  # past the moment for which nobody is asked again
-        assert not (await resolver.look_up(SRV, Kind.SRV)).stale
+        assert not (await resolver.look_up(SRV, Kind.SRV)).is_stale
         nursery.cancel_scope.cancel()
 
 
@@ -166,7 +166,7 @@
 async def test_refused_connection() -> None:
     """A port where nobody listens fails at once, over UDP as over TCP."""
     async with trio.open_nursery() as nursery:
-        resolver = Resolver([("127.0.0.1", free_port())], nursery, patience=QUICK)
+        resolver = Resolver([("127.0.0.1", free_port())], nursery, timeouts=QUICK)
         with pytest.raises(LookUpFailed, match="refused"):
             await resolver.look_up(SRV, Kind.SRV)
         nursery.cancel_scope.cancel()
@@ -225,7 +225,7 @@
         for name in ("no-such.test", "only-a.test"):
             for _ in range(2):
                 found = await resolver.look_up(name, Kind.SRV)
-                assert not found.targets and not found.stale
+                assert not found.targets and not found.is_stale
         assert len(server.asked) == 2
         assert (await resolver.addresses("only-a.test")).addresses == ("127.0.1.1",)
         nursery.cancel_scope.cancel()
@@ -243,7 +243,7 @@
             [("127.0.0.1", server.port)],
             nursery,
             budget=60.0,
-            patience=Patience(first=20.0, least=20.0, most=20.0, rest=0.2),
+            timeouts=UpstreamTimeouts(initial=20.0, shortest=20.0, longest=20.0, backoff=0.2),
         )
         found = await resolver.look_up("_c._tcp.x", Kind.SRV)
         assert len(found.targets) == 2000 and server.asked[-1].tcp
@@ -255,7 +255,7 @@
 
 def reply(change: Callable[[dns.message.Message], None] | None = None) -> tuple[bytes, object]:
     """An answer to a question, changed."""
-    sent = put(Question("box.branch.test", Kind.A), random.Random(2), edns=True)
+    sent = encode_query(Question("box.branch.test", Kind.A), random.Random(2), edns=True)
     message = dns.message.make_response(dns.message.from_wire(sent.wire))
     if change:
         change(message)
@@ -268,15 +268,15 @@
     """Noise, and an answer cut at any byte, never raise and never give records."""
     wire, sent = reply()
     for data in (noise, wire[:2] + noise, wire[:cut], wire[:12] + noise):
-        found = read(data, sent, tcp=False)  # type: ignore[arg-type]
+        found = decode_reply(data, sent, is_tcp=False)  # type: ignore[arg-type]
         assert not found.addresses and not found.targets
 
 
 @pytest.mark.parametrize(("ttl", "until"), [(0, 0.5), (10, 10.0), (2**31 - 1, 300.0)])
 def test_lifetimes(ttl: int, until: float) -> None:
     """Lifetimes of nothing and of decades are held between floor and ceiling."""
-    cache, question = Cache(Lifetimes(floor=0.5, ceiling=300.0)), Question("a.test", Kind.A)
-    found = Reply(Says.FOUND, addresses=("127.0.0.1",), ttl=float(ttl))
+    cache, question = AnswerCache(Lifetimes(floor=0.5, ceiling=300.0)), Question("a.test", Kind.A)
+    found = Reply(ReplyKind.FOUND, addresses=("127.0.0.1",), ttl=float(ttl))
     cache.put(question, found, "u", 100.0)
     assert cache.fresh(question, 100.0 + until - 0.01) and not cache.fresh(question, 100.0 + until)
     assert cache.stale(question, 100.0 + until + 3599) and not cache.stale(question, 100.0 + until + 3601)
@@ -285,30 +285,30 @@
 
 def test_cache_bounds() -> None:
     """So many answers and no more, the least used out first; a failure is remembered for a moment."""
-    cache = Cache(Lifetimes(entries=3))
+    cache = AnswerCache(Lifetimes(entries=3))
     for number in range(5):
-        cache.put(Question(f"{number}.test", Kind.A), Reply(Says.FOUND, ttl=60.0), "u", 1.0)
+        cache.put(Question(f"{number}.test", Kind.A), Reply(ReplyKind.FOUND, ttl=60.0), "u", 1.0)
         cache.fresh(Question("2.test", Kind.A), 1.0)
     assert len(cache) == 3 and cache.fresh(Question("2.test", Kind.A), 2.0)
     assert not cache.fresh(Question("0.test", Kind.A), 2.0)
     cache.fail(Question("f.test", Kind.A), "SERVFAIL", 10.0)
-    assert cache.failing(Question("f.test", Kind.A), 10.9) == "SERVFAIL"
-    assert not cache.failing(Question("f.test", Kind.A), 11.0)
+    assert cache.failure_reason(Question("f.test", Kind.A), 10.9) == "SERVFAIL"
+    assert not cache.failure_reason(Question("f.test", Kind.A), 11.0)
 
 
 def test_patience() -> None:
     """Time-outs are learned by upstream, doubled by silence; who is silent is asked last, then again."""
     ends: list[Endpoint] = [("127.0.0.1", 1), ("127.0.0.2", 2)]
-    both = Upstreams(ends, Patience())
+    both = Upstreams(ends, UpstreamTimeouts())
     one, two = both.all
-    assert both.wait(one) == 0.4
+    assert both.timeout(one) == 0.4
     for _ in range(30):
-        both.answered(one, 0.02)
-    assert 0.05 <= both.wait(one) < 0.1
-    both.answered(two, 0.3)
+        both.record_answer(one, 0.02)
+    assert 0.05 <= both.timeout(one) < 0.1
+    both.record_answer(two, 0.3)
     assert both.order(5.0) == [one, two]
-    both.failed(one, 5.0)
-    assert both.wait(one) >= 0.1 and both.order(5.1) == [two, one] and both.order(5.6) == [one, two]
+    both.record_failure(one, 5.0)
+    assert both.timeout(one) >= 0.1 and both.order(5.1) == [two, one] and both.order(5.6) == [one, two]
     for _ in range(20):
-        both.failed(one, 5.0)
-    assert both.wait(one) == 1.0 and one.resting <= 13.0
+        both.record_failure(one, 5.0)
+    assert both.timeout(one) == 1.0 and one.backoff_until <= 13.0
