--- a/brackenlane/dns/responder.py
+++ b/brackenlane/dns/responder.py
@@ -222,7 +222,10 @@
             if answer.disposition is not Disposition.SERVED:
                 raise NoCacheError(question.obj)
             # The cache may have begun to drain between the connection to it and this answer.
-            if self._engine.membership.is_serving(answer.server) and answer.server in self._addresses.endpoints:
+            if (
+                self._engine.membership.is_serving(answer.server)
+                and answer.server in self._addresses.endpoints
+            ):
                 self._add_records(response, name, record_type, answer.server)
                 return
         raise NoCacheError(question.obj)
--- a/brackenlane/store/event_codec.py
+++ b/brackenlane/store/event_codec.py
@@ -12,8 +12,9 @@
 import orjson
 
 from brackenlane.coldstart.stream_position import StreamPosition
+from brackenlane.discovery.definition_codec import encode_definition, read_definition
+from brackenlane.discovery.order_codec import encode_order, read_order
 from brackenlane.discovery.records import CacheDefinition, OperatorOrder
-from brackenlane.discovery.registry import encode_definition, encode_order, read_definition, read_order
 from brackenlane.store.errors import StoreDataError
 
 EVENT_FIELD = "event"  # of a stream entry
