--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -25,8 +25,10 @@
 from brackenlane.net.poller import Poller
 from brackenlane.observe.throttle import Throttle
 from brackenlane.ops.admin_api import AdminApi
-from brackenlane.ops.admin_service import AdminService
+from brackenlane.ops.admin_routes import AdminRoutes
+from brackenlane.ops.handover import Handover
 from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
+from brackenlane.ops.maintenance_orders import MaintenanceOrders
 
 log = logging.getLogger(__name__)
 
@@ -52,17 +54,22 @@
                 core.membership, limits, config.settings, core.report, poller, core.timers, counts.tried
             )
             front = HttpFront(core, limits, poller, counts=counts)
-            operators = AdminService(core, front, limits, _ledger(config, limits) if config.ops else None)
+            handover_log = _open_handover_log(config, limits) if config.ops else None
+            orders = MaintenanceOrders(core, limits.taken_out, handover_log)
+            handover = Handover(core, front, limits, handover_log, orders) if handover_log else None
             if config.ops:
-                AdminApi(
-                    poller, core.timers, limits, lambda: front.serves, operators.figures, operators.order
-                ).open(listen_plain(config.ops))
+                routes = AdminRoutes(
+                    is_serving=lambda: front.serves,
+                    metrics=lambda: orders.metrics(front.counts, front.active),
+                    order=orders.order,
+                )
+                AdminApi(poller, core.timers, limits, routes).open(listen_plain(config.ops))
             changes = ChangeLogClient(
                 config.changelog,
                 config.site,
                 limits,
                 pools,
-                operators.on_event,
+                orders.on_event,
                 poller,
                 core.timers,
                 config.seed,
@@ -75,15 +82,16 @@
                 front,
                 config.listen,
                 config.name,
-                (lambda: operators.beside) if config.ops else None,
-                operators.serving,
+                (lambda: handover.older_process_count if handover else 0) if config.ops else None,
+                handover.announce_serving if handover else lambda: None,
             )
-            operators.close()
+            if handover:
+                handover.close()
             nursery.cancel_scope.cancel()
 
 
-def _ledger(config: Config, limits: Limits) -> HandoverLog | None:
-    """What this doorman's processes share, in `$TMPDIR`; without it each knows its own orders alone."""
+def _open_handover_log(config: Config, limits: Limits) -> HandoverLog | None:
+    """Open the log that this router's processes share in `$TMPDIR`; None if there is none or it fails."""
     folder = os.environ.get("TMPDIR")
     if not folder:
         log.warning("TMPDIR is not set: orders and submits are not known to the next process")
--- a/brackenlane/ops/__init__.py
+++ b/brackenlane/ops/__init__.py
@@ -1,5 +1,5 @@
-"""The operators' address: status, figures, caches taken out by hand.
+"""The operators' side of a router: its admin API, maintenance orders, and the handover between two processes.
 
-It owns the calls, the counts and what was ordered; it never picks a server and never waits for the core.
-Entry points: `door.AdminApi` (actor), `maintenance.Maintenance` and `counts.RequestMetrics` (pure).
+It never picks a server and never waits for the request engine, nor for another process once this one serves.
+Entry points: `admin_api.AdminApi`, `maintenance_orders.MaintenanceOrders` and `handover.Handover` (actors).
 """
--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -1,169 +1,160 @@
-"""The actor at the operators' address: one HTTP call to each connection, answered as soon as it is read.
+"""Actor at the admin address: one HTTP call per connection, answered as soon as it is read.
 
-A few callers at once, each for a short time; who has waited longest without a call gives way to who comes. It
-stands before all clients' work on the board and asks nothing of the core's mailbox.
+It serves a few connections at once, each for a short time; when there are too many, the oldest gives way to
+the newest. The poller handles it before all clients, and it waits for nothing.
 """
 
 from __future__ import annotations
 
 import contextlib
 import logging
-import re
 import socket
 import time
-from collections.abc import Callable
 from dataclasses import replace
 
-from brackenlane.core.metrics import CONTENT_TYPE
 from brackenlane.core.timers import Timers
 from brackenlane.limits import Limits
-from brackenlane.net.http_codec import Headers, ParsedRequest, RequestParser, encode_answer
+from brackenlane.net.http_codec import RequestParser, encode_answer
 from brackenlane.net.poller import READ, WRITE, Poller
+from brackenlane.ops.admin_routes import AdminResponse, AdminRoutes
 
 log = logging.getLogger(__name__)
 
-ORDER = re.compile(r"/maintenance/(enter|exit)/([\w.:-]{1,64})", re.ASCII)
-EncodedResponse = tuple[int, Headers, bytes]
+RECEIVE_BYTES = 4_096
+EXPIRY_CHECKS = 4  # in the time that a connection may stay
 
 
 class AdminApi:
-    """All callers at the operators' address.
-
-    ready: whether this process can serve; figures: all as text; order: takes a cache out (True) or lets
-    it serve again, and gives the status and a line to say.
-    """
-
-    def __init__(
-        self,
-        poller: Poller,
-        timers: Timers,
-        limits: Limits,
-        ready: Callable[[], bool],
-        figures: Callable[[], bytes],
-        order: Callable[[str, bool], tuple[int, str]],
-    ) -> None:
-        self.poller, self._timers, self._limits = poller, timers, limits
-        self._ready, self._figures, self._order = ready, figures, order
-        self.call_limits = replace(limits, head=limits.ops_head, upload=limits.ops_head)
-        self._callers: dict[AdminConnection, float] = {}  # who came first is first; until when each may stay
+    """The admin listener and its connections."""
+
+    def __init__(self, poller: Poller, timers: Timers, limits: Limits, routes: AdminRoutes) -> None:
+        self.poller = poller
+        self.routes = routes
+        self.request_limits = replace(limits, head=limits.ops_head, upload=limits.ops_head)
+        self._timers = timers
+        self._max_connections = limits.ops_calls
+        self._connection_time = limits.ops_time
+        self._deadlines: dict[AdminConnection, float] = {}  # Unix time of each one's end, the oldest first
         self._listener: socket.socket | None = None
 
     def open(self, listener: socket.socket) -> None:
-        """Take calls from now on."""
+        """Accept connections from now on."""
         self._listener = listener
         self.poller.add(listener.fileno(), self._accept, urgent=True)
-        self._watch()
-
-    def shut(self) -> None:
-        """Take no more calls, and end those that are unfinished."""
-        if self._listener:
-            self.poller.remove(self._listener.fileno())
-            self._listener.close()
-            self._listener = None
-        for caller in list(self._callers):
-            caller.close()
+        self._close_expired()
 
     def _accept(self, _: int) -> None:
+        """Accept what waits, but at most as many connections as may be open at once."""
         assert self._listener is not None
-        for _ in range(self._limits.ops_calls):
+        for _ in range(self._max_connections):
             try:
                 sock, _ = self._listener.accept()
             except OSError:
-                return  # none waits, or there is no descriptor: the next round asks again
-            if len(self._callers) >= self._limits.ops_calls:
-                # Guards against callers who connect and finish no call: the oldest gives way.
-                next((c for c in self._callers if c.is_answered), next(iter(self._callers))).close()
+                return  # nothing waits, or no descriptor is free: the next round of the poller tries again
+            if len(self._deadlines) >= self._max_connections:
+                self._close_one()
             sock.setblocking(False)
-            caller = AdminConnection(self, sock)
-            self._callers[caller] = time.time() + self._limits.ops_time
-            self.poller.add(sock.fileno(), caller.ready, urgent=True)
-
-    def gone(self, caller: AdminConnection) -> None:
-        """A connection has ended."""
-        self._callers.pop(caller, None)
-
-    def _watch(self) -> None:
+            connection = AdminConnection(self, sock)
+            self._deadlines[connection] = time.time() + self._connection_time
+            self.poller.add(sock.fileno(), connection.on_ready, urgent=True)
+
+    def _close_one(self) -> None:
+        """Make room: close the oldest answered connection, or else the oldest.
+
+        Guards against callers that connect and never finish a call.
+        """
+        for connection in self._deadlines:
+            if connection.is_answered:
+                connection.close()
+                return
+        oldest = next(iter(self._deadlines))
+        oldest.close()
+
+    def on_closed(self, connection: AdminConnection) -> None:
+        """Forget a connection that has closed."""
+        self._deadlines.pop(connection, None)
+
+    def _close_expired(self) -> None:
         now = time.time()
-        for caller in [c for c, until in self._callers.items() if until < now]:
-            caller.close()
-        if self._listener:
-            self._timers.at(now + self._limits.ops_time / 4, self._watch)
-
-    def answer(self, call: ParsedRequest) -> EncodedResponse:
-        """What one call gets."""
-        found = ORDER.fullmatch(call.target)
-        wants = "PUT" if found else "GET" if call.target in ("/status", "/status/metrics") else ""
-        if not wants:
-            return 404, {}, b"no such call\n"
-        if call.method != wants:
-            return 405, {"Allow": wants}, f"this takes {wants}\n".encode()
-        if found:
-            status, line = self._order(found[2], found[1] == "enter")
-            log.info("operators: %s %s: %d %s", found[1], found[2], status, line)
-            return status, {"Content-Type": "text/plain"}, f"{line}\n".encode()
-        if call.target == "/status":
-            if self._ready():
-                return 200, {"Content-Type": "text/plain"}, b"serving\n"
-            return 503, {"Content-Type": "text/plain"}, b"not serving\n"
-        return 200, {"Content-Type": CONTENT_TYPE}, self._figures()
+        for connection, deadline in list(self._deadlines.items()):
+            if deadline < now:
+                connection.close()
+        self._timers.at(now + self._connection_time / EXPIRY_CHECKS, self._close_expired)
 
 
 class AdminConnection:
-    """One connection: one call."""
+    """One connection with one call."""
 
     def __init__(self, api: AdminApi, sock: socket.socket) -> None:
-        self._api, self._sock = api, sock
-        self._requests = RequestParser(api.call_limits)
-        self._unsent = memoryview(b"")
-        self._bytes_allowed = api.call_limits.head  # bytes that may still come once it is answered
         self.is_answered = False
-        self._open = True
+        self._api = api
+        self._sock = sock
+        self._parser = RequestParser(api.request_limits)
+        self._unsent = memoryview(b"")
+        self._surplus_bytes = api.request_limits.head  # that may still come behind the call
+        self._is_open = True
 
     def close(self) -> None:
-        """End the connection."""
-        if self._open:
-            self._open = False
+        """Close the connection, if it is open."""
+        if self._is_open:
+            self._is_open = False
             self._api.poller.remove(self._sock.fileno())
             self._sock.close()
-            self._api.gone(self)
+            self._api.on_closed(self)
 
-    def ready(self, events: int) -> None:
-        """The socket is ready."""
+    def on_ready(self, events: int) -> None:
+        """Handle readiness of the socket, a set of the poller's events."""
         try:
             if events & WRITE:
                 self._flush()
-            if self._open and events & ~WRITE:
+            if self._is_open and events & ~WRITE:
                 self._receive()
         except OSError:
             self.close()
-        except Exception:  # one caller must not end the others
-            log.exception("an operator's call failed")
+        except Exception:  # one connection must not end the others
+            log.exception("an admin call failed")
             self.close()
 
     def _receive(self) -> None:
         try:
-            data = self._sock.recv(4_096)
+            data = self._sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
             return
         if not data:
-            return self.close()
-        if self.is_answered:  # read on, so that the answer is not lost to a reset
-            self._bytes_allowed -= len(data)
-            return self.close() if self._bytes_allowed < 0 else None
-        self._requests.feed(data)
-        if call := self._requests.next():
-            self._answer(*self._api.answer(call), call.method == "HEAD")
-        elif fault := self._requests.fault:
-            self._answer(fault.status.value, fault.headers, f"{fault}\n".encode())
-
-    def _answer(self, status: int, headers: Headers, body: bytes, bare: bool = False) -> None:
+            self.close()
+        elif self.is_answered:
+            self._discard(data)
+        else:
+            self._parse(data)
+
+    def _discard(self, data: bytes) -> None:
+        """Read on behind the call, so that the response is not lost to a connection reset."""
+        self._surplus_bytes -= len(data)
+        if self._surplus_bytes < 0:
+            self.close()
+
+    def _parse(self, data: bytes) -> None:
+        self._parser.feed(data)
+        request = self._parser.next()
+        if request is not None:
+            self._send(self._api.routes.respond(request), has_body=request.method != "HEAD")
+            return
+        fault = self._parser.fault
+        if fault is not None:
+            self._send(AdminResponse(fault.status, f"{fault}\n".encode(), fault.headers))
+
+    def _send(self, response: AdminResponse, has_body: bool = True) -> None:
         self.is_answered = True
-        self._unsent = memoryview(encode_answer(status, headers, body, True) + (b"" if bare else body))
+        data = encode_answer(response.status, response.headers, response.body, close=True)
+        if has_body:
+            data += response.body
+        self._unsent = memoryview(data)
         self._flush()
 
     def _flush(self) -> None:
         with contextlib.suppress(BlockingIOError):
-            self._unsent = self._unsent[self._sock.send(self._unsent) :]
+            sent = self._sock.send(self._unsent)
+            self._unsent = self._unsent[sent:]
         if self._unsent:
             self._api.poller.want(self._sock.fileno(), READ | WRITE)
         elif self.is_answered:
--- /dev/null
+++ b/brackenlane/ops/handover.py
@@ -0,0 +1,127 @@
+"""Handover (hot restart) between the processes of one router that listen at the same address.
+
+The actor behind the handover log: it applies what the other processes recorded, and keeps to the behavior of
+the handover state that follows from which of them are alive. Nothing in here waits.
+"""
+
+from __future__ import annotations
+
+import logging
+import time
+
+from brackenlane.core.engine import RequestEngine
+from brackenlane.limits import Limits
+from brackenlane.net.http_front import HttpFront
+from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
+from brackenlane.ops.handover_records import (
+    HandoverRecord,
+    MaintenanceEntered,
+    MaintenanceExited,
+    ProcessServing,
+    ProcessStarted,
+)
+from brackenlane.ops.handover_state import HandoverState, handover_state
+from brackenlane.ops.maintenance import MaintenanceAction
+from brackenlane.ops.maintenance_orders import MaintenanceOrders
+from brackenlane.ops.submit_claims import SubmitClaims
+from brackenlane.routing.members import Member, Role
+
+log = logging.getLogger(__name__)
+
+
+class Handover:
+    """Owns the handover state of this process."""
+
+    def __init__(
+        self,
+        engine: RequestEngine,
+        front: HttpFront,
+        limits: Limits,
+        handover_log: HandoverLog,
+        orders: MaintenanceOrders,
+    ) -> None:
+        """Follow the log from now on, and have the engine and the front consult it before they write."""
+        self._engine = engine
+        self._front = front
+        self._check_interval = limits.ledger_look
+        self._handover_log = handover_log
+        self._orders = orders
+        self._state = HandoverState.ALONE
+        handover_log.on_record = self._on_record
+        engine.membership.catch_up = handover_log.read_new_records
+        claims = SubmitClaims(handover_log)
+        front.claim = claims.claim
+        front.release = claims.release
+        self._check_periodically()
+
+    @property
+    def older_process_count(self) -> int:
+        """Number of other live processes of this router; at the start of this one, all of them are older."""
+        return len(self._handover_log.other_processes())
+
+    def announce_serving(self) -> None:
+        """Record that this process serves clients from now on."""
+        try:
+            self._handover_log.append(ProcessServing(self._handover_log.process_id))
+        except HandoverLogError as error:
+            log.error("the other processes do not learn that this one serves: %s", error)
+
+    def close(self) -> None:
+        """Leave the live processes, as this process ends; the others notice at once."""
+        self._engine.membership.catch_up = lambda: None
+        self._handover_log.close()
+
+    def _on_record(self, record: HandoverRecord) -> None:
+        match record:
+            case MaintenanceEntered(server, at):
+                self._orders.carry_out(MaintenanceAction.ENTER, server, at)
+            case MaintenanceExited(server, at):
+                self._orders.carry_out(MaintenanceAction.EXIT, server, at)
+            case ProcessStarted() | ProcessServing():
+                self._update_state()
+
+    def _check_periodically(self) -> None:
+        """Read the log, compact it where it has grown, and see which processes are alive."""
+        self._engine.timers.at(time.time() + self._check_interval, self._check_periodically)
+        try:
+            self._handover_log.read_new_records()
+            self._handover_log.compact()
+        except OSError as error:
+            log.error("the handover log cannot be read: %s", error.strerror)
+        self._update_state()
+
+    def _update_state(self) -> None:
+        """Determine the state from the live processes, and switch to its behavior if it has changed."""
+        own_id = self._handover_log.process_id
+        index = self._handover_log.index
+        alive = set(self._handover_log.other_processes())
+        for process_id in list(index.is_serving):
+            if process_id != own_id and process_id not in alive:
+                index.forget_process(process_id)
+        old_state = self._state
+        self._state = handover_state(own_id, index.is_serving, alive)
+        if self._state is old_state:
+            return
+        log.info("this process is %s (it was %s)", self._state.value.label, old_state.value.label)
+        behavior = self._state.value
+        self._front.set_share(behavior.client_share, behavior.is_handing_over)
+        self._engine.keep_copies(1.0 if behavior.uses_cold_caches else 0.0)
+        if behavior.uses_cold_caches != old_state.value.uses_cold_caches:
+            self._switch_cold_caches(behavior.uses_cold_caches)
+
+    def _switch_cold_caches(self, uses_cold_caches: bool) -> None:
+        """Leave the slow-start budget of cold caches to the later process, or start anew with them."""
+        now = time.time()
+        self._engine.spend_cold(now)
+        if uses_cold_caches:
+            self._orders.exclude(lambda _: False)
+        else:
+            self._orders.exclude(lambda member: self._is_cold(member, now))
+
+    def _is_cold(self, member: Member, now: float) -> bool:
+        """Whether a cache was within its slow start at a Unix time."""
+        if member.role is Role.ORIGIN or member.started_at <= 0:
+            return False
+        settings = self._engine.settings
+        slow_start = settings.parent_cold if member.role is Role.PARENT else settings.edge_cold
+        return now - member.started_at < slow_start.ramp
--- a/brackenlane/ops/handover_log.py
+++ b/brackenlane/ops/handover_log.py
@@ -1,180 +1,115 @@
-"""The ledger in `$TMPDIR` that the processes of one router append to, and the locks that tell who lives.
+"""The handover log: what the processes of one router share in a folder of `$TMPDIR`.
 
-Nothing in here waits for another process once this one serves: an append is one write, a look is one fstat.
+Each process appends records to one file, reads those of the others, and holds a lock while it is alive. Once
+a process serves, no call in here waits for another process: an append is one write, a read is one fstat(2)
+while nothing is new.
 """
 
 from __future__ import annotations
 
-import contextlib
-import fcntl
 import logging
 import os
-import time
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from pathlib import Path
 
 from brackenlane.limits import Limits
-from brackenlane.ops.handover_records import HandoverIndex, Reader, Record, RecordType, encode
+from brackenlane.ops.handover_file import HandoverFile
+from brackenlane.ops.handover_index import HandoverIndex
+from brackenlane.ops.handover_records import HandoverRecord, ProcessStarted, SubmitClaimed, encode
+from brackenlane.ops.process_locks import ProcessLocks
 
 log = logging.getLogger(__name__)
 
+PROCESS_ID_BYTES = 4
+
 
 class HandoverLogError(Exception):
-    """The folder cannot be used, or the ledger takes no more."""
+    """The folder cannot be used, or the log accepts no more records."""
 
 
 class HandoverLog:
-    """One process's end of the shared ledger.
+    """One process's access to the shared log.
 
-    hear: called with each record that is new, this process's own among them, in the order of the file.
+    process_id: the id of this process, drawn at its start. index: the state that all records read add up to.
+    on_record: called with each record read, also with those of this process, in the order of the file.
     """
 
     def __init__(self, folder: Path, limits: Limits) -> None:
-        """Open it, and tell the others that this process starts. Raises HandoverLogError."""
-        self._folder, self._limits = folder, limits
-        self._path = folder / "ledger"
-        self.me = os.urandom(4).hex()
+        """Open the log in its folder, and record that this process starts. Raises HandoverLogError."""
+        self._limits = limits
+        self.process_id = os.urandom(PROCESS_ID_BYTES).hex()
         self.index = HandoverIndex(limits.claims)
-        self.on_record: Callable[[Record], None] = lambda _: None
-        self._file = self._life = -1
+        self.on_record: Callable[[HandoverRecord], None] = lambda _: None
+        self._locks = ProcessLocks(folder, self.process_id)
         try:
             folder.mkdir(mode=0o700, exist_ok=True)
-            with self._starting():
-                self._life = self._lock(folder / f"life.{self.me}")
-                self._open()
-                self.look()
-                for process in [p for p in self.index.serving if not self.is_alive(p)]:
-                    self.index.forget(process)
-                for stray in folder.glob("life.*"):
-                    if not self.is_alive(stray.name[5:]):
-                        stray.unlink(missing_ok=True)
-                if not self.others and self._size > 0:  # what is torn, old or foreign in it goes
-                    self._rewrite()
-                self.append(RecordType.BORN, self.me)
-        except OSError as fault:
-            raise HandoverLogError(f"{folder}: {fault.strerror}") from None
-
-    # Who lives
-
-    @contextlib.contextmanager
-    def _starting(self) -> Iterator[None]:
-        """One process at a time starts or rewrites the ledger; who holds it up for long is not waited for."""
-        fd = os.open(self._folder / "starting", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        try:
-            end = time.monotonic() + self._limits.ledger_wait
-            while not _locked(fd):
-                if time.monotonic() > end:
+            with self._locks.start_lock(limits.ledger_wait) as is_locked:
+                if not is_locked:
                     raise HandoverLogError("another process starts, and does not get on")
-                time.sleep(0.01)
-            yield
-        finally:
-            os.close(fd)
-
-    def _lock(self, path: Path) -> int:
-        fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        _locked(fd)
-        return fd
-
-    def is_alive(self, process: str) -> bool:
-        """Whether a process lives: it holds a lock, which goes with it however it ends."""
-        if process == self.me:
-            return True
-        try:
-            fd = os.open(self._folder / f"life.{process}", os.O_RDWR | os.O_CLOEXEC)
-        except OSError:
-            return False
-        try:
-            return not _locked(fd)
-        finally:
-            os.close(fd)
-
-    @property
-    def others(self) -> list[str]:
-        """The other processes of this router that live, in the order of their births."""
-        return [p for p in self.index.serving if p != self.me and self.is_alive(p)]
-
-    # The file
-
-    def _open(self) -> None:
-        if self._path.exists() and not self._path.is_file():  # something else bears its name
-            os.replace(self._path, self._folder / "ledger.foreign")
-        self._file = os.open(self._path, os.O_RDWR | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        # Of one that is too large, which nobody here has written, the end alone is read.
-        most = self._limits.ledger + self._limits.ledger_orders
-        self._size = max(0, os.fstat(self._file).st_size - most)
-        self._reader = Reader(self._limits.ledger_line)
-
-    def look(self) -> None:
-        """Take in what is new."""
-        size = os.fstat(self._file).st_size
-        while self._size < size:
-            data = os.pread(self._file, min(65_536, size - self._size), self._size)
-            if not data:
-                return
-            self._size += len(data)
-            for record in self._reader.feed(data):
-                self.index.take(record)
-                self.on_record(record)
-
-    def append(self, kind: RecordType, *fields: str) -> None:
-        """Append a record and take in all up to it. Raises HandoverLogError where it can't be kept."""
-        data = encode(Record(kind, fields))
+                self._start(folder)
+        except OSError as fault:
+            raise HandoverLogError(f"{folder}: {fault.strerror}") from fault
+
+    def _start(self, folder: Path) -> None:
+        """Join the live processes, and clean up behind those that have ended."""
+        self._locks.declare_alive()
+        max_read_bytes = self._limits.ledger + self._limits.ledger_orders
+        self._file = HandoverFile(folder, max_read_bytes, self._limits.ledger_line)
+        self.read_new_records()
+        for process_id in list(self.index.is_serving):
+            if not self._locks.is_alive(process_id):
+                self.index.forget_process(process_id)
+        self._locks.delete_stale_files()
+        # Damaged, outdated and foreign lines are dropped while nobody else reads the file.
+        if not self.other_processes() and self._file.read_position > 0:
+            self._file.replace(self.index.summary())
+        self.append(ProcessStarted(self.process_id))
+
+    def other_processes(self) -> list[str]:
+        """Return the other processes of this router that are alive, in the order of their start."""
+        return [
+            process_id
+            for process_id in self.index.is_serving
+            if process_id != self.process_id and self._locks.is_alive(process_id)
+        ]
+
+    def read_new_records(self) -> None:
+        """Apply the records that were appended since the last call. Raises OSError."""
+        for record in self._file.read_new():
+            self.index.apply(record)
+            self.on_record(record)
+
+    def append(self, record: HandoverRecord) -> None:
+        """Append a record and apply all records up to it. Raises HandoverLogError if it cannot be stored."""
+        data = encode(record)
+        max_bytes = self._limits.ledger
+        if not isinstance(record, SubmitClaimed):
+            max_bytes += self._limits.ledger_orders
         try:
-            capacity = self._limits.ledger + (0 if kind is RecordType.CLAIM else self._limits.ledger_orders)
-            if os.fstat(self._file).st_size + len(data) > capacity:
-                raise HandoverLogError("the ledger is full")
-            if os.write(self._file, data) < len(data):
-                raise HandoverLogError("the ledger took a part of a record")
-            self.look()
+            if self._file.size() + len(data) > max_bytes:
+                raise HandoverLogError("the handover log is full")
+            if not self._file.append(data):
+                raise HandoverLogError("the handover log took a part of a record")
+            self.read_new_records()
         except OSError as fault:
-            raise HandoverLogError(f"{self._path}: {fault.strerror}") from None
+            raise HandoverLogError(f"{self._file.path}: {fault.strerror}") from fault
 
-    def tend(self) -> None:
-        """Rewrite it where it has grown or is gone, if no other process lives. To be called now and then."""
-        try:
-            there = os.stat(self._path).st_ino == os.fstat(self._file).st_ino
-        except OSError:
-            there = False
-        if there and self._size < self._limits.ledger_tidy:
+    def compact(self) -> None:
+        """Replace the file by a summary if it has grown or is gone, and no other process is alive.
+
+        To be called periodically.
+        """
+        if self._file.is_in_place() and self._file.read_position < self._limits.ledger_tidy:
             return
         try:
-            with self._starting_now() as mine:
-                if mine and not self.others:
-                    self._rewrite()
+            with self._locks.start_lock(timeout=0.0) as is_locked:
+                if is_locked and not self.other_processes():
+                    self._file.replace(self.index.summary())
         except OSError as fault:
-            log.warning("the ledger could not be rewritten: %s", fault.strerror)
-
-    @contextlib.contextmanager
-    def _starting_now(self) -> Iterator[bool]:
-        fd = os.open(self._folder / "starting", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        try:
-            yield _locked(fd)
-        finally:
-            os.close(fd)
-
-    def _rewrite(self) -> None:
-        """The same in fewest words, in a new file that takes the old one's place in one step."""
-        draft = self._folder / "ledger.new"
-        data = b"".join(encode(record) for record in self.index.summary())
-        draft.write_bytes(data)
-        os.replace(draft, self._path)
-        os.close(self._file)
-        self._open()
-        self._size = len(data)
+            log.warning("the handover log could not be rewritten: %s", fault.strerror)
 
     def close(self) -> None:
-        """This process is no more, for the others."""
-        for fd in (self._life, self._file):
-            if fd >= 0:
-                os.close(fd)
-        with contextlib.suppress(OSError):
-            (self._folder / f"life.{self.me}").unlink()
-
-
-def _locked(fd: int) -> bool:
-    """Whether the lock is ours now."""
-    try:
-        fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-    except OSError:
-        return False
-    return True
+        """Leave the live processes; the others notice at once."""
+        self._locks.close()
+        self._file.close()
+        self._locks.delete_own_file()
--- a/brackenlane/ops/handover_state.py
+++ b/brackenlane/ops/handover_state.py
@@ -1,11 +1,14 @@
-"""How a process stands to the others of its router. Pure.
-
-| this process | others that live | stand |
-| --- | --- | --- |
-| any | none | ALONE |
-| any | a later one that serves | RELIEVED |
-| any | a later one that does not serve yet | EXPECTING |
-| any | earlier ones alone | TAKING_OVER |
+"""The state of one process in a handover (hot restart) between the processes of its router. Pure.
+
+It is the state of this process relative to the other live processes at the same address, which are ordered by
+their start:
+
+| other live processes                                 | state       |
+| ---------------------------------------------------- | ----------- |
+| none                                                 | ALONE       |
+| at least one started later and serves clients        | RELIEVED    |
+| at least one started later, none of them serves yet  | EXPECTING   |
+| all of them started earlier                          | TAKING_OVER |
 """
 
 from __future__ import annotations
@@ -17,29 +20,41 @@
 
 @dataclass(slots=True, frozen=True)
 class HandoverBehavior:
-    """What a process does in its stand."""
+    """What a process does in one handover state."""
 
-    name: str
-    share: float  # of the clients' places
-    is_handing_over: bool  # answers ask clients to come back on a new connection, which the successor gets
-    cold: bool  # may send to caches that started lately
+    label: str  # as the log shows it
+    client_share: float  # part of the client connections and requests that this process accepts, 0 to 1
+    is_handing_over: bool  # responses ask clients to reconnect, which leads them to the later process
+    uses_cold_caches: bool  # whether requests may go to caches that started recently
 
 
 class HandoverState(Enum):
-    """The stands, each with its duty."""
-
-    ALONE = HandoverBehavior("alone", 1.0, False, True)
-    EXPECTING = HandoverBehavior("expecting a successor", 0.75, False, True)
-    TAKING_OVER = HandoverBehavior("taking over", 0.75, False, True)
-    RELIEVED = HandoverBehavior("relieved", 0.25, True, False)
-
-
-def handover_state(me: str, serving: Mapping[str, bool], alive: Set[str]) -> HandoverState:
-    """How `me` stands. serving: who serves, in the order of births; alive: who of them lives."""
-    order = list(serving)
-    later = [p for p in order[order.index(me) + 1 :] if p in alive]
-    if any(serving[p] for p in later):
+    """The four states, each with the behavior that it prescribes."""
+
+    ALONE = HandoverBehavior("alone", client_share=1.0, is_handing_over=False, uses_cold_caches=True)
+    EXPECTING = HandoverBehavior(
+        "expecting a successor", client_share=0.75, is_handing_over=False, uses_cold_caches=True
+    )
+    TAKING_OVER = HandoverBehavior(
+        "taking over", client_share=0.75, is_handing_over=False, uses_cold_caches=True
+    )
+    RELIEVED = HandoverBehavior("relieved", client_share=0.25, is_handing_over=True, uses_cold_caches=False)
+
+
+def handover_state(process_id: str, is_serving: Mapping[str, bool], alive: Set[str]) -> HandoverState:
+    """Return the state of one process.
+
+    is_serving: for each recorded process, in the order of their start, whether it serves clients; it contains
+    `process_id`. alive: which of them run now; whether it contains `process_id` makes no difference.
+    """
+    start_order = list(is_serving)
+    own_position = start_order.index(process_id)
+    later = [other for other in start_order[own_position + 1 :] if other in alive]
+    earlier = [other for other in start_order[:own_position] if other in alive]
+    if any(is_serving[other] for other in later):
         return HandoverState.RELIEVED
     if later:
         return HandoverState.EXPECTING
-    return HandoverState.TAKING_OVER if any(p in alive for p in order if p != me) else HandoverState.ALONE
+    if earlier:
+        return HandoverState.TAKING_OVER
+    return HandoverState.ALONE
--- a/brackenlane/ops/maintenance.py
+++ b/brackenlane/ops/maintenance.py
@@ -1,7 +1,7 @@
-"""Boxes taken out by hand, laid over whatever the change log says of them.
+"""Maintenance: caches that an operator took out of service, laid over what the change log says of them. Pure.
 
-Pure: lists in, lists out. A cache that is out is told to the core as draining, so every rule on drains holds
-for it; whatever the log says meanwhile is noted and told once it may serve again.
+A cache in maintenance is reported to the request engine as draining, so that every rule for draining caches
+holds for it. What the change log says meanwhile is kept, and reported once the cache may serve again.
 """
 
 from __future__ import annotations
@@ -9,31 +9,46 @@
 from collections.abc import Callable
 from dataclasses import replace
 from enum import Enum
+from typing import NamedTuple
 
 from brackenlane.routing.events import Membership, MembershipKind
 from brackenlane.routing.members import Member, ServerState
 
 
+class MaintenanceAction(Enum):
+    """What an operator orders for a cache; the values are words of the admin API."""
+
+    ENTER = "enter"
+    EXIT = "exit"
+
+
 class MaintenanceResult(Enum):
-    """What came of a call."""
+    """How an order ended."""
 
     DONE = "done"
-    UNKNOWN = "unknown"  # no cache of this name is listed, and none is out
-    FULL = "full"  # as many are out as may be
+    UNKNOWN = "unknown"  # no cache of this name is listed or out of service
+    FULL = "full"  # as many caches are out of service as may be
+    NOT_RECORDED = "not recorded"  # it cannot be stored for the next process, so nothing has changed
+
+
+class MaintenanceChange(NamedTuple):
+    """The result of an order, and the event that the request engine must get, if any."""
+
+    result: MaintenanceResult
+    event: Membership | None
 
 
 class Maintenance:
-    """The list as the log tells it, and who is out of it by hand."""
+    """The caches listed by the change log, and which of them are out of service."""
 
-    def __init__(self, most: int) -> None:
-        """At most so many caches are out at once."""
-        self._most = most
-        self.listed: dict[str, Member] = {}  # as told by the log, gone ones left out
-        self.out: dict[str, float] = {}  # by id: the Unix time from which it is out
-        self._shaded: Callable[[Member], bool] = lambda _: False
+    def __init__(self, max_out_of_service: int) -> None:
+        self._max_out_of_service = max_out_of_service
+        self.listed: dict[str, Member] = {}  # as the change log says, without those that are gone
+        self.out_of_service: dict[str, float] = {}  # by cache: the Unix time since when
+        self._is_excluded: Callable[[Member], bool] = lambda _: False
 
     def apply(self, event: Membership) -> Membership:
-        """A list of the log's, as the core may hear it."""
+        """Keep an event of the change log; return it as the request engine may get it."""
         if event.kind is not MembershipKind.CHANGES:
             self.listed = {}
         for member in event.members:
@@ -43,42 +58,65 @@
                 self.listed[member.server] = member
         return Membership(event.kind, tuple(self._masked(member) for member in event.members))
 
-    def enter(self, server: str, now: float) -> tuple[MaintenanceResult, Membership | None]:
-        """Take a cache out; told again, nothing changes. The list that makes it so, if any must be told."""
-        if server in self.out:
-            return MaintenanceResult.DONE, None
-        member = self.listed.get(server)
-        if member is None:
-            return MaintenanceResult.UNKNOWN, None
-        if len(self.out) >= self._most:
-            return MaintenanceResult.FULL, None
-        self.out[server] = now
-        return MaintenanceResult.DONE, Membership(MembershipKind.CHANGES, (self._masked(member),))
-
-    def leave(self, server: str, now: float) -> tuple[MaintenanceResult, Membership | None]:
-        """Let a cache serve again, however often it was taken out.
-
-        Guards a cache that was restarted while it was out, which the (late) log does not tell yet: unless it
-        has told of a start since, the cache counts as started now, so as cold.
+    def is_out_of_service(self, server: str) -> bool:
+        """Whether an operator took a cache out of service."""
+        return server in self.out_of_service
+
+    def check(self, action: MaintenanceAction, server: str) -> MaintenanceResult | None:
+        """Return the result of an order that changes nothing; None for one that is to be carried out."""
+        is_listed = server in self.listed
+        is_out = self.is_out_of_service(server)
+        if action is MaintenanceAction.EXIT:
+            if is_out:
+                return None
+            return MaintenanceResult.DONE if is_listed else MaintenanceResult.UNKNOWN
+        if is_out:
+            return MaintenanceResult.DONE
+        if not is_listed:
+            return MaintenanceResult.UNKNOWN
+        if len(self.out_of_service) >= self._max_out_of_service:
+            return MaintenanceResult.FULL
+        return None
+
+    def carry_out(self, action: MaintenanceAction, server: str, now: float) -> MaintenanceChange:
+        """Carry out an order; repeated, it changes nothing. now: its Unix time."""
+        result = self.check(action, server)
+        if result is not None:
+            return MaintenanceChange(result, None)
+        if action is MaintenanceAction.ENTER:
+            return self._enter(server, now)
+        return self._exit(server, now)
+
+    def _enter(self, server: str, now: float) -> MaintenanceChange:
+        self.out_of_service[server] = now
+        return MaintenanceChange(MaintenanceResult.DONE, self._changes([self.listed[server]]))
+
+    def _exit(self, server: str, now: float) -> MaintenanceChange:
+        """Put a cache back into service.
+
+        Guards a cache that was restarted in maintenance, which the (late) change log does not say yet: unless
+        it has reported a start since, the cache counts as started now, so as warming up.
         """
-        since = self.out.pop(server, None)
+        since = self.out_of_service.pop(server)
         member = self.listed.get(server)
-        if since is None:
-            return (MaintenanceResult.DONE if member else MaintenanceResult.UNKNOWN), None
-        if member is None:  # not listed at the moment: when it comes back, the log tells of its start
-            return MaintenanceResult.DONE, None
-        started = member.started_at if member.started_at >= since else now
-        back = replace(member, started_at=started)
-        return MaintenanceResult.DONE, Membership(MembershipKind.CHANGES, (self._masked(back),))
-
-    def shade(self, shaded: Callable[[Member], bool]) -> Membership:
-        """Treat the caches that this selects as out of service from now on; return the list that does so."""
-        self._shaded = shaded
-        return Membership(
-            MembershipKind.CHANGES, tuple(self._masked(member) for member in self.listed.values())
+        if member is None:  # not listed at the moment: when it is again, the change log reports its start
+            return MaintenanceChange(MaintenanceResult.DONE, None)
+        started_at = member.started_at if member.started_at >= since else now
+        return MaintenanceChange(
+            MaintenanceResult.DONE, self._changes([replace(member, started_at=started_at)])
         )
 
+    def exclude(self, is_excluded: Callable[[Member], bool]) -> Membership:
+        """Treat the caches that this selects as out of service from now on; return the event that does so."""
+        self._is_excluded = is_excluded
+        return self._changes(list(self.listed.values()))
+
+    def _changes(self, members: list[Member]) -> Membership:
+        return Membership(MembershipKind.CHANGES, tuple(self._masked(member) for member in members))
+
     def _masked(self, member: Member) -> Member:
-        if member.state is ServerState.SERVING and (member.server in self.out or self._shaded(member)):
+        if member.state is not ServerState.SERVING:
+            return member
+        if self.is_out_of_service(member.server) or self._is_excluded(member):
             return replace(member, state=ServerState.DRAINING)
         return member
--- /dev/null
+++ b/brackenlane/ops/maintenance_orders.py
@@ -0,0 +1,85 @@
+"""Maintenance orders of one process: between the change log, the admin API and the request engine."""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Callable
+
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.metrics import Gauges, RequestMetrics, expose
+from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
+from brackenlane.ops.handover_records import MaintenanceEntered, MaintenanceExited
+from brackenlane.ops.maintenance import Maintenance, MaintenanceAction, MaintenanceResult
+from brackenlane.routing.events import Event, Membership
+from brackenlane.routing.members import Member
+
+log = logging.getLogger(__name__)
+
+
+class MaintenanceOrders:
+    """Owns what operators took out of service, and tells the request engine of it.
+
+    With a handover log each order is stored there first, and carried out as its record is read back; without
+    one the orders are known to this process alone.
+    """
+
+    def __init__(
+        self, engine: RequestEngine, max_out_of_service: int, handover_log: HandoverLog | None
+    ) -> None:
+        self._engine = engine
+        self._handover_log = handover_log
+        self._maintenance = Maintenance(max_out_of_service)
+        if handover_log:
+            self._maintenance.out_of_service.update(handover_log.index.out_of_service)
+
+    def on_event(self, event: Event) -> None:
+        """Pass an event of the change log to the request engine, with caches in maintenance masked."""
+        if isinstance(event, Membership):
+            event = self._maintenance.apply(event)
+        self._engine.post(event)
+
+    def order(self, action: MaintenanceAction, server: str) -> MaintenanceResult:
+        """Carry out an operator's order before this returns."""
+        now = time.time()
+        if self._handover_log is None:
+            return self.carry_out(action, server, now)
+        result = self._maintenance.check(action, server)
+        if result is not None:
+            return result
+        try:
+            self._handover_log.append(_record(action, server, now))
+        except HandoverLogError as error:
+            log.error("maintenance order for %s cannot be stored: %s", server, error)
+            return MaintenanceResult.NOT_RECORDED
+        return MaintenanceResult.DONE
+
+    def carry_out(self, action: MaintenanceAction, server: str, at: float) -> MaintenanceResult:
+        """Carry out an order of this or another process, given at a Unix time."""
+        change = self._maintenance.carry_out(action, server, at)
+        if change.event:
+            self._notify(change.event)
+        return change.result
+
+    def exclude(self, is_excluded: Callable[[Member], bool]) -> None:
+        """Treat the caches that this selects as out of service from now on."""
+        self._notify(self._maintenance.exclude(is_excluded))
+
+    def _notify(self, event: Membership) -> None:
+        if event.members:
+            # At once, for what is being written now; the engine may be in the middle of a decision.
+            self._engine.membership.apply(event, time.time())
+            self._engine.post(event)
+
+    def metrics(self, counts: RequestMetrics, active: int) -> bytes:
+        """Return all metrics in the text format. active: requests in progress."""
+        listed = self._maintenance.listed
+        avoided = self._engine.avoided
+        ejected = sum(server in avoided or self._maintenance.is_out_of_service(server) for server in listed)
+        return expose(counts, Gauges(active, len(listed), ejected))
+
+
+def _record(action: MaintenanceAction, server: str, at: float) -> MaintenanceEntered | MaintenanceExited:
+    if action is MaintenanceAction.ENTER:
+        return MaintenanceEntered(server, at)
+    return MaintenanceExited(server, at)
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -11,13 +11,14 @@
 import trio
 
 from brackenlane.core.metrics import Gauges, RequestMetrics, expose
-from brackenlane.ops.maintenance import Maintenance, MaintenanceResult
+from brackenlane.ops.maintenance import Maintenance, MaintenanceAction, MaintenanceResult
 from brackenlane.routing.events import Membership, MembershipKind
 from brackenlane.routing.members import Member, ServerState
 from tests.stand_ins import Asked, Box, Log, data, free_port, platform, record, with_trio
 from tests.stand_ins import ScriptedReply
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
+ENTER, EXIT = MaintenanceAction.ENTER, MaintenanceAction.EXIT
 
 
 async def call(port: int, path: str, method: str = "GET", raw: bytes = b"") -> tuple[int, str]:
@@ -42,7 +43,7 @@
     }
 
 
-def test_text_format() -> None:
+def test_metrics_text_format() -> None:
     """Each line is a sample or a type, names and labels as the published format has them, quotes escaped."""
     counts = RequestMetrics(['a"b\\c\nd', "pages"])
     counts.ended("pages", 200)
@@ -58,37 +59,37 @@
     assert r'gw_ok{kind="a\"b\\c\nd"} 0' in text
 
 
-def test_maintenance_over_lists() -> None:
+def test_maintenance_outlasts_change_log_events() -> None:
     """A cache that is out stays so through every list; back, it counts as cold unless the log told so."""
-    known = Maintenance(most=1)
+    known = Maintenance(max_out_of_service=1)
     cache, other = Member("a", "z", started_at=5.0), Member("b", "z")
 
     def reported(event: Membership | None) -> list[tuple[str, ServerState, float]]:
         assert event is not None
         return [(m.server, m.state, m.started_at) for m in event.members]
 
-    assert known.enter("a", 10.0) == (MaintenanceResult.UNKNOWN, None)
+    assert known.carry_out(ENTER, "a", 10.0) == (MaintenanceResult.UNKNOWN, None)
     known.apply(Membership(MembershipKind.FULL, (cache, other)))
-    assert reported(known.enter("a", 10.0)[1]) == [("a", ServerState.DRAINING, 5.0)]
-    assert known.enter("a", 11.0) == (MaintenanceResult.DONE, None)
-    assert known.enter("b", 11.0) == (MaintenanceResult.FULL, None)
+    assert reported(known.carry_out(ENTER, "a", 10.0)[1]) == [("a", ServerState.DRAINING, 5.0)]
+    assert known.carry_out(ENTER, "a", 11.0) == (MaintenanceResult.DONE, None)
+    assert known.carry_out(ENTER, "b", 11.0) == (MaintenanceResult.FULL, None)
     for kind in (MembershipKind.CHANGES, MembershipKind.FULL):
         assert reported(known.apply(Membership(kind, (cache, other)))) == [
             ("a", ServerState.DRAINING, 5.0),
             ("b", ServerState.SERVING, 0.0),
         ]
-    assert reported(known.leave("a", 20.0)[1]) == [
+    assert reported(known.carry_out(EXIT, "a", 20.0)[1]) == [
         ("a", ServerState.SERVING, 20.0)
     ]  # no start told since: cold
-    assert known.leave("a", 21.0) == (MaintenanceResult.DONE, None)
-    assert known.leave("c", 21.0) == (MaintenanceResult.UNKNOWN, None)
-    known.enter("a", 30.0)
+    assert known.carry_out(EXIT, "a", 21.0) == (MaintenanceResult.DONE, None)
+    assert known.carry_out(EXIT, "c", 21.0) == (MaintenanceResult.UNKNOWN, None)
+    known.carry_out(ENTER, "a", 30.0)
     known.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", state=ServerState.GONE),)))
-    assert known.leave("a", 31.0) == (MaintenanceResult.DONE, None)
+    assert known.carry_out(EXIT, "a", 31.0) == (MaintenanceResult.DONE, None)
     known.apply(Membership(MembershipKind.CHANGES, (cache,)))
-    known.enter("a", 40.0)
+    known.carry_out(ENTER, "a", 40.0)
     known.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", started_at=44.0),)))
-    assert reported(known.leave("a", 50.0)[1]) == [("a", ServerState.SERVING, 44.0)]
+    assert reported(known.carry_out(EXIT, "a", 50.0)[1]) == [("a", ServerState.SERVING, 44.0)]
 
 
 @pytest.mark.parametrize(
@@ -106,7 +107,7 @@
     ],
 )
 @with_trio
-async def test_calls(tmp_path: Path, raw: bytes, status: int) -> None:
+async def test_each_call_gets_its_response(tmp_path: Path, raw: bytes, status: int) -> None:
     """Each call gets its answer; what can't be read or is not known changes nothing."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in (Box(EDGE), Box(ORIGIN, "origin"))]
@@ -120,7 +121,7 @@
 
 
 @with_trio
-async def test_callers_who_finish_nothing(tmp_path: Path) -> None:
+async def test_idle_connections_give_way_to_new_calls(tmp_path: Path) -> None:
     """More callers than may stand there, idle or half-way, and a caller that calls is answered at once."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in (Box(EDGE), Box(ORIGIN, "origin"))]
@@ -138,7 +139,7 @@
 
 
 @with_trio
-async def test_true_figures(tmp_path: Path) -> None:
+async def test_metrics_agree_with_clients_and_caches(tmp_path: Path) -> None:
     """Every way a request may end is counted as its client saw it, each attempt as its cache did."""
     ways: dict[str, ScriptedReply] = {
         "00000000000000a0": b"%b absent - 0\r\n\r\n",
@@ -198,7 +199,7 @@
 
 
 @with_trio
-async def test_box_taken_out(tmp_path: Path) -> None:
+async def test_cache_in_maintenance_receives_no_requests(tmp_path: Path) -> None:
     """From the yes on nothing goes to it, whatever the log says; one call back undoes two."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,18 @@
 
 from brackenlane.limits import Limits
 from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
-from brackenlane.ops.handover_records import HandoverIndex, Reader, Record, RecordType, encode
+from brackenlane.ops.handover_index import HandoverIndex
+from brackenlane.ops.handover_records import (
+    HandoverRecord,
+    MaintenanceEntered,
+    MaintenanceExited,
+    ProcessServing,
+    ProcessStarted,
+    RecordReader,
+    SubmitClaimed,
+    SubmitReleased,
+    encode,
+)
 from brackenlane.ops.handover_state import HandoverState, handover_state
 from tests.stand_ins import Asked, Box, ScriptedReply, Program, data, free_port, platform, with_trio
 from tests.test_admin_api import call
@@ -33,61 +44,61 @@
 )
 
 
-# Records, book, stands: pure
+# Records, index, states: pure
 
 RECORDS = st.lists(
     st.one_of(
-        st.builds(
-            lambda k, p: Record(k, (p,)),
-            st.sampled_from([RecordType.BORN, RecordType.SERVES]),
-            st.sampled_from("abc"),
-        ),
-        st.builds(
-            lambda k, b, t: Record(k, (b, repr(t))),
-            st.sampled_from([RecordType.ENTER, RecordType.EXIT]),
-            st.sampled_from(["s-1", "s-2"]),
-            st.floats(0, 9e9),
-        ),
-        st.builds(
-            lambda t, p: Record(RecordType.CLAIM, (t, p)), st.sampled_from("123"), st.sampled_from("abc")
-        ),
-        st.builds(lambda t: Record(RecordType.RELEASE, (t,)), st.sampled_from("123")),
+        st.builds(ProcessStarted, st.sampled_from("abc")),
+        st.builds(ProcessServing, st.sampled_from("abc")),
+        st.builds(MaintenanceEntered, st.sampled_from(["s-1", "s-2"]), st.floats(0, 9e9)),
+        st.builds(MaintenanceExited, st.sampled_from(["s-1", "s-2"]), st.floats(0, 9e9)),
+        st.builds(SubmitClaimed, st.sampled_from("123"), st.sampled_from("abc")),
+        st.builds(SubmitReleased, st.sampled_from("123")),
     ),
     max_size=20,
 )
 
 
 def folded(data: bytes, step: int) -> HandoverIndex:
-    """The book of what was read in pieces."""
-    book, reader = HandoverIndex(100), Reader(256)
+    """The index of what was read in pieces."""
+    index = HandoverIndex(100)
+    reader = RecordReader(256)
     for n in range(0, len(data), step):
         for record in reader.feed(data[n : n + step]):
-            book.take(record)
-    return book
+            index.apply(record)
+    return index
 
 
 @settings(derandomize=True, deadline=None)
 @given(RECORDS, st.integers(1, 40))
-def test_summary_adds_up_to_the_same(records: list[Record], step: int) -> None:
-    """Cut at any byte, and rewritten in fewest words, the ledger says the same."""
-    book = folded(b"".join(map(encode, records)), step)
-    again = folded(b"".join(map(encode, book.summary())), step)
-    assert (book.serving, book.out, book.submits) == (again.serving, again.out, again.submits)
+def test_summary_adds_up_to_the_same_state(records: list[HandoverRecord], step: int) -> None:
+    """Cut at any byte, and rewritten in fewest words, the log says the same."""
+    index = folded(b"".join(map(encode, records)), step)
+    again = folded(b"".join(map(encode, index.summary())), step)
+    assert (index.is_serving, index.out_of_service, index.claims) == (
+        again.is_serving,
+        again.out_of_service,
+        again.claims,
+    )
 
 
 @settings(derandomize=True, deadline=None)
 @given(RECORDS, RECORDS, st.binary(max_size=60), st.integers(0, 400))
-def test_what_is_torn_spoils_itself_alone(
-    before: list[Record], after: list[Record], junk: bytes, cut: int
+def test_torn_record_damages_no_other(
+    before: list[HandoverRecord], after: list[HandoverRecord], junk: bytes, cut: int
 ) -> None:
     """A record cut by a crash, or bytes that are none of ours, hide no record before or after them."""
-    torn = encode(Record(RecordType.ENTER, ("s-9", "1.0")))[: -2 - cut % 10]
+    torn = encode(MaintenanceEntered("s-9", 1.0))[: -2 - cut % 10]
     text = b"".join(map(encode, before)) + torn + junk.replace(b"\n", b"") + b"".join(map(encode, after))
     complete = HandoverIndex(100)
     for record in (*before, *after):
-        complete.take(record)
+        complete.apply(record)
     found = folded(text, 7)
-    assert (found.serving, found.out, found.submits) == (complete.serving, complete.out, complete.submits)
+    assert (found.is_serving, found.out_of_service, found.claims) == (
+        complete.is_serving,
+        complete.out_of_service,
+        complete.claims,
+    )
 
 
 @pytest.mark.parametrize(
@@ -102,49 +113,51 @@
         ({"old": True, "me": True, "new": True}, {"old", "new"}, HandoverState.RELIEVED),
     ],
 )
-def test_stands(serving: dict[str, bool], alive: set[str], found: HandoverState) -> None:
+def test_handover_state_follows_from_live_processes(
+    serving: dict[str, bool], alive: set[str], found: HandoverState
+) -> None:
     assert handover_state("me", serving, alive) is found
 
 
 def test_first_claim_wins(tmp_path: Path) -> None:
     """Of two that claim one submit, the order of the file decides, and both know."""
     old, new = (HandoverLog(tmp_path / "x", Limits()) for _ in range(2))
-    assert old.others == [] or old.others == [new.me]
-    for ledger in (new, old):
-        ledger.append(RecordType.CLAIM, "t1", ledger.me)
-    old.look()
-    new.look()
-    assert old.index.submits["t1"] == new.index.submits["t1"] == new.me
+    assert old.other_processes() == [] or old.other_processes() == [new.process_id]
+    for log in (new, old):
+        log.append(SubmitClaimed("t1", log.process_id))
+    old.read_new_records()
+    new.read_new_records()
+    assert old.index.claims["t1"] == new.index.claims["t1"] == new.process_id
     new.close()
-    assert old.others == [] and old.index.submits["t1"] == new.me
+    assert old.other_processes() == [] and old.index.claims["t1"] == new.process_id
 
 
-def test_bounds(tmp_path: Path) -> None:
+def test_full_log_takes_orders_but_no_claims(tmp_path: Path) -> None:
     """Past its bound it takes no claim, but orders; alone, it is rewritten and takes claims again."""
     limits = Limits(ledger=4_000, ledger_tidy=1_000, ledger_orders=1_000, claims=5)
     old = HandoverLog(tmp_path / "x", limits)
     new = HandoverLog(tmp_path / "x", limits)
     with pytest.raises(HandoverLogError):
         for n in range(200):
-            old.append(RecordType.CLAIM, f"{n:016x}", old.me)
-    old.append(RecordType.ENTER, "s-1", "5.0")
-    old.tend()
+            old.append(SubmitClaimed(f"{n:016x}", old.process_id))
+    old.append(MaintenanceEntered("s-1", 5.0))
+    old.compact()
     assert (tmp_path / "x" / "ledger").stat().st_size > 3_900  # not while another lives
     new.close()
-    old.tend()
+    old.compact()
     assert (tmp_path / "x" / "ledger").stat().st_size < 500
-    old.append(RecordType.CLAIM, "t", old.me)
+    old.append(SubmitClaimed("t", old.process_id))
     later = HandoverLog(tmp_path / "x", limits)
-    assert later.index.out == {"s-1": 5.0} and len(later.index.submits) == 5
+    assert later.index.out_of_service == {"s-1": 5.0} and len(later.index.claims) == 5
 
 
-def test_gone_ledger_is_written_again(tmp_path: Path) -> None:
+def test_deleted_log_is_written_again(tmp_path: Path) -> None:
     """Whoever empties the folder loses no order that a living process knows."""
     old = HandoverLog(tmp_path / "x", Limits())
-    old.append(RecordType.ENTER, "s-1", "5.0")
+    old.append(MaintenanceEntered("s-1", 5.0))
     (tmp_path / "x" / "ledger").unlink()
-    old.tend()
-    assert HandoverLog(tmp_path / "x", Limits()).index.out == {"s-1": 5.0}
+    old.compact()
+    assert HandoverLog(tmp_path / "x", Limits()).index.out_of_service == {"s-1": 5.0}
 
 
 # Two real processes
@@ -260,7 +273,7 @@
 
 
 @with_trio
-async def test_nothing_is_lost_in_the_switch(tmp_path: Path) -> None:
+async def test_no_request_is_lost_in_a_handover(tmp_path: Path) -> None:
     """Under load three processes take over one from another; every request is answered 200."""
     async with site(tmp_path) as here, trio.open_nursery() as nursery, contextlib.AsyncExitStack() as stack:
         old, _ = await stack.enter_async_context(here.process())
@@ -280,7 +293,7 @@
 
 @pytest.mark.parametrize("first", [True, False])
 @with_trio
-async def test_a_box_out_is_out_at_both(tmp_path: Path, first: bool) -> None:
+async def test_maintenance_order_holds_at_both_processes(tmp_path: Path, first: bool) -> None:
     """Taken out at either process: nothing more goes to it from the other, nor from the next."""
     async with site(tmp_path) as here, here.process() as (old, ops):
         retained = await trio.open_tcp_stream("127.0.0.1", here.port)
@@ -303,7 +316,7 @@
 
 
 @with_trio
-async def test_a_submit_runs_at_one(tmp_path: Path) -> None:
+async def test_submit_runs_at_one_process(tmp_path: Path) -> None:
     """The same submit to both processes, and to the next after a kill, runs once."""
     async with site(tmp_path) as here, here.process() as (old, _):
         async with (
@@ -324,7 +337,7 @@
 
 
 @with_trio
-async def test_the_new_one_dies(tmp_path: Path) -> None:
+async def test_killed_successor_leaves_clients_to_old_process(tmp_path: Path) -> None:
     """Killed right after it took over, it leaves the old one with all of it, and the next start goes well."""
     async with site(tmp_path) as here, here.process() as (old, _):
         for _ in range(2):
@@ -340,7 +353,7 @@
 
 @pytest.mark.parametrize("left", ["folder", "file", "large", "torn", "pipe", "stale"])
 @with_trio
-async def test_what_lies_there(tmp_path: Path, left: str) -> None:
+async def test_process_starts_whatever_the_folder_contains(tmp_path: Path, left: str) -> None:
     """Whatever lies in the folder, the process starts, serves, and takes orders."""
     async with site(tmp_path) as here:
         folder = tmp_path / "shared" / f"brackenlane.127.0.0.1.{here.port}"
@@ -353,15 +366,14 @@
         elif left == "large":
             (folder / "ledger").write_bytes(os.urandom(8 * 2**20))
         elif left == "torn":
-            retained = encode(Record(RecordType.ENTER, (EDGE, "5.0")))
-            (folder / "ledger").write_bytes(retained + encode(Record(RecordType.ENTER, (OTHER, "5.0")))[:-3])
+            retained = encode(MaintenanceEntered(EDGE, 5.0))
+            (folder / "ledger").write_bytes(retained + encode(MaintenanceEntered(OTHER, 5.0))[:-3])
         elif left == "pipe":
             os.mkfifo(folder / "ledger")
         elif left == "stale":
             (folder / "life.0badcafe").write_bytes(b"")
             (folder / "ledger").write_bytes(
-                encode(Record(RecordType.BORN, ("0badcafe",)))
-                + encode(Record(RecordType.SERVES, ("0badcafe",)))
+                encode(ProcessStarted("0badcafe")) + encode(ProcessServing("0badcafe"))
             )
         async with here.process() as (router_process, ops):
             for n in range(8):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -75,7 +75,7 @@
 
 
 @with_trio
-async def test_other_settings_hold_whole(tmp_path: Path) -> None:
+async def test_new_settings_replace_old_ones_completely(tmp_path: Path) -> None:
     """What is in hand ends as it came; then classes, effects, zones and times are the new ones alone."""
     async with trio.open_nursery() as nursery:
         held: list[Asked] = []
@@ -127,7 +127,9 @@
     ],
 )
 @with_trio
-async def test_unusable_changes_nothing(tmp_path: Path, change: dict[str, Any], said: bytes) -> None:
+async def test_unusable_configuration_changes_nothing(
+    tmp_path: Path, change: dict[str, Any], said: bytes
+) -> None:
     """Not one part of an unusable file comes into force: classes, list and the log's address stay."""
     async with trio.open_nursery() as nursery:
         edge, origin = await fleet(nursery)
@@ -143,7 +145,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_nothing_learned_or_promised_under_old_settings_is_left() -> None:
+def test_reload_discards_state_learned_under_old_settings() -> None:
     """Widths, blame and budgets begin anew; an old request keeps its rules and gets no cold cache."""
     old = RequestClass(
         "a", latency_objective=0.5, time_limit=5.0, idempotency=Idempotency.NON_IDEMPOTENT, uncached=True
@@ -186,7 +188,7 @@
 
 
 @with_trio
-async def test_signal_while_the_old_file_is_read_is_not_lost(tmp_path: Path) -> None:
+async def test_sighup_during_initial_read_is_not_lost(tmp_path: Path) -> None:
     """The file is replaced, and SIGHUP sent, between the start and the first look at signals."""
     async with trio.open_nursery() as nursery:
         caches = await fleet(nursery)
@@ -243,7 +245,7 @@
 
 
 @with_trio
-async def test_signal_before_the_program_is_one(tmp_path: Path) -> None:
+async def test_sighup_before_program_start_is_ignored(tmp_path: Path) -> None:
     """SIGHUP as soon as there is a process of ours, long before its first line: it starts all the same."""
     async with trio.open_nursery() as nursery:
         caches = await fleet(nursery)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -10,13 +10,13 @@
 import re
 import shutil
 from pathlib import Path
-from typing import Any
+from typing import Any, get_args
 
 import orjson
 import pytest
 import trio
 
-from brackenlane.__main__ import _ledger
+from brackenlane.__main__ import _open_handover_log
 from brackenlane.coldstart.pacing import Capacity
 from brackenlane.coldstart.stream_position import NOWHERE
 from brackenlane.config import load as load_config
@@ -28,7 +28,18 @@
 from brackenlane.lab.stand_ins.redis import Redis
 from brackenlane.limits import Limits
 from brackenlane.ops.handover_log import HandoverLog
-from brackenlane.ops.handover_records import HandoverIndex, Reader, Record, RecordType, encode
+from brackenlane.ops.handover_index import HandoverIndex
+from brackenlane.ops.handover_records import (
+    HandoverRecord,
+    MaintenanceEntered,
+    MaintenanceExited,
+    ProcessServing,
+    ProcessStarted,
+    RecordReader,
+    SubmitClaimed,
+    SubmitReleased,
+    encode,
+)
 from brackenlane.routing.members import Role
 from brackenlane.store.replica import SharedStore
 from tests.stand_ins import with_trio
@@ -57,16 +68,16 @@
     purges=(("clip", -1, 1_700_000_150.5), ("", 7, 1_700_000_160.0)),
 )
 
-RECORDS = (
-    Record(RecordType.BORN, ("0a1b2c3d",)),
-    Record(RecordType.SERVES, ("0a1b2c3d",)),
-    Record(RecordType.BORN, ("4e5f6071",)),
-    Record(RecordType.ENTER, ("s-00000001", "1700000000.25")),
-    Record(RecordType.ENTER, ("s-00000002", "1700000001.5")),
-    Record(RecordType.EXIT, ("s-00000002", "1700000002.75")),
-    Record(RecordType.CLAIM, ("txn-1", "0a1b2c3d")),
-    Record(RecordType.CLAIM, ("txn-2", "4e5f6071")),
-    Record(RecordType.RELEASE, ("txn-2",)),
+RECORDS: tuple[HandoverRecord, ...] = (
+    ProcessStarted("0a1b2c3d"),
+    ProcessServing("0a1b2c3d"),
+    ProcessStarted("4e5f6071"),
+    MaintenanceEntered("s-00000001", 1700000000.25),
+    MaintenanceEntered("s-00000002", 1700000001.5),
+    MaintenanceExited("s-00000002", 1700000002.75),
+    SubmitClaimed("txn-1", "0a1b2c3d"),
+    SubmitClaimed("txn-2", "4e5f6071"),
+    SubmitReleased("txn-2"),
 )
 
 
@@ -205,23 +216,23 @@
     assert os.listdir(tmp_path) == ["last-list.json.damaged"]
 
 
-def test_ledger_records_are_read_and_written_the_same() -> None:
+def test_handover_records_are_read_and_written_the_same() -> None:
     """Every kind of record, and what they add up to."""
     data = (DATA / "ledger").read_bytes()
-    reader, book = Reader(Limits().ledger_line), HandoverIndex(Limits().claims)
-    assert tuple(reader.feed(data)) == RECORDS and reader.spoilt == 0
-    assert {record.kind for record in RECORDS} == set(RecordType)
+    reader, index = RecordReader(Limits().ledger_line), HandoverIndex(Limits().claims)
+    assert tuple(reader.feed(data)) == RECORDS and reader.damaged_lines == 0
+    assert {type(record) for record in RECORDS} == set(get_args(HandoverRecord))
     assert b"".join(map(encode, RECORDS)) == data
     for record in RECORDS:
-        book.take(record)
-    assert book.serving == {"0a1b2c3d": True, "4e5f6071": False}
-    assert book.out == {"s-00000001": 1_700_000_000.25}
-    assert book.submits == {"txn-1": "0a1b2c3d"}
-    assert b"".join(map(encode, book.summary())) == (DATA / "ledger-rewritten").read_bytes()
+        index.apply(record)
+    assert index.is_serving == {"0a1b2c3d": True, "4e5f6071": False}
+    assert index.out_of_service == {"s-00000001": 1_700_000_000.25}
+    assert index.claims == {"txn-1": "0a1b2c3d"}
+    assert b"".join(map(encode, index.summary())) == (DATA / "ledger-rewritten").read_bytes()
 
 
 @pytest.mark.parametrize("sample", ["ledger", "ledger-rewritten"])
-def test_next_process_takes_the_ledger_over(
+def test_next_process_reads_the_handover_log(
     sample: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The folder by the address that is listened at, the files in it, and what outlives its processes."""
@@ -231,10 +242,10 @@
     shutil.copy(DATA / sample, folder / "ledger")
     (folder / "life.0a1b2c3d").touch()  # its process has ended: nobody holds its lock
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    ledger = _ledger(config, Limits())
-    assert isinstance(ledger, HandoverLog)
-    assert ledger.index.serving == {ledger.me: False}
-    assert ledger.index.out == {"s-00000001": 1_700_000_000.25}
-    assert ledger.index.submits == {"txn-1": "0a1b2c3d"}
-    assert set(os.listdir(folder)) == {"ledger", "starting", f"life.{ledger.me}"}
-    ledger.close()
+    handover_log = _open_handover_log(config, Limits())
+    assert isinstance(handover_log, HandoverLog)
+    assert handover_log.index.is_serving == {handover_log.process_id: False}
+    assert handover_log.index.out_of_service == {"s-00000001": 1_700_000_000.25}
+    assert handover_log.index.claims == {"txn-1": "0a1b2c3d"}
+    assert set(os.listdir(folder)) == {"ledger", "starting", f"life.{handover_log.process_id}"}
+    handover_log.close()
