--- a/brackenlane/config.py
+++ b/brackenlane/config.py
@@ -1,4 +1,4 @@
-"""What the router is told at start: read once, into the few values that are used."""
+"""The platform's configuration of a router: read once at the start and on SIGHUP, checked, as one record."""
 
 from __future__ import annotations
 
@@ -14,25 +14,33 @@
 from brackenlane.routing.members import Role
 from brackenlane.routing.settings import Settings
 
-Endpoint = tuple[str, int]
+Endpoint = tuple[str, int]  # IP address and port
+
+DEFAULT_SOCKETS = 1024
+MIN_SOCKETS = 64
+DEFAULT_MEMORY_MB = 192.0
+MIN_MEMORY_MB = 1
+MAX_PORT = 65_535
+MAX_CURSOR = 2**64 - 1
+REQUIRED_KEYS = ("name", "listen", "settings")
 
 
 class ConfigError(Exception):
-    """Something that cannot be used, in one plain line."""
+    """A configuration that cannot be used; the message is one plain line for each fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """The names by which the list's numbers and words are read."""
+    """The names by which the change log's numbers and words are read."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    roles: dict[str, Role]
+    roles: dict[str, Role]  # by kind of server
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One doorman's start."""
+    """Everything that one router is started with."""
 
     name: str
     listen: Endpoint
@@ -40,94 +48,120 @@
     site: Site
     seed: int = 0
     changelog: Endpoint | None = None
-    known: dict[str, Any] = field(default_factory=dict)
-    cursor: int = 0  # the number of the last event known
-    sockets: int = 1024
-    memory_mb: float = 192.0
-    flow: float = 0.0  # bytes a second of one transfer at the most, 0: not told
-    link: float = 0.0  # of all our own transfers together
-    ops: Endpoint | None = None  # where operators call, if told
+    known: dict[str, Any] = field(default_factory=dict)  # changes from before the start, as JSON
+    cursor: int = 0  # the number of the last change in `known`
+    sockets: int = DEFAULT_SOCKETS  # descriptors that the router may use
+    memory_mb: float = DEFAULT_MEMORY_MB
+    transfer_rate: float = 0.0  # bytes per second of one transfer at most; 0: unknown
+    link_rate: float = 0.0  # bytes per second of all this router's transfers together; 0: unknown
+    admin: Endpoint | None = None  # address of the admin API, if there is one
 
 
 def read_endpoint(text: object, what: str) -> Endpoint:
-    """An address and port."""
-    host, _, port = str(text).rpartition(":")
+    """Return an address and port from "ADDRESS:PORT". what: names the value in a ConfigError."""
+    host, _, port_text = str(text).rpartition(":")
     try:
         address = ipaddress.ip_address(host.strip("[]"))
-        number = int(port)
-        if not 0 <= number <= 65535:
-            raise ValueError(port)
-    except ValueError:
-        raise ConfigError(f"{what}: {text!r} is no address and port") from None
-    return str(address), number
+        port = int(port_text)
+    except ValueError as error:
+        raise ConfigError(f"{what}: {text!r} is no address and port") from error
+    if not 0 <= port <= MAX_PORT:
+        raise ConfigError(f"{what}: {text!r} is no address and port")
+    return str(address), port
 
 
 def read_settings(raw: Any) -> tuple[Settings, Site]:
-    """The settings as the module takes them, and the names that the list uses."""
+    """Return the settings of the decisions, and the names that the change log uses. Raises ConfigError."""
     try:
         settings = settings_codec.read_settings(raw)
         site = Site(settings.locations, settings_codec.kind_names(raw), settings_codec.kind_roles(raw))
-    except SettingsError as fault:
-        raise ConfigError(str(fault)) from None
+    except SettingsError as error:
+        raise ConfigError(str(error)) from error
     return settings, site
 
 
-def parse(text: bytes, ops: str = "") -> Config:
-    """The configuration from its JSON text; ops: the operators' address, where the text names none."""
+def parse(text: bytes, admin: str = "") -> Config:
+    """Return the configuration from its JSON text. Raises ConfigError.
+
+    admin: address of the admin API where the text names none; empty: none.
+    """
+    raw = _read_json(text)
+    settings, site = read_settings(raw["settings"])
+    seed = _read_seed(raw)
+    known = _read_object(raw, "known")
+    cursor = _read_cursor(known)
+    limits = _read_object(raw, "limits")
+    sockets = _read_number(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS)
+    changelog = raw.get("changelog")
+    admin = raw.get("ops") or admin
+    return Config(
+        name=str(raw["name"]),
+        listen=read_endpoint(raw["listen"], "listen"),
+        settings=settings,
+        site=site,
+        seed=seed,
+        changelog=read_endpoint(changelog, "changelog") if changelog else None,
+        known=known,
+        cursor=cursor,
+        sockets=int(sockets),
+        memory_mb=_read_number(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB),
+        transfer_rate=_read_number(raw, "flow_bytes_per_s", 0),
+        link_rate=_read_number(raw, "link_bytes_per_s", 0),
+        admin=read_endpoint(admin, "ops") if admin else None,
+    )
+
+
+def _read_json(text: bytes) -> dict[str, Any]:
+    """Return the JSON object of a text, with all the keys that must be there."""
     try:
         raw = orjson.loads(text)
-    except orjson.JSONDecodeError as fault:
-        raise ConfigError(f"configuration is not JSON: {fault}") from None
+    except orjson.JSONDecodeError as error:
+        raise ConfigError(f"configuration is not JSON: {error}") from error
     if not isinstance(raw, dict):
         raise ConfigError("configuration: an object is needed")
-    for name in ("name", "listen", "settings"):
-        if name not in raw:
-            raise ConfigError(f"{name}: missing")
-    settings, site = read_settings(raw["settings"])
+    for key in REQUIRED_KEYS:
+        if key not in raw:
+            raise ConfigError(f"{key}: missing")
+    return raw
+
+
+def _read_seed(raw: dict[str, Any]) -> int:
+    text = str(raw.get("seed", "0"))
     try:
-        seed = int(str(raw.get("seed", "0")), 16)
-    except ValueError:
-        raise ConfigError(f"seed: {raw['seed']!r} is not a hexadecimal number") from None
-    known = raw.get("known", {})
-    if not isinstance(known, dict):
-        raise ConfigError("known: an object is needed")
+        return int(text, 16)
+    except ValueError as error:
+        raise ConfigError(f"seed: {raw['seed']!r} is not a hexadecimal number") from error
+
+
+def _read_object(raw: dict[str, Any], key: str) -> dict[str, Any]:
+    """Return the object at a key; an empty one where the key is absent."""
+    value = raw.get(key, {})
+    if not isinstance(value, dict):
+        raise ConfigError(f"{key}: an object is needed")
+    return value
+
+
+def _read_cursor(known: dict[str, Any]) -> int:
     cursor = known.get("seq", 0)
-    if type(cursor) is not int or not 0 <= cursor < 2**64:
+    if type(cursor) is not int or not 0 <= cursor <= MAX_CURSOR:  # a bool is no number here
         raise ConfigError(f"known.seq: {cursor!r} is no event's number")
-    log, limits = raw.get("changelog"), raw.get("limits", {})
-    if not isinstance(limits, dict):
-        raise ConfigError("limits: an object is needed")
-    sockets = _read_number(limits, "sockets", 1024, 64)
-    return Config(
-        str(raw["name"]),
-        read_endpoint(raw["listen"], "listen"),
-        settings,
-        site,
-        seed,
-        read_endpoint(log, "changelog") if log else None,
-        known,
-        cursor,
-        int(sockets),
-        _read_number(limits, "memory_mb", 192, 1),
-        _read_number(raw, "flow_bytes_per_s", 0),
-        _read_number(raw, "link_bytes_per_s", 0),
-        read_endpoint(ops, "ops") if (ops := raw.get("ops") or ops) else None,
-    )
+    return cursor
 
 
-def _read_number(raw: dict[str, Any], name: str, absent: float, least: float = 0) -> float:
-    """A number of at least so much."""
-    value = raw.get(name, absent)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < float("inf"):
-        raise ConfigError(f"{name}: {value!r} is no number of at least {least}")
+def _read_number(raw: dict[str, Any], key: str, default: float, minimum: float = 0) -> float:
+    """Return the finite number at a key, of at least `minimum`; the default where the key is absent."""
+    value = raw.get(key, default)
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < float("inf"):
+        raise ConfigError(f"{key}: {value!r} is no number of at least {minimum}")
     return value
 
 
-def load(path: str | None, ops: str = "") -> Config:
-    """The configuration from its file; ops: as `parse` takes it."""
+def load(path: str | None, admin: str = "") -> Config:
+    """Return the configuration from its file, named by GW_CONFIG. Raises ConfigError. admin: see `parse`."""
     if not path:
         raise ConfigError("GW_CONFIG: names no file")
     try:
-        return parse(Path(path).read_bytes(), ops)
-    except OSError as fault:
-        raise ConfigError(f"GW_CONFIG: {path}: {fault.strerror}") from None
+        text = Path(path).read_bytes()
+    except OSError as error:
+        raise ConfigError(f"GW_CONFIG: {path}: {error.strerror}") from error
+    return parse(text, admin)
--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -1,4 +1,4 @@
-"""The actor that follows the change log: caches and purges, to the core and to the boxes' actors."""
+"""Client of the change log: follows the caches and purges of the platform, and reconnects with backoff."""
 
 from __future__ import annotations
 
@@ -7,11 +7,13 @@
 import socket
 import time
 from collections.abc import Callable, Iterable
+from typing import NamedTuple
 
 from brackenlane.config import Endpoint, Site
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
-from brackenlane.net.change_log_codec import Change, FrameReader, ListError, read_frame
+from brackenlane.net.change_log_codec import Change, Frame, read_frame
+from brackenlane.net.change_log_connection import ChangeLogConnection
 from brackenlane.net.connection_pool import ConnectionPools
 from brackenlane.net.connector import Connector
 from brackenlane.net.poller import Poller
@@ -20,134 +22,128 @@
 
 log = logging.getLogger(__name__)
 
+RETRY_JITTER = (0.5, 1.5)  # bounds of the random factor on a retry interval
+
+
+class ChangeApplier:
+    """Passes each change once, in order, to the connection pools and the request engine."""
+
+    def __init__(self, pools: ConnectionPools, notify: Callable[[Event], None]) -> None:
+        """Call `notify` with each event, for the request engine."""
+        self._pools = pools
+        self._notify = notify
+        self.cursor = 0  # the number of the last change applied
+
+    def apply(self, change: Change) -> None:
+        """Apply a change, unless it was applied before."""
+        event = change.event
+        if event is None or change.number <= self.cursor:
+            return
+        if isinstance(event, Membership):
+            gone = {member.server for member in event.members if member.state is ServerState.GONE}
+            self._pools.follow(change.endpoints, gone, event.kind is MembershipKind.FULL)
+        self._notify(event)
+        if isinstance(event, Membership):
+            self._pools.recheck()
+        self.cursor = change.number
+
+
+class ChangeLogSource(NamedTuple):
+    """Where the change log is (None: nowhere), and by which names its lists are read."""
+
+    endpoint: Endpoint | None
+    site: Site
+
 
 class ChangeLogClient:
-    """Follows one change log from the last event held, for good; one connection at a time."""
+    """Follows one change log from the last change applied, forever; one connection at a time."""
 
     def __init__(
         self,
-        endpoint: Endpoint | None,
-        site: Site,
+        source: ChangeLogSource,
         limits: Limits,
-        pools: ConnectionPools,
-        notify: Callable[[Event], None],
+        applier: ChangeApplier,
         poller: Poller,
         timers: Timers,
-        seed: int = 0,
+        random_source: random.Random,
     ) -> None:
-        self._endpoint, self._site, self._limits = endpoint, site, limits
-        self._pools, self._notify, self._poller, self._timers = pools, notify, poller, timers
-        self._dial: Connector | None = None
-        self._sock: socket.socket | None = None
-        self._received_at = 0.0  # when the connection said something last, or came up
-        self._silence = self._patience = limits.log_silence  # borne now, and on the next connection
-        self._reader = FrameReader(limits.frame)
-        self._again: Timer | None = None  # the next try
-        self._random, self._wait = random.Random(seed), limits.log_retry  # before it, on average
-        self.cursor = 0
+        self._source = source
+        self._limits = limits
+        self._applier = applier
+        self._poller = poller
+        self._timers = timers
+        self._random = random_source
+        self._connector: Connector | None = None
+        self._connection: ChangeLogConnection | None = None
+        self._retry_timer: Timer | None = None
+        self._retry_interval = limits.log_retry  # seconds on average
+        self._first_silence = limits.log_silence  # seconds that the next connection may stay silent at first
 
     def start(self, known: Iterable[Change], cursor: int) -> None:
-        """Take in what the configuration already knows, then follow."""
+        """Apply the changes known from the configuration, then follow those behind the cursor."""
         for change in known:
-            self._take(change)
-        self.cursor = max(self.cursor, cursor)
+            self._applier.apply(change)
+        self._applier.cursor = max(self._applier.cursor, cursor)
         self._connect()
 
     def move(self, endpoint: Endpoint | None) -> None:
-        """Go on at another address, at once, from the last event held."""
-        if endpoint != self._endpoint:
-            self._endpoint = endpoint
+        """Continue at another address, at once, from the last change applied."""
+        if endpoint != self._source.endpoint:
+            self._source = self._source._replace(endpoint=endpoint)
             self._close()
             self._connect()
 
-    def begin_anew(self, endpoint: Endpoint | None, site: Site, known: Iterable[Change], cursor: int) -> None:
-        """Read the list by other names of zones and kinds: what is known first, then what came later."""
+    def restart(self, source: ChangeLogSource, known: Iterable[Change], cursor: int) -> None:
+        """Read all again by other names of zones and kinds: first what is known, then what came later."""
         self._close()
-        self._endpoint, self._site, self.cursor = endpoint, site, 0
+        self._source = source
+        self._applier.cursor = 0
         self.start(known, cursor)
 
+    def on_frame(self, frame: Frame, received_at: float) -> None:
+        """Apply the change of one frame. Raises ChangeLogFormatError."""
+        self._applier.apply(read_frame(frame, self._source.site, received_at))
+
+    def on_failure(self, reason: str) -> None:
+        """Reconnect after a while; the changes missed meanwhile come first on the next connection."""
+        log.warning("change log: %s", reason)
+        self._close()
+        # Jittered, since all routers lose the log at one moment and must not come back at one.
+        delay = self._retry_interval * self._random.uniform(*RETRY_JITTER)
+        self._retry_timer = self._timers.at(time.time() + delay, self._connect)
+        self._retry_interval = min(2 * self._retry_interval, self._limits.log_retry_most)
+
     def _connect(self) -> None:
-        if self._endpoint is not None:
-            self._dial = Connector(
-                self._endpoint, self._poller, self._timers, self._limits.log_dial, self._dialled
-            )
-            self._dial.start()
-
-    def _dialled(self, dial: Connector, sock: socket.socket | None) -> None:
-        if dial is not self._dial:  # the log has moved meanwhile
-            return sock.close() if sock else None
-        self._dial = None
+        if self._source.endpoint is None:
+            return
+        self._connector = Connector(
+            self._source.endpoint, self._poller, self._timers, self._limits.log_dial, self._on_connect_end
+        )
+        self._connector.start()
+
+    def _on_connect_end(self, connector: Connector, sock: socket.socket | None) -> None:
+        if connector is not self._connector:  # abandoned: the log has moved meanwhile
+            if sock:
+                sock.close()
+            return
+        self._connector = None
         if sock is None:
-            return self._end("no connection")
-        self._wait = self._limits.log_retry
-        self._sock, self._received_at, self._reader = sock, time.time(), FrameReader(self._limits.frame)
-        self._poller.add(sock.fileno(), self._ready, urgent=True)
-        self._silence = self._patience
-        # Guards against asking anew for ever where the first word takes longer than a usual silence.
-        self._patience = min(2 * self._patience, self._limits.log_silence_most)
-        self._timers.at(self._received_at + self._silence, self._watch, sock)
-        try:
-            sock.send(self.cursor.to_bytes(8, "big"))  # a new connection takes so few at once
-        except OSError as fault:
-            self._end(str(fault))
-
-    def _watch(self, sock: socket.socket) -> None:
-        """Guards against a log that is cut off: its connection stays open and says nothing."""
-        if sock is not self._sock:
-            return  # another connection by now
-        until = self._received_at + self._silence
-        if time.time() >= until:
-            self._end("it says nothing")
-        else:
-            self._timers.at(until, self._watch, sock)
-
-    def _ready(self, _: int) -> None:
-        assert self._sock is not None
-        try:
-            data = self._sock.recv(65_536)
-        except BlockingIOError:
+            self.on_failure("no connection")
             return
-        except OSError as fault:
-            return self._end(str(fault))
-        if not data:
-            return self._end("it ended the connection")
-        self._received_at = time.time()
-        self._silence = self._patience = self._limits.log_silence
-        try:
-            for number, kind, payload in self._reader.feed(data):
-                self._take(read_frame(number, kind, payload, self._site, self._received_at))
-        except ListError as fault:
-            self._end(str(fault))
-        except Exception:  # one event must not end the following of all others
-            log.exception("an event of the change log failed")
-            self._end("an event failed")
-
-    def _end(self, why: str) -> None:
-        """What was missed while away comes first on the next connection."""
-        log.warning("change log: %s", why)
-        self._close()
-        # Guards the log against all routers, which lose it at one moment and would come back at one.
-        wait = self._wait * self._random.uniform(0.5, 1.5)
-        self._again = self._timers.at(time.time() + wait, self._connect)
-        self._wait = min(2 * self._wait, self._limits.log_retry_most)
+        self._retry_interval = self._limits.log_retry
+        max_silence = self._first_silence
+        # Guards against reconnecting forever where the first bytes take longer than a usual silence.
+        self._first_silence = min(2 * max_silence, self._limits.log_silence_most)
+        self._connection = ChangeLogConnection(sock, self._poller, self._timers, self._limits, self)
+        self._connection.start(self._applier.cursor, max_silence)
 
     def _close(self) -> None:
-        self._dial = None  # what comes of it is let go
-        if self._again:
-            self._again.cancel()
-        if self._sock:
-            self._poller.remove(self._sock.fileno())
-            self._sock.close()
-            self._sock = None
-
-    def _take(self, change: Change) -> None:
-        event = change.event
-        if event is None or change.number <= self.cursor:
-            return
-        if isinstance(event, Membership):
-            gone = {m.server for m in event.members if m.state is ServerState.GONE}
-            self._pools.follow(change.endpoints, gone, event.kind is MembershipKind.FULL)
-        self._notify(event)
-        if isinstance(event, Membership):
-            self._pools.recheck()
-        self.cursor = change.number
+        """Abandon the connection, the attempt to connect, or the wait for the next one."""
+        self._connector = None
+        if self._retry_timer:
+            self._retry_timer.cancel()
+        if self._connection:
+            if self._connection.has_received:
+                self._first_silence = self._limits.log_silence
+            self._connection.close()
+            self._connection = None
--- a/brackenlane/ops/admin_routes.py
+++ b/brackenlane/ops/admin_routes.py
@@ -8,8 +8,8 @@
 import logging
 import re
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from http import HTTPStatus
+from typing import NamedTuple
 
 from brackenlane.core.metrics import CONTENT_TYPE
 from brackenlane.net.http_codec import Headers, ParsedRequest
@@ -22,13 +22,12 @@
 MAINTENANCE_PATH = re.compile(r"/maintenance/(enter|exit)/([\w.:-]{1,64})", re.ASCII)
 
 
-@dataclass(slots=True, frozen=True)
-class AdminResponse:
+class AdminResponse(NamedTuple):
     """One response; the connection is closed behind it."""
 
     status: HTTPStatus
     body: bytes
-    headers: Headers = field(default_factory=dict)
+    headers: Headers
 
 
 def _text_response(status: HTTPStatus, line: str) -> AdminResponse:
@@ -46,16 +45,14 @@
 }
 
 
-@dataclass(slots=True, frozen=True)
-class _Route:
+class _Route(NamedTuple):
     """One call: its only method, and what carries it out."""
 
     method: str
     respond: Callable[[], AdminResponse]
 
 
-@dataclass(slots=True, frozen=True)
-class AdminRoutes:
+class AdminRoutes(NamedTuple):
     """The functions behind the calls.
 
     is_serving: whether this process can serve clients. metrics: returns all metrics as text. order: carries
@@ -70,7 +67,7 @@
         """Carry out one call and return its response."""
         route = self._find_route(request.target)
         if route is None:
-            return AdminResponse(HTTPStatus.NOT_FOUND, b"no such call\n")
+            return AdminResponse(HTTPStatus.NOT_FOUND, b"no such call\n", {})
         if request.method != route.method:
             return AdminResponse(
                 HTTPStatus.METHOD_NOT_ALLOWED,
--- a/brackenlane/ops/handover_records.py
+++ b/brackenlane/ops/handover_records.py
@@ -8,52 +8,46 @@
 
 import zlib
 from collections.abc import Iterator
-from dataclasses import dataclass
+from typing import NamedTuple
 
 CHECKSUM_DIGITS = 8
 OVERLONG_LINE = b"#"  # stands for the start of a line that is too long: no record begins so
 
 
-@dataclass(slots=True, frozen=True)
-class ProcessStarted:
+class ProcessStarted(NamedTuple):
     """A process has started; it does not serve clients yet."""
 
     process_id: str
 
 
-@dataclass(slots=True, frozen=True)
-class ProcessServing:
+class ProcessServing(NamedTuple):
     """A process serves clients from now on."""
 
     process_id: str
 
 
-@dataclass(slots=True, frozen=True)
-class MaintenanceEntered:
+class MaintenanceEntered(NamedTuple):
     """An operator took a cache out of service at a Unix time."""
 
     server: str
     at: float
 
 
-@dataclass(slots=True, frozen=True)
-class MaintenanceExited:
+class MaintenanceExited(NamedTuple):
     """An operator put a cache back into service at a Unix time."""
 
     server: str
     at: float
 
 
-@dataclass(slots=True, frozen=True)
-class SubmitClaimed:
+class SubmitClaimed(NamedTuple):
     """A process claims a non-idempotent request, by its id: from now on the request may have run there."""
 
     request_id: str
     process_id: str
 
 
-@dataclass(slots=True, frozen=True)
-class SubmitReleased:
+class SubmitReleased(NamedTuple):
     """A claimed request provably never ran, so that its id may be claimed again."""
 
     request_id: str
@@ -100,20 +94,21 @@
 
 def _read_fields(fields: list[str]) -> HandoverRecord | None:
     """Return the record of a kind's sign and its fields; None for an unknown kind. Raises ValueError."""
+    record: HandoverRecord | None = None
     match fields:
         case ["*", process_id]:
-            return ProcessStarted(process_id)
+            record = ProcessStarted(process_id)
         case ["=", process_id]:
-            return ProcessServing(process_id)
+            record = ProcessServing(process_id)
         case ["+", server, at]:
-            return MaintenanceEntered(server, float(at))
+            record = MaintenanceEntered(server, float(at))
         case ["-", server, at]:
-            return MaintenanceExited(server, float(at))
+            record = MaintenanceExited(server, float(at))
         case ["!", request_id, process_id]:
-            return SubmitClaimed(request_id, process_id)
+            record = SubmitClaimed(request_id, process_id)
         case ["~", request_id]:
-            return SubmitReleased(request_id)
-    return None
+            record = SubmitReleased(request_id)
+    return record
 
 
 class RecordReader:
--- /dev/null
+++ b/brackenlane/platform_router.py
@@ -0,0 +1,217 @@
+"""The platform's router: its parts, put together from the configuration, and reloaded on SIGHUP."""
+
+from __future__ import annotations
+
+import logging
+import os
+import random
+import resource
+import signal
+import time
+from pathlib import Path
+from typing import NamedTuple
+
+import trio
+
+from brackenlane import config as configuration
+from brackenlane.config import Config, ConfigError
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.metrics import RequestMetrics
+from brackenlane.core.response_cache import ResponseCache
+from brackenlane.lifecycle import SignalWatcher, listen_plain, serve_until_signal
+from brackenlane.limits import Limits
+from brackenlane.net.change_log import ChangeApplier, ChangeLogClient, ChangeLogSource
+from brackenlane.net.change_log_codec import Change, ChangeLogFormatError, read_known
+from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.http_front import HttpFront
+from brackenlane.net.poller import Poller
+from brackenlane.ops.admin_api import AdminApi
+from brackenlane.ops.admin_routes import AdminRoutes
+from brackenlane.ops.handover import Handover
+from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
+from brackenlane.ops.maintenance_orders import MaintenanceOrders
+
+log = logging.getLogger(__name__)
+
+BYTES_PER_MB = 2**20
+FIXED_FIELDS = {"listen": "listen", "admin": "ops"}  # by field: the key of an address that cannot move
+ENGINE_FIELDS = ("settings", "sockets", "memory_mb", "transfer_rate", "link_rate")  # one changed: reconfigure
+
+
+def load_config() -> Config:
+    """Return the configuration named by the environment (GW_CONFIG, GW_OPS). Raises ConfigError."""
+    return configuration.load(os.environ.get("GW_CONFIG"), os.environ.get("GW_OPS", ""))
+
+
+def run(config: Config) -> None:
+    """Run a router until it has shut down after SIGTERM. Raises ConfigError, maybe in an exception group."""
+    trio.run(serve, config, derive_limits(config))
+
+
+def derive_limits(config: Config) -> Limits:
+    """Return the limits that follow from a configuration and from what the system allows this process."""
+    max_sockets, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    sockets = min(config.sockets, max_sockets)
+    return Limits().within(sockets).suited(config.settings).before_killed(config.settings)
+
+
+class RouterParts(NamedTuple):
+    """The actors of one router."""
+
+    poller: Poller
+    engine: RequestEngine
+    pools: ConnectionPools
+    front: HttpFront
+    orders: MaintenanceOrders
+    handover: Handover | None  # None: no other process may serve at the same address
+    change_log: ChangeLogClient
+
+
+async def serve(config: Config, limits: Limits) -> None:
+    """Run a router until SIGTERM and the last response after it."""
+    poller = Poller(limits.batch, alone=True)
+    with SignalWatcher(poller, signal.SIGHUP) as hangups:
+        async with trio.open_nursery() as nursery:
+            parts = build(config, limits, poller)
+            nursery.start_soon(parts.engine.run)
+            nursery.start_soon(poller.run)
+            parts.change_log.start(read_known(config.known, config.site, time.time()), config.cursor)
+            nursery.start_soon(Reloader(config, parts).run, hangups)
+            await _serve_clients(config, parts)
+            if parts.handover:
+                parts.handover.close()
+            nursery.cancel_scope.cancel()
+
+
+def build(config: Config, limits: Limits, poller: Poller) -> RouterParts:
+    """Put the parts together, with the admin API open if there is one. Raises ConfigError."""
+    engine = RequestEngine(
+        config.settings,
+        config.seed,
+        limits,
+        lambda attempt: pools.place(attempt),
+        flow=config.transfer_rate,
+        cache=_response_cache(config, limits),
+    )
+    engine.timers.first = poller.handle_urgent
+    counts = RequestMetrics(cls.name for cls in config.settings.classes)
+    pools = ConnectionPools(
+        engine.membership, limits, config.settings, engine.report, poller, engine.timers, counts.tried
+    )
+    front = HttpFront(engine, limits, poller, counts=counts)
+    handover_log = open_handover_log(config, limits) if config.admin else None
+    orders = MaintenanceOrders(engine, limits.taken_out, handover_log)
+    handover = Handover(engine, front, limits, handover_log, orders) if handover_log else None
+    if config.admin:
+        routes = AdminRoutes(
+            is_serving=lambda: front.serves,
+            metrics=lambda: orders.metrics(front.counts, front.active),
+            order=orders.order,
+        )
+        admin_api = AdminApi(poller, engine.timers, limits, routes)
+        admin_api.open(listen_plain(config.admin))
+    change_log = ChangeLogClient(
+        ChangeLogSource(config.changelog, config.site),
+        limits,
+        ChangeApplier(pools, orders.on_event),
+        poller,
+        engine.timers,
+        random.Random(config.seed),
+    )
+    return RouterParts(poller, engine, pools, front, orders, handover, change_log)
+
+
+def open_handover_log(config: Config, limits: Limits) -> HandoverLog | None:
+    """Open the log that this router's processes share in `$TMPDIR`; None if there is none or it fails."""
+    folder = os.environ.get("TMPDIR")
+    if not folder:
+        log.warning("TMPDIR is not set: orders and submits are not known to the next process")
+        return None
+    host, port = config.listen
+    try:
+        return HandoverLog(Path(folder) / f"brackenlane.{host}.{port}", limits)
+    except HandoverLogError as error:
+        log.warning("orders and submits are not known to the next process: %s", error)
+        return None
+
+
+def _response_cache(config: Config, limits: Limits) -> ResponseCache | None:
+    """Return the response cache; None where the capacity of the link is unknown."""
+    if not config.transfer_rate or not config.link_rate:
+        return None
+    max_bytes = limits.copies * config.memory_mb * BYTES_PER_MB
+    return ResponseCache(config.settings, max_bytes, config.transfer_rate, config.link_rate, limits.age_slack)
+
+
+async def _serve_clients(config: Config, parts: RouterParts) -> None:
+    """Serve clients until SIGTERM and the last response after it; share the address if processes may."""
+    handover = parts.handover
+    if config.admin is None:
+        await serve_until_signal(parts.front, config.listen, config.name)
+    elif handover is None:
+        await serve_until_signal(parts.front, config.listen, config.name, lambda: 0)
+    else:
+        await serve_until_signal(
+            parts.front,
+            config.listen,
+            config.name,
+            lambda: handover.older_process_count,
+            handover.announce_serving,
+        )
+
+
+class Reloader:
+    """Owns the configuration in force; on SIGHUP replaces it as a whole, or keeps it."""
+
+    def __init__(self, config: Config, parts: RouterParts) -> None:
+        self._config = config
+        self._parts = parts
+
+    async def run(self, hangups: SignalWatcher) -> None:
+        """Reload on each SIGHUP, forever."""
+        while True:
+            await hangups.next()
+            self.reload()
+
+    def reload(self) -> None:
+        """Read the file again and apply it; a file that cannot be used changes nothing."""
+        try:
+            new = load_config()
+            self._check_addresses(new)
+            # All faults of a file are found before any part of it is applied.
+            known = list(read_known(new.known, new.site, time.time()))
+            self._reconfigure(new)
+        except (ConfigError, ChangeLogFormatError) as error:
+            log.warning("SIGHUP: the old configuration stays in force: %s", " ".join(str(error).split()))
+            return
+        except Exception:  # guards the requests in flight against a fault that no check foresaw
+            log.exception("SIGHUP: the old configuration stays in force")
+            return
+        self._follow_change_log(new, known)
+        self._config = new
+
+    def _check_addresses(self, new: Config) -> None:
+        moved = [
+            key for field, key in FIXED_FIELDS.items() if getattr(new, field) != getattr(self._config, field)
+        ]
+        if moved:
+            raise ConfigError(f"{', '.join(moved)}: another address needs a new process")
+
+    def _reconfigure(self, new: Config) -> None:
+        """Apply new settings; nothing learned under the old ones stays."""
+        if all(getattr(new, field) == getattr(self._config, field) for field in ENGINE_FIELDS):
+            return
+        limits = derive_limits(new)
+        cache = _response_cache(new, limits)
+        self._parts.engine.reconfigure(new.settings, new.seed, limits, new.transfer_rate, cache)
+        self._parts.pools.reconfigure(limits, new.settings)
+        self._parts.front.reconfigure(limits)
+        log.info("SIGHUP: other settings hold")
+
+    def _follow_change_log(self, new: Config, known: list[Change]) -> None:
+        if new.site != self._config.site:
+            self._parts.change_log.restart(ChangeLogSource(new.changelog, new.site), known, new.cursor)
+        else:
+            self._parts.change_log.move(new.changelog)
+        host, port = new.changelog or ("nowhere", 0)
+        log.info("SIGHUP: the change log is at %s, port %d", host, port)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -7,7 +7,7 @@
 from brackenlane.config import read_settings
 from brackenlane.limits import Limits
 from brackenlane.net.cache_codec import Parser, WireError
-from brackenlane.net.change_log_codec import FrameReader, ListError, read_frame, read_known
+from brackenlane.net.change_log_codec import ChangeLogFormatError, Frame, FrameReader, read_frame, read_known
 from brackenlane.routing.events import AttemptResult, CacheStatus, Membership, Purged
 from brackenlane.routing.members import ServerState
 from tests.stand_ins import SETTINGS, Box, record, target
@@ -71,7 +71,7 @@
     wire = (9 + len(payload)).to_bytes(4, "big") + (41).to_bytes(8, "big") + b"\x01" + payload
     reader = FrameReader(1000)
     [(seq, kind, rest)] = [f for at in range(0, len(wire), piece) for f in reader.feed(wire[at : at + piece])]
-    change = read_frame(seq, kind, rest, SITE, 0.0)
+    change = read_frame(Frame(seq, kind, rest), SITE, 0.0)
     [twin] = read_known(
         {"results": [{"seq": 41, "fleet": {"all": True, "targets": [target(cache, command)]}}]}, SITE, 0.0
     )
@@ -82,10 +82,10 @@
 def test_purges() -> None:
     """Purges of an object and of a group, with their ages."""
     at = (5000).to_bytes(8, "big")
-    assert read_frame(1, 3, bytes.fromhex("7f3a9c21e0b4d655") + at, SITE, 7.0).event == Purged(
+    assert read_frame(Frame(1, 3, bytes.fromhex("7f3a9c21e0b4d655") + at), SITE, 7.0).event == Purged(
         "7f3a9c21e0b4d655", -1, 2.0
     )
-    assert read_frame(1, 4, b"\x00\x11" + at, SITE, 7.0).event == Purged("", 17, 2.0)
+    assert read_frame(Frame(1, 4, b"\x00\x11" + at), SITE, 7.0).event == Purged("", 17, 2.0)
 
 
 @pytest.mark.parametrize(
@@ -93,7 +93,7 @@
 )
 def test_bad_frames(kind: int, payload: bytes) -> None:
     """A frame that can't be read is a fault of the log's, in one line."""
-    with pytest.raises(ListError):
-        read_frame(1, kind, payload, SITE, 0.0)
-    with pytest.raises(ListError):
+    with pytest.raises(ChangeLogFormatError):
+        read_frame(Frame(1, kind, payload), SITE, 0.0)
+    with pytest.raises(ChangeLogFormatError):
         list(FrameReader(1000).feed(b"\xff" * 20))
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -17,7 +17,7 @@
     ("net",),
     ("discovery", "dns", "ops"),
     ("store", "settings", "lifecycle"),
-    ("appliance", "console", "lab"),
+    ("appliance", "console", "lab", "platform_router"),
     ("cli",),
     ("__main__",),
 )
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -24,7 +24,7 @@
 from brackenlane.core.requests import Attempt, AttemptReply, PendingRequest
 from brackenlane.limits import Limits
 from brackenlane.net.cache_codec import CacheResponse, Parser, encode_get
-from brackenlane.net.change_log_codec import read_frame, read_known
+from brackenlane.net.change_log_codec import Frame, read_frame, read_known
 from brackenlane.net.http_codec import RequestParser
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
@@ -626,7 +626,7 @@
     box = Box(EDGE)
     box.port = 7001
     _, names = read_settings(SETTINGS)
-    frame = read_frame(7, 2, record(box, 0)[:-8] + boot_ms.to_bytes(8, "big"), names, 0.0)
+    frame = read_frame(Frame(7, 2, record(box, 0)[:-8] + boot_ms.to_bytes(8, "big")), names, 0.0)
     item = {"seq": 7, "fleet": {"targets": [{**target(box), "boot_ms": boot_ms}]}}
     [known] = read_known({"results": [item]}, names, 0.0)
     assert frame == known and isinstance(frame.event, Membership)
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -15,7 +15,7 @@
 from brackenlane.core.timers import Timer, Timers
 from brackenlane.limits import Limits
 from brackenlane.net import change_log
-from brackenlane.net.change_log import ChangeLogClient
+from brackenlane.net.change_log import ChangeApplier, ChangeLogClient, ChangeLogSource
 from brackenlane.net.connection_pool import ConnectionPools
 from brackenlane.routing.actions import Fetch
 from brackenlane.routing.events import AttemptResult, CacheStatus, MembershipKind, Outcome
@@ -86,7 +86,12 @@
     caches: Any = None
     logs = [
         ChangeLogClient(
-            ("127.0.0.1", 9), Site((), (), {}), limits, caches, lambda _: None, caches, clock, seed
+            ChangeLogSource(("127.0.0.1", 9), Site((), (), {})),
+            limits,
+            ChangeApplier(caches, lambda _: None),
+            caches,
+            clock,
+            random.Random(seed),
         )
         for seed in range(200)
     ]
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -16,7 +16,6 @@
 import pytest
 import trio
 
-from brackenlane.__main__ import _open_handover_log
 from brackenlane.coldstart.pacing import Capacity
 from brackenlane.coldstart.stream_position import NOWHERE
 from brackenlane.config import load as load_config
@@ -40,6 +39,7 @@
     SubmitReleased,
     encode,
 )
+from brackenlane.platform_router import open_handover_log
 from brackenlane.routing.members import Role
 from brackenlane.store.replica import SharedStore
 from tests.stand_ins import with_trio
@@ -220,7 +220,9 @@
     """Every kind of record, and what they add up to."""
     data = (DATA / "ledger").read_bytes()
     reader, index = RecordReader(Limits().ledger_line), HandoverIndex(Limits().claims)
-    assert tuple(reader.feed(data)) == RECORDS and reader.damaged_lines == 0
+    reader_records = tuple(reader.feed(data))
+    assert reader_records == RECORDS and reader.damaged_lines == 0
+    assert [type(record) for record in reader_records] == [type(record) for record in RECORDS]
     assert {type(record) for record in RECORDS} == set(get_args(HandoverRecord))
     assert b"".join(map(encode, RECORDS)) == data
     for record in RECORDS:
@@ -242,7 +244,7 @@
     shutil.copy(DATA / sample, folder / "ledger")
     (folder / "life.0a1b2c3d").touch()  # its process has ended: nobody holds its lock
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    handover_log = _open_handover_log(config, Limits())
+    handover_log = open_handover_log(config, Limits())
     assert isinstance(handover_log, HandoverLog)
     assert handover_log.index.is_serving == {handover_log.process_id: False}
     assert handover_log.index.out_of_service == {"s-00000001": 1_700_000_000.25}
