--- a/brackenlane/settings/__init__.py
+++ b/brackenlane/settings/__init__.py
@@ -1,5 +1,4 @@
-"""The operator's file as typed records with bounds: all that is wrong with it is told at once.
+"""The operator's file of an appliance as typed tables with bounds; all its faults are reported at once.
 
-It reads, and changes nothing; what a running router uses is replaced whole or not at all. Entry point:
-`read_appliance`.
+It reads files, and never changes a running router. Entry point: `loader.load_appliance`.
 """
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -12,9 +12,11 @@
 from pydantic import BaseModel
 
 from brackenlane.cli.main import cli
-from brackenlane.console import HELP
+from brackenlane.config import ConfigError
+from brackenlane.console.admin_console import HELP
 from brackenlane.core.metrics import Gauges, RequestMetrics, expose
 from brackenlane.settings import appliance
+from brackenlane.settings.loader import read_appliance
 
 ROOT = Path(__file__).parent.parent
 ENDS_WITHIN = 30.0  # seconds, on a busy machine too
@@ -80,6 +82,28 @@
     assert " ".join(arguments) == "boxes why drain restore purge purge start load help quit"
 
 
+@pytest.mark.parametrize(
+    ("key", "name"),
+    [
+        ("settings", "Module"),
+        ("discovery", "Discovery"),
+        ("coldstart", "ColdStarts"),
+        ("class", "Class"),
+        ("box", "BoxRecord"),
+        ("discover", "Discover"),
+    ],
+)
+def test_table_names_in_fault_lines(key: str, name: str) -> None:
+    """Operators' scripts may read the lines that `check` prints."""
+    value, path = ("[1]", f"{key}[0]") if key in ("class", "box", "discover") else ("1", key)
+    with pytest.raises(ConfigError) as fault:
+        read_appliance(f"{key} = {value}", "site.toml")
+    assert (
+        f"site.toml: {path}: 1: Input should be a valid dictionary or instance of {name}"
+        in str(fault.value).splitlines()
+    )
+
+
 @pytest.mark.parametrize(
     ("table", "keys"),
     [
@@ -88,24 +112,24 @@
             "name http dns zone console resolver redis settings class box discover discovery coldstart",
         ),
         (
-            appliance.Module,
+            appliance.SettingsTable,
             "location locations gateway gateways mate hub_of seats link_kb_per_s pace_kb_per_s edge_cold "
             "parent_cold tick answer_slack connect_timeout purge_done max_attempts max_hold_off weights_told "
             "may_cancel may_probe second_copies direct joins",
         ),
         (
-            appliance.Class,
+            appliance.ClassTable,
             "name aim give_up aim_stretch worth late_worth effect scope repeat_window fresh grace "
             "stale_worth in_parts uncached",
         ),
-        (appliance.Cold, "share ramp factor span"),
-        (appliance.CacheRecord, "id host port zone role weight"),
-        (appliance.Discover, "srv zone role weight_scale enough"),
+        (appliance.SlowStartTable, "share ramp factor span"),
+        (appliance.CacheTable, "id host port zone role weight"),
+        (appliance.SrvTable, "srv zone role weight_scale enough"),
         (
-            appliance.Discovery,
+            appliance.DiscoveryTable,
             "grace most_gone confirm settle remembered warm floor ceiling negative stale last_list",
         ),
-        (appliance.ColdStarts, "doormans asks loads look_ups trust patience ready"),
+        (appliance.ColdStartTable, "doormans asks loads look_ups trust patience ready"),
     ],
 )
 def test_appliance_file_keys(table: type[BaseModel], keys: str) -> None:
