--- /dev/null
+++ b/brackenlane/appliance/config.py
@@ -0,0 +1,118 @@
+"""The configuration of an appliance, as its parts need it: made from the tables of the operator's file."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from pathlib import Path
+
+from dns.name import Name
+
+from brackenlane.coldstart.pacing import Capacity
+from brackenlane.config import Endpoint, read_endpoint
+from brackenlane.discovery.dns_cache import Lifetimes
+from brackenlane.discovery.records import CacheDefinition, Policy, SrvWatch
+from brackenlane.dns.names import read_zone
+from brackenlane.routing.members import Role
+from brackenlane.routing.settings import Settings
+from brackenlane.settings.appliance import (
+    ApplianceFile,
+    CacheTable,
+    ColdStartTable,
+    DiscoveryTable,
+    SrvTable,
+)
+from brackenlane.settings.conversion import decision_settings
+from brackenlane.settings.loader import load_appliance
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoveryConfig:
+    """Which caches there are, and where their addresses come from."""
+
+    caches: tuple[CacheDefinition, ...]
+    watches: tuple[SrvWatch, ...]
+    resolvers: tuple[Endpoint, ...]
+    policy: Policy
+    lifetimes: Lifetimes
+    snapshot_path: Path | None  # None: nothing is remembered over a restart
+
+
+@dataclass(frozen=True, slots=True)
+class ApplianceConfig:
+    """The configuration of one router."""
+
+    name: str
+    http: Endpoint
+    dns: Endpoint
+    zone: Name
+    console: Path  # of its Unix socket
+    settings: Settings
+    discovery: DiscoveryConfig
+    redis: Endpoint | None  # the shared store
+    store_capacity: Capacity
+    coldstart: ColdStartTable
+
+
+def load(path: str) -> ApplianceConfig:
+    """Return the configuration from the operator's file at a path. Raises ConfigError with all its faults."""
+    return convert(load_appliance(path), Path(path).parent)
+
+
+def convert(file: ApplianceFile, folder: Path) -> ApplianceConfig:
+    """Return the configuration of a file; the other files that it names are relative to its folder."""
+    return ApplianceConfig(
+        name=file.name,
+        http=read_endpoint(file.http, "http"),
+        dns=read_endpoint(file.dns, "dns"),
+        zone=read_zone(file.zone),
+        console=folder / file.console,
+        settings=decision_settings(file),
+        discovery=_discovery_config(file, folder),
+        redis=read_endpoint(file.redis, "redis") if file.redis else None,
+        store_capacity=Capacity(
+            file.coldstart.doormans or file.settings.gateways, file.coldstart.asks, file.coldstart.loads
+        ),
+        coldstart=file.coldstart,
+    )
+
+
+def _discovery_config(file: ApplianceFile, folder: Path) -> DiscoveryConfig:
+    table = file.discovery
+    return DiscoveryConfig(
+        caches=tuple(_cache_definition(cache) for cache in file.caches),
+        watches=tuple(_srv_watch(entry) for entry in file.discover),
+        resolvers=tuple(read_endpoint(address, "resolver") for address in file.resolvers),
+        policy=_policy(table),
+        lifetimes=Lifetimes(
+            floor=table.floor, ceiling=table.ceiling, negative=table.negative, stale=table.stale
+        ),
+        snapshot_path=folder / table.last_list if table.last_list else None,
+    )
+
+
+def _cache_definition(table: CacheTable) -> CacheDefinition:
+    return CacheDefinition(
+        table.id, _canonical_name(table.host), table.port, table.zone, Role(table.role), table.weight
+    )
+
+
+def _srv_watch(table: SrvTable) -> SrvWatch:
+    return SrvWatch(
+        _canonical_name(table.srv), table.zone, Role(table.role), table.weight_scale, table.enough
+    )
+
+
+def _policy(table: DiscoveryTable) -> Policy:
+    return Policy(
+        grace=table.grace,
+        most_gone=table.most_gone,
+        confirm=table.confirm,
+        settle=table.settle,
+        remembered=table.remembered,
+        warm=table.warm,
+    )
+
+
+def _canonical_name(name: str) -> str:
+    """Return a DNS name in lower case, without its last dot."""
+    return name.rstrip(".").lower()
--- a/brackenlane/cli/main.py
+++ b/brackenlane/cli/main.py
@@ -1,4 +1,4 @@
-"""Subcommands, their help and exit codes, on click. Heavy parts are imported by the command that needs it."""
+"""Subcommands, their help and exit codes, with click. Each command imports the heavy parts that it needs."""
 
 from __future__ import annotations
 
@@ -8,18 +8,23 @@
 
 import click
 
-CODES = """Exit codes: 0 done; 1 the doorman could not be reached, a look-up failed, or an invariant broke;
+EXIT_FAILED = 1
+EXIT_UNUSABLE = 2
+EXIT_INTERRUPTED = 130  # 128 + SIGINT, as shells have it
+MIN_SOCKETS = 64  # descriptors without which an appliance does not work
+
+EPILOG = """Exit codes: 0 done; 1 the doorman could not be reached, a look-up failed, or an invariant broke;
 2 the words or a file can't be used, with a line for each fault; 130 ended from the keyboard."""
 
 
-@click.group(epilog=CODES, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(epilog=EPILOG, context_settings={"help_option_names": ["-h", "--help"]})
 @click.option(
     "--version",
     is_flag=True,
     is_eager=True,
     expose_value=False,
     help="print the version",
-    callback=lambda context, _, on: _say_version(context) if on else None,
+    callback=lambda context, _, is_given: _print_version(context) if is_given else None,
 )
 def cli() -> None:
     """A router in front of caches.
@@ -28,7 +33,7 @@
     """
 
 
-def _say_version(context: click.Context) -> None:
+def _print_version(context: click.Context) -> None:
     click.echo(f"brackenlane {version()}")
     context.exit()
 
@@ -41,12 +46,14 @@
 
     import trio
 
-    from brackenlane import appliance as program
+    from brackenlane.appliance import config, program
     from brackenlane.limits import Limits
 
-    site, limits = program.load(file), Limits()
-    sockets = resource.getrlimit(resource.RLIMIT_NOFILE)[0] - limits.appliance_own
-    trio.run(program.serve, site, limits.within(max(64, sockets)).suited(site.settings))
+    site = config.load(file)
+    limits = Limits()
+    max_sockets, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    sockets = max(MIN_SOCKETS, max_sockets - limits.appliance_own)
+    trio.run(program.serve, site, limits.within(sockets).suited(site.settings))
 
 
 @cli.command(context_settings={"ignore_unknown_options": True})
@@ -56,22 +63,22 @@
     """The operator's terminal to the appliance of FILE: one COMMAND, or a prompt ('help' lists them)."""
     import trio
 
-    from brackenlane import appliance as program
-    from brackenlane import console as terminal
-    from brackenlane.limits import Limits
+    from brackenlane.appliance import config
+    from brackenlane.console import client
 
-    sys.exit(trio.run(terminal.talk, program.load(file).console, list(command), Limits()))
+    site = config.load(file)
+    sys.exit(trio.run(client.talk, str(site.console), list(command)))
 
 
 @cli.command()
 @click.argument("file")
 def check(file: str) -> None:
     """Read the operator's FILE and say all that is wrong with it; nothing is started."""
-    from brackenlane import appliance as program
+    from brackenlane.appliance import config
 
-    site = program.load(file)
+    site = config.load(file)
     click.echo(
-        f"{file}: good: {len(site.caches)} boxes, {len(site.watches)} SRV entries, "
+        f"{file}: good: {len(site.discovery.caches)} boxes, {len(site.discovery.watches)} SRV entries, "
         f"{len(site.settings.classes)} classes"
     )
 
@@ -83,15 +90,14 @@
     """Ask once for all that FILE names, and show each answer, the merged list and its reasons."""
     import trio
 
-    from brackenlane import appliance as program
+    from brackenlane.appliance import config
     from brackenlane.cli import show
     from brackenlane.limits import Limits
 
-    site = program.load(file)
-    view = trio.run(show.ask_once, site, Limits())
-    click.echo(show.as_json(view) if as_json else show.as_table(view), nl=False)
-    if view["failed"]:
-        sys.exit(1)
+    view = trio.run(show.ask_once, config.load(file), Limits())
+    click.echo(view.as_json() if as_json else view.as_table(), nl=False)
+    if view.failed:
+        sys.exit(EXIT_FAILED)
 
 
 @cli.group()
@@ -125,7 +131,7 @@
     click.echo(report.table(outcome))
     report.save(outcome, out, reported.name)
     if not outcome.well:
-        sys.exit(1)
+        sys.exit(EXIT_FAILED)
 
 
 @lab.command()
@@ -158,7 +164,7 @@
 
 
 def version() -> str:
-    """This program's version, as installed or as pyproject.toml beside it says."""
+    """Return this program's version, as installed, or as the pyproject.toml beside it says."""
     try:
         return metadata.version("brackenlane")
     except metadata.PackageNotFoundError:
@@ -169,13 +175,13 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Run one command line; its exit code."""
+    """Run one command line; return its exit code."""
     try:
         return int(cli.main(arguments, prog_name="brackenlane", standalone_mode=False) or 0)
-    except click.ClickException as fault:
-        fault.show()
-        return 2
+    except click.ClickException as error:
+        error.show()
+        return EXIT_UNUSABLE
     except click.Abort:
-        return 130
+        return EXIT_INTERRUPTED
     except SystemExit as end:
         return int(end.code or 0)
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -1,126 +1,195 @@
-"""One look at all sources from the shell: what each says, what the merge makes of it, and why."""
+"""One query of all sources of caches from the shell: each answer, the merged list, and its reasons.
+
+The JSON document and the table are an interface for operators.
+"""
 
 from __future__ import annotations
 
 import logging
 import time
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
 
 import orjson
 import trio
 
+from brackenlane.appliance.config import ApplianceConfig
+from brackenlane.appliance.startup import Startup
+from brackenlane.coldstart.phases import StartupPhases
+from brackenlane.console.text_table import render_table
 from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.query import Kind
-from brackenlane.discovery.records import fixed
+from brackenlane.discovery.records import MergedCache, fixed
 from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import LookUpFailed, Resolver
 from brackenlane.limits import Limits
 
-if TYPE_CHECKING:
-    from brackenlane.appliance import ApplianceConfig
+HEADING = ("BOX", "ROLE", "ADDRESS", "WEIGHT", "STATE", "BY", "WHY")
 
 
-async def ask_once(site: ApplianceConfig, limits: Limits) -> dict[str, Any]:
-    """Look up every SRV entry and host name once, past the cache; a running router is not touched."""
-    from brackenlane.appliance import start_merge
-    from brackenlane.coldstart.phases import StartupPhases
-    from brackenlane.discovery import snapshot
+@dataclass(frozen=True, slots=True)
+class DnsAnswer:
+    """What DNS says of one name, or why it says nothing."""
+
+    name: str
+    kind: str  # SRV or A
+    upstream: str = ""
+    records: tuple[str, ...] = ()
+    fault: str = ""
+
+    def as_json(self) -> dict[str, object]:
+        """Return the answer as the document shows it."""
+        if self.fault:
+            return {"name": self.name, "kind": self.kind, "fault": self.fault}
+        return {
+            "name": self.name,
+            "kind": self.kind,
+            "upstream": self.upstream,
+            "records": list(self.records),
+        }
+
+    def as_line(self) -> str:
+        """Return the answer for a reader."""
+        outcome = self.fault or f"from {self.upstream}: {'; '.join(self.records) or 'none'}"
+        return f"{self.name} {self.kind}: {outcome}\n"
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoveryView:
+    """All answers, SRV entries first, and the caches that they come to, by id."""
+
+    answers: tuple[DnsAnswer, ...]
+    caches: tuple[MergedCache, ...]
+
+    @property
+    def failed(self) -> list[str]:
+        """The names that could not be looked up."""
+        return [answer.name for answer in self.answers if answer.fault]
 
+    def as_json(self) -> str:
+        """Return the view as one JSON document."""
+        document = {
+            "answers": [answer.as_json() for answer in self.answers],
+            "boxes": [_cache_as_json(cache) for cache in self.caches],
+            "failed": self.failed,
+        }
+        return orjson.dumps(document, option=orjson.OPT_INDENT_2).decode() + "\n"
+
+    def as_table(self) -> str:
+        """Return the view for a reader."""
+        lines = [answer.as_line() for answer in self.answers]
+        rows = [HEADING, *(_cache_as_row(cache) for cache in self.caches)]
+        return "".join(lines) + render_table(rows)
+
+
+async def ask_once(config: ApplianceConfig, limits: Limits) -> DiscoveryView:
+    """Look up every SRV entry and host name once, past the cache; a running router is not touched."""
     logging.getLogger("brackenlane").setLevel(logging.ERROR)
-    answers: list[dict[str, Any]] = []
-    roster = Registry(MembershipMerge(site.policy, site.watches), lambda _: None, lambda *_: None)
-    start_merge(
-        site, roster, snapshot.load(site.last_list) if site.last_list else None, StartupPhases(time.time())
-    )
+    merge = MembershipMerge(config.discovery.policy, config.discovery.watches)
+    registry = Registry(merge, lambda _: None, lambda *_: None)
+    Startup(config, registry, StartupPhases(time.time())).fill_registry()
     async with trio.open_nursery() as nursery:
         resolver = Resolver(
-            site.resolvers, nursery, budget=limits.look_up, lifetimes=site.lifetimes, most=limits.look_ups
+            config.discovery.resolvers,
+            nursery,
+            budget=limits.look_up,
+            lifetimes=config.discovery.lifetimes,
+            most=limits.look_ups,
         )
-
-        async def srv(name: str) -> None:
-            try:
-                found = await resolver.look_up(name, Kind.SRV)
-            except LookUpFailed as fault:
-                roster.merge.failed(name, str(fault))
-                answers.append({"name": name, "kind": "SRV", "fault": str(fault)})
-                return
-            roster.apply(roster.merge.answer(name, found.targets, found.upstream, time.time()))
-            answers.append(
-                {
-                    "name": name,
-                    "kind": "SRV",
-                    "upstream": found.upstream,
-                    "records": [f"{t.priority} {t.weight} {t.port} {t.host}" for t in found.targets],
-                }
-            )
-
-        async def host(name: str) -> None:
-            try:
-                found = await resolver.addresses(name)
-            except LookUpFailed as fault:
-                roster.merge.failed(name, str(fault))
-                answers.append({"name": name, "kind": "A", "fault": str(fault)})
-                return
-            roster.apply(roster.merge.locate(name, found.addresses, time.time()))
-            answers.append(
-                {"name": name, "kind": "A", "upstream": found.upstream, "records": list(found.addresses)}
-            )
-
-        async with trio.open_nursery() as entries:
-            for entry in roster.merge.entries:
-                entries.start_soon(srv, entry)
-        async with trio.open_nursery() as hosts:
-            for name in sorted(roster.merge.hosts):
-                hosts.start_soon(host, name)
+        query = _Query(registry, resolver)
+        await query.look_up_services()
+        await query.look_up_hosts()
         nursery.cancel_scope.cancel()
-    caches = [
-        {
-            "id": cache.definition.id,
-            "role": cache.definition.role.value,
-            "zone": cache.definition.zone,
-            "address": f"{cache.endpoint[0]}:{cache.endpoint[1]}" if cache.endpoint else None,
-            "host": None if fixed(cache.definition.host) else cache.definition.host,
-            "weight": cache.definition.weight,
-            "state": cache.state.value,
-            "by": [origin.name.lower() for origin in cache.sources],
-            "also": list(cache.aliases),
-            "why": cache.reason,
-        }
-        for cache in sorted(roster.merge.caches.values(), key=lambda cache: cache.definition.id)
-    ]
-    return {
-        "answers": sorted(answers, key=lambda a: (a["kind"] != "SRV", a["name"])),
-        "boxes": caches,
-        "failed": [a["name"] for a in answers if "fault" in a],
-    }
+    return DiscoveryView(
+        tuple(sorted(query.answers, key=lambda answer: (answer.kind != "SRV", answer.name))),
+        tuple(sorted(merge.caches.values(), key=lambda cache: cache.definition.id)),
+    )
 
 
-def as_json(view: dict[str, Any]) -> str:
-    """The view as one document."""
-    return orjson.dumps(view, option=orjson.OPT_INDENT_2).decode() + "\n"
+class _Query:
+    """The look-ups of one query; each answer goes into the merge, too."""
 
+    def __init__(self, registry: Registry, resolver: Resolver) -> None:
+        self.answers: list[DnsAnswer] = []
+        self._registry = registry
+        self._merge = registry.merge
+        self._resolver = resolver
 
-def as_table(view: dict[str, Any]) -> str:
-    """The view for a reader."""
-    text = ""
-    for answer in view["answers"]:
-        reported = (
-            answer.get("fault") or f"from {answer['upstream']}: {'; '.join(answer['records']) or 'none'}"
-        )
-        text += f"{answer['name']} {answer['kind']}: {reported}\n"
-    rows = [("BOX", "ROLE", "ADDRESS", "WEIGHT", "STATE", "BY", "WHY")]
-    rows += [
-        (
-            cache["id"],
-            cache["role"],
-            cache["address"] or cache["host"] or "",
-            f"{cache['weight']:g}",
-            cache["state"],
-            ", ".join(cache["by"]),
-            cache["why"],
+    async def look_up_services(self) -> None:
+        """Look up all SRV entries at once."""
+        async with trio.open_nursery() as nursery:
+            for name in self._merge.entries:
+                nursery.start_soon(self._look_up_service, name)
+
+    async def look_up_hosts(self) -> None:
+        """Look up all host names at once, those of the SRV targets included."""
+        async with trio.open_nursery() as nursery:
+            for name in sorted(self._merge.hosts):
+                nursery.start_soon(self._look_up_host, name)
+
+    async def _look_up_service(self, name: str) -> None:
+        try:
+            found = await self._resolver.look_up(name, Kind.SRV)
+        except LookUpFailed as error:
+            self._fail(name, "SRV", error)
+            return
+        self._registry.apply(self._merge.answer(name, found.targets, found.upstream, time.time()))
+        records = tuple(
+            f"{target.priority} {target.weight} {target.port} {target.host}" for target in found.targets
         )
-        for cache in view["boxes"]
-    ]
-    widths = [max(len(row[n]) for row in rows) for n in range(len(rows[0]))]
-    lines = ("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)) for row in rows)
-    return text + "".join(line.rstrip() + "\n" for line in lines)
+        self.answers.append(DnsAnswer(name, "SRV", found.upstream, records))
+
+    async def _look_up_host(self, name: str) -> None:
+        try:
+            found = await self._resolver.addresses(name)
+        except LookUpFailed as error:
+            self._fail(name, "A", error)
+            return
+        self._registry.apply(self._merge.locate(name, found.addresses, time.time()))
+        self.answers.append(DnsAnswer(name, "A", found.upstream, tuple(found.addresses)))
+
+    def _fail(self, name: str, kind: str, error: LookUpFailed) -> None:
+        self._merge.failed(name, str(error))
+        self.answers.append(DnsAnswer(name, kind, fault=str(error)))
+
+
+def _address(cache: MergedCache) -> str | None:
+    return f"{cache.endpoint[0]}:{cache.endpoint[1]}" if cache.endpoint else None
+
+
+def _host_name(cache: MergedCache) -> str | None:
+    """Return the host name of a cache; None if it is described by its address."""
+    host = cache.definition.host
+    return host if fixed(host) is None else None
+
+
+def _source_names(cache: MergedCache) -> list[str]:
+    return [source.name.lower() for source in cache.sources]
+
+
+def _cache_as_json(cache: MergedCache) -> dict[str, object]:
+    definition = cache.definition
+    return {
+        "id": definition.id,
+        "role": definition.role.value,
+        "zone": definition.zone,
+        "address": _address(cache),
+        "host": _host_name(cache),
+        "weight": definition.weight,
+        "state": cache.state.value,
+        "by": _source_names(cache),
+        "also": list(cache.aliases),
+        "why": cache.reason,
+    }
+
+
+def _cache_as_row(cache: MergedCache) -> tuple[str, ...]:
+    definition = cache.definition
+    return (
+        definition.id,
+        definition.role.value,
+        _address(cache) or _host_name(cache) or "",
+        f"{definition.weight:g}",
+        cache.state.value,
+        ", ".join(_source_names(cache)),
+        cache.reason,
+    )
--- /dev/null
+++ b/brackenlane/console/admin_console.py
@@ -0,0 +1,127 @@
+"""The commands of the console: a line of words to its answer. The words are an interface for operators."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+
+from brackenlane.admission.figures import Figures
+from brackenlane.coldstart.phases import StartupPhases
+from brackenlane.console import views
+from brackenlane.console.cache_health import CacheHealth
+from brackenlane.discovery.registry import Registry
+from brackenlane.store.replica import SharedStore
+
+HELP = """boxes               list the boxes with state and health; boxes -v: who names them, and why
+why BOX             why a box stands as it does, and what each source says of it
+drain BOX           send a box nothing new
+restore BOX         take a drained box back
+purge object OBJ    nothing older than now is served of an object
+purge group N       the same of a group
+start               the phase of the start, since when, and the store's state
+load                how busy the doorman is, and what it refused at its door
+help                this text
+quit                leave
+"""
+GROUP_COUNT = 256  # groups of objects are numbered from 0
+NO_GROUP = -1  # of a purge of one object
+MAX_SHOWN_COMMAND = 60  # characters of a command that was not understood
+
+
+@dataclass(frozen=True, slots=True)
+class ConsoleSources:
+    """The parts of the router that the console shows and orders."""
+
+    registry: Registry
+    store: SharedStore | None
+    health: CacheHealth
+    figures: Figures
+    phases: StartupPhases
+
+
+class AdminConsole:
+    """Carries out the commands of one router's operator."""
+
+    def __init__(self, router_name: str, sources: ConsoleSources) -> None:
+        self._router_name = router_name
+        self._sources = sources
+        self._registry = sources.registry
+        self._store = sources.store
+
+    async def execute(self, line: str) -> str:
+        """Carry out one command; return the lines of its answer."""
+        words = line.split()
+        answer = self._show(words)
+        if answer is None:
+            answer = await self._change(words)
+        if answer is None:
+            shown = line.strip()[:MAX_SHOWN_COMMAND]
+            return f"not understood: {shown!r}; 'help' lists the commands\n"
+        return answer
+
+    def _show(self, words: list[str]) -> str | None:
+        """Answer a command that changes nothing; return None for any other."""
+        sources = self._sources
+        now = time.time()
+        answer = None
+        match words:
+            case ["boxes"]:
+                answer = views.show_caches(self._registry.merge, sources.health, now)
+            case ["boxes", "-v"]:
+                answer = views.show_caches_verbosely(self._registry.merge, sources.health, now)
+            case ["why", server]:
+                answer = self._explain(server, now)
+            case ["load"]:
+                answer = views.show_load(sources.figures)
+            case ["start"]:
+                answer = views.show_startup(sources.phases, self._store, now)
+            case ["help"]:
+                answer = HELP
+        return answer
+
+    async def _change(self, words: list[str]) -> str | None:
+        """Carry out a command that changes something; return None for any other."""
+        match words:
+            case ["drain", server]:
+                return await self._order(server, drained=True)
+            case ["restore", server]:
+                return await self._order(server, drained=False)
+            case ["purge", "object", obj]:
+                return await self._purge(obj, NO_GROUP, obj)
+            case ["purge", "group", number] if _is_group(number):
+                group = int(number)
+                return await self._purge("", group, f"group {group}")
+        return None
+
+    def _explain(self, server: str, now: float) -> str:
+        lines = self._registry.merge.explain(server, now)
+        if not lines:
+            return _unknown_cache(server)
+        return "".join(f"{line}\n" for line in lines)
+
+    async def _order(self, server: str, drained: bool) -> str:
+        order = self._registry.drain(server, drained, f"the console of {self._router_name}")
+        if order is None:
+            return _unknown_cache(server)
+        done = "drained" if drained else "restored"
+        return await self._share(f"{server} {done}\n", lambda store: store.order(server, order))
+
+    async def _purge(self, obj: str, group: int, what: str) -> str:
+        now = time.time()
+        self._registry.purge(obj, group, now)
+        return await self._share(f"purged {what}\n", lambda store: store.purge(obj, group, now))
+
+    async def _share(self, done: str, share: Callable[[SharedStore], Awaitable[bool]]) -> str:
+        """Share what was done here with the other routers; return it with whether that succeeded."""
+        if self._store and not await share(self._store):
+            return done + "the store is away: the others hear of it when it is back\n"
+        return done
+
+
+def _is_group(text: str) -> bool:
+    return text.isascii() and text.isdigit() and int(text) < GROUP_COUNT
+
+
+def _unknown_cache(server: str) -> str:
+    return f"no such box: {server}\n"
--- /dev/null
+++ b/brackenlane/console/server.py
@@ -0,0 +1,73 @@
+"""The router's end of the console: a Unix socket, a command per line, an empty line behind each answer."""
+
+from __future__ import annotations
+
+import os
+import socket
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+import trio
+
+from brackenlane.limits import Limits
+
+BACKLOG = 8
+RECEIVE_BYTES = 1024
+OWNER_ONLY = 0o177  # umask: no rights for group and others
+
+
+def open_listener(path: Path) -> trio.SocketListener:
+    """Return a listener that only the owner of this process can use; replace a stale socket."""
+    path.unlink(missing_ok=True)
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    old_mask = os.umask(OWNER_ONLY)
+    try:
+        sock.bind(str(path))
+    finally:
+        os.umask(old_mask)
+    sock.listen(BACKLOG)
+    sock.setblocking(False)
+    return trio.SocketListener(trio.socket.from_stdlib_socket(sock))
+
+
+async def serve_terminal(
+    stream: trio.SocketStream, execute: Callable[[str], Awaitable[str]], limits: Limits
+) -> None:
+    """Answer the commands of one terminal until it closes, sends an overlong line, or is idle too long."""
+    try:
+        async with stream:
+            lines = _LineReader(stream, limits)
+            while True:
+                line = await lines.read()
+                if line is None:
+                    return
+                answer = await execute(line)
+                await stream.send_all(f"{answer}\n".encode())
+    except (trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError):
+        return  # the terminal is gone or idle: there is nobody to tell
+
+
+class _LineReader:
+    """Lines of a stream, with bounds on their length and on the wait for them."""
+
+    def __init__(self, stream: trio.SocketStream, limits: Limits) -> None:
+        self._stream = stream
+        self._max_line_bytes = limits.console_line
+        self._idle_timeout = limits.console_idle
+        self._buffer = bytearray()
+
+    async def read(self) -> str | None:
+        """Return the next line; None at the end or for an overlong line. Raises trio.TooSlowError."""
+        end = self._buffer.find(b"\n")
+        while end < 0:
+            if len(self._buffer) > self._max_line_bytes:
+                return None
+            with trio.fail_after(self._idle_timeout):
+                data = await self._stream.receive_some(RECEIVE_BYTES)
+            if not data:
+                return None
+            self._buffer += data
+            end = self._buffer.find(b"\n")
+        line = bytes(self._buffer[:end]).decode("utf-8", "replace")
+        del self._buffer[: end + 1]
+        return line
--- /dev/null
+++ b/brackenlane/console/views.py
@@ -0,0 +1,94 @@
+"""What the console shows: values of the other parts to text. The texts are an interface for operators."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from brackenlane.admission.figures import REASON_NAMES, Figures
+from brackenlane.coldstart.phases import StartupPhase, StartupPhases
+from brackenlane.console.cache_health import CacheHealth
+from brackenlane.console.text_table import render_table
+from brackenlane.discovery.merge import MembershipMerge
+from brackenlane.discovery.records import MergedCache, SrvEntry
+from brackenlane.store.replica import SharedStore
+
+HEADING = ("BOX", "ROLE", "ADDRESS", "STATE", "HEALTH")
+VERBOSE_HEADING = (*HEADING, "BY", "SINCE", "WHY")
+PHASE_MEANINGS = {
+    StartupPhase.EMPTY: "the file alone; what the store has is not known yet",
+    StartupPhase.RECALLED: "the last list; drains and purges since it are not known yet",
+    StartupPhase.LOADING: "the whole list is being read from the store",
+    StartupPhase.CURRENT: "all is known",
+    StartupPhase.BEHIND: "all that the store told until it was lost",
+}
+
+
+def show_caches(merge: MembershipMerge, health: CacheHealth, now: float) -> str:
+    """Return a table of the caches."""
+    rows = [HEADING]
+    rows += [_cache_row(cache, health, now) for cache in _sorted_caches(merge)]
+    return render_table(rows)
+
+
+def show_caches_verbosely(merge: MembershipMerge, health: CacheHealth, now: float) -> str:
+    """Return a table of the caches with who names them and why, and the troubles of discovery."""
+    rows: list[tuple[str, ...]] = [VERBOSE_HEADING]
+    for cache in _sorted_caches(merge):
+        sources = ", ".join(source.name.lower() for source in cache.sources)
+        warmth = f"cold, {max(0.0, now - cache.started):.0f} s" if cache.started else "warm"
+        rows.append((*_cache_row(cache, health, now), sources, warmth, cache.reason))
+    troubles = [line + "\n" for entry in merge.entries.values() for line in _srv_troubles(entry, now)]
+    return render_table(rows) + "".join(troubles)
+
+
+def _sorted_caches(merge: MembershipMerge) -> list[MergedCache]:
+    return sorted(merge.caches.values(), key=lambda cache: cache.definition.id)
+
+
+def _cache_row(cache: MergedCache, health: CacheHealth, now: float) -> tuple[str, str, str, str, str]:
+    definition = cache.definition
+    address = f"{cache.endpoint[0]}:{cache.endpoint[1]}" if cache.endpoint else definition.host
+    return (
+        definition.id,
+        definition.role.value,
+        address,
+        cache.state.value,
+        health.describe(definition.id, now),
+    )
+
+
+def _srv_troubles(entry: SrvEntry, now: float) -> Iterator[str]:
+    name = entry.watch.srv
+    if entry.fault:
+        yield f"{name}: the last look-up failed: {entry.fault}"
+    if entry.held:
+        yield (
+            f"{name}: {len(entry.held.gone)} of {len(entry.listed)} boxes are missing"
+            f" since {now - entry.held.since:.0f} s; not believed until it is confirmed"
+        )
+    if entry.left_out:
+        yield f"{name}: {entry.left_out} boxes are left out for want of room"
+
+
+def show_load(figures: Figures) -> str:
+    """Return the load of the last second, and the counts since the start."""
+    rejected = ", ".join(f"{count} {REASON_NAMES[reason]}" for reason, count in figures.shed.items())
+    return (
+        f"last second: {figures.last.line()}\n"
+        f"since the start: taken {figures.taken}, refused at the door: {rejected or 'none'}\n"
+    )
+
+
+def show_startup(phases: StartupPhases, store: SharedStore | None, now: float) -> str:
+    """Return the phase of the start, since when, and the state of the store."""
+    phase = phases.phase
+    text = f"{phase.value} since {max(0.0, now - phases.since):.0f} s: {PHASE_MEANINGS[phase]}\n"
+    if store is None:
+        return text + "no store: what this doorman knows is all there is\n"
+    pacing = store.pace
+    if store.fault:
+        text += f"store away, {pacing.failures} tries in a row: {store.fault}\n"
+    return text + (
+        f"place in the store's log {store.place}; questions of "
+        f"{pacing.capacity.doormans} doormans are spread over {pacing.window:.2f} s\n"
+    )
