--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -1,308 +1,415 @@
-"""One client connection: requests read, answers written, and what it is waiting for."""
+"""One client connection: requests received, answers sent, and the state that it waits in."""
 
 from __future__ import annotations
 
 import logging
 import re
 import socket
+from dataclasses import dataclass
 from enum import IntEnum
 from http import HTTPStatus
-from typing import TYPE_CHECKING
+from typing import NamedTuple, Protocol
 
 from brackenlane.admission.figures import Reason
 from brackenlane.core.requests import PendingRequest
-from brackenlane.net.http_codec import (
-    CONTINUE,
-    BadRequest,
-    ParsedRequest,
-    RequestParser,
-    encode_answer,
-    read_plain,
-)
+from brackenlane.net.client_transport import ClientDisconnectedError, ClientTransport
+from brackenlane.net.front_context import FrontContext
+from brackenlane.net.http_codec import CONTINUE, BadRequest, ParsedRequest, encode_answer, read_plain
 from brackenlane.net.poller import READ, WRITE
 from brackenlane.net.request_codec import EncodedResponse, lane_of
-
-if TYPE_CHECKING:
-    from brackenlane.net.http_front import HttpFront
+from brackenlane.net.request_input import RequestInput
 
 log = logging.getLogger(__name__)
 
 REQUEST_START = re.compile(rb"(?:GET|PUT) /api/v2/([^/?#]{1,64})/")  # how a request for a class begins
+MAX_READS_TO_END = 4  # reads before a client counts as connected: data may stand before its end
 
 
 class ClientState(IntEnum):
-    """What a client's connection is waiting for; a number, since the place in a list is found by it."""
+    """State of a client connection. A number, since the connection table finds its lists by it."""
+
+    ACTIVE = 0  # a request is queued or in flight: the connection waits for nothing of the client's
+    NEW = 1  # no byte of its first request has come
+    IDLE = 2  # no byte of its next request has come
+    READING = 3  # a request has come in part
+    WRITING = 4  # an answer has been sent in part
+    CLOSING = 5  # our half is closed; the client is to close its own
+
+
+class ConnectionTracker(Protocol):
+    """What a connection reports its state to."""
+
+    def move(self, connection: ClientConnection, previous: ClientState, state: ClientState) -> None:
+        """Record a change of state."""
+
+    def forget(self, connection: ClientConnection, state: ClientState) -> None:
+        """Remove a connection that ends in this state."""
+
+    def closed(self) -> None:
+        """Count a connection whose socket is closed."""
+
+
+class RequestQueue(Protocol):
+    """What a connection queues its requests in, and asks for rejections."""
+
+    rejection: bytes  # complete, as it is sent now
+
+    def offer(self, connection: ClientConnection, class_name: str, is_retry: bool, since: float) -> None:
+        """Add a request, which waits since a Unix time; `serve` or `reject` is called in its turn."""
+
+    def drop(self, connection: ClientConnection, class_name: str, is_retry: bool) -> None:
+        """Remove a request."""
+
+    def rejects(self, target: str, is_retry: bool) -> bool:
+        """Whether there is no room for a request."""
+
+    def has_copy(self, target: str) -> bool:
+        """Whether the response cache would serve this."""
+
+    def hold_off(self, now: float) -> float:
+        """Return the seconds that a rejected client should stay away."""
+
+    def encode_rejection(self, hold_off: float = 0.0) -> EncodedResponse:
+        """Encode a rejection; hold_off: seconds to stay away, the usual ones if 0."""
+
+
+class RequestHandler(Protocol):
+    """What a connection hands its requests to; the answer comes by `ClientConnection.answer`."""
+
+    def accept(self, client: ClientConnection, parsed: ParsedRequest, since: float) -> None:
+        """Accept a request, which came at a Unix time. Raises BadRequest."""
+
+    def withdraw(self, request: PendingRequest) -> None:
+        """Withdraw a request whose client has left."""
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionServices:
+    """What is handed to every connection of a front."""
+
+    context: FrontContext
+    tracker: ConnectionTracker
+    queue: RequestQueue
+    handler: RequestHandler
+
+
+class QueueEntry(NamedTuple):
+    """Where the request of a connection is queued."""
 
-    NOT = 0  # nothing of the client's
-    FIRST = 1  # its first request
-    NEXT = 2  # its next request
-    REST = 3  # the rest of a request
-    TAKE = 4  # the client to take its answer
-    CLOSING = 5  # the client to end it
+    class_name: str
+    is_retry: bool
 
 
 class ClientConnection:
-    """One client connection: one request at a time."""
-
-    def __init__(self, front: HttpFront, sock: socket.socket) -> None:
-        self._front, self._sock = front, sock
-        self._requests = RequestParser(front.limits)
-        self._waits = ClientState.FIRST
-        self._raw = b""  # what waits at the door, unread but for its target:
-        self._plain = ""
-        self._lane: tuple[str, bool] | None = None  # where it waits: class, and whether it is a retry
-        self._cls = ""  # of the request in hand, as its target tells
-        self._unasked = False  # refused before it asked: counted as its request is seen
-        self._unsent = memoryview(b"")  # of an answer written in part
-        self._bytes_allowed = 0  # bytes that may still come while they are not asked for
-        self._close = False  # after this answer
-        self._flooded = False  # more came behind a request than is kept
-        self.open = True
-        self.request: PendingRequest | None = None  # in hand
-
-    def wait(self, waits: ClientState) -> None:
-        """Wait for something else from now on."""
-        if self.open:
-            self._front.note(self, self._waits, waits)
-            self._waits = waits
-            if self._front.closing and waits in (ClientState.FIRST, ClientState.NEXT):
-                self._begin_close()
+    """One client connection, with one request at a time."""
+
+    __slots__ = (
+        "_class_name",
+        "_closes_after_answer",
+        "_context",
+        "_handler",
+        "_input",
+        "_is_rejected_unseen",
+        "_queue",
+        "_queue_entry",
+        "_state",
+        "_tracker",
+        "_transport",
+        "is_open",
+        "request",
+    )
+
+    def __init__(self, sock: socket.socket, services: ConnectionServices) -> None:
+        self._context = services.context
+        self._tracker = services.tracker
+        self._queue = services.queue
+        self._handler = services.handler
+        self._transport = ClientTransport(sock, self._context.poller)
+        self._input = RequestInput(self._context.limits)
+        self._state = ClientState.NEW
+        self._queue_entry: QueueEntry | None = None
+        self._class_name = ""  # of the latest request, as its target tells: for the metrics
+        self._is_rejected_unseen = False  # rejected before its request came: counted when that is seen
+        self._closes_after_answer = False
+        self.is_open = True
+        self.request: PendingRequest | None = None  # in flight
+
+    # States
+
+    def wait(self, state: ClientState) -> None:
+        """Enter a state; a connection that waits for a request is closed during a graceful shutdown."""
+        if not self.is_open:
+            return
+        self._tracker.move(self, self._state, state)
+        self._state = state
+        if self._context.drain.is_closing and state in (ClientState.NEW, ClientState.IDLE):
+            self._begin_close()
 
     def close(self) -> None:
-        """End the connection; a request in hand is taken back."""
-        if not self.open:
+        """Close the connection; a request in flight is withdrawn."""
+        if not self.is_open:
             return
-        self.open = False
-        if self._lane is not None:
-            self._front.admission.drop(self, *self._lane)
-        self._front.forget(self, self._waits)
-        self._front.poller.remove(self._sock.fileno())
-        self._sock.close()
-        self._front.closed(self)
+        self.is_open = False
+        if self._queue_entry is not None:
+            self._queue.drop(self, *self._queue_entry)
+        self._tracker.forget(self, self._state)
+        self._transport.close()
+        self._tracker.closed()
         if self.request:
-            request, self.request = self.request, None
-            self._front.withdraw(request)
+            request = self.request
+            self.request = None
+            self._handler.withdraw(request)
 
     def retire(self, at_once: bool = False) -> None:
-        """End an idle connection, unless a request has come meanwhile: then after its answer.
+        """Close an idle connection, unless a request has come meanwhile: then after its answer.
 
-        At once: its descriptor is wanted, whatever is still on its way.
+        at_once: its descriptor is needed, so what may still be on its way is not waited for.
         """
-        if self._waits is not ClientState.CLOSING:
-            self.ready(READ)
-        if not self.open or self._waits not in (ClientState.FIRST, ClientState.NEXT, ClientState.CLOSING):
+        if self._state is not ClientState.CLOSING:
+            self.on_ready(READ)
+        if not self.is_open or self._state not in (
+            ClientState.NEW,
+            ClientState.IDLE,
+            ClientState.CLOSING,
+        ):
             return
         if at_once:
             self.close()
-        elif self._waits is not ClientState.CLOSING:
+        elif self._state is not ClientState.CLOSING:
             self._begin_close()
 
     def expire(self) -> None:
-        """It has waited too long; what has come and was not read yet counts."""
-        if self._waits in (ClientState.TAKE, ClientState.CLOSING):
-            return self.close()
-        waits = self._waits
-        self.ready(READ)
-        if self.open and self._waits is waits:
-            if waits is ClientState.REST:
+        """Close a connection past its deadline, unless what has come meanwhile changes its state."""
+        if self._state in (ClientState.WRITING, ClientState.CLOSING):
+            self.close()
+            return
+        state = self._state
+        self.on_ready(READ)
+        if self.is_open and self._state is state:
+            if state is ClientState.READING:
                 log.warning("a client does not end its request")
             self._begin_close()
 
     def _begin_close(self) -> None:
-        """End the connection in order: nothing is owed, and nothing that comes now is taken.
+        """Close our half of the connection: nothing is owed, and nothing that comes now is served.
 
-        What comes is read on for a moment, since a close over it would reset an answer on its way.
+        What comes is read for a moment more, since closing with unread data would reset an answer that is
+        still on its way.
         """
-        self._close, self._bytes_allowed = True, self._front.limits.linger_bytes
+        self._closes_after_answer = True
+        self._input.bytes_allowed = self._context.limits.linger_bytes
         self.wait(ClientState.CLOSING)
         try:
-            self._sock.shutdown(socket.SHUT_WR)
-        except OSError:
+            self._transport.end_sending()
+        except ClientDisconnectedError:
             self.close()
 
-    def ready(self, events: int) -> None:
-        """The socket is ready."""
+    # The socket
+
+    def on_ready(self, events: int) -> None:
+        """Handle the epoll events of the socket."""
         try:
-            if events & WRITE and self._unsent:
+            if events & WRITE and self._transport.has_unsent:
                 self._flush()
-            if events & ~WRITE and self.open:
+            if events & ~WRITE and self.is_open:
                 self._receive()
         except Exception:  # one client must not end the others
             log.exception("a client's connection failed")
             self.close()
 
     def is_client_connected(self) -> bool:
-        """Whether the client is still there, by its socket at this moment: its end may not have been read."""
+        """Whether the client is connected, by its socket now: its end may not have been read yet."""
         try:
-            for _ in range(4):  # what stands before that end has a bound too
-                if not self.open or not self._receive():
+            for _ in range(MAX_READS_TO_END):
+                if not self.is_open or not self._receive():
                     break
         except Exception:  # one client must not end the connection to a cache, nor another's request
             log.exception("a client's connection failed")
             self.close()
-        return self.open
+        return self.is_open
 
     def _receive(self) -> bool:
-        """Take what has come; whether anything had."""
-        try:
-            data = self._sock.recv(16_384)
-        except BlockingIOError:
+        """Handle what has come; whether anything had."""
+        data = self._transport.receive()
+        if data is None:
             return False
-        except OSError:
-            data = b""
         if data:
-            self._heed(data)
+            self._on_data(data)
         else:
-            self.close()  # left: nothing is owed
+            self.close()  # the client has left: nothing is owed
         return True
 
-    def _heed(self, data: bytes) -> None:
-        if self._waits is ClientState.CLOSING:
-            if self._unasked and (found := REQUEST_START.match(data)):
-                self._unasked = False
-                self._front.counts.ended(found[1].decode(), HTTPStatus.SERVICE_UNAVAILABLE)
-            self._bytes_allowed -= len(data)
-            return self.close() if self._bytes_allowed <= 0 else None
-        if self._waits in (ClientState.NOT, ClientState.TAKE):
-            # Bytes of a next request are kept, up to a bound. Past it nothing is kept, and the answer that is
-            # owed ends the connection; read on, it tells when its client leaves.
-            self._bytes_allowed -= len(data)
-            if self._bytes_allowed <= 0:
-                if not self._flooded:
-                    log.warning("a client sends on and on behind its request: its answer ends the connection")
-                self._flooded, self._plain = True, ""
-            elif self._raw:
-                self._raw, self._plain = self._raw + data, ""  # more than one request: read in full
-            else:
-                self._requests.feed(data)
-            return None
-        if self._waits is not ClientState.REST and (plain := read_plain(data)):
-            target, again = plain
-            if self._front.refuses(target, again) and not self._front.leaving:
-                self._front.figures.refuse(Reason.QUEUED)
-                self._cls = lane_of(target)
-                return self._turn_away()
-            self._raw, self._plain = data, target  # read no further until it is served
-            return self._queue(target, again)
-        self._requests.feed(data)
-        self._go_on()
-
-    def _queue(self, target: str, again: bool) -> None:
-        self._bytes_allowed = self._front.limits.head
-        self.wait(ClientState.NOT)
-        self._cls = lane_of(target)
-        self._lane = self._cls, again
-        self._front.admission.offer(self, *self._lane, self._front.poller.polled)
+    def _on_data(self, data: bytes) -> None:
+        match self._state:
+            case ClientState.CLOSING:
+                self._discard(data)
+            case ClientState.ACTIVE | ClientState.WRITING:
+                self._buffer(data)
+            case ClientState.READING:
+                self._parse(data)
+            case ClientState.NEW | ClientState.IDLE:
+                if simple := read_plain(data):
+                    self._queue_unparsed(data, *simple)
+                else:
+                    self._parse(data)
+
+    def _discard(self, data: bytes) -> None:
+        """Read on while the client closes its half, up to a bound."""
+        if self._is_rejected_unseen and (found := REQUEST_START.match(data)):
+            self._is_rejected_unseen = False
+            self._context.metrics.ended(found[1].decode(), HTTPStatus.SERVICE_UNAVAILABLE)
+        if self._input.spend(data):
+            self.close()
+
+    def _buffer(self, data: bytes) -> None:
+        """Keep the bytes of a next request, up to a bound.
+
+        Past it nothing is kept, and the answer that is owed closes the connection. It is still read, since
+        that shows when the client leaves.
+        """
+        was_flooded = self._input.is_flooded
+        self._input.buffer(data)
+        if self._input.is_flooded and not was_flooded:
+            log.warning("a client sends on and on behind its request: its answer ends the connection")
+
+    def _parse(self, data: bytes) -> None:
+        self._input.feed(data)
+        self._continue()
+
+    # The queue
+
+    def _queue_unparsed(self, data: bytes, target: str, is_retry: bool) -> None:
+        if self._queue.rejects(target, is_retry) and not self._context.drain.ends_connections:
+            self._context.figures.refuse(Reason.QUEUED)
+            self._class_name = lane_of(target)
+            self._reject_unparsed()
+            return
+        self._input.hold(data, target)
+        self._enqueue(target, is_retry)
+
+    def _enqueue(self, target: str, is_retry: bool) -> None:
+        self._input.bytes_allowed = self._context.limits.head
+        self.wait(ClientState.ACTIVE)
+        self._class_name = lane_of(target)
+        self._queue_entry = QueueEntry(self._class_name, is_retry)
+        self._queue.offer(self, self._class_name, is_retry, self._context.poller.polled)
 
     def rejoin(self, since: float) -> None:
-        """Wait in the door's new queue, since when it has waited."""
-        assert self._lane is not None
-        self._front.admission.offer(self, *self._lane, since)
+        """Join the new queue of a reload; since: the Unix time from which it has waited."""
+        assert self._queue_entry is not None
+        self._queue.offer(self, *self._queue_entry, since)
 
     def serve(self, since: float) -> None:
-        """It is the turn of the request that waits, which came at a Unix time."""
-        if (reading := self._read()) is None:
-            return self._go_on()
-        # To HEAD, which no class takes, no body may be answered: the end tells that what came was none.
-        self._close = not reading.keep_alive or reading.method == "HEAD"
+        """Serve the queued request in its turn; since: the Unix time at which it came."""
+        parsed = self._next_request()
+        if parsed is None:
+            self._continue()
+            return
+        # To HEAD, which no class takes, no body may be answered: the end shows that what came was none.
+        self._closes_after_answer = not parsed.keep_alive or parsed.method == "HEAD"
         try:
-            self._front.take(self, reading, since)
-        except BadRequest as fault:  # a fault of the request alone
+            self._handler.accept(self, parsed, since)
+        except BadRequest as fault:  # a fault of the request alone: the connection is kept
             log.warning("a request that can't be served: %s", fault)
-            self.answer((fault.status.value, fault.headers, f"{fault}\n".encode()))
-
-    def refuse(self, now: float) -> None:
-        """The request that waits is not served; what is told by its target alone spares the parser."""
-        target = self._plain
-        if target and self._front.own(target):
-            return self.serve(now)
-        self._front.figures.refuse(Reason.QUEUED)
-        if target and not self._front.leaving:
-            self._raw, self._plain, self._lane = b"", "", None
-            self._turn_away()
-        elif (reading := self._read()) is None:
-            self._go_on()
-        else:
-            self._close = not reading.keep_alive
-            self.answer(self._front.encode_rejection(self._front.hold_off(now)))
-
-    def shut_out(self) -> None:
-        """There is no room for this connection: refuse what it will ask, and end it."""
-        self._close = self._unasked = True
-        self.answer(self._front.encode_rejection())
-
-    def _turn_away(self) -> None:
-        self._bytes_allowed, self._close = self._front.limits.head, False
-        self._front.counts.ended(self._cls, HTTPStatus.SERVICE_UNAVAILABLE)
-        self._send(self._front.refusal)
-        if self.open:
-            self.wait(ClientState.TAKE if self._unsent else ClientState.NEXT)
-
-    def _read(self) -> ParsedRequest | None:
-        """The request that waits, read in full."""
-        raw, self._raw, self._plain, self._lane = self._raw, b"", "", None
-        self._requests.feed(raw)
-        return self._requests.next()
-
-    def _go_on(self) -> None:
-        """Queue the next request, once the last is answered."""
-        if reading := self._requests.complete:
-            self._queue(reading.target, "x-second-try" in reading.headers)
-        elif wrong := self._requests.fault:
-            log.warning("a client that can't be read: %s", wrong)
-            self._close = True
-            self.wait(ClientState.NOT)
-            self.answer((wrong.status.value, wrong.headers, f"{wrong}\n".encode()))
+            self._answer_fault(fault)
+
+    def reject(self, now: float) -> None:
+        """Reject the queued request; one that is held unparsed spares the parser."""
+        target = self._input.target
+        if target and self._queue.has_copy(target):
+            self.serve(now)
+            return
+        self._context.figures.refuse(Reason.QUEUED)
+        if target and not self._context.drain.ends_connections:
+            self._input.discard_unparsed()
+            self._queue_entry = None
+            self._reject_unparsed()
+            return
+        parsed = self._next_request()
+        if parsed is None:
+            self._continue()
+            return
+        self._closes_after_answer = not parsed.keep_alive
+        self.answer(self._queue.encode_rejection(self._queue.hold_off(now)))
+
+    def reject_connection(self) -> None:
+        """Reject the connection, for which there is no room: before its request comes."""
+        self._is_rejected_unseen = True
+        self._closes_after_answer = True
+        self.answer(self._queue.encode_rejection())
+
+    def _reject_unparsed(self) -> None:
+        """Send the prepared rejection; the connection is kept."""
+        self._input.bytes_allowed = self._context.limits.head
+        self._closes_after_answer = False
+        self._context.metrics.ended(self._class_name, HTTPStatus.SERVICE_UNAVAILABLE)
+        self._send(self._queue.rejection)
+        if self.is_open:
+            self.wait(ClientState.WRITING if self._transport.has_unsent else ClientState.IDLE)
+
+    def _next_request(self) -> ParsedRequest | None:
+        self._queue_entry = None
+        return self._input.next()
+
+    def _continue(self) -> None:
+        """Queue the next request once the last is answered, or wait for it."""
+        if parsed := self._input.complete:
+            self._enqueue(parsed.target, "x-second-try" in parsed.headers)
+        elif fault := self._input.fault:
+            log.warning("a client that can't be read: %s", fault)
+            self._closes_after_answer = True
+            self.wait(ClientState.ACTIVE)
+            self._answer_fault(fault)
         else:
-            if self._requests.wants_continue:
-                self._requests.wants_continue = False
-                self._send(CONTINUE)
-            partial = self._requests.partial
-            if partial and self._waits is not ClientState.REST:
-                self.wait(ClientState.REST)
-            elif not partial and self._waits in (ClientState.NOT, ClientState.TAKE):
-                self.wait(ClientState.NEXT)
-
-    def answer(self, worded: EncodedResponse) -> None:
-        """One whole answer; cut short, its length shows it, and the connection ends."""
-        if not self.open:
+            self._wait_for_request()
+
+    def _wait_for_request(self) -> None:
+        if self._input.take_continue():
+            self._send(CONTINUE)
+        if self._input.is_partial:
+            if self._state is not ClientState.READING:
+                self.wait(ClientState.READING)
+        elif self._state in (ClientState.ACTIVE, ClientState.WRITING):
+            self.wait(ClientState.IDLE)
+
+    # Answers
+
+    def answer(self, response: EncodedResponse) -> None:
+        """Send one complete answer. If it is cut short, its length shows that, and the connection ends."""
+        if not self.is_open:
             return
-        status, headers, body = worded
-        self._front.counts.ended(self._cls, status)
-        self._cls = ""
-        self._close |= self._front.leaving or self._flooded
-        self._send(encode_answer(status, headers, body, self._close), body)
-        if self.open and self._unsent:
-            self.wait(ClientState.TAKE)
-        elif self.open:
-            self._answered()
-
-    def _answered(self) -> None:
-        if self._close or self._flooded:  # a flood may also come while the answer is taken
+        status, headers, body = response
+        self._context.metrics.ended(self._class_name, status)
+        self._class_name = ""
+        self._closes_after_answer |= self._context.drain.ends_connections or self._input.is_flooded
+        self._send(encode_answer(status, headers, body, self._closes_after_answer), body)
+        if not self.is_open:
+            return
+        if self._transport.has_unsent:
+            self.wait(ClientState.WRITING)
+        else:
+            self._on_answer_sent()
+
+    def _answer_fault(self, fault: BadRequest) -> None:
+        self.answer((fault.status.value, fault.headers, f"{fault}\n".encode()))
+
+    def _on_answer_sent(self) -> None:
+        if self._closes_after_answer or self._input.is_flooded:  # a flood may come while the answer is sent
             self._begin_close()
         else:
-            self._go_on()
+            self._continue()
 
     def _send(self, head: bytes, body: bytes = b"") -> None:
         try:
-            sent = self._sock.sendmsg((head, body)) if body else self._sock.send(head)
-        except BlockingIOError:
-            sent = 0
-        except OSError:
-            return self.close()
-        if sent < len(head) + len(body):
-            self._unsent = memoryview(head + body)[sent:]
-            self._front.poller.want(self._sock.fileno(), READ | WRITE)
+            self._transport.send(head, body)
+        except ClientDisconnectedError:
+            self.close()
 
     def _flush(self) -> None:
         try:
-            self._unsent = self._unsent[self._sock.send(self._unsent) :]
-        except BlockingIOError:
+            is_sent = self._transport.flush()
+        except ClientDisconnectedError:
+            self.close()
             return
-        except OSError:
-            return self.close()
-        if not self._unsent:
-            self._unsent = memoryview(b"")  # lets go of the answer
-            self._front.poller.want(self._sock.fileno(), READ)
-            if self._waits is ClientState.TAKE:
-                self._answered()
+        if is_sent and self._state is ClientState.WRITING:
+            self._on_answer_sent()
--- /dev/null
+++ b/brackenlane/net/request_intake.py
@@ -0,0 +1,171 @@
+"""Request intake: requests read, checked against their deadline, claimed, submitted and answered."""
+
+from __future__ import annotations
+
+import functools
+import logging
+import time
+from collections.abc import Callable
+from dataclasses import replace
+from http import HTTPStatus
+
+import trio
+
+from brackenlane.admission.figures import Reason
+from brackenlane.core.claims import ClaimResult, ClaimStore
+from brackenlane.core.engine import RequestEngine
+from brackenlane.core.requests import Answer, Disposition, PendingRequest
+from brackenlane.net.answer_encoder import AnswerEncoder
+from brackenlane.net.client_connection import ClientConnection
+from brackenlane.net.front_context import FrontContext
+from brackenlane.net.http_codec import BadRequest, ParsedRequest
+from brackenlane.net.request_codec import HEALTHY, EncodedResponse, read_request
+from brackenlane.net.write_record import WriteRecord
+
+log = logging.getLogger(__name__)
+
+TIME_LEFT_TOLERANCE = 0.001  # seconds of queueing that are not taken off a request's time
+HEALTHY_RESPONSE: EncodedResponse = (HTTPStatus.OK.value, {}, b"healthy\n")
+NOT_READY_RESPONSE: EncodedResponse = (
+    HTTPStatus.SERVICE_UNAVAILABLE.value,
+    {"Retry-After": "1"},
+    b"not ready\n",
+)
+DUPLICATE_RESPONSE: EncodedResponse = (
+    HTTPStatus.CONFLICT.value,
+    {},
+    b"this submit has been taken before\n",
+)
+
+
+class RequestIntake:
+    """Takes the requests of all connections to the core, and the core's answers back."""
+
+    def __init__(
+        self,
+        core: RequestEngine,
+        context: FrontContext,
+        encoder: AnswerEncoder,
+        claims: ClaimStore | None,
+        nursery: trio.Nursery | None,
+    ) -> None:
+        self._core = core
+        self._context = context
+        self._encoder = encoder
+        self._claims = claims
+        self._nursery = nursery
+        self._classes = {c.name: c for c in core.settings.classes}
+        self._clients_by_request: dict[str, ClientConnection] = {}  # of requests in flight, by their wire id
+        self.writes = WriteRecord(context)
+        self.is_ready: Callable[[], bool] = lambda: True  # asked by the health check, besides the cache list
+
+    def reconfigure(self) -> None:
+        """Read requests by the core's new classes."""
+        self._classes = {c.name: c for c in self._core.settings.classes}
+        self._context.metrics.reconfigure(self._classes)
+
+    def accept(self, client: ClientConnection, parsed: ParsedRequest, since: float) -> None:
+        """Accept one request, which came at a Unix time; the client gets its answer, perhaps at once.
+
+        Raises BadRequest for a request that can't be served.
+        """
+        if parsed.target == HEALTHY:
+            self._answer_health_check(client, parsed)
+            return
+        if self._context.drain.is_finished:
+            client.answer(self._encoder.encode_rejection())
+            return
+        request = read_request(parsed, self._classes, self._context.limits, self._core.new_id(), since)
+        time_left = request.deadline - time.time()
+        if time_left <= 0:
+            self._context.figures.refuse(Reason.LATE)
+            client.answer(self._encoder.encode_rejection())
+            return
+        if time_left < request.arrival.time_left - TIME_LEFT_TOLERANCE:
+            request.arrival = replace(request.arrival, time_left=time_left)  # less what it was queued
+        claim = self._claim_here(request)
+        if claim is ClaimResult.UNKNOWN:
+            client.answer(self._encoder.encode_rejection())
+            return
+        if claim is ClaimResult.TAKEN:
+            raise BadRequest(HTTPStatus.CONFLICT, "this X-Txn has been taken already")
+        self._start(client, request)
+
+    def withdraw(self, request: PendingRequest) -> None:
+        """Withdraw the request of a client that has left."""
+        self._finish(request, is_rejected=False)
+        self._core.withdraw(request)
+
+    def reject_all(self) -> None:
+        """Reject the requests that the core has not answered: their claims are still open, nothing ran."""
+        for client in list(self._clients_by_request.values()):
+            if client.request:
+                self._reject(client, client.request)
+
+    def _answer_health_check(self, client: ClientConnection, parsed: ParsedRequest) -> None:
+        if parsed.method != "GET":
+            raise BadRequest(HTTPStatus.METHOD_NOT_ALLOWED, "health takes GET", {"Allow": "GET"})
+        is_ready = self._core.membership.has_list and not self._context.drain.is_closing and self.is_ready()
+        client.answer(HEALTHY_RESPONSE if is_ready else NOT_READY_RESPONSE)
+
+    def _claim_here(self, request: PendingRequest) -> ClaimResult:
+        """Claim a request against duplicates, within this process and its router's other processes."""
+        if request.wire_id in self._clients_by_request or request.wire_id in self.writes:
+            return ClaimResult.TAKEN
+        if request.must_run_once:
+            return self.writes.claim(request.wire_id)
+        return ClaimResult.OURS
+
+    def _start(self, client: ClientConnection, request: PendingRequest) -> None:
+        self._clients_by_request[request.wire_id] = client
+        client.request = request
+        request.is_client_connected = client.is_client_connected
+        request.on_answer = functools.partial(self._answer, client, request)
+        if self._claims and self._nursery and request.must_run_once:
+            self._nursery.start_soon(self._claim_and_submit, client, request, self._claims)
+        else:
+            self._core.submit(request)
+
+    async def _claim_and_submit(
+        self, client: ClientConnection, request: PendingRequest, claims: ClaimStore
+    ) -> None:
+        """Submit a write that other routers could be sent too: claimed before it runs."""
+        claim = await claims.claim(request.wire_id)
+        if client.request is not request:
+            return  # the client has left; its claim is kept, as if the write had run, which is safe
+        time_left = request.deadline - time.time()
+        if claim is ClaimResult.TAKEN:
+            self._finish(request, is_rejected=False)
+            client.request = None
+            client.answer(DUPLICATE_RESPONSE)
+            return
+        if claim is ClaimResult.UNKNOWN or time_left <= 0:
+            self._reject(client, request)
+            return
+        request.arrival = replace(request.arrival, time_left=time_left)
+        request.on_answer = functools.partial(self._answer_claimed, client, request, claims)
+        self._core.submit(request)
+
+    def _answer_claimed(
+        self, client: ClientConnection, request: PendingRequest, claims: ClaimStore, answer: Answer
+    ) -> None:
+        if answer.disposition is Disposition.REJECTED and self._nursery:
+            self._nursery.start_soon(claims.release, request.wire_id)
+        self._answer(client, request, answer)
+
+    def _reject(self, client: ClientConnection, request: PendingRequest) -> None:
+        hold_off = self._context.limits.retry_after
+        self._answer(client, request, Answer(Disposition.REJECTED, hold_off=hold_off))
+
+    def _answer(self, client: ClientConnection, request: PendingRequest, answer: Answer) -> None:
+        self._finish(request, answer.disposition is Disposition.REJECTED)
+        client.request = None
+        try:
+            client.answer(self._encoder.encode_answer(answer))
+        except Exception:  # an answer that can't be encoded must not leave its client waiting
+            log.exception("an answer could not be given")
+            client.close()
+
+    def _finish(self, request: PendingRequest, is_rejected: bool) -> None:
+        self._clients_by_request.pop(request.wire_id, None)
+        self.writes.finish(request, is_rejected)
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -278,8 +278,8 @@
     """Worded without the request's being read: the time to stay away is bounded, and whole milliseconds."""
     settings, _ = read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})
     front = HttpFront(RequestEngine(settings, 1, Limits(), lambda _: False), Limits(), Poller(1))
-    monkeypatch.setattr(front.admission, "hold_off", lambda now: waits)
-    head = front._refusal(time.time()).partition(b"\r\n\r\n")[0].decode()
+    monkeypatch.setattr(front.queue.admission, "hold_off", lambda now: waits)
+    head = front.queue.prepare_rejection(time.time()).partition(b"\r\n\r\n")[0].decode()
     lines = dict(line.split(": ") for line in head.split("\r\n")[1:])
     assert int(lines["Retry-After"]) >= 1
     assert ("X-Throttle-Ms" in lines) is reported
@@ -292,10 +292,10 @@
     settings = [read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})[0] for most in (0.04, 0.02)]
     core = RequestEngine(settings[0], 1, limits, lambda _: False)
     front = HttpFront(core, limits, Poller(1))
-    assert b"X-Throttle-Ms: 40\r\n" in front._refusal(time.time())
+    assert b"X-Throttle-Ms: 40\r\n" in front.queue.prepare_rejection(time.time())
     core.reconfigure(settings[1], 1, limits, 0.0, None)
     front.reconfigure(limits)
-    assert b"X-Throttle-Ms: 20\r\n" in front._refusal(time.time())
+    assert b"X-Throttle-Ms: 20\r\n" in front.queue.prepare_rejection(time.time())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -427,11 +427,11 @@
                 raise
 
     with peer:
-        front._admit(Crossed(fileno=mine.detach()))
+        front.listener.admit(Crossed(fileno=mine.detach()))
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
-        while not front._waiting[ClientState.NEXT]:
+        while not front.table.in_state(ClientState.IDLE):
             poller.turn()
-        [client] = front._waiting[ClientState.NEXT]
+        [client] = front.table.in_state(ClientState.IDLE)
         if how == "leave":
             front.leave()
         else:
@@ -443,7 +443,7 @@
         poller.turn()
         assert not core.open_request_count  # what came after the end is not sent on
         peer.close()
-        while client.open:
+        while client.is_open:
             poller.turn()
 
 
@@ -817,12 +817,12 @@
         mine, _ = listener.accept()
     with peer:
         mine.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        front._admit(mine)
-        [client] = front._waiting[ClientState.FIRST]
-        client.wait(ClientState.NOT)
-        client._bytes_allowed = Limits().head
+        front.listener.admit(mine)
+        [client] = front.table.in_state(ClientState.NEW)
+        client.wait(ClientState.ACTIVE)
+        client._input.bytes_allowed = Limits().head
         client.answer((200, {}, bytes(8_000_000)))
-        assert client in front._waiting[ClientState.TAKE]
+        assert client in front.table.in_state(ClientState.WRITING)
         peer.sendall(b"x" * 20_000)
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n" * 1000)
         peer.setblocking(False)
