--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -107,7 +107,8 @@
 
 
 WRONG = (
-    "`net.board`, `net.http_front.Door`, `core.engine.RequestEngine.no_such_method`, `core.engine.Timers._no_such`, "
+    "`net.board`, `net.http_front.Door`, `core.engine.RequestEngine.no_such`, "
+    "`core.engine.RequestEngine._no_such`, "
     "`Limits.no_such`, `gw_no_such_metric`, `NO_SUCH_VARIABLE`, `docs/no_such.md`, `no such command`, "
     '"no such log line: %s"'
 )
