--- a/Makefile
+++ b/Makefile
@@ -23,11 +23,11 @@
 	.venv-dev/bin/ruff format --check .
 	.venv-dev/bin/mypy
 
-# The example's doorman; its boxes are 'make toy SITE=example/config.json'.
+# The example's router; its caches are started by 'make toy SITE=example/config.json'.
 run: .venv/bin/python
 	GW_CONFIG=example/config.json .venv/bin/python -m brackenlane
 
-# A small site's doorman with the DNS front; its boxes and resolver are 'make toy'.
+# A small site's router with the DNS front; its caches and resolver are started by 'make toy'.
 appliance: .venv/bin/python
 	.venv/bin/python -m brackenlane appliance $(SITE)
 
--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -4,7 +4,7 @@
     python example/toy_site.py deploy/appliance.toml       the caches and the resolver of an appliance
     python example/toy_site.py deploy/appliance-srv.toml   the same with caches that SRV records name
 
-Every cache holds every object, some made-up bytes, and writes down what it is asked.
+Every cache holds every object, some made-up bytes, and prints each request.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def read_site(path: Path) -> tuple[dict[str, Endpoint], Endpoint | None, dict[str, list[int]]]:
-    """The caches by id, the resolver if there is one, and the cache ports that each SRV entry names."""
+    """Return the caches by id, the resolver if there is one, and the cache ports that each SRV entry names."""
     if path.suffix == ".json":
         known: list[dict[str, Any]] = json.loads(path.read_text())["known"]["results"]
         ends = {t["uid"]: t["endpoint"].rsplit(":", 1) for e in known for t in e["fleet"]["targets"]}
@@ -48,7 +48,7 @@
 
 
 async def serve_box(name: str, endpoint: Endpoint, nursery: trio.Nursery) -> None:
-    """One cache, which holds every object and writes down what it is asked."""
+    """Serve one cache, which holds every object and prints each request."""
 
     def answer(requested: Asked) -> bytes:
         reported = ",".join(f"{field}={value}" for field, value in requested.fields.items())
@@ -65,7 +65,7 @@
 
 
 async def serve_names(endpoint: Endpoint, services: dict[str, list[int]], nursery: trio.Nursery) -> None:
-    """The resolver: each box's name is this machine, and each SRV entry names the caches at some ports."""
+    """Serve the resolver: each cache's name is this machine, and each SRV entry names the caches at some ports."""
     server = DnsServer()
     server.port = endpoint[1]
     server.default = "127.0.0.1"
