--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -27,7 +27,7 @@
 
 
 def read_site(path: Path) -> tuple[dict[str, Endpoint], Endpoint | None, dict[str, list[int]]]:
-    """Return the caches by id, the resolver if there is one, and the cache ports that each SRV entry names."""
+    """Return the caches by id, the resolver if there is one, and the cache ports of each SRV entry."""
     if path.suffix == ".json":
         known: list[dict[str, Any]] = json.loads(path.read_text())["known"]["results"]
         ends = {t["uid"]: t["endpoint"].rsplit(":", 1) for e in known for t in e["fleet"]["targets"]}
@@ -65,7 +65,7 @@
 
 
 async def serve_names(endpoint: Endpoint, services: dict[str, list[int]], nursery: trio.Nursery) -> None:
-    """Serve the resolver: each cache's name is this machine, and each SRV entry names the caches at some ports."""
+    """Serve the resolver: each cache's name is this machine; each SRV entry names the caches at some ports."""
     server = DnsServer()
     server.port = endpoint[1]
     server.default = "127.0.0.1"
