--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -65,7 +65,7 @@
 
 
 async def serve_names(endpoint: Endpoint, services: dict[str, list[int]], nursery: trio.Nursery) -> None:
-    """Serve the resolver: each cache's name is this machine; each SRV entry names the caches at some ports."""
+    """Serve the resolver: each cache's name is this machine; each SRV entry names caches at some ports."""
     server = DnsServer()
     server.port = endpoint[1]
     server.default = "127.0.0.1"
