--- a/brackenlane/routing/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -8,8 +8,8 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, replace
-from typing import TypeVar
+from dataclasses import replace
+from typing import NamedTuple, TypeVar
 
 from brackenlane.routing.checked_json import (
     ABOVE_ZERO,
@@ -67,8 +67,7 @@
 SHARE_BOUNDS = Bounds(maximum=1.0, excludes_minimum=True)
 
 
-@dataclass(frozen=True, slots=True)
-class _Sections:
+class _Sections(NamedTuple):
     """The objects in a settings object from which most values come."""
 
     root: Section
@@ -198,8 +197,7 @@
     return longest if limits.flag("RetryAfter") else 0.0
 
 
-@dataclass(frozen=True, slots=True)
-class _SlowStarts:
+class _SlowStarts(NamedTuple):
     """The slow-start rules of one site."""
 
     edge: SlowStart
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -1,4 +1,4 @@
-"""Caches whose widths nobody tells: load is compared, and the hash's first choice is not piled upon."""
+"""Caches of unknown widths: loads are compared, and the first choice of the hash is not overloaded."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
     ("loads", "expected"),
     [
         ([0.0, 0.0, 0.0], "abc"),  # idle: the hash decides
-        ([1.0, 0.0, 0.0], "abc"),  # a few more than the others have are no crowd
+        ([1.0, 0.0, 0.0], "abc"),  # a few more than the others have change nothing
         ([4.0, 0.0, 0.0], "bca"),
         ([4.0, 4.0, 4.0], "abc"),  # a load that all share is no reason to go elsewhere
         ([14.0, 14.0, 1.0], "cab"),
         ([300.0, 300.0, 299.0], "abc"),
     ],
 )
-def test_a_cache_over_the_bound_comes_last(loads: list[float], expected: str) -> None:
+def test_cache_over_the_bound_comes_last(loads: list[float], expected: str) -> None:
     """Order by the hash, among those that may take one more, then among the others."""
     load = dict(zip("abc", loads, strict=True))
     assert "".join(below_bound_first("abc", "abc", load.__getitem__, lambda _: 1.0)) == expected
 
 
-def test_a_wider_link_bears_more() -> None:
+def test_wider_link_carries_more() -> None:
     """Loads are counted by width."""
     load, width = {"a": 6.0, "b": 6.0}, {"a": 6.0, "b": 1.0}
     order = below_bound_first("ba", "ab", load.__getitem__, width.__getitem__)
     assert order == ["a", "b"]
 
 
-def open_at(harness: RouterHarness, count: int) -> dict[str, int]:
-    """Where requests for objects that prefer the first cache are sent while none is answered."""
+def open_requests(harness: RouterHarness, count: int) -> dict[str, int]:
+    """Return by cache how many requests are sent to it, for objects that prefer the first one, unanswered."""
     sent = dict.fromkeys((member.server for member in EDGES), 0)
     requested, names = 0, itertools.count()
     while requested < count:
@@ -60,18 +60,18 @@
 
 
 @pytest.mark.parametrize("reported", [False, True])
-def test_hot_cache_is_spared_where_widths_are_not_told(reported: bool) -> None:
-    """Before, eight of eight met at one cache, whose link bears fewer, while its neighbours had nothing."""
+def test_requests_spill_over_from_a_hot_cache_where_widths_are_unknown(reported: bool) -> None:
+    """Eight of eight went to one cache, whose link carries fewer, while its neighbours were idle."""
     harness = RouterHarness(FLEET, weights_known=reported)
     if reported:
         harness.tell([Member(m.server, m.zone, m.role, weight=20.0) for m in FLEET])
-    sent = open_at(harness, 8)
+    sent = open_requests(harness, 8)
     assert sum(sent.values()) == 8
     assert (max(sent.values()) < 8) is not reported, sent
 
 
-def test_no_spill_while_the_origin_is_slow() -> None:
-    """A spilled request is filled anew: what is slow is not asked for more of that."""
+def test_requests_do_not_spill_over_while_the_origin_is_throttled() -> None:
+    """A request that spills over is filled once more, which a slow origin must be spared."""
     harness = RouterHarness(FLEET, now=100.0, weights_known=False)
     harness.router.origin_throttle.decrease(harness.now, certainty=1.0, window=0.0)
-    assert open_at(harness, 8)["edge-0"] == 8
+    assert open_requests(harness, 8)["edge-0"] == 8
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""How many transfers a server is given follows what it proves to bear, not what was assumed."""
+"""The transfers that a server is given follow whether its answers come in time, not what was assumed."""
 
 from __future__ import annotations
 
@@ -16,31 +16,32 @@
 from tests.router_harness import RouterHarness, members, only
 from tests.test_portal_settings import PACE, Branch
 
-WIDTH, PAUSE = 4.0, 1.0
+WIDTH = 4.0
+WINDOW = 1.0
 IN_TIME, LATE = False, True
 
 
 def observed(limit: ConcurrencyLimit, *answers: tuple[bool, float, float]) -> float:
     """The limit in transfers after answers: late or not, the part in use, and when."""
     for late, used, now in answers:
-        limit.observe(late, used, WIDTH, now, PAUSE)
+        limit.observe(late, used, WIDTH, now, WINDOW)
     return limit.factor * WIDTH
 
 
-def test_slow_start_gives_a_transfer_more_for_each_answer_in_time_of_a_limit_in_use() -> None:
+def test_slow_start_adds_a_transfer_for_each_answer_in_time_of_a_limit_in_use() -> None:
     limit = ConcurrencyLimit(math.inf)
     assert observed(limit, (IN_TIME, LEAST_USED_SHARE, 0.0), (IN_TIME, 1.0, 0.0)) == pytest.approx(WIDTH + 2)
     assert observed(limit, (IN_TIME, LEAST_USED_SHARE / 2, 0.0)) == pytest.approx(WIDTH + 2)  # proves nothing
 
 
-def test_late_answers_lower_it_once_for_each_crowd() -> None:
+def test_late_answers_decrease_the_limit_once_in_a_window() -> None:
     limit = ConcurrencyLimit(math.inf)
-    crowd = [(LATE, 1.0, n * PAUSE / 10) for n in range(10)]
-    assert observed(limit, *crowd) == pytest.approx(WIDTH * DECREASE_FACTOR)
-    assert observed(limit, (LATE, 1.0, 1.5 * PAUSE)) == pytest.approx(WIDTH * DECREASE_FACTOR**2)
+    late_answers = [(LATE, 1.0, n * WINDOW / 10) for n in range(10)]
+    assert observed(limit, *late_answers) == pytest.approx(WIDTH * DECREASE_FACTOR)
+    assert observed(limit, (LATE, 1.0, 1.5 * WINDOW)) == pytest.approx(WIDTH * DECREASE_FACTOR**2)
 
 
-def test_after_a_late_answer_it_rises_by_a_transfer_for_as_many_answers_as_it_holds() -> None:
+def test_increase_after_a_late_answer_is_additive() -> None:
     limit = ConcurrencyLimit(math.inf)
     lowered = observed(limit, (LATE, 1.0, 0.0))
     answers = [(IN_TIME, 1.0, 0.0)] * round(lowered)
@@ -50,20 +51,20 @@
 @given(
     st.lists(st.tuples(st.booleans(), st.floats(0, 3), st.floats(0, 100)), max_size=60), st.floats(0.1, 50)
 )
-def test_it_stays_between_one_transfer_and_what_is_told(
+def test_limit_stays_between_one_transfer_and_the_known_width(
     answers: list[tuple[bool, float, float]], width: float
 ) -> None:
-    """Of a link that is told to bear less than one transfer, all of it."""
+    """Of a link that carries less than one transfer, the limit is all of it."""
     limit = ConcurrencyLimit()
     for late, used, now in sorted(answers, key=lambda answer: answer[2]):
-        limit.observe(late, used, width, now, PAUSE)
+        limit.observe(late, used, width, now, WINDOW)
         assert min(1.0, width) <= limit.factor * width * (1 + 1e-9)
         assert limit.factor <= 1.0
 
 
 @pytest.mark.parametrize("wait", [0.1, 9.0])
-def test_a_weight_that_falls_to_nothing_while_an_attempt_is_out_ends_no_router(wait: float) -> None:
-    """A list may say so at any time; the answer to come was a division by zero."""
+def test_weight_that_becomes_zero_with_attempts_in_flight_is_no_error(wait: float) -> None:
+    """A list may say so at any time; the answers to come were a division by zero."""
     harness = RouterHarness()
     fetches = [only(harness.ask(f"o{n}"), Fetch) for n in range(12)]
     harness.tell([replace(member, weight=0.0) for member in members()])
@@ -73,18 +74,18 @@
 
 
 @pytest.mark.parametrize("assumed", [1 / 2, 1.0, 2.0, 4.0])
-def test_a_width_assumed_wrong_costs_a_branch_little(monkeypatch: pytest.MonkeyPatch, assumed: float) -> None:
-    """With half of the widths assumed, over half of the requests were refused for good, before idle links."""
+def test_wrongly_assumed_width_costs_a_branch_little(monkeypatch: pytest.MonkeyPatch, assumed: float) -> None:
+    """With half of the widths assumed, over half of the requests were rejected for good, with idle links."""
     monkeypatch.setattr(
         router_module,
         "DEFAULT_WIDTH",
         {role: assumed * width for role, width in router_module.DEFAULT_WIDTH.items()},
     )
     branch = Branch(weights_known=False)
-    in_hand: dict[str, list[float]] = {}
+    in_flight: dict[str, list[float]] = {}
 
     def end(fetch: Fetch) -> tuple[float, AttemptResult]:
-        now, mine = branch.harness.now, in_hand.setdefault(fetch.server, [])
+        now, mine = branch.harness.now, in_flight.setdefault(fetch.server, [])
         mine[:] = [until for until in mine if until > now]
         wait = 0.38 * max(1.0, (len(mine) + 1) / 8.0)
         mine.append(now + wait)
@@ -96,8 +97,8 @@
 
 
 @pytest.mark.parametrize("wait", [0.45, 2.0])
-def test_what_is_late_alone_on_its_link_lowers_nothing(wait: float) -> None:
-    """Objects that take longer than their aim on an idle link would leave no room for any of them."""
+def test_late_answer_alone_on_its_link_decreases_nothing(wait: float) -> None:
+    """Objects that take longer than their objective on an idle link would leave no room for any of them."""
     branch = Branch()
     branch.end = lambda fetch: (wait, AttemptResult.OK)  # type: ignore[method-assign]
     branch.run(160.0, rate=0.3, cls="page")
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -1,4 +1,4 @@
-"""Sites whose caches say nothing of how an answer came about, and errors that come at once."""
+"""Sites whose caches report no cache status, and fast failures."""
 
 from __future__ import annotations
 
@@ -26,14 +26,16 @@
 def outcome(
     fetch: Fetch, result: AttemptResult, wait: float, attempt: int = 0, hit_share: float = 0.2
 ) -> Outcome:
-    """The end of an attempt at a site whose answers carry a load report and no note."""
+    """Return the end of an attempt at a site whose answers carry a load report and no cache status."""
     final = result is AttemptResult.OK
     report = (("inflight", 2.0), ("x0", hit_share))
     return Outcome(fetch.request_id, attempt, fetch.server, result, wait, final, report=report)
 
 
-def play(harness: RouterHarness, requests: int, result: AttemptResult, wait: float) -> int:
-    """Requests for new objects, each attempt ending alike; how many attempts named a parent."""
+def count_attempts_with_a_parent(
+    harness: RouterHarness, requests: int, result: AttemptResult, wait: float
+) -> int:
+    """Request new objects, with one result for all attempts; return how many attempts named a parent."""
     named = 0
     for n in range(requests):
         harness.now += 0.25
@@ -48,31 +50,31 @@
     return named
 
 
-def test_parents_are_cleared_where_no_answer_tells_of_a_fill() -> None:
-    """A parent that was late for a while stayed out for good: only a told fill cleared it."""
+def test_parents_recover_where_no_answer_reports_a_fill() -> None:
+    """A parent that was late for a while stayed ejected for good: only a reported fill cleared it."""
     harness = RouterHarness(status_reporting=CacheStatusReporting.SILENT)
-    play(harness, 40, AttemptResult.TIMEOUT, 3.0)
+    count_attempts_with_a_parent(harness, 40, AttemptResult.TIMEOUT, 3.0)
     parents = [harness.router.servers[name] for name in PARENTS]
     assert max(parent.window for parent in parents) <= 2.0
-    play(harness, 400, AttemptResult.OK, 0.4)
+    count_attempts_with_a_parent(harness, 400, AttemptResult.OK, 0.4)
     assert not any(parent.ejected_until for parent in parents)
     assert max(parent.failure_score for parent in parents) < 0.1
     assert min(parent.window for parent in parents) > 1.5
-    assert play(harness, 40, AttemptResult.OK, 0.4) == 40
+    assert count_attempts_with_a_parent(harness, 40, AttemptResult.OK, 0.4) == 40
 
 
-def test_a_quick_error_cuts_no_window() -> None:
+def test_fast_failure_halves_no_window() -> None:
     """A cache or parent that fails at once says nothing of a queue at its source."""
     harness = RouterHarness()
     before = {name: harness.router.servers[name].window for name in PARENTS}
-    play(harness, 10, AttemptResult.ERROR, 0.01)
+    count_attempts_with_a_parent(harness, 10, AttemptResult.ERROR, 0.01)
     assert {name: harness.router.servers[name].window for name in PARENTS} == before
-    play(harness, 10, AttemptResult.ERROR, 3.0)
+    count_attempts_with_a_parent(harness, 10, AttemptResult.ERROR, 3.0)
     assert min(harness.router.servers[name].window for name in PARENTS) < min(before.values())
 
 
 @pytest.mark.parametrize("value", [-0.1, 1.5, float("nan"), float("inf")])
-def test_a_share_of_hits_that_is_none_changes_nothing(value: float) -> None:
+def test_reported_hit_share_out_of_range_is_ignored(value: float) -> None:
     fills = FillEstimate(CacheStatusReporting.SILENT, random.Random(1))
     cache = Server(Member("edge-0", "depot", Role.EDGE))
     fills.observe_report(cache, (("x0", 0.8), ("x7", 0.1)))
@@ -82,7 +84,7 @@
     assert fills.expected(cache) == pytest.approx(0.2)
 
 
-def test_lookups_tell_the_share_of_misses_where_no_report_does() -> None:
+def test_miss_share_is_learned_from_lookups_without_reports() -> None:
     fills = FillEstimate(CacheStatusReporting.SILENT, random.Random(1))
     cache = Server(Member("edge-0", "depot", Role.EDGE))
     for n in range(400):
@@ -90,7 +92,7 @@
     assert fills.expected(cache) == pytest.approx(0.2, abs=0.05)
 
 
-def test_answers_are_attributed_as_often_as_fills_are_expected() -> None:
+def test_answers_are_attributed_to_fills_with_the_expected_probability() -> None:
     fills = FillEstimate(CacheStatusReporting.SILENT, random.Random(1))
     answer = Outcome("r", 0, "edge-0", AttemptResult.OK)
     assert 270 < sum(fills.was_filled(answer, 0.3) for _ in range(1000)) < 330
@@ -99,15 +101,15 @@
     assert fills.was_filled(reported, 0.0)
 
 
-def test_a_load_report_is_read_from_an_answer() -> None:
+def test_load_report_is_read_from_an_answer() -> None:
     """What is no number is left out, the rest is kept."""
     line = b"a1 data use=inflight:7;x0:0.61;x1:soon;util:nan;:3,entity=t 1\r\nx\r\n"
     (answer,) = Parser(Limits()).feed(line)
     assert answer.report == (("inflight", 7.0), ("x0", 0.61))
 
 
-def test_a_fill_that_waits_leaves_its_cache_to_others() -> None:
-    """Fills that a full link in held back filled up their caches' places: new ones went to wrong caches."""
+def test_waiting_fill_counts_less_at_its_cache() -> None:
+    """Fills held back by a full link took up their caches' places: new ones went to wrong caches."""
     harness = RouterHarness(routers_by_location=(0, 0, 0, 1))
     assert harness.router.fills.waiting_share == 0.0
     for n in range(200):
@@ -123,7 +125,7 @@
     assert harness.router.servers[fetch.server].in_flight == 0.0
 
 
-def test_waiting_is_learned_from_sure_answers_where_none_tells() -> None:
+def test_waiting_share_is_learned_from_certain_fills_only() -> None:
     fills = FillEstimate(CacheStatusReporting.SILENT, random.Random(1))
     for _ in range(100):
         fills.observe_pace(filled=True, chance=0.5, work=0.1, wait=0.4)
@@ -134,7 +136,7 @@
 
 
 @pytest.mark.parametrize("fresh", [0.0, 8.0])
-def test_what_never_expires_stays_with_few_parents(fresh: float) -> None:
+def test_objects_that_never_expire_use_few_parents(fresh: float) -> None:
     """Each further parent that an object reaches fetches it from the origin once more."""
     cls = replace(VIDEO, fresh_for=fresh)
     harness = RouterHarness(classes=(cls,))
@@ -143,8 +145,8 @@
     assert sum(others) / most == pytest.approx(1 / 2 if fresh else 1 / 8, abs=0.06)
 
 
-def test_a_hub_that_is_not_among_the_first_places() -> None:
-    """Steps between hubs went by their places in the list: a foreign hub's parents counted as our own's."""
+def test_hub_distance_follows_the_ring_of_hubs_not_the_list_of_locations() -> None:
+    """Distances went by indexes in the list: parents of another hub counted as those of the own hub."""
     fleet = members(parents=("hub-a", "hub-c"))
     harness = RouterHarness(fleet, hub_of=(0, 0, 2, 0))
     assert [[s.member.zone for s in ring] for ring in harness.router.parents_by_distance] == [
@@ -153,25 +155,25 @@
     ]
 
 
-def test_a_cache_whose_clock_is_ahead_is_used_where_nothing_warms_up() -> None:
+def test_cache_with_a_clock_ahead_is_used_where_nothing_warms_up() -> None:
     harness = RouterHarness(members(edges=1), now=100.0, edge_cold=SlowStart())
     harness.tell([replace(members(edges=1)[0], started_at=160.0)])
     (fetch,) = every(harness.ask(), Fetch)
     assert fetch.server == "edge-0"
 
 
-def test_a_lone_parent_that_hangs_is_left_for_the_origin() -> None:
+def test_single_parent_that_times_out_is_replaced_by_the_origin() -> None:
     """With no peer to compare it with, a parent was never ejected, whatever it failed."""
     harness = RouterHarness(members(parents=("hub-a",)), status_reporting=CacheStatusReporting.ALL)
-    play(harness, 12, AttemptResult.TIMEOUT, 3.0)
+    count_attempts_with_a_parent(harness, 12, AttemptResult.TIMEOUT, 3.0)
     assert harness.router.servers["parent-0"].ejected_until
     harness.router.servers["parent-0"].ejected_until = harness.now + 60  # no trial is due yet
     (fetch,) = every(harness.ask("another"), Fetch)
     assert fetch.source == "origin"
 
 
-def test_waits_that_are_long_by_themselves_are_no_jam() -> None:
-    """Objects that take longer than their aim on an idle link kept a site in its jam's ways for good."""
+def test_waits_that_are_always_long_are_no_overload() -> None:
+    """Objects that take longer than their objective on an idle link kept a site in overload for good."""
     slow = replace(VIDEO, latency_objective=0.3, objective_stretch=0.0)
     harness = RouterHarness(classes=(slow,))
     for n in range(100):
@@ -180,21 +182,21 @@
     assert not harness.router.latency.overloaded
 
 
-CALM = 3 * BASELINE_MEMORY  # answers until the calm wait is learned
+BASELINE_ANSWERS = 3 * BASELINE_MEMORY  # until the baseline is learned
 
 
-def test_a_rise_of_waits_is_a_jam_also_where_calm_ones_are_long() -> None:
-    """Waits of six tenths of the aim that grow to nine tenths, many of them late, were held to be calm."""
+def test_rise_of_waits_is_overload_also_above_a_long_baseline() -> None:
+    """Waits of six tenths of the objective that grow to nine tenths, many late, did not count as overload."""
     harness = RouterHarness()
-    aim = VIDEO.latency_objective + VIDEO.objective_stretch * 0.4  # 1,600 KB at 4,000 a second
-    waits = [0.6] * CALM + [0.4, 1.3] * 30
+    objective = VIDEO.latency_objective + VIDEO.objective_stretch * 0.4  # 1,600 KB at 4,000 a second
+    waits = [0.6] * BASELINE_ANSWERS + [0.4, 1.3] * 30
     for number, wait in enumerate(waits):
         harness.now += 5.0
-        harness.end(every(harness.ask(f"o{number}"), Fetch)[0], wait=wait * aim)
-        assert number >= CALM or not harness.router.latency.overloaded
+        harness.end(every(harness.ask(f"o{number}"), Fetch)[0], wait=wait * objective)
+        assert number >= BASELINE_ANSWERS or not harness.router.latency.overloaded
     assert harness.router.latency.overloaded
 
 
-def test_an_aim_never_grows_beyond_the_deadline() -> None:
+def test_latency_objective_never_exceeds_the_time_limit() -> None:
     request = Request(Arrival("r", 5.0, "video"), replace(VIDEO, time_limit=2.0), 0.0, 4.0)
     assert request.latency_objective == 2.0
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: an entry that cannot be used costs itself alone."""
+"""Load reports: an entry that cannot be used is skipped, and nothing else."""
 
 from __future__ import annotations
 
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -15,14 +15,15 @@
 from brackenlane.routing.origin_throttle import LEAST_SHARE, RECOVERY_SECONDS, OriginThrottle
 from tests.router_harness import RouterHarness, only
 
-GATEWAYS, RATE = 60, 100.0  # requests a second over all
-SLOW = 0.6 * RATE  # what the origin does a second once it falls behind
-PATIENCE = 1.265  # seconds that a cache waits for a fill
-ROOM = 3.0  # seconds of work that the origin lets stand
+ROUTERS = 60
+RATE = 100.0  # requests a second over all
+DEGRADED_RATE = 0.6 * RATE  # what the origin does a second once it falls behind
+FILL_TIMEOUT = 1.265  # seconds that a cache waits for a fill
+LONGEST_QUEUE = 3.0  # seconds of work that the origin queues
 
 
 class World:
-    """Gateways in front of caches and parents that hold nothing, and an origin that serves in order."""
+    """Routers in front of caches and parents that hold nothing, and an origin that serves in order."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -31,58 +32,63 @@
         fleet.append(Member("origin", "hub-a", Role.ORIGIN))
         self.harnesses = [
             RouterHarness(
-                fleet, n, 100.0, router_count=GATEWAYS, routers_by_location=(0, 0, 0, 6), weights_known=False
+                fleet, n, 100.0, router_count=ROUTERS, routers_by_location=(0, 0, 0, 6), weights_known=False
             )
-            for n in range(GATEWAYS)
+            for n in range(ROUTERS)
         ]
         self.heap: list[tuple[float, int, Any]] = []
         self.order = itertools.count()
-        self.now, self.free, self.pace = 100.0, 0.0, 4 * RATE
-        self.served: list[float] = []  # when each that is in time was asked for
-        self.asked: list[float] = []
-        self.over: set[tuple[Any, str]] = set()
+        self.now = 100.0
+        self.origin_idle_at = 0.0
+        self.origin_rate = 4 * RATE  # fills a second
+        self.served: list[float] = []  # when each that was answered in time was requested
+        self.requested: list[float] = []
+        self.rejected: set[tuple[Any, str]] = set()
         self.sent: dict[tuple[Any, str], int] = {}
 
-    def at(self, when: float, call: Any) -> None:
-        """Call then."""
+    def schedule(self, when: float, call: Any) -> None:
+        """Call a function at a time."""
         heapq.heappush(self.heap, (when, next(self.order), call))
 
     def run(self, until: float) -> None:
-        """Requests until a time, each for an object of its own."""
-        next_ask = self.now
-        while next_ask < until:
-            next_ask += self.random.expovariate(RATE)
-            while self.heap and self.heap[0][0] < next_ask:
+        """Send requests until a time, each for another object."""
+        next_request = self.now
+        while next_request < until:
+            next_request += self.random.expovariate(RATE)
+            while self.heap and self.heap[0][0] < next_request:
                 self.now, _, call = heapq.heappop(self.heap)
                 call()
-            self.now = next_ask
+            self.now = next_request
             harness = self.random.choice(self.harnesses)
             harness.now = self.now
-            self.asked.append(self.now)
-            self.take(
+            self.requested.append(self.now)
+            self.perform(
                 harness, harness.ask(f"o{next(self.order)}", "tiles", time_left=2.5, size_kb=0.0), self.now
             )
 
-    def take(self, harness: RouterHarness, actions: list[Action], born: float) -> None:
-        """Carry out what a router decides."""
+    def perform(self, harness: RouterHarness, actions: list[Action], requested_at: float) -> None:
+        """Perform what a router decides."""
         for action in actions:
             if isinstance(action, Fetch):
-                self.fetch(harness, action, born)
+                self.start_attempt(harness, action, requested_at)
             elif isinstance(action, SetTimer):
-                self.at(action.at, lambda token=action.token: self.tell(harness, TimerFired(token), born))
+                self.schedule(
+                    action.at,
+                    lambda token=action.token: self.notify(harness, TimerFired(token), requested_at),
+                )
             elif isinstance(action, Reject):
-                self.over.add((harness, action.request_id))
+                self.rejected.add((harness, action.request_id))
             else:
                 assert isinstance(action, Cancel | Fail), action
 
-    def tell(self, harness: RouterHarness, event: Any, born: float) -> None:
-        """One event to a router."""
+    def notify(self, harness: RouterHarness, event: Any, requested_at: float) -> None:
+        """Notify a router of one event."""
         harness.now = self.now
-        self.take(harness, harness.router.handle(event, self.now), born)
+        self.perform(harness, harness.router.handle(event, self.now), requested_at)
 
-    def fetch(self, harness: RouterHarness, fetch: Fetch, born: float) -> None:
-        """An attempt: looks come back, fills wait at the origin."""
-        key = harness, fetch.request_id
+    def start_attempt(self, harness: RouterHarness, fetch: Fetch, requested_at: float) -> None:
+        """Start an attempt: a cache lookup is answered at once, a fill waits at the origin."""
+        key = (harness, fetch.request_id)
         number = self.sent[key] = self.sent.get(key, -1) + 1
         start = self.now
 
@@ -90,9 +96,9 @@
             result: AttemptResult, cache_status: CacheStatus = CacheStatus.UNKNOWN, first: float = 0.0
         ) -> None:
             wait = self.now - start
-            if result is AttemptResult.OK and key not in self.over and self.now - born < 0.7:
-                self.served.append(born)
-            self.tell(
+            if result is AttemptResult.OK and key not in self.rejected and self.now - requested_at < 0.7:
+                self.served.append(requested_at)
+            self.notify(
                 harness,
                 Outcome(
                     fetch.request_id,
@@ -104,51 +110,55 @@
                     cache_status,
                     first,
                 ),
-                born,
+                requested_at,
             )
 
         if fetch.source == fetch.server or fetch.only_if_cached:
-            return self.at(start + 0.01, lambda: end(AttemptResult.MISS))
-        if self.free - start > ROOM:
-            return self.at(start + 0.05, lambda: end(AttemptResult.FULL))
-        self.free = max(self.free, start) + 1 / self.pace  # it works that off, whoever still waits
-        done = self.free + 0.05
-        if done - start > PATIENCE:
-            return self.at(start + PATIENCE, lambda: end(AttemptResult.ERROR))
-        self.at(done, lambda: end(AttemptResult.OK, CacheStatus.FILLED_BY_ORIGIN, done - start))
+            self.schedule(start + 0.01, lambda: end(AttemptResult.MISS))
+            return
+        if self.origin_idle_at - start > LONGEST_QUEUE:
+            self.schedule(start + 0.05, lambda: end(AttemptResult.FULL))
+            return
+        # It works that off even if nobody waits for it.
+        self.origin_idle_at = max(self.origin_idle_at, start) + 1 / self.origin_rate
+        done = self.origin_idle_at + 0.05
+        if done - start > FILL_TIMEOUT:
+            self.schedule(start + FILL_TIMEOUT, lambda: end(AttemptResult.ERROR))
+            return
+        self.schedule(done, lambda: end(AttemptResult.OK, CacheStatus.FILLED_BY_ORIGIN, done - start))
 
     def share(self, since: float, until: float) -> float:
-        """Of what was asked for in a time, the part served in time."""
-        requested = sum(since <= at < until for at in self.asked)
+        """Return the share of the requests of an interval that were answered in time."""
+        requested = sum(since <= at < until for at in self.requested)
         return sum(since <= at < until for at in self.served) / requested
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_an_origin_at_six_tenths_serves_what_it_can(seed: int) -> None:
+def test_origin_at_six_tenths_of_the_demand_serves_a_good_part_of_it(seed: int) -> None:
     """It falls to 0.6 of what is asked of it: a good part of that is served, and all soon after it mends."""
     world = World(seed)
     world.run(105.0)
     assert world.share(101, 104) > 0.95
-    world.pace = SLOW
+    world.origin_rate = DEGRADED_RATE
     world.run(121.0)
     assert world.share(110, 120) > 0.35  # of 0.6
-    world.pace = 4 * RATE
+    world.origin_rate = 4 * RATE
     world.run(133.0)
     assert world.share(130, 132) > 0.9
 
 
-def test_without_the_limit_nobody_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The fault that the check must find: all is let through, the origin works off what was given up."""
+def test_without_the_throttle_few_requests_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The fault to detect: all is admitted, and the origin works off requests that were abandoned."""
     monkeypatch.setattr(OriginThrottle, "part", lambda self, now: 1.0)
     world = World(1)
     world.run(105.0)
-    world.pace = SLOW
+    world.origin_rate = DEGRADED_RATE
     world.run(121.0)
     assert world.share(110, 120) < 0.2
 
 
-@pytest.mark.parametrize("quick", [True, False])
-def test_quick_errors_are_no_queue(quick: bool) -> None:
+@pytest.mark.parametrize("is_fast", [True, False])
+def test_late_failures_throttle_the_origin_and_fast_ones_do_not(is_fast: bool) -> None:
     """Errors that come at once hold nothing back from the origin; the same errors after a long wait do."""
     harness = RouterHarness(
         [Member("edge-0", "depot", weight=8.0), Member("origin", "hub-a", Role.ORIGIN)], now=100.0
@@ -156,12 +166,14 @@
     harness.serve(cache_status=CacheStatus.FILLED)
     fetch = only(harness.ask("lost", "tiles", time_left=2.5, size_kb=0.0), Fetch)
     assert (fetch.server, fetch.source) == ("edge-0", "origin")
-    harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=0.015 if quick else 1.265)
-    assert (harness.router.origin_throttle.part(harness.now) == 1.0) is quick
+    harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=0.015 if is_fast else 1.265)
+    assert (harness.router.origin_throttle.part(harness.now) == 1.0) is is_fast
 
 
 @pytest.mark.parametrize(("failing", "part"), [(0, 1.0), (1, 0.875), (2, 0.75), (4, 0.5)])
-def test_late_errors_of_several_parents_are_the_origins_by_their_share(failing: int, part: float) -> None:
+def test_late_errors_of_parents_are_attributed_to_the_origin_by_their_share(
+    failing: int, part: float
+) -> None:
     """What fails at one parent is its own; what fails at half of the others is held back by half as much."""
     parents = [Member(f"parent-{n}", "hub-a", Role.PARENT, weight=20.0) for n in range(5)]
     origin = Member("origin", "hub-a", Role.ORIGIN)
@@ -175,7 +187,7 @@
 
 
 @pytest.mark.parametrize(("every", "low", "high"), [(5, 0.6, 1.0), (1, 0.0, 0.2)])
-def test_late_now_and_then(every: int, low: float, high: float) -> None:
+def test_origin_that_is_late_at_times_is_throttled_little(every: int, low: float, high: float) -> None:
     """An origin whose usual wait is near an aim is late for some: little is held back; always late, most."""
     throttle = OriginThrottle()
     parts: list[float] = []
@@ -187,8 +199,8 @@
     assert low <= sum(parts[20:]) / 40 <= high
 
 
-def test_part() -> None:
-    """Halved once for each crowd, down to its least; back to the whole in its time."""
+def test_share_is_halved_once_in_a_window_and_recovers_with_time() -> None:
+    """Halved once for all that is late together, down to its least; back to 1 in the recovery time."""
     throttle = OriginThrottle()
     assert throttle.part(100.0) == 1.0
     throttle.decrease(100.0, 1.0, 0.5)
--- a/tests/test_routing_settings.py
+++ b/tests/test_routing_settings.py
@@ -1,4 +1,4 @@
-"""Nonsense in settings is named at start."""
+"""Settings out of range are rejected by their name."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
         ({"pace_kb_per_s": "fast"}, "pace_kb_per_s"),
     ],
 )
-def test_settings(changes: dict[str, Any], reported: str) -> None:
+def test_setting_out_of_range_is_rejected_by_name(changes: dict[str, Any], reported: str) -> None:
     with pytest.raises(ValueError, match=reported):
         settings(**changes)
 
 
-def test_classes_and_cold_starts() -> None:
+def test_request_class_or_slow_start_out_of_range_is_rejected_by_name() -> None:
     with pytest.raises(ValueError, match="latency_objective"):
         RequestClass("video", latency_objective=0.0, time_limit=1.0)
     with pytest.raises(ValueError, match="fresh_for"):
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -1,4 +1,4 @@
-"""Settings of any shape: a fault is told by its path and value, and all else makes a Router that works."""
+"""Settings of any shape: a fault is reported by path and value, and all else makes a Router that works."""
 
 from __future__ import annotations
 
@@ -265,7 +265,7 @@
 
 @pytest.mark.parametrize(("path", "value", "reported"), FAULTS, ids=FAULT_NAMES)
 def test_fault_names_path_and_value(path: Path, value: object, reported: str) -> None:
-    """One value that cannot be used is told with its path, itself, and what is allowed."""
+    """A value that cannot be used is reported with its path, itself, and what is allowed."""
     with pytest.raises(SettingsError) as fault:
         read_settings(changed(WITH_HUBS, (path, value)))
     assert str(fault.value).startswith(reported)
@@ -273,14 +273,14 @@
 
 
 @pytest.mark.parametrize("raw", [None, [], "settings", 3])
-def test_settings_that_are_no_object(raw: object) -> None:
-    """What is no object at all is refused like any value."""
+def test_settings_that_are_no_object_are_rejected(raw: object) -> None:
+    """What is no object at all is rejected like any value."""
     with pytest.raises(SettingsError, match="^settings: .*: must be an object$"):
         read_settings(raw)
 
 
 @pytest.mark.parametrize("value", ["word " * 10_000, [list(range(10_000))], "two\nlines\x00", "\ud800"])
-def test_text_is_bounded_and_one_line(value: object) -> None:
+def test_error_text_is_one_bounded_line(value: object) -> None:
     """However large or odd a value is, its fault is one short line that any terminal can print."""
     with pytest.raises(SettingsError) as fault:
         read_settings(changed(WITH_HUBS, (("Weights",), value)))
@@ -295,7 +295,7 @@
         (info("SecondTierKind"), 2, "settings.FamilyInfo.SecondTierKind: 2: no place in Skus"),
     ],
 )
-def test_platform_tells_the_same(path: Path, value: object, reported: str) -> None:
+def test_platform_configuration_reports_the_same_error(path: Path, value: object, reported: str) -> None:
     """The platform's configuration fails with the same line."""
     raw = {"name": "n", "listen": "127.0.0.1:1", "settings": changed(WITHOUT_HUBS, (path, value))}
     with pytest.raises(ConfigError) as fault:
@@ -303,8 +303,8 @@
     assert str(fault.value) == reported
 
 
-def test_all_that_is_told_is_read() -> None:
-    """Each value comes to its own place."""
+def test_each_value_is_read_into_its_field() -> None:
+    """Each value of the object is found in its own field."""
     found = read_settings(WITH_HUBS)
     assert found.classes[0].late_value == 0.25 and found.classes[0].in_parts
     assert found.classes[1].fresh_for == 12.0 and found.classes[1].grace == 45.0
@@ -340,56 +340,56 @@
 
 
 def started(raw: Json, hubs: tuple[str, ...] = ()) -> Router:
-    """A Router by a settings object, told of its fleet."""
+    """Return a Router with the settings of an object, notified of its servers."""
     reported = read_settings(raw)
     router = Router(reported, 5)
     router.handle(Membership(MembershipKind.REMEMBERED, tuple(fleet(reported, hubs))), 1.0)
     return router
 
 
-def asked(router: Router, cls: str, size_kb: float = 300.0) -> Fetch:
-    """The one attempt of a request."""
+def request_once(router: Router, cls: str, size_kb: float = 300.0) -> Fetch:
+    """Return the one attempt of a new request."""
     request = Arrival(f"q-{cls}", 1.5, cls, "thing", size_kb=size_kb)
     return only(router.handle(request, 1.0), Fetch)
 
 
-def test_no_hubs_and_no_parents() -> None:
+def test_site_without_parents_fills_from_the_origin() -> None:
     """Fills come from the origin; figures of parents may be zeros, since there are none."""
     router = started(WITHOUT_HUBS)
-    fetch = asked(router, "pages")
+    fetch = request_once(router, "pages")
     assert fetch.server.startswith("edge-") and fetch.source == "origin"
     assert kind_roles(WITHOUT_HUBS) == {"vault": Role.ORIGIN}
 
 
 @pytest.mark.parametrize("hubs", [[], [-1, -1], [0, 0]])
-def test_hubs_without_parents_mean_nothing(hubs: list[int]) -> None:
-    """Hubs are where parents stand; what is told of them elsewhere must be a place or -1, and is not used."""
+def test_hubs_without_parents_are_ignored(hubs: list[int]) -> None:
+    """Hubs are the locations of parents; without these each must be a location or -1, and is not used."""
     raw = changed(WITHOUT_HUBS, (info("HubByZone"), hubs))
     assert read_settings(raw) == read_settings(WITHOUT_HUBS)
     with pytest.raises(SettingsError, match=r"HubByZone\[1\]: 2: no place in Dcs"):
         read_settings(changed(WITHOUT_HUBS, (info("HubByZone"), [0, 2])))
 
 
-def test_no_origin() -> None:
+def test_site_without_an_origin_fills_nothing() -> None:
     """A site that names no kind for it has no origin; a miss is then not filled."""
     raw = changed(WITHOUT_HUBS, (info("StoreKind"), DELETED))
     assert kind_roles(raw) == {}
     router = Router(read_settings(raw), 5)
     router.handle(Membership(MembershipKind.REMEMBERED, (Member("edge-0", "west", weight=6.0),)), 1.0)
-    fetch = asked(router, "pages")
+    fetch = request_once(router, "pages")
     assert fetch.source == fetch.server == "edge-0"
 
 
 @pytest.mark.parametrize(
     ("hubs", "source"), [(("north", "south"), "parent-north"), (("south",), "parent-south"), ((), "origin")]
 )
-def test_hub_without_parent(hubs: tuple[str, ...], source: str) -> None:
+def test_hub_without_parents_uses_the_next_hub(hubs: tuple[str, ...], source: str) -> None:
     """Fills come from the next hub that has parents, and from the origin where none has."""
-    assert asked(started(WITH_HUBS, hubs), "films").source.startswith(source)
+    assert request_once(started(WITH_HUBS, hubs), "films").source.startswith(source)
 
 
-def test_one_location() -> None:
-    """All stands at one place: caches, the hub with its parents, and the origin."""
+def test_site_of_one_location() -> None:
+    """All is at one location: caches, the hub with its parents, and the origin."""
     raw = changed(
         WITH_HUBS,
         (("Dcs",), ["isle"]),
@@ -397,7 +397,7 @@
         (info("SeatsByZone"), [5]),
         (info("PipeKbPerS"), [52000.0]),
     )
-    fetch = asked(started(raw, ("isle",)), "films")
+    fetch = request_once(started(raw, ("isle",)), "films")
     assert fetch.server.startswith("edge-") and fetch.source.startswith("parent-isle")
 
 
@@ -409,28 +409,28 @@
         [(("Prices",), {}), (("Report",), DELETED)],
     ],
 )
-def test_no_probes(edits: list[tuple[Path, object]]) -> None:
-    """Probes may be forbidden, without a price, or not told of at all."""
+def test_site_without_probes(edits: list[tuple[Path, object]]) -> None:
+    """Probes may be forbidden, without a price, or not mentioned at all."""
     raw = changed(WITH_HUBS, *edits)
     reported = read_settings(raw)
     assert reported.may_probe is (("Limits", "MayProbe") not in [path for path, _ in edits])
     assert Limits().suited(reported).idle_probe_after > 0
-    assert asked(started(raw, ("north",)), "films").server.startswith("edge-")
+    assert request_once(started(raw, ("north",)), "films").server.startswith("edge-")
 
 
-def test_aim_beyond_the_deadline_is_the_deadline() -> None:
-    """No answer comes after the deadline, so an aim beyond it is in effect the deadline."""
+def test_latency_objective_beyond_the_time_limit_is_the_limit() -> None:
+    """No answer comes after the time limit, so an objective beyond it is in effect the limit."""
     raw = changed(WITH_HUBS, (("Classes", 1, "TargetS"), 3600))
     assert read_settings(raw).classes[1].latency_objective == 2.0
     assert Limits().suited(read_settings(raw)).longest_wait >= 2.0
-    assert asked(started(raw, ("north",)), "maps").timeout <= 1.5
+    assert request_once(started(raw, ("north",)), "maps").timeout <= 1.5
 
 
-def test_class_without_aim_stretch() -> None:
-    """The key may be absent: the aim does not grow with the request."""
+def test_class_without_objective_stretch() -> None:
+    """The key may be absent: the objective does not grow with the request."""
     assert read_settings(WITHOUT_HUBS).classes[0].objective_stretch == 0.0
     raw = changed(WITH_HUBS, (("Classes", 0, "AimStretch"), DELETED))
-    assert asked(started(raw, ("north",)), "films").server.startswith("edge-")
+    assert request_once(started(raw, ("north",)), "films").server.startswith("edge-")
 
 
 @pytest.mark.parametrize(
@@ -447,13 +447,13 @@
         (info("ReportX0"), "share of something"),
     ],
 )
-def test_new_keys_and_report_names_are_skipped(path: Path, value: object) -> None:
-    """Newer sites may tell more than is known: it changes nothing of what is."""
+def test_unknown_keys_and_report_names_are_ignored(path: Path, value: object) -> None:
+    """Newer sites may send more than is known: it changes nothing of what is."""
     assert read_settings(changed(WITH_HUBS, (path, value))) == read_settings(WITH_HUBS)
 
 
-def test_absent_lists_are_not_told() -> None:
-    """A list that is absent or empty tells nothing of any class or location."""
+def test_absent_lists_equal_empty_ones() -> None:
+    """A list that is absent or empty says nothing of any class or location."""
     names = (
         "FreshForS",
         "GraceForS",
@@ -509,8 +509,8 @@
 )
 
 
-def play(reported: Settings, roles: dict[str, Role]) -> int:
-    """Every kind of event, and each attempt answered, with all verdicts in turn; how many there were."""
+def run_all_events(reported: Settings, roles: dict[str, Role]) -> int:
+    """Handle every kind of event and end each attempt, with all results in turn; return the attempts."""
     router = Router(reported, 3)
     members = [
         *fleet(reported, reported.locations),
@@ -520,7 +520,7 @@
         Member("other", "elsewhere", next(iter(roles.values()), Role.EDGE), weight=0.0),
     ]
     router.handle(Membership(MembershipKind.REMEMBERED, tuple(members)), 10.1)
-    verdicts, dice = itertools.cycle(AttemptResult), random.Random(7)
+    results, dice = itertools.cycle(AttemptResult), random.Random(7)
     pending: list[Action] = []
     count, now = 0, 10.1
     for number in range(24):
@@ -538,7 +538,7 @@
             for fetch in fetches:
                 attempt = attempts.get(fetch.request_id, -1) + 1
                 attempts[fetch.request_id] = attempt
-                result = next(verdicts)
+                result = next(results)
                 wait = dice.choice((0.001, 0.2, 0.8))
                 ended = Outcome(
                     fetch.request_id,
@@ -563,17 +563,17 @@
 
 
 @pytest.mark.parametrize("raw", SHAPES, ids=["hubs", "no hubs"])
-def test_valid_settings_play(raw: Json) -> None:
+def test_valid_settings_make_a_router_that_handles_all_events(raw: Json) -> None:
     """Both valid objects give a Router that lives through the stream of events."""
-    assert play(read_settings(raw), kind_roles(raw)) > 24  # there are second attempts among them
+    assert run_all_events(read_settings(raw), kind_roles(raw)) > 24  # there are second attempts among them
 
 
 @settings(
     max_examples=400, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.data_too_large]
 )
 @given(spot=st.sampled_from(SPOTS), value=st.just(DELETED) | VALUES)
-def test_any_change_is_refused_or_works(spot: tuple[Json, Path], value: object) -> None:
-    """A value deleted or replaced by any other is told by its path, or the Router and its limits work."""
+def test_any_change_is_rejected_or_works(spot: tuple[Json, Path], value: object) -> None:
+    """A value deleted or replaced is reported by its path, or the Router and its limits work."""
     raw, path = spot
     mutated = changed(raw, (path, value))
     try:
@@ -583,10 +583,10 @@
         assert len(str(fault)) < 300 and str(fault).isprintable()
         return
     Limits().suited(reported).before_killed(reported)
-    play(reported, roles)
+    run_all_events(reported, roles)
 
 
-def test_wire_text_of_any_shape_is_read_alike() -> None:
-    """What stands here is JSON: nothing depends on Python's own objects."""
+def test_settings_parsed_from_json_text_are_the_same() -> None:
+    """The objects above are JSON: nothing depends on types of Python that JSON lacks."""
     for raw in SHAPES:
         assert read_settings(json.loads(json.dumps(raw))) == read_settings(raw)
