--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -48,7 +48,7 @@
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     limits = Limits()
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Throttle(limits.log_lines, limits.log_span))
+        handler.addFilter(Throttle(limits.max_log_lines, limits.log_window))
 
 
 def _first_leaf(error: BaseException) -> BaseException:
--- a/brackenlane/appliance/program.py
+++ b/brackenlane/appliance/program.py
@@ -10,25 +10,27 @@
 from brackenlane.appliance.config import ApplianceConfig
 from brackenlane.appliance.startup import Startup
 from brackenlane.coldstart.phases import StartupEvent, StartupPhases
-from brackenlane.coldstart.stream_position import NOWHERE
+from brackenlane.coldstart.stream_position import STREAM_START
 from brackenlane.config import ConfigError, Endpoint
 from brackenlane.console.admin_console import AdminConsole, ConsoleSources
 from brackenlane.console.cache_health import CacheHealth
 from brackenlane.console.server import open_listener, serve_terminal
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.discovery.dns_source import DnsSource
 from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import Resolver
 from brackenlane.discovery.snapshot import SnapshotWriter
-from brackenlane.dns.server import Responder, Server
+from brackenlane.dns.responder import Responder
+from brackenlane.dns.server import Server
 from brackenlane.lifecycle import listen, serve_until_signal
 from brackenlane.limits import Limits
-from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.connection_pools import ConnectionPools
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
 from brackenlane.routing.events import AttemptResult
-from brackenlane.store.replica import SharedStore
+from brackenlane.store.shared_store import SharedStore, StoreSettings
 
 SUSPICIOUS_RESULTS = (AttemptResult.UNREACHABLE, AttemptResult.BROKEN)  # the cache may be elsewhere by now
 
@@ -73,7 +75,7 @@
         store = start_store(config, limits, parts, startup, nursery)
         snapshot_writer = start_snapshot_writer(config, limits, parts, store, nursery)
         await start_dns_front(config, limits, parts, nursery)
-        front = HttpFront(parts.engine, limits, parts.poller, store, nursery)
+        front = HttpFront(parts.engine, limits, parts.poller, store.claims if store else None, nursery)
         front.ready = lambda: parts.phases.is_store_read or config.coldstart.ready == "listed"
         start_console(config, limits, parts, front, store, nursery)
         await serve_until_signal(front, config.http, config.name)
@@ -87,14 +89,12 @@
     """Put together what serves requests; nothing runs yet, and no cache is known."""
     observer = CacheObserver()
     engine = RequestEngine(
-        config.settings,
-        time.time_ns(),
-        limits,
+        EngineConfig(config.settings, time.time_ns(), limits),
         lambda attempt: pools.place(attempt),
-        notice=observer.on_result,
+        on_result=observer.on_result,
     )
-    poller = Poller(limits.batch)
-    engine.timers.first = poller.handle_urgent
+    poller = Poller(limits.max_poll_events)
+    engine.timers.before_round = poller.handle_urgent
     pools = ConnectionPools(engine.membership, limits, config.settings, engine.report, poller, engine.timers)
     merge = MembershipMerge(config.discovery.policy, config.discovery.watches)
     registry = Registry(merge, engine.post, pools.follow)
@@ -112,11 +112,11 @@
     resolver = Resolver(
         discovery.resolvers,
         nursery,
-        budget=limits.look_up,
+        budget=limits.lookup_timeout,
         lifetimes=discovery.lifetimes,
-        most=limits.look_ups,
+        most=limits.max_lookups,
     )
-    other_routers = config.store_capacity.doormans - 1
+    other_routers = config.store_capacity.router_count - 1
     dns_source = DnsSource(
         parts.registry,
         resolver,
@@ -135,22 +135,24 @@
 ) -> SharedStore | None:
     """Follow the shared store from where the snapshot ends, if the file names a store."""
     if config.redis is None:
-        parts.phases.step(StartupEvent.READ, time.time())  # nobody else knows more
+        parts.phases.step(StartupEvent.CAUGHT_UP, time.time())  # nobody else knows more
         return None
     retained = startup.retained
     store = SharedStore(
-        config.redis,
-        str(config.zone),
-        config.name,
+        StoreSettings(
+            config.redis,
+            str(config.zone),
+            config.name,
+            config.settings.purge_propagation_time,
+            config.store_capacity,
+        ),
         parts.registry,
-        config.settings.purge_propagation_time,
         limits,
-        config.store_capacity,
         parts.phases,
-        retained.place if retained and startup.is_trusted else NOWHERE,
+        retained.position if retained and startup.is_trusted else STREAM_START,
     )
     if retained:
-        store.recall({(obj, group): at for obj, group, at in retained.purges})
+        store.applier.restore_purges({(obj, group): at for obj, group, at in retained.purges})
     nursery.start_soon(store.run, list(config.discovery.caches))
     nursery.start_soon(startup.handle_silent_store, limits)
     return store
@@ -167,7 +169,7 @@
     path = config.discovery.snapshot_path
     if path is None:
         return None
-    writer = SnapshotWriter(parts.registry, path, limits.last_list, store)
+    writer = SnapshotWriter(parts.registry, path, limits.snapshot_interval, store)
     nursery.start_soon(writer.run)
     return writer
 
--- a/brackenlane/appliance/startup.py
+++ b/brackenlane/appliance/startup.py
@@ -58,7 +58,7 @@
 
     async def handle_silent_store(self, limits: Limits) -> None:
         """Fall back while the store has not answered: distrust all copies, later use an old snapshot."""
-        await trio.sleep(limits.unknown_purges)
+        await trio.sleep(limits.purge_recovery_timeout)
         if self._phases.is_store_read:
             return
         # Which purges were ordered while this router was down is unknown, so each object counts as purged,
@@ -68,7 +68,7 @@
             self._registry.purge("", group, time.time())
         if self.retained is None or self.is_trusted:
             return
-        await trio.sleep(max(0.0, self._config.coldstart.patience - limits.unknown_purges))
+        await trio.sleep(max(0.0, self._config.coldstart.patience - limits.purge_recovery_timeout))
         if not self._phases.is_store_read:  # an old snapshot is better than none
             self._restore(self.retained)
 
@@ -90,7 +90,7 @@
         now = time.time()
         merge = self._registry.merge
         self._registry.apply(merge.restore_snapshot(retained.memory, retained.saved, now))
-        self._phases.step(StartupEvent.RECALL, now)
+        self._phases.step(StartupEvent.SNAPSHOT_RESTORED, now)
         log.info("the last list, of %.0f s ago: %d boxes", now - retained.saved, len(merge.caches))
 
     def _restore_orders(self, retained: snapshot.Snapshot, now: float) -> None:
--- a/brackenlane/cli/main.py
+++ b/brackenlane/cli/main.py
@@ -52,8 +52,8 @@
     site = config.load(file)
     limits = Limits()
     max_sockets, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    sockets = max(MIN_SOCKETS, max_sockets - limits.appliance_own)
-    trio.run(program.serve, site, limits.within(sockets).suited(site.settings))
+    sockets = max(MIN_SOCKETS, max_sockets - limits.appliance_reserved_descriptors)
+    trio.run(program.serve, site, limits.with_descriptors(sockets).with_settings(site.settings))
 
 
 @cli.command(context_settings={"ignore_unknown_options": True})
@@ -127,7 +127,7 @@
     if routers:
         reported = reported.model_copy(update={"doormans": routers})
     out.mkdir(parents=True, exist_ok=True)
-    outcome = trio.run(lambda: scenario.play(reported, seed, out, say=click.echo))
+    outcome = trio.run(lambda: scenario.run(reported, seed, out, say=click.echo))
     click.echo(report.table(outcome))
     report.save(outcome, out, reported.name)
     if not outcome.well:
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -91,9 +91,9 @@
         resolver = Resolver(
             config.discovery.resolvers,
             nursery,
-            budget=limits.look_up,
+            budget=limits.lookup_timeout,
             lifetimes=config.discovery.lifetimes,
-            most=limits.look_ups,
+            most=limits.max_lookups,
         )
         query = _Query(registry, resolver)
         await query.look_up_services()
--- a/brackenlane/console/admin_console.py
+++ b/brackenlane/console/admin_console.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
 from brackenlane.admission.figures import Figures
@@ -11,7 +10,8 @@
 from brackenlane.console import views
 from brackenlane.console.cache_health import CacheHealth
 from brackenlane.discovery.registry import Registry
-from brackenlane.store.replica import SharedStore
+from brackenlane.store.event_codec import OrderGiven, PurgeRequested, StoreEvent
+from brackenlane.store.shared_store import SharedStore
 
 HELP = """boxes               list the boxes with state and health; boxes -v: who names them, and why
 why BOX             why a box stands as it does, and what each source says of it
@@ -105,16 +105,16 @@
         if order is None:
             return _unknown_cache(server)
         done = "drained" if drained else "restored"
-        return await self._share(f"{server} {done}\n", lambda store: store.order(server, order))
+        return await self._share(f"{server} {done}\n", OrderGiven(server, order))
 
     async def _purge(self, obj: str, group: int, what: str) -> str:
         now = time.time()
         self._registry.purge(obj, group, now)
-        return await self._share(f"purged {what}\n", lambda store: store.purge(obj, group, now))
+        return await self._share(f"purged {what}\n", PurgeRequested(obj, group, now))
 
-    async def _share(self, done: str, share: Callable[[SharedStore], Awaitable[bool]]) -> str:
+    async def _share(self, done: str, event: StoreEvent) -> str:
         """Share what was done here with the other routers; return it with whether that succeeded."""
-        if self._store and not await share(self._store):
+        if self._store and not await self._store.publisher.publish(event):
             return done + "the store is away: the others hear of it when it is back\n"
         return done
 
--- a/brackenlane/console/server.py
+++ b/brackenlane/console/server.py
@@ -52,8 +52,8 @@
 
     def __init__(self, stream: trio.SocketStream, limits: Limits) -> None:
         self._stream = stream
-        self._max_line_bytes = limits.console_line
-        self._idle_timeout = limits.console_idle
+        self._max_line_bytes = limits.max_console_line
+        self._idle_timeout = limits.console_idle_timeout
         self._buffer = bytearray()
 
     async def read(self) -> str | None:
--- a/brackenlane/console/views.py
+++ b/brackenlane/console/views.py
@@ -10,7 +10,7 @@
 from brackenlane.console.text_table import render_table
 from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.records import MergedCache, SrvEntry
-from brackenlane.store.replica import SharedStore
+from brackenlane.store.shared_store import SharedStore
 
 HEADING = ("BOX", "ROLE", "ADDRESS", "STATE", "HEALTH")
 VERBOSE_HEADING = (*HEADING, "BY", "SINCE", "WHY")
@@ -74,7 +74,7 @@
     """Return the load of the last second, and the counts since the start."""
     rejected = ", ".join(f"{count} {REASON_NAMES[reason]}" for reason, count in figures.shed.items())
     return (
-        f"last second: {figures.last.line()}\n"
+        f"last second: {figures.last.summary()}\n"
         f"since the start: taken {figures.taken}, refused at the door: {rejected or 'none'}\n"
     )
 
@@ -85,10 +85,10 @@
     text = f"{phase.value} since {max(0.0, now - phases.since):.0f} s: {PHASE_MEANINGS[phase]}\n"
     if store is None:
         return text + "no store: what this doorman knows is all there is\n"
-    pacing = store.pace
+    pacing = store.pacing
     if store.fault:
         text += f"store away, {pacing.failures} tries in a row: {store.fault}\n"
     return text + (
-        f"place in the store's log {store.place}; questions of "
-        f"{pacing.capacity.doormans} doormans are spread over {pacing.window:.2f} s\n"
+        f"place in the store's log {store.position}; questions of "
+        f"{pacing.capacity.router_count} doormans are spread over {pacing.window:.2f} s\n"
     )
--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -14,7 +14,7 @@
 from brackenlane.limits import Limits
 from brackenlane.net.change_log_codec import Change, Frame, read_frame
 from brackenlane.net.change_log_connection import ChangeLogConnection
-from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.connection_pools import ConnectionPools
 from brackenlane.net.connector import Connector
 from brackenlane.net.poller import Poller
 from brackenlane.routing.events import Event, Membership, MembershipKind
@@ -76,8 +76,10 @@
         self._connector: Connector | None = None
         self._connection: ChangeLogConnection | None = None
         self._retry_timer: Timer | None = None
-        self._retry_interval = limits.log_retry  # seconds on average
-        self._first_silence = limits.log_silence  # seconds that the next connection may stay silent at first
+        self._retry_interval = limits.change_log_retry_delay  # seconds on average
+        self._first_silence = (
+            limits.change_log_silence_timeout
+        )  # seconds that the next connection may stay silent at first
 
     def start(self, known: Iterable[Change], cursor: int) -> None:
         """Apply the changes known from the configuration, then follow those behind the cursor."""
@@ -111,13 +113,17 @@
         # Jittered, since all routers lose the log at one moment and must not come back at one.
         delay = self._retry_interval * self._random.uniform(*RETRY_JITTER)
         self._retry_timer = self._timers.at(time.time() + delay, self._connect)
-        self._retry_interval = min(2 * self._retry_interval, self._limits.log_retry_most)
+        self._retry_interval = min(2 * self._retry_interval, self._limits.max_change_log_retry_delay)
 
     def _connect(self) -> None:
         if self._source.endpoint is None:
             return
         self._connector = Connector(
-            self._source.endpoint, self._poller, self._timers, self._limits.log_dial, self._on_connect_end
+            self._source.endpoint,
+            self._poller,
+            self._timers,
+            self._limits.change_log_connect_timeout,
+            self._on_connect_end,
         )
         self._connector.start()
 
@@ -130,10 +136,10 @@
         if sock is None:
             self.on_failure("no connection")
             return
-        self._retry_interval = self._limits.log_retry
+        self._retry_interval = self._limits.change_log_retry_delay
         max_silence = self._first_silence
         # Guards against reconnecting forever where the first bytes take longer than a usual silence.
-        self._first_silence = min(2 * max_silence, self._limits.log_silence_most)
+        self._first_silence = min(2 * max_silence, self._limits.max_change_log_silence_timeout)
         self._connection = ChangeLogConnection(sock, self._poller, self._timers, self._limits, self)
         self._connection.start(self._applier.cursor, max_silence)
 
@@ -144,6 +150,6 @@
             self._retry_timer.cancel()
         if self._connection:
             if self._connection.has_received:
-                self._first_silence = self._limits.log_silence
+                self._first_silence = self._limits.change_log_silence_timeout
             self._connection.close()
             self._connection = None
--- a/brackenlane/net/change_log_connection.py
+++ b/brackenlane/net/change_log_connection.py
@@ -38,9 +38,9 @@
         self._poller = poller
         self._timers = timers
         self._handler = handler
-        self._usual_silence = limits.log_silence
-        self._max_silence = limits.log_silence  # seconds that may pass without bytes now
-        self._reader = FrameReader(limits.frame)
+        self._usual_silence = limits.change_log_silence_timeout
+        self._max_silence = limits.change_log_silence_timeout  # seconds that may pass without bytes now
+        self._reader = FrameReader(limits.max_change_log_frame)
         self._received_at = time.time()  # when bytes came last, or the connection came up
         self._is_open = True
         self.has_received = False
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from brackenlane.admission.controller import Admission
+from brackenlane.admission.controller import AdmissionQueue
 from brackenlane.admission.figures import Figures, Reason
 from brackenlane.core.claims import ClaimResult, ClaimStore
 from brackenlane.core.engine import RequestEngine
@@ -30,9 +30,9 @@
     HEALTHY,
     TARGET,
     EncodedResponse,
+    encode_final_answer,
     lane_of,
     read_request,
-    encode_final_answer,
 )
 
 log = logging.getLogger(__name__)
@@ -72,28 +72,32 @@
             False  # answers end their connections: their clients shall come back to a successor
         )
         self._share = 1.0  # of the places for connections that are ours
-        self._places = limits.clients  # for connections
+        self._places = limits.max_client_connections  # for connections
         # Whether a submit may run here, and that one never ran, where other processes could have it too
         self.claim: Callable[[str], ClaimResult] = lambda _: ClaimResult.OURS
         self.release: Callable[[str], None] = lambda _: None
         self._empty = trio.Event()  # set when the last connection ends
-        self.admission: Admission[ClientConnection] = Admission(core.settings.classes)
+        self.admission: AdmissionQueue[ClientConnection] = AdmissionQueue(core.settings.classes)
         self.figures = Figures()
         self._refusals: dict[int, bytes] = {}  # by how many steps to stay away
         self.refusal = self._refusal(time.time())  # a whole one, as it is worded now
         poller.after.append(self._serve)
-        core.timers.at(time.time() + limits.look, self._watch, time.time() + limits.look)
+        core.timers.at(
+            time.time() + limits.client_check_interval,
+            self._watch,
+            time.time() + limits.client_check_interval,
+        )
 
     @staticmethod
     def _times(limits: Limits) -> list[float]:
         """Seconds that connections may wait, by what for."""
         return [
             math.inf,
-            limits.first_request,
-            limits.client_idle,
-            limits.request_time,
-            limits.take_answer,
-            limits.linger,
+            limits.first_request_timeout,
+            limits.client_idle_timeout,
+            limits.request_read_timeout,
+            limits.response_write_timeout,
+            limits.linger_timeout,
         ]
 
     def reconfigure(self, limits: Limits) -> None:
@@ -102,7 +106,7 @@
         self._classes = {c.name: c for c in self._core.settings.classes}
         self.counts.reconfigure(self._classes)
         self._refusals = {}
-        earlier, self.admission = self.admission, Admission(self._core.settings.classes)
+        earlier, self.admission = self.admission, AdmissionQueue(self._core.settings.classes)
         while taken := earlier.take(time.time()):
             taken[0].rejoin(taken[1])
         self.set_share(self._share, self.is_handing_over)
@@ -129,7 +133,7 @@
 
     def _accept(self, listener: socket.socket) -> bool:
         """Accept a few; whether more may wait."""
-        for _ in range(self.limits.accepts):
+        for _ in range(self.limits.max_accepts):
             try:
                 sock, _ = listener.accept()
             except BlockingIOError:
@@ -176,8 +180,8 @@
         if full:
             if self._close_idle_connection():
                 full = False
-            elif self._count >= self._places + self.limits.refused:
-                self.figures.refuse(Reason.FULL)
+            elif self._count >= self._places + self.limits.max_rejected_connections:
+                self.figures.count_rejected(Reason.FULL)
                 return sock.close()
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -186,7 +190,7 @@
         self._count += 1
         client.wait(ClientState.FIRST)
         if full:  # told so: a connection closed unread tells its client nothing
-            self.figures.refuse(Reason.FULL)
+            self.figures.count_rejected(Reason.FULL)
             client.shut_out()
 
     def _close_idle_connection(self) -> bool:
@@ -196,7 +200,7 @@
         meanwhile stays: it may not have been looked at since it was accepted.
         """
         idle = self._spare(ClientState.CLOSING, ClientState.FIRST, ClientState.NEXT)
-        for there in list(itertools.islice(idle, self.limits.accepts)):
+        for there in list(itertools.islice(idle, self.limits.max_accepts)):
             there.retire(at_once=True)
             if not there.open:
                 return True
@@ -212,7 +216,7 @@
     def set_share(self, share: float, is_handing_over: bool) -> None:
         """Hold this share of the places for connections; parting: send their clients to a successor."""
         self._share, self.is_handing_over = share, is_handing_over
-        self._places = max(1, int(self.limits.clients * share))
+        self._places = max(1, int(self.limits.max_client_connections * share))
         idle = self._spare(ClientState.CLOSING, ClientState.FIRST, ClientState.NEXT)
         for there in list(itertools.islice(idle, max(0, self._count - self._places))):
             there.retire()
@@ -269,10 +273,12 @@
     def _watch(self, due: float) -> None:
         """Close what has waited too long."""
         now = time.time()
-        self._core.timers.at(now + self.limits.look, self._watch, now + self.limits.look)
+        self._core.timers.at(
+            now + self.limits.client_check_interval, self._watch, now + self.limits.client_check_interval
+        )
         reported = self.figures.tick(now, max(0.0, now - due), time.process_time())
-        if reported and reported.shedding:
-            log.warning("short of CPU: %s", reported.line())
+        if reported and reported.is_shedding:
+            log.warning("short of CPU: %s", reported.summary())
         for waits in (
             ClientState.FIRST,
             ClientState.NEXT,
@@ -287,7 +293,7 @@
 
     def refuses(self, target: str, again: bool) -> bool:
         """Whether there is no room behind the queue for a request, and no copy of our own to serve it."""
-        return not self.admission.welcome(lane_of(target), again) and not self.own(target)
+        return not self.admission.has_capacity_for(lane_of(target), again) and not self.own(target)
 
     def _serve(self) -> bool:
         """Refuse what has stood too long, then serve for a bounded time; whether more waits."""
@@ -298,13 +304,15 @@
         self.refusal = self._refusal(now)
         for client in queued:
             self._guard(client, client.refuse, now)
-        end, count = now + self.limits.turn, 0
+        end, count = now + self.limits.admission_time_slice, 0
         # At least a few: on a core that others use too, time passes in which we do not run.
-        while (now < end or count < self.limits.turn_least) and (taken := self.admission.take(now)):
+        while (now < end or count < self.limits.min_requests_per_slice) and (
+            taken := self.admission.take(now)
+        ):
             client, since = taken
             count += 1
             self._guard(client, client.serve, since)
-            self.figures.take(now - since)
+            self.figures.count_taken(now - since)
             now = time.time()
         return self.admission.size > 0
 
@@ -318,8 +326,8 @@
 
     def own(self, target: str) -> bool:
         """Whether a copy of our own would serve this: nearly free, so it is never refused."""
-        found = TARGET.fullmatch(target) if self._core.has_copies else None
-        return found is not None and self._core.holds(found[1], f"{found[2]}/{found[3]}")
+        found = TARGET.fullmatch(target) if self._core.cached_responses.is_enabled else None
+        return found is not None and self._core.cached_responses.holds(found[1], f"{found[2]}/{found[3]}")
 
     def _refusal(self, now: float) -> bytes:
         """A whole refusal, worded once for each time to stay away."""
@@ -331,7 +339,7 @@
 
     def hold_off(self, now: float) -> float:
         """Seconds after which a client that the queue refuses may come back."""
-        return max(HOLD_OFF_STEP, min(self.admission.hold_off(now), self.limits.longest_wait))
+        return max(HOLD_OFF_STEP, min(self.admission.hold_off(now), self.limits.max_client_wait))
 
     def encode_answer(self, answer: Answer) -> EncodedResponse:
         """A final answer as the clients of this site understand it."""
@@ -356,7 +364,7 @@
             return client.answer(self.encode_rejection())
         request = read_request(reading, self._classes, self.limits, self._core.new_id(), since)
         if (left := request.deadline - time.time()) <= 0:
-            self.figures.refuse(Reason.LATE)
+            self.figures.count_rejected(Reason.LATE)
             return client.answer(self.encode_rejection())
         if left < request.arrival.time_left - 0.001:
             request.arrival = replace(request.arrival, time_left=left)  # what it stood at our door is gone
@@ -397,7 +405,7 @@
             self.release(request.wire_id)
         elif request.must_run_once:  # guards against a submit that a client or proxy sends twice
             self._submits[request.wire_id] = None
-            if len(self._submits) > self.limits.submits:
+            if len(self._submits) > self.limits.max_remembered_submits:
                 self._submits.popitem(last=False)
 
     async def _claim(self, client: ClientConnection, request: PendingRequest, claims: ClaimStore) -> None:
--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -30,10 +30,12 @@
     def __init__(self, poller: Poller, timers: Timers, limits: Limits, routes: AdminRoutes) -> None:
         self.poller = poller
         self.routes = routes
-        self.request_limits = replace(limits, head=limits.ops_head, upload=limits.ops_head)
+        self.request_limits = replace(
+            limits, max_head_size=limits.max_admin_head_size, max_upload_size=limits.max_admin_head_size
+        )
         self._timers = timers
-        self._max_connections = limits.ops_calls
-        self._connection_time = limits.ops_time
+        self._max_connections = limits.max_admin_connections
+        self._connection_time = limits.admin_call_timeout
         self._deadlines: dict[AdminConnection, float] = {}  # Unix time of each one's end, the oldest first
         self._listener: socket.socket | None = None
 
@@ -91,7 +93,7 @@
         self._sock = sock
         self._parser = RequestParser(api.request_limits)
         self._unsent = memoryview(b"")
-        self._surplus_bytes = api.request_limits.head  # that may still come behind the call
+        self._surplus_bytes = api.request_limits.max_head_size  # that may still come behind the call
         self._is_open = True
 
     def close(self) -> None:
--- a/brackenlane/ops/handover.py
+++ b/brackenlane/ops/handover.py
@@ -43,7 +43,7 @@
         """Follow the log from now on, and have the engine and the front consult it before they write."""
         self._engine = engine
         self._front = front
-        self._check_interval = limits.ledger_look
+        self._check_interval = limits.handover_check_interval
         self._handover_log = handover_log
         self._orders = orders
         self._state = HandoverState.ALONE
@@ -105,14 +105,14 @@
         log.info("this process is %s (it was %s)", self._state.value.label, old_state.value.label)
         behavior = self._state.value
         self._front.set_share(behavior.client_share, behavior.is_handing_over)
-        self._engine.keep_copies(1.0 if behavior.uses_cold_caches else 0.0)
+        self._engine.cached_responses.set_share(1.0 if behavior.uses_cold_caches else 0.0)
         if behavior.uses_cold_caches != old_state.value.uses_cold_caches:
             self._switch_cold_caches(behavior.uses_cold_caches)
 
     def _switch_cold_caches(self, uses_cold_caches: bool) -> None:
         """Leave the slow-start budget of cold caches to the later process, or start anew with them."""
         now = time.time()
-        self._engine.spend_cold(now)
+        self._engine.routers.spend_slow_start_budgets(now)
         if uses_cold_caches:
             self._orders.exclude(lambda _: False)
         else:
--- a/brackenlane/ops/handover_log.py
+++ b/brackenlane/ops/handover_log.py
@@ -38,12 +38,12 @@
         """Open the log in its folder, and record that this process starts. Raises HandoverLogError."""
         self._limits = limits
         self.process_id = os.urandom(PROCESS_ID_BYTES).hex()
-        self.index = HandoverIndex(limits.claims)
+        self.index = HandoverIndex(limits.max_handover_claims)
         self.on_record: Callable[[HandoverRecord], None] = lambda _: None
         self._locks = ProcessLocks(folder, self.process_id)
         try:
             folder.mkdir(mode=0o700, exist_ok=True)
-            with self._locks.start_lock(limits.ledger_wait) as is_locked:
+            with self._locks.start_lock(limits.handover_lock_timeout) as is_locked:
                 if not is_locked:
                     raise HandoverLogError("another process starts, and does not get on")
                 self._start(folder)
@@ -53,8 +53,8 @@
     def _start(self, folder: Path) -> None:
         """Join the live processes, and clean up behind those that have ended."""
         self._locks.declare_alive()
-        max_read_bytes = self._limits.ledger + self._limits.ledger_orders
-        self._file = HandoverFile(folder, max_read_bytes, self._limits.ledger_line)
+        max_read_bytes = self._limits.max_handover_log_size + self._limits.handover_log_order_reserve
+        self._file = HandoverFile(folder, max_read_bytes, self._limits.max_handover_record_size)
         self.read_new_records()
         for process_id in list(self.index.is_serving):
             if not self._locks.is_alive(process_id):
@@ -82,9 +82,9 @@
     def append(self, record: HandoverRecord) -> None:
         """Append a record and apply all records up to it. Raises HandoverLogError if it cannot be stored."""
         data = encode(record)
-        max_bytes = self._limits.ledger
+        max_bytes = self._limits.max_handover_log_size
         if not isinstance(record, SubmitClaimed):
-            max_bytes += self._limits.ledger_orders
+            max_bytes += self._limits.handover_log_order_reserve
         try:
             if self._file.size() + len(data) > max_bytes:
                 raise HandoverLogError("the handover log is full")
@@ -99,7 +99,7 @@
 
         To be called periodically.
         """
-        if self._file.is_in_place() and self._file.read_position < self._limits.ledger_tidy:
+        if self._file.is_in_place() and self._file.read_position < self._limits.handover_log_compaction_size:
             return
         try:
             with self._locks.start_lock(timeout=0.0) as is_locked:
--- a/brackenlane/platform_router.py
+++ b/brackenlane/platform_router.py
@@ -16,13 +16,14 @@
 from brackenlane import config as configuration
 from brackenlane.config import Config, ConfigError
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.metrics import RequestMetrics
 from brackenlane.core.response_cache import ResponseCache
 from brackenlane.lifecycle import SignalWatcher, listen_plain, serve_until_signal
 from brackenlane.limits import Limits
 from brackenlane.net.change_log import ChangeApplier, ChangeLogClient, ChangeLogSource
 from brackenlane.net.change_log_codec import Change, ChangeLogFormatError, read_known
-from brackenlane.net.connection_pool import ConnectionPools
+from brackenlane.net.connection_pools import ConnectionPools
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
 from brackenlane.ops.admin_api import AdminApi
@@ -52,7 +53,9 @@
     """Return the limits that follow from a configuration and from what the system allows this process."""
     max_sockets, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     sockets = min(config.sockets, max_sockets)
-    return Limits().within(sockets).suited(config.settings).before_killed(config.settings)
+    return (
+        Limits().with_descriptors(sockets).with_settings(config.settings).with_kill_deadline(config.settings)
+    )
 
 
 class RouterParts(NamedTuple):
@@ -69,7 +72,7 @@
 
 async def serve(config: Config, limits: Limits) -> None:
     """Run a router until SIGTERM and the last response after it."""
-    poller = Poller(limits.batch, alone=True)
+    poller = Poller(limits.max_poll_events, alone=True)
     with SignalWatcher(poller, signal.SIGHUP) as hangups:
         async with trio.open_nursery() as nursery:
             parts = build(config, limits, poller)
@@ -86,21 +89,17 @@
 def build(config: Config, limits: Limits, poller: Poller) -> RouterParts:
     """Put the parts together, with the admin API open if there is one. Raises ConfigError."""
     engine = RequestEngine(
-        config.settings,
-        config.seed,
-        limits,
+        _engine_config(config, limits),
         lambda attempt: pools.place(attempt),
-        flow=config.transfer_rate,
-        cache=_response_cache(config, limits),
     )
-    engine.timers.first = poller.handle_urgent
+    engine.timers.before_round = poller.handle_urgent
     counts = RequestMetrics(cls.name for cls in config.settings.classes)
     pools = ConnectionPools(
-        engine.membership, limits, config.settings, engine.report, poller, engine.timers, counts.tried
+        engine.membership, limits, config.settings, engine.report, poller, engine.timers, counts.count_attempt
     )
     front = HttpFront(engine, limits, poller, counts=counts)
     handover_log = open_handover_log(config, limits) if config.admin else None
-    orders = MaintenanceOrders(engine, limits.taken_out, handover_log)
+    orders = MaintenanceOrders(engine, limits.max_taken_out_servers, handover_log)
     handover = Handover(engine, front, limits, handover_log, orders) if handover_log else None
     if config.admin:
         routes = AdminRoutes(
@@ -135,12 +134,21 @@
         return None
 
 
+def _engine_config(config: Config, limits: Limits) -> EngineConfig:
+    """Return what the request engine runs with by a configuration."""
+    return EngineConfig(
+        config.settings, config.seed, limits, config.transfer_rate, _response_cache(config, limits)
+    )
+
+
 def _response_cache(config: Config, limits: Limits) -> ResponseCache | None:
     """Return the response cache; None where the capacity of the link is unknown."""
     if not config.transfer_rate or not config.link_rate:
         return None
-    max_bytes = limits.copies * config.memory_mb * BYTES_PER_MB
-    return ResponseCache(config.settings, max_bytes, config.transfer_rate, config.link_rate, limits.age_slack)
+    max_bytes = limits.response_cache_share * config.memory_mb * BYTES_PER_MB
+    return ResponseCache(
+        config.settings, max_bytes, config.transfer_rate, config.link_rate, limits.clock_tolerance
+    )
 
 
 async def _serve_clients(config: Config, parts: RouterParts) -> None:
@@ -202,8 +210,7 @@
         if all(getattr(new, field) == getattr(self._config, field) for field in ENGINE_FIELDS):
             return
         limits = derive_limits(new)
-        cache = _response_cache(new, limits)
-        self._parts.engine.reconfigure(new.settings, new.seed, limits, new.transfer_rate, cache)
+        self._parts.engine.reconfigure(_engine_config(new, limits))
         self._parts.pools.reconfigure(limits, new.settings)
         self._parts.front.reconfigure(limits)
         log.info("SIGHUP: other settings hold")
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -14,8 +14,7 @@
 from brackenlane.ops.maintenance import Maintenance, MaintenanceAction, MaintenanceResult
 from brackenlane.routing.events import Membership, MembershipKind
 from brackenlane.routing.members import Member, ServerState
-from tests.stand_ins import Asked, Box, Log, data, free_port, platform, record, with_trio
-from tests.stand_ins import ScriptedReply
+from tests.stand_ins import Asked, Box, Log, ScriptedReply, data, free_port, platform, record, with_trio
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
 ENTER, EXIT = MaintenanceAction.ENTER, MaintenanceAction.EXIT
@@ -46,9 +45,9 @@
 def test_metrics_text_format() -> None:
     """Each line is a sample or a type, names and labels as the published format has them, quotes escaped."""
     counts = RequestMetrics(['a"b\\c\nd', "pages"])
-    counts.ended("pages", 200)
-    counts.ended("pages", 304)
-    counts.ended("nobody's", 200)
+    counts.count_answer("pages", 200)
+    counts.count_answer("pages", 304)
+    counts.count_answer("nobody's", 200)
     text = expose(counts, Gauges(14, 9, 1)).decode()
     sample = re.compile(r'[a-z_]+(\{kind="(\\["\\n]|[^"\\\n])*"\})? \d+')
     kinds = re.compile(r"# TYPE [a-z_]+ (counter|gauge)")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,7 +29,7 @@
     encode,
 )
 from brackenlane.ops.handover_state import HandoverState, handover_state
-from tests.stand_ins import Asked, Box, ScriptedReply, Program, data, free_port, platform, with_trio
+from tests.stand_ins import Asked, Box, Program, ScriptedReply, data, free_port, platform, with_trio
 from tests.test_admin_api import call
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
@@ -134,7 +134,12 @@
 
 def test_full_log_takes_orders_but_no_claims(tmp_path: Path) -> None:
     """Past its bound it takes no claim, but orders; alone, it is rewritten and takes claims again."""
-    limits = Limits(ledger=4_000, ledger_tidy=1_000, ledger_orders=1_000, claims=5)
+    limits = Limits(
+        max_handover_log_size=4_000,
+        handover_log_compaction_size=1_000,
+        handover_log_order_reserve=1_000,
+        max_handover_claims=5,
+    )
     old = HandoverLog(tmp_path / "x", limits)
     new = HandoverLog(tmp_path / "x", limits)
     with pytest.raises(HandoverLogError):
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -23,12 +23,15 @@
 import trio
 
 from brackenlane.core.engine import RequestEngine
+from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.membership_view import MembershipView
-from brackenlane.core.requests import Attempt, PendingRequest
-from brackenlane.core.requests import AttemptReply
+from brackenlane.core.requests import Attempt, AttemptReply, PendingRequest
+from brackenlane.core.timers import Timers
 from brackenlane.limits import Limits
-from brackenlane.net.cache_connection import CacheConnection, ConnectionQuota, DispatchedAttempt
+from brackenlane.net.cache_connection import CacheConnection
 from brackenlane.net.client_connection import ClientState
+from brackenlane.net.connection_context import ConnectionContext, ConnectionQuota
+from brackenlane.net.dispatched_attempt import DispatchedAttempt
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
 from brackenlane.observe.throttle import Throttle
@@ -39,10 +42,10 @@
 from tests.stand_ins import (
     SETTINGS,
     Asked,
-    ScriptedReply,
     Box,
     Log,
     Program,
+    ScriptedReply,
     data,
     free_port,
     platform,
@@ -250,7 +253,7 @@
             status, _, _ = await router_process.ask("sheet-submit", body=b"signed")
             assert len(runs) == 1 and status == 200
             await router_process.ask("sheet-submit", body=b"signed")  # answered twice, for nothing
-            await router_process.says(b"a box answers a second time")
+            await router_process.says(b"a cache answered a request a second time")
         nursery.cancel_scope.cancel()
 
 
@@ -369,7 +372,9 @@
                         )
                         client.sendall(request(f"{n:016x}").replace(b"3000", b"25000"))
                         requested.append(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
-                    await trio.sleep(Limits().leaving)  # by the doorman's clock it is time to shut
+                    await trio.sleep(
+                        Limits().shutdown_accept_time
+                    )  # by the doorman's clock it is time to shut
                 found = [await stream.receive_some(12) for stream in requested]
             assert found == [b"HTTP/1.1 200"] * 40
             assert await router_process.process.wait() == 0
@@ -407,9 +412,9 @@
     """
     limits = Limits()
     core = RequestEngine(
-        Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, limits, lambda _: False
+        EngineConfig(Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, limits), lambda _: False
     )
-    poller = Poller(limits.batch)
+    poller = Poller(limits.max_poll_events)
     front = HttpFront(core, limits, poller)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         peer = socket.create_connection(listener.getsockname())
@@ -493,7 +498,7 @@
 
 
 def test_a_line_that_passes_tells_of_those_that_did_not() -> None:
-    throttle, passed = Throttle(2, 1.0, kinds=3), []
+    throttle, passed = Throttle(2, 1.0, max_kinds=3), []
     for n in range(50):
         record = logging.LogRecord("a", logging.WARNING, "", 0, "%s is bad", (f"box {n}",), None)
         record.created = n / 10  # five spans of ten lines
@@ -503,7 +508,7 @@
     assert len(passed) == 10
     for n in range(9):
         assert throttle.filter(logging.LogRecord("a", logging.INFO, "", 0, f"kind {n}", (), None))
-    assert len(throttle._seen) <= 3
+    assert len(throttle._windows) <= 3
 
 
 class SlowLog(Log):
@@ -784,9 +789,11 @@
         )
         return DispatchedAttempt(Attempt(send_request, 0, Fetch(name, "box", left, "box"), now), report)
 
-    link = CacheConnection(
-        mine, poller, fleet_, limits, False, lambda _: None, lambda _: None, ConnectionQuota(9)
+    timers = Timers()
+    context = ConnectionContext(
+        fleet_, limits, poller, timers, lambda *_: None, lambda _: None, ConnectionQuota(9), settings
     )
+    link = CacheConnection(mine, context, lambda _: None)
     link.send(slot("x", 9.0))  # more than the connection takes at once
     link.send(slot("y", -1.0, lambda: link.send(slot("z", 9.0))))
     with peer:
@@ -808,7 +815,8 @@
 
     In one process: the answer is larger than the connection takes at once."""
     core = RequestEngine(
-        Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, Limits(), lambda _: False
+        EngineConfig(Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, Limits()),
+        lambda _: False,
     )
     poller = Poller(512)
     front = HttpFront(core, Limits(), poller)
@@ -820,7 +828,7 @@
         front._admit(mine)
         [client] = front._waiting[ClientState.FIRST]
         client.wait(ClientState.NOT)
-        client._bytes_allowed = Limits().head
+        client._bytes_allowed = Limits().max_head_size
         client.answer((200, {}, bytes(8_000_000)))
         assert client in front._waiting[ClientState.TAKE]
         peer.sendall(b"x" * 20_000)
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -18,7 +18,7 @@
 from brackenlane.config import ConfigError, parse
 from brackenlane.limits import Limits
 from brackenlane.routing.actions import Action, Fetch, SetTimer
-from brackenlane.routing.checked_json import LONGEST_VALUE, SettingsError
+from brackenlane.routing.checked_json import LONGEST_EXCERPT, SettingsError
 from brackenlane.routing.events import (
     Arrival,
     AttemptResult,
@@ -284,7 +284,7 @@
     """However large or odd a value is, its fault is one short line that any terminal can print."""
     with pytest.raises(SettingsError) as fault:
         read_settings(changed(WITH_HUBS, (("Weights",), value)))
-    assert len(str(fault.value)) < 2 * LONGEST_VALUE + 20
+    assert len(str(fault.value)) < 2 * LONGEST_EXCERPT + 20
     assert str(fault.value).isascii() and str(fault.value).isprintable()
 
 
@@ -414,7 +414,7 @@
     raw = changed(WITH_HUBS, *edits)
     reported = read_settings(raw)
     assert reported.may_probe is (("Limits", "MayProbe") not in [path for path, _ in edits])
-    assert Limits().suited(reported).idle_probe_after > 0
+    assert Limits().with_settings(reported).idle_probe_after > 0
     assert asked(started(raw, ("north",)), "films").server.startswith("edge-")
 
 
@@ -422,7 +422,7 @@
     """No answer comes after the deadline, so an aim beyond it is in effect the deadline."""
     raw = changed(WITH_HUBS, (("Classes", 1, "TargetS"), 3600))
     assert read_settings(raw).classes[1].latency_objective == 2.0
-    assert Limits().suited(read_settings(raw)).longest_wait >= 2.0
+    assert Limits().with_settings(read_settings(raw)).max_client_wait >= 2.0
     assert asked(started(raw, ("north",)), "maps").timeout <= 1.5
 
 
@@ -582,7 +582,7 @@
         assert str(fault).startswith(fault.path) and fault.path.startswith("settings")
         assert len(str(fault)) < 300 and str(fault).isprintable()
         return
-    Limits().suited(reported).before_killed(reported)
+    Limits().with_settings(reported).with_kill_deadline(reported)
     play(reported, roles)
 
 
