--- a/brackenlane/platform_router.py
+++ b/brackenlane/platform_router.py
@@ -139,6 +139,13 @@
         return None
 
 
+def _engine_config(config: Config, limits: Limits) -> EngineConfig:
+    """Return what the request engine runs with by a configuration."""
+    return EngineConfig(
+        config.settings, config.seed, limits, config.transfer_rate, _response_cache(config, limits)
+    )
+
+
 def _response_cache(config: Config, limits: Limits) -> ResponseCache | None:
     """Return the response cache; None where the capacity of the link is unknown."""
     if not config.transfer_rate or not config.link_rate:
