--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -68,7 +68,7 @@
             (DefinitionSource.FILE, records[:third]),
             (DefinitionSource.STORE, records[third // 2 : 2 * third]),
         ):
-            made.definitions.replace_all(  # at once: one by one would be n merges
+            made.sources.definitions.replace_all(  # at once: one by one would be n merges
                 origin,
                 [
                     CacheDefinition(f"{origin.name.lower()}-{n}", t.host, 80, "branch")
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        roster: Registry,
+        registry: Registry,
         resolver: Resolver,
         limits: Limits,
         connect_timeout: float,
@@ -45,8 +45,8 @@
         window: float = 0.0,
     ) -> None:
         """`name`: of this router; `window`: seconds in which all routers of the site look up one name."""
-        self._registry = roster
-        self._merge = roster.merge
+        self._registry = registry
+        self._merge = registry.merge
         self._resolver = resolver
         self._nursery = nursery
         self._min_interval = limits.resolver_least
@@ -54,7 +54,7 @@
         self._probe = AddressProbe(connect_timeout, limits.discovery_dials)
         self._hosts: dict[str, HostWatch] = {}
         self._merge_changed = trio.Event()
-        roster.changed.append(self._on_change)
+        registry.changed.append(self._on_change)
 
     async def run(self) -> None:
         """Look up until cancelled."""
@@ -119,7 +119,7 @@
                 await trio.sleep(max(0.0, earliest - time.time()))
             watch.refresh = trio.Event()
         del self._hosts[host]
-        self._merge.discard_unnamed_host(host)
+        self._merge.sources.discard_unnamed_host(host)
 
     async def _wait_for_turn(self, name: str) -> None:
         name_count = len(self._hosts) + len(self._merge.entries)
@@ -151,7 +151,7 @@
 
     async def _apply_addresses(self, host: str, addresses: tuple[str, ...]) -> bool:
         """Apply those addresses of an answer at which a cache answers; return whether there are any."""
-        known = self._merge.addresses.by_host.get(host)
+        known = self._merge.sources.addresses.by_host.get(host)
         if known is not None and known.address is not None and addresses == (known.address,):
             # The address in use is not probed, or all routers would connect to all caches each lifetime.
             self._registry.apply(self._merge.locate(host, addresses, time.time()))
@@ -161,7 +161,9 @@
         }
         reachable = await self._probe.select_reachable(addresses, ports)
         if addresses and not reachable:
-            self._merge.addresses.record_unreachable(host, f"nobody answers at {', '.join(addresses)}")
+            self._merge.sources.addresses.record_unreachable(
+                host, f"nobody answers at {', '.join(addresses)}"
+            )
             self._resolver.expire_addresses(host)
             return False
         # A cache that left its old address moves at once; with two that answer it moves at intervals.
--- a/brackenlane/discovery/explanation.py
+++ b/brackenlane/discovery/explanation.py
@@ -2,50 +2,38 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator, Mapping
-from dataclasses import dataclass
+from collections.abc import Iterator
 
 from brackenlane.discovery.host_addresses import HostAddressTable
-from brackenlane.discovery.records import (
-    CacheDefinition,
-    DefinitionSource,
-    MergedCache,
-    OperatorOrder,
-)
-from brackenlane.discovery.srv_entries import SrvEntry, SrvMember
+from brackenlane.discovery.merged_list import MergedList
+from brackenlane.discovery.operator_orders import OperatorOrders
+from brackenlane.discovery.records import MergedCache
+from brackenlane.discovery.sources import Sources
+from brackenlane.discovery.srv_entries import SrvEntry
 
 
-@dataclass(frozen=True, slots=True)
-class MembershipView:
-    """What an explanation is drawn from; read only."""
-
-    caches: Mapping[str, MergedCache]
-    aliases: Mapping[str, str]
-    definitions: Iterable[tuple[DefinitionSource, CacheDefinition]]
-    entries: Iterable[SrvEntry]
-    addresses: HostAddressTable
-    orders: Mapping[str, OperatorOrder]
-
-
-def explain(view: MembershipView, cache_id: str, now: float) -> list[str]:
+def explain(
+    merged_list: MergedList, sources: Sources, orders: OperatorOrders, cache_id: str, now: float
+) -> list[str]:
     """Return the lines of an explanation; none if nothing is known of that id."""
-    cache_id = view.aliases.get(cache_id, cache_id)
-    cache = view.caches.get(cache_id)
+    cache = merged_list.find(cache_id)
+    if cache:
+        cache_id = cache.definition.id
     ids = {cache_id}
     lines: list[str] = []
     if cache:
         ids.update(cache.aliases)
         lines += _explain_state(cache, now)
-    lines += _explain_definitions(view, ids)
-    for entry in view.entries:
+    lines += _explain_definitions(sources, ids)
+    for entry in sources.entries.values():
         for member_id in sorted(ids & entry.listed.keys()):
             lines += _explain_member(entry, member_id, now)
     if cache:
-        lines += _explain_addresses(view.addresses, cache.definition.host, now)
-    elif cache_id in view.orders:
+        lines += _explain_addresses(sources.addresses, cache.definition.host, now)
+    elif cache_id in orders:
         lines.append(f"{cache_id} is named by nobody now; the order stays for when it is again")
-    for ordered_id in sorted(ids & view.orders.keys()):
-        order = view.orders[ordered_id]
+    for ordered_id in sorted(ids & orders.keys()):
+        order = orders[ordered_id]
         action = "drained" if order.drained else "restored"
         lines.append(f"  {action} by {order.by} {_seconds_since(order.at, now)} ago")
     return lines
@@ -64,8 +52,8 @@
         yield f"  the same box as {alias}"
 
 
-def _explain_definitions(view: MembershipView, ids: set[str]) -> Iterator[str]:
-    for source, definition in view.definitions:
+def _explain_definitions(sources: Sources, ids: set[str]) -> Iterator[str]:
+    for source, definition in sources.all_definitions():
         if definition.id in ids:
             yield (
                 f"  {source.name.lower()}: {definition.host}, port {definition.port}, "
@@ -75,7 +63,7 @@
 
 def _explain_member(entry: SrvEntry, cache_id: str, now: float) -> Iterator[str]:
     name = entry.watch.srv
-    member: SrvMember = entry.listed[cache_id]
+    member = entry.listed[cache_id]
     seen = f"  {name}: told {_seconds_since(member.last_seen_at, now)} ago"
     if member.missing_since is not None:
         seen += f", missing since {now - member.missing_since:.0f} s"
--- /dev/null
+++ b/brackenlane/discovery/merged_list.py
@@ -0,0 +1,64 @@
+"""The merged list: each cache once, with its state, built from the sources and the operators' orders.
+
+Pure. cache_identity tells which definitions are one cache, state_rules the state of a cache.
+"""
+
+from __future__ import annotations
+
+from brackenlane.discovery.cache_identity import CacheGrouping
+from brackenlane.discovery.operator_orders import OperatorOrders
+from brackenlane.discovery.publication import Publication
+from brackenlane.discovery.records import Change, MergedCache
+from brackenlane.discovery.sources import Sources
+from brackenlane.discovery.state_rules import decide_state, find_standby, is_governed_by
+
+
+class MergedList:
+    """The list and what was published of it. Methods return the changes to publish, in order."""
+
+    def __init__(self, sources: Sources, orders: OperatorOrders) -> None:
+        self.caches: dict[str, MergedCache] = {}
+        self.aliases: dict[str, str] = {}  # ids that name a cache under another id
+        self.is_standby_due = False  # an order may have changed which caches are on standby
+        self._sources = sources
+        self._orders = orders
+        self._publication = Publication()
+
+    def find(self, cache_id: str) -> MergedCache | None:
+        """Return the cache of an id, which may be one of its aliases."""
+        return self.caches.get(self.aliases.get(cache_id, cache_id))
+
+    def rebuild(self) -> list[Change]:
+        """Build the whole list anew."""
+        self.is_standby_due = False
+        grouping = CacheGrouping(self._sources.endpoint_of, self._sources.started_at)
+        for source, definition in self._sources.all_definitions():
+            grouping.add(source, definition)
+        self.aliases = grouping.aliases
+        self.caches.clear()
+        for cache in grouping.caches.values():
+            self._decide(cache)
+        for entry in self._sources.entries.values():
+            for cache in find_standby(entry, self.caches):
+                self.caches[cache.definition.id] = cache
+        changes = self._publication.publish(self.caches.values())
+        return changes + self._publication.withdraw_missing(self.caches)
+
+    def update_ordered(self, cache: MergedCache) -> list[Change]:
+        """Update the state of one cache after an order.
+
+        One cache changes by it, however many are on the list: a drain waits for no merge of thousands.
+        """
+        # Caches on standby behind it may be needed now: the next tick, which is due at once, decides that.
+        for entry in self._sources.entries.values():
+            if is_governed_by(cache, entry):
+                self.is_standby_due = True
+        return self._publication.publish([self._decide(cache)])
+
+    def _decide(self, cache: MergedCache) -> MergedCache:
+        """Set a cache's state, standby not considered, and return it."""
+        drain = self._orders.drain_of((cache.definition.id, *cache.aliases))
+        known = self._sources.addresses.by_host.get(cache.definition.host)
+        decided = decide_state(cache, drain, known.error if known else "")
+        self.caches[cache.definition.id] = decided
+        return decided
--- /dev/null
+++ b/brackenlane/discovery/sources.py
@@ -0,0 +1,113 @@
+"""What the sources have reported: definitions, SRV entries, addresses, and when caches began to warm up.
+
+Pure. Times are Unix seconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator
+
+from brackenlane.config import Endpoint
+from brackenlane.discovery.definitions import DefinitionTable
+from brackenlane.discovery.host_addresses import HostAddressTable
+from brackenlane.discovery.records import (
+    NEVER,
+    CacheDefinition,
+    DefinitionSource,
+    OperatorOrder,
+    Policy,
+    RememberedMembers,
+    SrvWatch,
+    fixed,
+)
+from brackenlane.discovery.srv_entries import SrvEntry
+from brackenlane.discovery.warm_up import WarmUpTimes
+
+
+class Sources:
+    """The state of all sources; it knows no merged list."""
+
+    def __init__(self, policy: Policy, watches: Iterable[SrvWatch]) -> None:
+        self.definitions = DefinitionTable()
+        self.entries = {watch.srv: SrvEntry(watch, policy) for watch in watches}
+        self.addresses = HostAddressTable(policy)
+        self.warm_up = WarmUpTimes()
+        self._policy = policy
+
+    @property
+    def hosts(self) -> set[str]:
+        """The host names whose addresses are needed."""
+        return {definition.host for _, definition in self.all_definitions() if fixed(definition.host) is None}
+
+    def remaining_capacity(self) -> int:
+        """Return how many more definitions may be added."""
+        members = sum(len(entry.listed) for entry in self.entries.values())
+        return self._policy.max_caches - len(self.definitions) - members
+
+    def all_definitions(self) -> Iterator[tuple[DefinitionSource, CacheDefinition]]:
+        """Yield all definitions, those of the first source in precedence first."""
+        for source in DefinitionSource:
+            if source is DefinitionSource.SRV:
+                for entry in self.entries.values():
+                    for member in entry.listed.values():
+                        yield source, member.definition
+            else:
+                for definition in self.definitions.of(source):
+                    yield source, definition
+
+    def endpoint_of(self, definition: CacheDefinition) -> Endpoint | None:
+        """Return the address and port of a defined cache; None while its host name has no address."""
+        address = self.addresses.resolve(definition.host)
+        return (address, definition.port) if address else None
+
+    def started_at(self, source: DefinitionSource, definition: CacheDefinition) -> float:
+        """Return since when a defined cache counts as cold; 0 if it is warm."""
+        return self.warm_up.started_at(source, definition, self.entries.values(), self.addresses)
+
+    def record_failure(self, name: str, error: str) -> None:
+        """Record that a look-up failed or its answer was unusable: nothing is added or removed by it."""
+        if name in self.entries:
+            self.entries[name].fault = error
+        elif name in self.addresses.by_host:
+            self.addresses.by_host[name].error = error
+
+    def discard_unnamed_host(self, host: str) -> None:
+        """Discard the addresses of a host that no definition names any more, so that they do not add up."""
+        if host not in self.hosts:
+            self.addresses.discard(host)
+
+    def remove_expired_members(self, now: float) -> bool:
+        """Remove SRV members whose grace period has ended; return whether there were any."""
+        is_changed = False
+        for entry in self.entries.values():
+            if entry.remove_expired(now):
+                is_changed = True
+        return is_changed
+
+    def next_due(self) -> float:
+        """Return when time alone changes something; infinity for never."""
+        due = [self.addresses.next_due()]
+        for entry in self.entries.values():
+            due += entry.removal_times()
+        return min(due)
+
+    def remember(self, orders: dict[str, OperatorOrder]) -> RememberedMembers:
+        """Return what a later start has to know while no source answers, with the operators' orders."""
+        srv_members = {
+            srv: tuple(member.definition for member in entry.listed.values())
+            for srv, entry in self.entries.items()
+        }
+        return RememberedMembers(self.definitions.to_remember(), srv_members, self.addresses.in_use(), orders)
+
+    def restore(self, memory: RememberedMembers, saved: float, now: float) -> None:
+        """Restore what was remembered at `saved`, unless that is older than `Policy.max_snapshot_age`."""
+        age = now - saved
+        if not 0 <= age <= self._policy.max_snapshot_age:
+            return
+        is_cold = age > self._policy.warm
+        self.warm_up.snapshot_cold_since = now if is_cold else 0.0
+        self.definitions.replace_all(DefinitionSource.MEMORY, memory.definitions)
+        for srv, definitions in memory.srv_members.items():
+            if entry := self.entries.get(srv):
+                entry.restore(definitions, saved, now, is_cold)
+        self.addresses.restore(memory.addresses, saved, now if is_cold else NEVER)
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -91,7 +91,7 @@
     made.order(IDS[0], OperatorOrder(True, 11.0, "console"))
     made.answer(SRV, targets(*HOSTS[1:]), "u1", 12.0)
     made.tick(19.0)
-    made.discard_unnamed_host(HOSTS[0])
+    made.sources.discard_unnamed_host(HOSTS[0])
     assert made.explain(IDS[0], 19.0)[0].startswith(f"{IDS[0]} is named by nobody now")
     assert made.answer(SRV, targets(*HOSTS), "u1", 20.0) == []
     assert made.explain(IDS[0], 20.0)[0] == f"{IDS[0]} is not found: drained by console"
@@ -183,9 +183,9 @@
         made.locate(host, [f"127.0.4.{number + 1}"], 20.0 + 20 * number)
         made.answer(SRV, targets(*HOSTS), "u1", 22.0 + 20 * number)
         made.tick(30.0 + 20 * number)
-        made.discard_unnamed_host(host)
-        made.discard_unnamed_host(HOSTS[0])
-    assert made.addresses.by_host.keys() == set(HOSTS) and serving(made) == set(IDS)
+        made.sources.discard_unnamed_host(host)
+        made.sources.discard_unnamed_host(HOSTS[0])
+    assert made.sources.addresses.by_host.keys() == set(HOSTS) and serving(made) == set(IDS)
 
 
 def test_dead_address() -> None:
@@ -338,7 +338,7 @@
     @rule(which=st.integers(0, 2))
     def doubt(self, which: int) -> None:
         """A cache does not answer where it is said to be."""
-        if place := self.made.addresses.by_host.get(HOSTS[which]):
+        if place := self.made.sources.addresses.by_host.get(HOSTS[which]):
             self.hear(self.made.replace_unreachable(HOSTS[which], place.address or "", self.now))
 
     @rule(which=st.integers(0, 2), drain=st.booleans())
