--- a/brackenlane/platform_router.py
+++ b/brackenlane/platform_router.py
@@ -120,11 +120,6 @@
     return RouterParts(poller, engine, pools, front, orders, handover, change_log)
 
 
-def _engine_config(config: Config, limits: Limits) -> EngineConfig:
-    cache = _response_cache(config, limits)
-    return EngineConfig(config.settings, config.seed, limits, config.transfer_rate, cache)
-
-
 def open_handover_log(config: Config, limits: Limits) -> HandoverLog | None:
     """Open the log that this router's processes share in `$TMPDIR`; None if there is none or it fails."""
     folder = os.environ.get("TMPDIR")
