--- a/brackenlane/core/engine.py
+++ b/brackenlane/core/engine.py
@@ -106,7 +106,7 @@
             obj, group = (key, -1) if isinstance(key, str) else ("", key)
             router.handle(Purged(obj, group, max(0.0, now - at)), now)
         # All that could fail is done. What the last one was still to send cold caches is the new one's.
-        self._router.since = math.inf  # also those that it is yet to hear of
+        self._router.server_table.router_started_at = math.inf  # also those that it is yet to hear of
         for server in self._router.servers.values():
             server.tokens = TokenBucket(math.inf)
         self._earlier = [r for r in (*self._earlier, self._router) if r.pending_requests or r.attempts]
--- a/brackenlane/routing/router.py
+++ b/brackenlane/routing/router.py
@@ -8,10 +8,8 @@
 
 import math
 import random
-from dataclasses import replace
-from itertools import chain
 
-from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer, Subscribe
+from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, Subscribe
 from brackenlane.routing.attempts import HEADROOM, Attempt, Request, Route
 from brackenlane.routing.bounded_load import below_bound_first
 from brackenlane.routing.events import (
@@ -30,12 +28,15 @@
 from brackenlane.routing.fill_estimate import FillEstimate
 from brackenlane.routing.fill_source import FEW, FillSourceDraw
 from brackenlane.routing.latency import LatencyEstimate
-from brackenlane.routing.members import Member, Role, ServerState
+from brackenlane.routing.members import Member, Role
 from brackenlane.routing.origin_throttle import OriginThrottle
 from brackenlane.routing.popularity import Popularity
 from brackenlane.routing.purges import Purges
-from brackenlane.routing.rendezvous_hash import HashOrders
-from brackenlane.routing.servers import EJECT_AT, PROMPT, OutlierEjection, Server
+from brackenlane.routing.outlier_detection import EJECTION_SCORE, Failure, OutlierDetection
+from brackenlane.routing.membership import ServerTable
+from brackenlane.routing.retry_budget import RetryBudget
+from brackenlane.routing.servers import UNCONTENDED_STRETCH, Server
+from brackenlane.routing.timers import RouterTimers
 from brackenlane.routing.settings import Idempotency, Scope, Settings
 from brackenlane.routing.sizes import Sizes
 from brackenlane.routing.slow_start_budget import SlowStartBudget
@@ -44,16 +45,8 @@
 WIDEST = 3  # caches that a hot object is spread over, at most
 HOT = 1 / 8  # of a cache's link, wanted by one object: spread it over one cache more
 SLOW_LASTS = 10.0  # seconds for which a parent late with what it holds is asked for whole fills only
-START, STARTS = 8.0, 80.0  # fills that a source is given at once, by one router and by all, until learned
 MAX_REMEMBERED = 4000  # objects remembered, at most
 WAITS = 0.5  # of its time that a fill waits for its source, at least, where more than a few share a link
-LEAST = 0.2  # of its turns (squared) that a parent keeps however late its fills: it may have mended
-RETRIES = 0.2  # further attempts earned by each request
-DEFAULT_WIDTH = {
-    Role.EDGE: 4.0,
-    Role.PARENT: 10.0,
-    Role.ORIGIN: 16.0,
-}  # transfers, where weights are not told
 
 
 class Router:
@@ -62,14 +55,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.ejection = OutlierEjection(settings.connect_timeout, self.random)
-        # Our own start: what we sent a cold server before it, in another life, is spent.
-        self.since = -math.inf
-        self.servers: dict[str, Server] = {}
-        self.edges: list[Server] = []  # of this location, serving
-        self.parents_by_distance: list[list[Server]] = []  # serving parents, by steps from this hub
-        self.origin: Server | None = None
-        self.orders = HashOrders(MAX_REMEMBERED)
+        self.outlier_detection = OutlierDetection(settings.connect_timeout, self.random)
         self.classes = {c.name: c for c in settings.classes}
         # The time that fills may take, whatever the classes' order: the longest aim of what may be kept.
         self.latency_objective = max(
@@ -78,8 +64,7 @@
         )
         self.pending_requests: dict[str, Request] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.timers: dict[int, tuple[str, int]] = {}  # token: request and attempt, -1 for its deadline
-        self.token = 0
+        self.timers = RouterTimers()
         self.purges = Purges(settings.purge_propagation_time, settings.tick)
         self.popularity = Popularity(MAX_REMEMBERED)
         self.sizes = Sizes(settings.classes, settings.tick, MAX_REMEMBERED)
@@ -87,25 +72,30 @@
         self.origin_throttle = OriginThrottle()  # what may go to the origin, learned
         self.fill_source = FillSourceDraw(self.random)
         self.faults = 0.0  # share of errors where no source took part, learned
-        self.retry_budget = 1 / RETRIES
+        self.retry_budget = RetryBudget()
         self.actions: list[Action] = []
         self.topology = Topology(settings)
+        self.server_table = ServerTable(settings, self.topology, MAX_REMEMBERED)
         self.local_router_count = self.topology.local_router_count  # routers of this location
         self.hub_router_count = sum(peer_index.weight for peer_index in self.topology.peer_locations)
         self.slow_start_budget = SlowStartBudget(settings, self.topology, self.sizes, MAX_REMEMBERED)
         here = settings.locations.index(settings.location)
         known = settings.link_kb_per_s and settings.pace_kb_per_s and settings.link_kb_per_s[here]
         self.link = Server(Member("", "", weight=known / settings.pace_kb_per_s if known else math.inf))
-        self.start = max(1.0, min(START, STARTS / settings.router_count))
         # A few may count a fill whole, to be sure; times nine, for all who share, it is a jam of its own.
         least_waiting = WAITS if self.local_router_count > FEW else 0.0
         self.fills = FillEstimate(settings.status_reporting, self.random, least_waiting)
 
+    @property
+    def servers(self) -> dict[str, Server]:
+        """The servers on discovery's list that are not gone, by name."""
+        return self.server_table.servers
+
     def handle(self, event: Event, now: float) -> list[Action]:
         """What to do about one event."""
         self.actions = []
-        if self.since == -math.inf:
-            self.since = now
+        if self.server_table.router_started_at == -math.inf:
+            self.server_table.router_started_at = now
         match event:
             case Arrival():
                 self._arrive(event, now)
@@ -132,41 +122,20 @@
             MembershipKind.REJECTED,
         ):
             self.actions.append(Subscribe())
-        if event.kind is not MembershipKind.CHANGES and event.kind is not MembershipKind.REJECTED:
-            self.servers = {m.server: self.servers.get(m.server) or self._new(m) for m in event.members}
-        for m in event.members:
-            known = self.servers.get(m.server)
-            if known is None or m.started_at > known.born:
-                # A new start: cold, and nothing known of it.
-                known = self.servers[m.server] = self._new(m)
-            known.member = m if self.settings.weights_known else replace(m, weight=DEFAULT_WIDTH[m.role])
-        # Caches are replaced all day long: those that are gone must not add up.
-        self.servers = {name: s for name, s in self.servers.items() if s.member.state is not ServerState.GONE}
-        serving = [s for s in self.servers.values() if s.member.state is ServerState.SERVING]
-        self.edges = [
-            s for s in serving if s.member.role is Role.EDGE and s.member.zone == self.settings.location
-        ]
-        self.origin = next((s for s in serving if s.member.role is Role.ORIGIN), None)
-        parents = [s for s in serving if s.member.role is Role.PARENT]
-        steps = self.topology.hub_distance
-        self.parents_by_distance = [
-            [s for s in parents if steps.get(s.member.zone, 0) == step]
-            for step in range(self.topology.hub_count)
-        ]
-        self.orders.clear()
-
-    def _new(self, member: Member) -> Server:
-        """A server of which nothing is known but what is listed."""
-        return Server(member, self.start, self.since, self.settings.weights_known)
+        self.server_table.update(event)
 
     def _wake(self, token: int, now: float) -> None:
         """A deadline ends its request; an attempt overdue is a symptom, before any time-out."""
-        name, number = self.timers.pop(token, ("", -1))
-        request, attempt = self.pending_requests.get(name), self.attempts.get((name, number))
-        if request is None or (number >= 0 and attempt is None):
+        target = self.timers.pop(token)
+        request = self.pending_requests.get(target.request_id) if target else None
+        if target is None or request is None:
             return
-        if attempt is None:
+        name, number = target
+        if number is None:
             return self._finish(request, now)
+        attempt = self.attempts.get((name, number))
+        if attempt is None:
+            return
         if not attempt.overdue:
             attempt.overdue = True
             # Counted double: in a jam patience grows.
@@ -180,21 +149,23 @@
             return self._finish(request, now)  # late work keeps the links; a late fill leaves a copy at least
         # Not worth waiting for once its cache or source is out. A long answer alone is left to run.
         out = attempt.edge.ejected_until or (attempt.source and attempt.source.ejected_until)
-        again = self.retry_budget >= 1 and request.deadline - now > request.work
+        again = self.retry_budget.can_spend(1.0) and request.deadline - now > request.work
         if out and again and self.settings.may_cancel and request.sent < self.settings.max_attempts:
             self.actions.append(Cancel(name, number))
         else:
-            self._timer(name, now + request.cls.latency_objective / 2, number)
+            self.actions.append(
+                self.timers.set_overdue(name, number, now + request.cls.latency_objective / 2)
+            )
 
     def _width(self, request: Request, now: float) -> int:
         """How many caches an object is spread over, by the aged work asked for it."""
         load = self.popularity.add(request.arrival.cache_key, request.work, now)
-        link = sum(e.member.weight for e in self.edges) / max(1, len(self.edges))
+        link = sum(e.member.weight for e in self.server_table.edges) / max(1, len(self.server_table.edges))
         return 1 + min(WIDEST - 1, int(load / max(HOT * link, 1e-9)))
 
     def _edge(self, request: Request, now: float, source: Server | None) -> Server | None:
         """The edge cache of a request: drawn among the picks of its object, spilling over when crowded."""
-        ranked = self.orders.order(request.arrival.cache_key, self.edges)
+        ranked = self.server_table.edges_in_order(request.arrival.cache_key)
         up = [e for e in ranked if self._usable(e, request, now)]
         if self.settings.may_bypass_caches and (not up or (request.full and source)):
             return source  # no edge cache is left, or none has a place for a fill: pass them by
@@ -204,7 +175,10 @@
         # A cache that passes a request on to another costs a fill: not while these are slow.
         if not (self.settings.weights_known or self.latency.overloaded or self.origin_throttle.part(now) < 1):
             pool = below_bound_first(
-                pool, self.edges, lambda e: self._crowd(e, self.local_router_count), lambda e: e.limit
+                pool,
+                self.server_table.edges,
+                lambda e: self._crowd(e, self.local_router_count),
+                lambda e: e.limit,
             )
         # Slow, silent or hot caches are passed over; if all are, the request is refused, not added to a jam.
         return next((e for e in pool if self._fits(e, self.local_router_count, request, now)), None)
@@ -228,36 +202,42 @@
             return None
 
         candidates: list[Server] = []
-        for step, ring in enumerate(self.parents_by_distance):
+        for step, ring in enumerate(self.server_table.parents_by_distance):
             sharers = self.settings.router_count if step else self.hub_router_count
             best = max((s.timeliness for s in ring if not s.ejected_until), default=1.0)
             # One whose fills come late, but not all, is never out for long, and one fill in flight at each
             # router is many at it: it is offered as often as its fills deserve, also if the others are full.
             candidates = candidates or [
                 s
-                for s in self.orders.order(f"{request.arrival.obj}|{step}", ring)
+                for s in self.server_table.parents_in_order(request.arrival.obj, step)
                 if self._usable(s, request, now)
                 and self._fits(s, sharers, request, now)
                 and (s.ejected_until or self.random.random() * best**2 < s.timeliness**2)
             ]
-        origin = self.origin if self.origin and self._usable(self.origin, request, now) else None
+        origin = (
+            self.server_table.origin
+            if self.server_table.origin and self._usable(self.server_table.origin, request, now)
+            else None
+        )
         # Fills for which the parents have no room are not the origin's: it bears a part of them at most, and
         # every router would send it theirs at once. It stands in for parents that are out.
         full = not request.cls.uncached and any(
-            not s.ejected_until and self._slow_start_capacity(s, now) > 0
-            for s in chain(*self.parents_by_distance)
+            not s.ejected_until and self._slow_start_capacity(s, now) > 0 for s in self.server_table.parents
         )
         if request.cls.uncached or not candidates:
             return None if full else origin or (candidates[-1] if candidates else None)
         return self.fill_source.draw(
-            candidates, origin, request.cls.fresh_for > 0, max(map(len, self.parents_by_distance))
+            candidates,
+            origin,
+            request.cls.fresh_for > 0,
+            max(map(len, self.server_table.parents_by_distance)),
         )
 
     def _usable(self, server: Server, request: Request, now: float) -> bool:
         """In, or out and due for a single trial; within its window and its cold budget."""
         # What sums of parts leave behind counts as nothing: a window of 1 would never open again.
         full = server.in_flight > max(server.window - 1, 1e-6)
-        out = full or (server.ejected_until and (server.trial or now < server.ejected_until))
+        out = full or (server.ejected_until and (server.has_trial or now < server.ejected_until))
         return not out and self._slow_start_capacity(server, now) >= self._cold_cost(server, request)
 
     def _cold_cost(self, server: Server, request: Request) -> float:
@@ -272,11 +252,11 @@
 
     def _record_failure(self, server: Server, weight: float, now: float, crowded: bool = True) -> None:
         """Add to a server's failure score; one that fails of a crowd, too, may have fewer fills in flight."""
-        if crowded and server.member.role is not Role.EDGE and now > server.cut + self.latency_objective:
-            server.window, server.cut = max(1.0, server.window / 2), now  # once for all that fails together
-        like = self.edges if server.member.role is Role.EDGE else list(chain(*self.parents_by_distance))
-        fallback = self.origin if server.member.role is Role.PARENT else None
-        self.ejection.record_failure(server, weight, like, now, fallback)
+        if crowded and server.member.role is not Role.EDGE:
+            server.halve_window(now, self.latency_objective)
+        fallback = self.server_table.origin if server.member.role is Role.PARENT else None
+        failure = Failure(weight, self.server_table.peers(server), fallback)
+        self.outlier_detection.record_failure(server, failure, now)
 
     def _arrive(self, arrival: Arrival, now: float) -> None:
         cls = self.classes.get(arrival.cls) or self.settings.classes[0]
@@ -285,27 +265,24 @@
         request = self.pending_requests[arrival.request_id] = Request(
             arrival, cls, now, max(work, self.settings.tick)
         )
-        self.retry_budget = min(self.retry_budget + RETRIES, 4 / RETRIES)
-        self._timer(arrival.request_id, request.deadline, -1)
-        for pipe in (*self.edges, *chain(*self.parents_by_distance), self.link):
-            pipe.mean_in_flight += (pipe.in_flight - pipe.mean_in_flight) / 16
+        self.retry_budget.earn()
+        self.actions.append(self.timers.set_deadline(arrival.request_id, request.deadline))
+        for pipe in (*self.server_table.edges, *self.server_table.parents, self.link):
+            pipe.observe_load()
         self._attempt(request, now)
 
-    def _timer(self, request: str, at: float, attempt: int) -> None:
-        self.token += 1
-        self.timers[self.token] = request, attempt
-        self.actions.append(SetTimer(self.token, at))
-
     def _attempt(self, request: Request, now: float) -> None:
         """Send an attempt, or finish the request if none can be in time."""
         again = request.sent > 0 and not request.cache_missed
-        spent = again and (request.deadline - now < request.work or self.retry_budget < request.cost)
+        spent = again and (
+            request.deadline - now < request.work or not self.retry_budget.can_spend(request.cost)
+        )
         if spent or request.sent >= self.settings.max_attempts:
             return self._finish(request, now)
         source = self._source(request, now)
         edge = self._edge(request, now, source)
         # What a parent lacks it would fetch, so the origin's window decides and is judged.
-        behind = self.origin if request.parent_missed and source else None
+        behind = self.server_table.origin if request.parent_missed and source else None
         if (
             edge is None
             or not self._may_send(request, edge.member, now)
@@ -316,7 +293,8 @@
         route = self._route(request, edge, source, behind, now)
         if route is None:
             return self._finish(request, now)
-        self.retry_budget -= again * request.cost
+        if again:
+            self.retry_budget.spend(request.cost)
         self._charge(request, route, now)
         self._send(request, route, again, now)
 
@@ -341,14 +319,14 @@
             source = None
         look = overloaded and request.cache_missed and not behind and edge is not source and not void
         look = look and self.settings.max_attempts > 2
-        held = look and source is not None and now > source.slow + SLOW_LASTS
+        held = look and source is not None and now > source.late_with_held_at + SLOW_LASTS
         return Route(edge, behind or source, source, held)
 
     def _charge(self, request: Request, route: Route, now: float) -> None:
         """Take what an attempt costs from the trials and cold budgets of the servers that it passes."""
         for server in route.servers:
             if server.ejected_until:
-                server.trial = server in (route.edge, route.source)
+                server.has_trial = server in (route.edge, route.source)
             if self._slow_start_capacity(server, now) < math.inf:
                 server.tokens.work -= self._cold_cost(server, request)
 
@@ -387,15 +365,16 @@
         """Send a request on by its route; again: after an attempt that was no look."""
         self._open(request, route, now)
         patience, left, cls = self._patience(request, now), request.deadline - now, request.cls
-        self._timer(request.arrival.request_id, now + patience, request.sent - 1)
+        overdue_at = now + patience
+        self.actions.append(self.timers.set_overdue(request.arrival.request_id, request.sent - 1, overdue_at))
         # What was asked for before ranks above what may be wanted once, and is not pushed out by it. Whoever
         # sees a part of a location's requests can't tell, and what it ranked high would never be pushed out.
         known = self.local_router_count < 2 and self.popularity.is_repeated(
             request.arrival.cache_key, request.work
         )
         named = route.asked or route.edge  # a parent fills only if told
-        if route.edge is route.asked and self.origin:
-            named = self.origin
+        if route.edge is route.asked and self.server_table.origin:
+            named = self.server_table.origin
         keyed = request.ran is not None and request.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         self.actions.append(
             Fetch(
@@ -462,7 +441,7 @@
             self.faults += ((result is AttemptResult.ERROR) - self.faults) / (64 if source else 16)
         filled = False
         if result is AttemptResult.OK:
-            self.ejection.clear(edge, now)
+            self.outlier_detection.record_success(edge, now)
             if request:
                 self.latency.learn(event.wait / request.span)
             if source and source is not edge:
@@ -470,12 +449,12 @@
                     source.tokens.work += self._cold_cost(source, request)  # it was not asked
                 filled = self.fills.was_filled(event, attempt.fill)
                 if filled:
-                    self.ejection.clear(source, now)
+                    self.outlier_detection.record_success(source, now)
                     if attempt.via and not attempt.overdue:
-                        attempt.via.timeliness += (1 - attempt.via.timeliness) / 4
+                        attempt.via.record_timely_fill()
                     timely = request and event.wait < HEADROOM * request.latency_objective
-                    if timely and 2 * (source.in_flight + attempt.fill) > source.window:
-                        source.window += attempt.fill * (1 if source.cut < 0 else 1 / source.window)
+                    if timely:
+                        source.grow_window(attempt.fill)
             if request:
                 self._limit(event, attempt, request, filled, now)
             if request and not request.cls.uncached:
@@ -487,20 +466,25 @@
                     edge.learn_width(crowd, event.wait / alone)
                     warm = (
                         e.width
-                        for e in self.edges
+                        for e in self.server_table.edges
                         if e.width and self._slow_start_capacity(e, now) == math.inf
                     )
                     self.slow_start_budget.narrow = min(warm, default=self.slow_start_budget.narrow)
-                elif filled and source and source.member.role is Role.PARENT and event.wait <= PROMPT * alone:
+                elif (
+                    filled
+                    and source
+                    and source.member.role is Role.PARENT
+                    and event.wait <= UNCONTENDED_STRETCH * alone
+                ):
                     source.learn_width(min(attempt.queue, self._crowd(source, self.hub_router_count)), 1.0)
             if request and not request.arrival.size_kb:
                 self.sizes.learn(request.cls.name, request.arrival.obj, alone, event.wait)
         elif result is AttemptResult.UNREACHABLE:
-            self._record_failure(edge, 2 * EJECT_AT, now)
+            self._record_failure(edge, 2 * EJECTION_SCORE, now)
         elif result is AttemptResult.BROKEN:
             # One connection's end, whatever was open on it: only the next connect tells of the cache itself.
-            if now > edge.broken + self.settings.connect_timeout:
-                edge.broken = now
+            if now > edge.connection_broken_at + self.settings.connect_timeout:
+                edge.connection_broken_at = now
                 self._record_failure(edge, 1.0, now)
         elif result is AttemptResult.TIMEOUT and not attempt.overdue:
             self._late(attempt, now)
@@ -517,7 +501,7 @@
             self._record_failure(edge if alone else source or edge, 0.5 if alone else 1.0, now, crowded)
 
         for server in filter(None, (edge, source)):
-            server.trial = False  # not sooner: a trial that failed lengthens the ejection
+            server.has_trial = False  # not sooner: a trial that failed lengthens the ejection
 
     def _limit(self, event: Outcome, attempt: Attempt, request: Request, filled: bool, now: float) -> None:
         """Learn how many transfers at a time the server bears that an answer came from."""
@@ -535,24 +519,24 @@
     def _upstream(self, event: Outcome, request: Request, source: Server, now: float) -> None:
         """Learn how the origin does from a fill that it may have taken part in."""
         # A parent's error may be its own: what fails at the others alike fails behind them.
-        others = [
-            parent.failure_score > 0 for parent in chain(*self.parents_by_distance) if parent is not source
-        ]
-        sure = 1.0 if source is self.origin else sum(others) / max(1, len(others))
+        others = [parent.failure_score > 0 for parent in self.server_table.parents if parent is not source]
+        sure = 1.0 if source is self.server_table.origin else sum(others) / max(1, len(others))
         aim = HEADROOM * (request.cls.latency_objective if event.first_byte else request.latency_objective)
         self.origin_throttle.learn(event, now, aim, sure, self.latency_objective, 2 * self.settings.tick)
 
     def _late(self, attempt: Attempt, now: float) -> None:
         """Blame for an attempt overdue: who has proved to be alive since it was sent is not at fault."""
         edge, source = attempt.edge, attempt.source
-        alive = source is None or source is edge or source.seen > attempt.sent
-        share = 0.0 if alive else 1.0 if edge.seen > attempt.sent else 0.5
+        alive = source is None or source is edge or source.last_alive_at > attempt.sent
+        share = 0.0 if alive else 1.0 if edge.last_alive_at > attempt.sent else 0.5
         if attempt.held and source:
-            source.slow = now  # a parent late with what it holds is slow itself: it stays the one judged
-        if attempt.via and edge.seen > attempt.sent:
-            attempt.via.timeliness = max(LEAST, 0.75 * attempt.via.timeliness)
+            source.late_with_held_at = (
+                now  # a parent late with what it holds is slow itself: it stays the one judged
+            )
+        if attempt.via and edge.last_alive_at > attempt.sent:
+            attempt.via.record_overdue_fill()
         # What a parent was to fetch, it lost, if both ends of it are alive.
-        lost = attempt.via if attempt.via is not source and edge.seen > attempt.sent else None
+        lost = attempt.via if attempt.via is not source and edge.last_alive_at > attempt.sent else None
         for server, part in ((lost or edge, 1 - share), (source, share)):
             if server and part:
                 self._record_failure(server, part, now)
--- a/brackenlane/routing/servers.py
+++ b/brackenlane/routing/servers.py
@@ -1,4 +1,4 @@
-"""What one router knows of a cache, parent or the origin, and when it is ejected from use.
+"""What one router knows of a server: an edge cache, a parent cache or the origin.
 
 Pure. Times are Unix seconds; work is in transfer-seconds, widths and weights are in transfers at a time.
 """
@@ -6,47 +6,82 @@
 from __future__ import annotations
 
 import math
-import random
-from collections.abc import Sequence
 
 from brackenlane.routing.concurrency_limit import ConcurrencyLimit
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.slow_start import TokenBucket
 
-EJECT_AT = 2.0  # failure score above the mean of its peers that ejects a server
-EJECT_ALONE_AT = 4.0  # the same for a server that has no peer
-LONGEST_EJECTION = 8.0  # seconds between two trials of an ejected server, at most
 PRIOR_MISS_SHARE = 0.5  # of a cache's requests, until it is learned
-WIDTH_MEMORY = 8  # crowded transfers that a learned width is a mean over, about
-PROMPT = 1.3  # times its own sending time, within which a transfer met no crowd
-JITTER = (0.75, 1.25)  # of an ejection: trials of all routers must not come at one moment
+WIDTH_MEMORY = 8  # contended transfers that a learned width is a mean over, about
+UNCONTENDED_STRETCH = 1.3  # times its own sending time, within which a transfer had its link to itself
+LOAD_MEMORY = 16  # requests that the mean of transfers in flight is a mean over, about
+MIN_FILL_WINDOW = 1.0  # fills in flight at a source, whatever has failed there
+MIN_TIMELINESS = 0.2  # kept however late a parent's fills are: it may have recovered
+TIMELINESS_KEPT = 0.75  # by a fill that is overdue
+TIMELINESS_MEMORY = 4  # fills in time that bring timeliness back, about
 
 
 class Server:
-    """What this router knows of one cache, parent or the origin."""
+    """The state that this router keeps of one server."""
+
+    __slots__ = (
+        "born",
+        "concurrency",
+        "connection_broken_at",
+        "ejected_until",
+        "ejection_seconds",
+        "failure_score",
+        "has_trial",
+        "in_flight",
+        "last_alive_at",
+        "late_with_held_at",
+        "mean_in_flight",
+        "member",
+        "miss_share",
+        "timeliness",
+        "tokens",
+        "width",
+        "window",
+        "window_halved_at",
+    )
 
     def __init__(
-        self, me: Member, start: float = math.inf, since: float = 0.0, is_width_known: bool = True
+        self,
+        member: Member,
+        initial_window: float = math.inf,
+        router_started_at: float = 0.0,
+        is_width_known: bool = True,
     ) -> None:
-        """start: fills in flight allowed at first; since: when this router started."""
-        self.member = me  # as listed
-        self.width = 0.0  # transfers on its link, as answers have shown
+        """initial_window: fills in flight that are allowed at first."""
+        # As listed by discovery.
+        self.member = member
+        # When it started, as listed or as its time out of use suggests; slow start counts from then.
+        self.born = member.started_at
+        # What slow start leaves for this router; of the time before it started, nothing.
+        self.tokens = TokenBucket(max(member.started_at, router_started_at))
+        # Transfers that its link bears at a time, learned from answers; 0 until then.
+        self.width = 0.0
+        # The factor of its width that is used, learned from answers in time and late ones.
         self.concurrency = ConcurrencyLimit(1.0 if is_width_known else math.inf)
-        self.in_flight = 0.0  # our attempts at a cache, likely fills of a source
-        self.mean_in_flight = 0.0  # the mean of these lately
-        self.failure_score = 0.0  # failure score: what speaks against it since its last successes
-        self.ejected_until = 0.0  # 0: in use
-        self.gap = 0.0  # the last wait between trials, seconds
-        self.trial = False  # whether one is in flight
-        self.miss_share = PRIOR_MISS_SHARE  # of a cache's requests, as reported or looked up
-        self.timeliness = 1.0  # the share of its latest fills that were not overdue
-        self.seen = -math.inf  # when it last proved to be alive
-        self.cut = -math.inf  # when its window was last halved
-        self.slow = -math.inf  # when it was last late with what it holds
-        self.broken = -math.inf  # when a connection of it last broke
-        self.born = me.started_at
-        self.tokens = TokenBucket(max(me.started_at, since))
-        self.window = math.inf if me.role is Role.EDGE else start  # fills in flight; a slow start until cut
+        # Transfers of this router: attempts at a cache, fills of a source by their likelihood.
+        self.in_flight = 0.0
+        self.mean_in_flight = 0.0
+        # Fills that may be in flight at this source: slow start, then additive increase.
+        self.window = math.inf if member.role is Role.EDGE else initial_window
+        self.window_halved_at = -math.inf
+        # Failures attributed to it, halved by each success.
+        self.failure_score = 0.0
+        # 0: in use; else when the next trial is due.
+        self.ejected_until = 0.0
+        self.ejection_seconds = 0.0  # between the last two trials
+        self.has_trial = False  # whether a trial is in flight
+        # Share of a cache's requests that are misses, as reported or looked up.
+        self.miss_share = PRIOR_MISS_SHARE
+        # Share of its latest fills that were not overdue.
+        self.timeliness = 1.0
+        self.last_alive_at = -math.inf  # its last success
+        self.late_with_held_at = -math.inf  # when it was last late with a copy that it held
+        self.connection_broken_at = -math.inf
 
     @property
     def known_width(self) -> float:
@@ -58,60 +93,38 @@
         """Transfers at a time that it is given."""
         return self.known_width * self.concurrency.factor
 
-    def learn_width(self, crowd: float, stretch: float) -> None:
-        """Learn a link that the list keeps silent about.
+    def observe_load(self) -> None:
+        """Take the transfers in flight into their mean."""
+        self.mean_in_flight += (self.in_flight - self.mean_in_flight) / LOAD_MEMORY
+
+    def learn_width(self, transfers: float, stretch: float) -> None:
+        """Learn the width of a link for which discovery lists none.
 
-        crowd: transfers on it meanwhile; stretch: how many times longer than alone one of them took.
+        transfers: on the link meanwhile; stretch: how many times longer than alone one of them took.
         """
-        if stretch <= PROMPT:  # it met no crowd, so there is room for as many
-            self.width = max(self.width, crowd)
+        if stretch <= UNCONTENDED_STRETCH:
+            self.width = max(self.width, transfers)
         else:
-            self.width += (min(self.width, crowd / stretch) - self.width) / WIDTH_MEMORY
-
-
-class OutlierEjection:
-    """Takes servers out of use that fail more than their peers, for growing times, until a trial succeeds."""
+            self.width += (min(self.width, transfers / stretch) - self.width) / WIDTH_MEMORY
 
-    def __init__(self, shortest: float, rng: random.Random) -> None:
-        """shortest: seconds of a first ejection."""
-        self._shortest = shortest
-        self._random = rng
-
-    def record_failure(
-        self,
-        server: Server,
-        score: float,
-        peers: Sequence[Server],
-        now: float,
-        fallback: Server | None = None,
-    ) -> None:
-        """Add to a failure score; enough of it without a success between ejects.
+    def grow_window(self, fill: float) -> None:
+        """Raise the window by a fill in time: slow start until it was first halved, then additive increase.
 
-        What all peers share is a jam: nobody is ejected for it. But a jam delays, it fails no connect, so one
-        score above the bar ejects whatever the peers have. A server without peers is compared with what would
-        stand in for it, by a higher bar: what it alone can do is lost with it.
+        fill: the likelihood, 0 to 1, with which the fill was counted as in flight.
         """
-        server.failure_score += score
-        scores = [s.failure_score for s in peers if s is not server and not s.ejected_until]
-        bar = EJECT_AT + (sum(scores) / len(scores) if scores else math.inf)
-        if fallback and all(s is server for s in peers):
-            bar = EJECT_ALONE_AT + fallback.failure_score
-        fails = (server.failure_score >= bar or score > EJECT_AT) and not server.ejected_until
-        if server.trial or fails:
-            server.gap = max(self._shortest, min(2 * server.gap, LONGEST_EJECTION))
-            server.ejected_until = now + server.gap * self._random.uniform(*JITTER)
-            server.trial = False
-
-    def clear(self, server: Server, now: float) -> None:
-        """A success: the score fades; one out for long may have restarted: it counts as cold."""
-        server.failure_score /= 2
-        server.seen = now
-        if not server.ejected_until:
-            return
-        if server.gap > 2 * self._shortest:
-            server.born = now
-            server.tokens = TokenBucket(now)
-        server.ejected_until = 0.0
-        server.gap = 0.0
-        server.failure_score = 0.0
-        server.trial = False
+        if 2 * (self.in_flight + fill) > self.window:
+            self.window += fill * (1 if self.window_halved_at < 0 else 1 / self.window)
+
+    def halve_window(self, now: float, pause: float) -> None:
+        """Halve the window, once for all that fails within a pause (seconds)."""
+        if now > self.window_halved_at + pause:
+            self.window = max(MIN_FILL_WINDOW, self.window / 2)
+            self.window_halved_at = now
+
+    def record_overdue_fill(self) -> None:
+        """Lower the timeliness."""
+        self.timeliness = max(MIN_TIMELINESS, TIMELINESS_KEPT * self.timeliness)
+
+    def record_timely_fill(self) -> None:
+        """Raise the timeliness."""
+        self.timeliness += (1 - self.timeliness) / TIMELINESS_MEMORY
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -50,7 +50,7 @@
     requested, names = 0, itertools.count()
     while requested < count:
         obj = f"object-{next(names)}"
-        order = harness.router.orders.order(Arrival("", 5.0, "video", obj).cache_key, harness.router.edges)
+        order = harness.router.server_table.edges_in_order(Arrival("", 5.0, "video", obj).cache_key)
         if order[0].member.server != "edge-0":
             continue
         requested += 1
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenlane.routing import router as router_module
+from brackenlane.routing import membership
 from brackenlane.routing.actions import Fetch, Reject
 from brackenlane.routing.concurrency_limit import DECREASE, USED, ConcurrencyLimit
 from brackenlane.routing.events import AttemptResult
@@ -76,9 +76,9 @@
 def test_a_width_assumed_wrong_costs_a_branch_little(monkeypatch: pytest.MonkeyPatch, assumed: float) -> None:
     """With half of the widths assumed, over half of the requests were refused for good, before idle links."""
     monkeypatch.setattr(
-        router_module,
+        membership,
         "DEFAULT_WIDTH",
-        {role: assumed * width for role, width in router_module.DEFAULT_WIDTH.items()},
+        {role: assumed * width for role, width in membership.DEFAULT_WIDTH.items()},
     )
     branch = Branch(weights_known=False)
     in_hand: dict[str, list[float]] = {}
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -147,7 +147,7 @@
     """Steps between hubs went by their places in the list: a foreign hub's parents counted as our own's."""
     fleet = members(parents=("hub-a", "hub-c"))
     harness = RouterHarness(fleet, hub_of=(0, 0, 2, 0))
-    assert [[s.member.zone for s in ring] for ring in harness.router.parents_by_distance] == [
+    assert [[s.member.zone for s in ring] for ring in harness.router.server_table.parents_by_distance] == [
         ["hub-a"],
         ["hub-c"],
     ]
--- a/tests/test_fill_source.py
+++ b/tests/test_fill_source.py
@@ -139,7 +139,7 @@
 def test_window_opens_again() -> None:
     """What sums of parts leave in hand must not shut a source whose window is down to 1 for good."""
     harness = RouterHarness(members(parents=("hub-a",)))
-    [parent] = harness.router.parents_by_distance[0]
+    [parent] = harness.router.server_table.parents_by_distance[0]
     parent.window, parent.in_flight = 1.0, 1e-15
     assert only(harness.ask(), Fetch).source == "parent-0"
 
@@ -151,7 +151,7 @@
 def test_errors_of_caches_alone(alone: bool, wait: float, attributed: bool, halved: bool) -> None:
     """Quick errors that caches make without a source are not its fault; only late ones halve a window."""
     harness = RouterHarness(members(parents=("hub-a",)))
-    [parent] = harness.router.parents_by_distance[0]
+    [parent] = harness.router.server_table.parents_by_distance[0]
     harness.router.faults = 0.3 if alone else 0.0
     for n in range(3):
         harness.now += 1.0
@@ -172,10 +172,10 @@
 def test_cheap_errors_are_repeated() -> None:
     """An error that came at once leaves the budget for further attempts nearly whole."""
     harness = RouterHarness()
-    before = harness.router.retry_budget
+    before = harness.router.retry_budget.available
     fetch = only(harness.ask(), Fetch)
     assert every(harness.end(fetch, AttemptResult.ERROR, wait=0.004), Fetch)
-    assert harness.router.retry_budget > before - 0.1
+    assert harness.router.retry_budget.available > before - 0.1
 
 
 @pytest.mark.parametrize(
@@ -204,7 +204,7 @@
         harness.serve(f"o{n}", size_kb=0.0)
     router = harness.router
     assert len(router.servers) == len(members()) + 1
-    assert max(len(router.popularity), len(router.sizes.by_object), len(router.orders)) <= 51
+    assert max(len(router.popularity), len(router.sizes.by_object), len(router.server_table.orders)) <= 51
     assert "o199" in router.sizes.by_object and not router.attempts
 
 
@@ -241,6 +241,6 @@
     """A trial that had to win a draw for timely fills as well came once in hundreds of requests."""
     harness = RouterHarness(members(parents=("hub-a",)))
     parent = harness.router.servers["parent-0"]
-    parent.timeliness, parent.ejected_until, parent.gap = 0.01, 1.0, 1.0
+    parent.timeliness, parent.ejected_until, parent.ejection_seconds = 0.01, 1.0, 1.0
     harness.now = 1.5
     assert only(harness.ask("clip", "video"), Fetch).source == "parent-0"
--- a/tests/test_portal_settings.py
+++ b/tests/test_portal_settings.py
@@ -236,7 +236,7 @@
     late = branch.sources(120.0)
     assert branch.share(118, 128) > 0.95
     assert late.count("parent-1") > 0.5 * len(late) and late.count("origin") < 0.1 * len(late)
-    assert not any(edge.ejected_until for edge in branch.harness.router.edges)
+    assert not any(edge.ejected_until for edge in branch.harness.router.server_table.edges)
 
 
 def test_a_branch_whose_hub_is_lost_is_served_while_the_next_hub_is_cold() -> None:
