--- /dev/null
+++ b/brackenlane/routing/answer_learning.py
@@ -0,0 +1,115 @@
+"""What is learned from a good answer: waits, sizes, widths of links, and how many transfers they bear.
+
+Pure. Times are Unix seconds, work is in transfer-seconds, widths are in transfers at a time.
+"""
+
+from __future__ import annotations
+
+from brackenlane.routing.attempts import Attempt, Request
+from brackenlane.routing.events import CacheStatus, Outcome
+from brackenlane.routing.fill_estimate import FillEstimate
+from brackenlane.routing.latency import LatencyEstimate
+from brackenlane.routing.members import Role
+from brackenlane.routing.membership import ServerTable
+from brackenlane.routing.server_capacity import ServerCapacity
+from brackenlane.routing.servers import UNCONTENDED_STRETCH, Server
+from brackenlane.routing.settings import Settings
+from brackenlane.routing.sizes import Sizes
+
+MIN_SENDING_TICKS = 8  # of an answer that tells of a link's width: in less, its wait is mostly rounding
+
+
+class AnswerLearning:
+    """Takes answers into the estimates; has no state of its own."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        servers: ServerTable,
+        capacity: ServerCapacity,
+        fills: FillEstimate,
+        latency: LatencyEstimate,
+        sizes: Sizes,
+    ) -> None:
+        self._servers = servers
+        self._capacity = capacity
+        self._fills = fills
+        self._latency = latency
+        self._sizes = sizes
+        self._weights_known = settings.weights_known
+        self._pace_kb_per_s = settings.pace_kb_per_s
+        self._min_sending_seconds = MIN_SENDING_TICKS * settings.tick
+
+    def observe_wait(self, event: Outcome, request: Request | None) -> None:
+        """Learn how long answers take."""
+        if request:
+            self._latency.learn(event.wait / request.wait_unit)
+
+    def refund_hit(self, event: Outcome, request: Request | None, source: Server) -> None:
+        """Give a source in slow start its work back that a hit did not need."""
+        if request and event.cache_status is CacheStatus.HIT:
+            self._capacity.refund_slow_start(source, request)
+
+    def learn(
+        self, event: Outcome, attempt: Attempt, request: Request | None, is_fill: bool, now: float
+    ) -> None:
+        """Learn the limits, paces, widths and sizes that an answer shows; request: None if it is over."""
+        sending_seconds = event.size_kb / self._pace_kb_per_s if self._pace_kb_per_s else 0.0
+        if request:
+            self._learn_limit(event, attempt, request, is_fill, now)
+            if not request.cls.uncached:
+                self._fills.observe_pace(is_fill, attempt.fill_probability, request.work, event.wait)
+        if sending_seconds > self._min_sending_seconds and not self._weights_known:
+            self._learn_width(event, attempt, is_fill, sending_seconds, now)
+        if request and not request.arrival.size_kb:
+            self._sizes.learn(request.cls.name, request.arrival.obj, sending_seconds, event.wait)
+
+    def _learn_limit(
+        self, event: Outcome, attempt: Attempt, request: Request, is_fill: bool, now: float
+    ) -> None:
+        """Learn how many transfers at a time the server bears that an answer came from."""
+        server = attempt.route.edge
+        load = attempt.edge_load
+        status = CacheStatus.HIT
+        if is_fill and attempt.route.attributed_source:
+            server = attempt.route.attributed_source
+            load = attempt.source_load
+            status = CacheStatus.FILLED
+        if event.cache_status not in (status, CacheStatus.UNKNOWN) or server.member.role is Role.ORIGIN:
+            return
+        is_late = event.wait > request.latency_objective
+        # What is late alone on its link is large or slow, and no sign of contention.
+        if not is_late or load.transfers > 1:
+            server.concurrency.observe(
+                is_late, load.utilization, server.known_width, now, request.latency_objective
+            )
+
+    def _learn_width(
+        self, event: Outcome, attempt: Attempt, is_fill: bool, sending_seconds: float, now: float
+    ) -> None:
+        """Learn the width of the link that an answer came over; sending_seconds: as it takes alone."""
+        edge = attempt.route.edge
+        source = attempt.route.attributed_source
+        if event.cache_status is CacheStatus.HIT and edge.member.role is Role.EDGE:
+            transfers = min(
+                attempt.edge_load.transfers,
+                self._capacity.transfers(edge, self._capacity.edge_sharers) + 1,
+            )
+            edge.learn_width(transfers, event.wait / sending_seconds)
+            self._update_least_width(now)
+            return
+        is_uncontended = event.wait <= UNCONTENDED_STRETCH * sending_seconds
+        if is_fill and is_uncontended and source and source.member.role is Role.PARENT:
+            transfers = min(
+                attempt.source_load.transfers,
+                self._capacity.transfers(source, self._capacity.near_parent_sharers),
+            )
+            source.learn_width(transfers, 1.0)
+
+    def _update_least_width(self, now: float) -> None:
+        """Keep the least width learned of a warm cache: one in slow start is assumed to have as much."""
+        budget = self._capacity.slow_start_budget
+        widths = [
+            edge.width for edge in self._servers.edges if edge.width and self._capacity.is_warm(edge, now)
+        ]
+        budget.narrow = min(widths, default=budget.narrow)
--- a/brackenlane/routing/attempts.py
+++ b/brackenlane/routing/attempts.py
@@ -1,79 +1,164 @@
 """The records that a router keeps of a request in flight and of each attempt to answer it.
 
-Times are Unix seconds, work is in transfer-seconds.
+Pure. Times are Unix seconds. Work is in transfer-seconds: what a transfer takes alone on its link.
 """
 
 from __future__ import annotations
 
-from brackenlane.routing.events import Arrival
-from brackenlane.routing.members import Member
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from brackenlane.routing.events import Arrival, AttemptResult
+from brackenlane.routing.members import Member, Role
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Idempotency, RequestClass, Scope
 
-HEADROOM = 0.7  # of the time left that an attempt may need by its cache's crowd
+HEADROOM = 0.7  # of the time left, that an attempt may need by the transfers on its cache's link
+FULL_RETRY_COST = 1.0  # of a retry, in retries of the budget
+BROKEN_RETRY_COST = 0.25  # after a broken connection, which is no sign of an overload
+
+
+class AttemptKey(NamedTuple):
+    """The identity of an attempt."""
 
+    request_id: str
+    number: int  # from 0
 
+
+@dataclass(slots=True, eq=False)
 class Request:
     """One request in flight."""
 
-    def __init__(self, arrival: Arrival, cls: RequestClass, now: float, work: float) -> None:
-        self.arrival, self.cls, self.arrived_at, self.work, self.first_ran = arrival, cls, now, work, now
-        # Without its key, repeats of a write are not dropped.
-        keyless = cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not arrival.has_idempotency_key
-        self.idempotency = Idempotency.NON_IDEMPOTENT if keyless else cls.idempotency
-        self.deadline = now + arrival.time_left
-        self.latency_objective = min(cls.latency_objective + cls.objective_stretch * work, cls.time_limit)
-        # The unit of waits: what takes longer than its aim by itself, on an idle link, is no sign of a jam.
-        self.span = max(self.latency_objective, work / HEADROOM)
-        self.tried_servers: list[str] = []
-        self.sent = self.in_flight = 0
-        self.cost = 1.0  # of a further attempt; less after what is no sign of a crowd: a quick error, a break
-        self.cache_missed = self.parent_missed = self.full = (
-            False  # a miss; at a parent too; no place there for a fill
+    arrival: Arrival
+    cls: RequestClass
+    arrived_at: float
+    work: float  # of its transfer, as known or guessed at its arrival
+    idempotency: Idempotency = field(init=False)
+    deadline: float = field(init=False)
+    latency_objective: float = field(init=False)  # seconds from its arrival
+    objective_at: float = field(init=False)  # when its latency objective ends
+    # The unit in which waits are learned, in seconds: what takes longer than its objective even on an idle
+    # link is no sign of an overload.
+    wait_unit: float = field(init=False)
+    # Names of the caches that were sent an attempt with a fill source.
+    tried_servers: list[str] = field(init=False, default_factory=list)
+    attempts_sent: int = field(init=False, default=0)
+    in_flight: int = field(init=False, default=0)  # attempts
+    retry_cost: float = field(init=False, default=FULL_RETRY_COST)  # of the next retry, in retries
+    cache_missed: bool = field(init=False, default=False)  # the last attempt looked up a copy in vain
+    parent_missed: bool = field(init=False, default=False)  # so did its parent
+    is_cache_full: bool = field(init=False, default=False)  # the last cache had no place for a fill
+    first_run_by: Member | None = field(init=False, default=None)  # the first cache where it may have run
+    first_run_at: float = field(init=False)
+
+    def __post_init__(self) -> None:
+        cls = self.cls
+        self.first_run_at = self.arrived_at
+        self.deadline = self.arrived_at + self.arrival.time_left
+        self.latency_objective = min(
+            cls.latency_objective + cls.objective_stretch * self.work, cls.time_limit
         )
-        self.ran: Member | None = None  # the first cache where it may have run
-
-    def may_run_at(self, server: Member, now: float) -> bool:
-        """Whether no effect can come twice: after an attempt that may have run, repeats must be dropped."""
-        cls, ran = self.cls, self.ran
-        if ran is None or self.idempotency is Idempotency.IDEMPOTENT:
+        self.objective_at = self.arrived_at + self.latency_objective
+        self.wait_unit = max(self.latency_objective, self.work / HEADROOM)
+        self.idempotency = cls.idempotency
+        if cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not self.arrival.has_idempotency_key:
+            self.idempotency = Idempotency.NON_IDEMPOTENT
+
+    def can_run_at(self, server: Member, now: float) -> bool:
+        """Whether a server drops the repeat, if an earlier attempt may have run."""
+        first = self.first_run_by
+        if first is None or self.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if self.idempotency is Idempotency.NON_IDEMPOTENT or now > self.first_ran + cls.repeat_window:
+        if self.idempotency is Idempotency.NON_IDEMPOTENT or now > self.first_run_at + self.cls.repeat_window:
             return False
-        return (
-            cls.scope is Scope.ALL
-            or (cls.scope is Scope.ZONE and ran.zone == server.zone)
-            or (cls.scope is Scope.CELL and ran.cell == server.cell)
-        )
+        match self.cls.scope:
+            case Scope.ALL:
+                return True
+            case Scope.ZONE:
+                return first.zone == server.zone
+            case Scope.CELL:
+                return first.cell == server.cell
+
+    def can_retry_elsewhere(self) -> bool:
+        """Whether its client may repeat it at any router without a second effect."""
+        if self.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        if self.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and self.cls.scope is Scope.ALL:
+            return True
+        return self.first_run_by is None and not self.in_flight
 
+    def record_failure(self, result: AttemptResult, wait: float, attempt: Attempt | None) -> None:
+        """Take in where the request may have run, and what its next retry costs.
 
-class Route:
-    """The servers by which an attempt goes."""
+        wait: seconds that the failed attempt took; attempt: None if it is unknown.
+        """
+        if attempt and self.first_run_by is None and not result.is_proven_not_run:
+            self.first_run_by = attempt.route.edge.member
+            self.first_run_at = attempt.sent_at
+        if result is AttemptResult.ERROR:
+            # A fast failure cost little.
+            self.retry_cost = min(FULL_RETRY_COST, wait / self.work)
+        elif result is AttemptResult.BROKEN:
+            self.retry_cost = BROKEN_RETRY_COST
+        else:
+            self.retry_cost = FULL_RETRY_COST
+
+    def record_lookup(
+        self, result: AttemptResult, is_refused_by_cache: bool, attempt: Attempt | None
+    ) -> None:
+        """Take in whether the last attempt was a lookup in vain, and by which servers.
+
+        is_refused_by_cache: whether the cache refused it at once, for want of a place.
+        """
+        # Only after a miss does the cache need a place for a fill.
+        self.is_cache_full = is_refused_by_cache and self.cache_missed
+        self.cache_missed = result is AttemptResult.MISS or self.is_cache_full
+        self.parent_missed = self.cache_missed and attempt is not None and attempt.route.is_parent_lookup
 
-    __slots__ = ("asked", "edge", "held", "source")
 
-    def __init__(self, edge: Server, source: Server | None, requested: Server | None, held: bool) -> None:
-        """asked: the source that the cache is told, none for a look at the cache; held: for what it holds.
+@dataclass(slots=True, eq=False)
+class Route:
+    """The servers that an attempt passes."""
 
-        The source is the one that is judged by the fill: the origin, where a parent has to ask it first.
-        """
-        self.edge, self.source, self.asked, self.held = edge, source, requested, held
+    edge: Server  # the cache that is sent the attempt
+    # The source that the cache is given for a miss: itself where it is passed by, None for a cache lookup.
+    fill_source: Server | None
+    # The source to which a fill is attributed: the origin, where a parent has to fetch from it first.
+    attributed_source: Server | None
+    # The source gives only what it holds (only-if-cached).
+    is_parent_lookup: bool = False
+
+    @property
+    def is_filled_by_origin(self) -> bool:
+        """Whether a miss is filled by the origin, also if a parent fetches it there."""
+        return self.attributed_source is not None and self.attributed_source.member.role is Role.ORIGIN
 
     @property
     def servers(self) -> list[Server]:
-        """Each of them once."""
-        passed = (self.edge, self.source, self.asked)
-        return list({server.member.server: server for server in passed if server}.values())
+        """Each of its servers once."""
+        distinct = [self.edge]
+        for source in (self.attributed_source, self.fill_source):
+            if source and source not in distinct:
+                distinct.append(source)
+        return distinct
+
+
+@dataclass(slots=True, eq=False)
+class LinkLoad:
+    """The load of a server's link when an attempt was sent."""
+
+    transfers: float = 0.0  # with this attempt, and those that other routers have there on average
+    utilization: float = 0.0  # share of the transfers that the link can end in time
 
 
+@dataclass(slots=True, eq=False)
 class Attempt:
     """One attempt, kept until its outcome."""
 
-    def __init__(self, route: Route, sent: float, fill: float) -> None:
-        """sent: Unix time; fill: the chance, 0 to 1, that its source takes part."""
-        self.edge, self.source, self.held = route.edge, route.source, route.held
-        self.sent, self.fill = sent, fill
-        self.load = 1.0  # of its cache's link, in transfers: a fill that waits takes a part
-        self.overdue, self.crowd, self.queue = False, 0.0, 0.0  # in flight at its cache and its source
-        self.edge_used = self.source_used = 0.0  # parts of their limits in flight
-        self.via = route.asked  # by which a fill comes: the source, or a parent where the origin is judged
+    route: Route
+    sent_at: float
+    fill_probability: float  # with which its source takes part
+    edge_transfers: float  # counted on its cache's link; less than 1 for a fill, which waits for its source
+    edge_load: LinkLoad
+    source_load: LinkLoad
+    is_overdue: bool = False
--- /dev/null
+++ b/brackenlane/routing/edge_selection.py
@@ -0,0 +1,93 @@
+"""The edge cache of a request: weighted rendezvous hashing, spread for popular objects, with bounded loads.
+
+Pure. Times are Unix seconds, loads are in transfers at a time.
+"""
+
+from __future__ import annotations
+
+import random
+
+from brackenlane.routing.attempts import Request
+from brackenlane.routing.bounded_load import below_bound_first
+from brackenlane.routing.membership import ServerTable
+from brackenlane.routing.overload import OverloadSigns
+from brackenlane.routing.popularity import Popularity
+from brackenlane.routing.server_capacity import ServerCapacity
+from brackenlane.routing.servers import Server
+from brackenlane.routing.settings import Settings
+
+MAX_REPLICAS = 3  # edge caches that one object is spread over
+REPLICA_LINK_SHARE = 1 / 8  # of a cache's link: so much load of one object spreads it over one cache more
+MIN_LOAD_PER_REPLICA = 1e-9  # transfers at a time; divides nothing by zero where all weights are 0
+
+
+class EdgeSelection:
+    """Selects edge caches; counts the popularity of objects."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        servers: ServerTable,
+        capacity: ServerCapacity,
+        overload: OverloadSigns,
+        rng: random.Random,
+        popularity: Popularity,
+    ) -> None:
+        """popularity: in which requests are counted here alone."""
+        self._popularity = popularity
+        self._settings = settings
+        self._servers = servers
+        self._capacity = capacity
+        self._overload = overload
+        self._random = rng
+
+    def select(self, request: Request, source: Server | None, now: float) -> Server | None:
+        """Return the server that is sent the request; None if none can answer it in time.
+
+        It is the fill source itself if the edge caches have to be bypassed: none is left, or the last one
+        had no place for a fill.
+        """
+        ranked = self._servers.edges_in_order(request.arrival.cache_key)
+        usable = [edge for edge in ranked if self._capacity.is_usable(edge, request, now)]
+        must_bypass = not usable or (request.is_cache_full and source is not None)
+        if must_bypass and self._settings.may_bypass_caches:
+            return source
+        candidates = self._spill_order(self._candidates(request, usable, now), now)
+        sharers = self._capacity.edge_sharers
+        # Slow, unresponsive or crowded caches are passed over; if all are, one more would add to an overload.
+        for edge in candidates:
+            if self._capacity.has_room(edge, sharers, request, now):
+                return edge
+        return None
+
+    def _candidates(self, request: Request, usable: list[Server], now: float) -> list[Server]:
+        """Return the caches of the object in random order, then the others; without those already tried."""
+        replica_count = 1 if request.attempts_sent else self._replica_count(request, now)
+        replicas = usable[:replica_count]
+        self._random.shuffle(replicas)
+        tried = request.tried_servers
+        untried = [edge for edge in replicas + usable[len(replicas) :] if edge.member.server not in tried]
+        return untried or replicas
+
+    def _spill_order(self, candidates: list[Server], now: float) -> list[Server]:
+        """Return the candidates with those over the bound of loads last, where widths are unknown.
+
+        A cache that a request spills over to fills the object: not while fills are slow.
+        """
+        if self._settings.weights_known or self._overload.has_any(now):
+            return candidates
+        sharers = self._capacity.edge_sharers
+        return below_bound_first(
+            candidates,
+            self._servers.edges,
+            lambda edge: self._capacity.transfers(edge, sharers),
+            lambda edge: edge.limit,
+        )
+
+    def _replica_count(self, request: Request, now: float) -> int:
+        """Count the request and return how many caches its object is spread over, by its recent load."""
+        load = self._popularity.add(request.arrival.cache_key, request.work, now)
+        edges = self._servers.edges
+        mean_width = sum(edge.member.weight for edge in edges) / max(1, len(edges))
+        load_per_replica = max(REPLICA_LINK_SHARE * mean_width, MIN_LOAD_PER_REPLICA)
+        return 1 + min(MAX_REPLICAS - 1, int(load / load_per_replica))
--- /dev/null
+++ b/brackenlane/routing/fetch_actions.py
@@ -0,0 +1,99 @@
+"""The `Fetch` of an attempt: its source, time limit, and which copies will do.
+
+Pure. Times are Unix seconds.
+"""
+
+from __future__ import annotations
+
+import math
+
+from brackenlane.routing.actions import Fetch
+from brackenlane.routing.attempts import Request, Route
+from brackenlane.routing.latency import LatencyEstimate
+from brackenlane.routing.membership import ServerTable
+from brackenlane.routing.popularity import Popularity
+from brackenlane.routing.purges import Purges
+from brackenlane.routing.server_capacity import ServerCapacity
+from brackenlane.routing.servers import Server
+from brackenlane.routing.settings import Idempotency, Settings
+
+# How a cache ranks the copy of an answer (`Fetch.keep`).
+KEEP_NOT = 0
+KEEP = 1
+KEEP_REPEATED = 2  # requested more than once: not evicted by what may be requested once
+
+
+class FetchActions:
+    """Builds fetches; has no state of its own."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        servers: ServerTable,
+        capacity: ServerCapacity,
+        latency: LatencyEstimate,
+        popularity: Popularity,
+        purges: Purges,
+    ) -> None:
+        self._settings = settings
+        self._servers = servers
+        self._capacity = capacity
+        self._latency = latency
+        self._popularity = popularity
+        self._purges = purges
+
+    def overdue_after(self, request: Request, now: float) -> float:
+        """Return the seconds until an attempt is overdue: past a usual wait, yet in time for a retry."""
+        usual_spans = self._latency.usual
+        # Only where the size is known does the usual wait end with the objective.
+        if request.arrival.size_kb:
+            usual_spans = min(usual_spans, 1)
+        usual = request.wait_unit * usual_spans
+        return max(usual, request.objective_at - now - request.work)
+
+    def build(self, request: Request, route: Route, is_retry: bool, now: float) -> Fetch:
+        """Return the fetch of a route; is_retry: the attempt before it was no lookup."""
+        cls = request.cls
+        is_lookup = route.attributed_source is None
+        timeout = request.deadline - now
+        if not self._settings.may_cancel:
+            timeout = min(timeout, self.overdue_after(request, now))
+        return Fetch(
+            request_id=request.arrival.request_id,
+            server=route.edge.member.server,
+            timeout=timeout,
+            source=self._named_source(route).member.server,
+            keep=self._keep_rank(request),
+            max_age=self._purges.max_age(request.arrival, cls, now, stale=is_retry or is_lookup),
+            join=self._settings.may_join_fills,
+            revalidate=cls.fresh_for > 0,
+            only_if_cached=route.is_parent_lookup,
+            until=self._last_write_at(request),
+        )
+
+    def _named_source(self, route: Route) -> Server:
+        """Return the source that the server is given: itself for a lookup, the origin for a parent."""
+        if route.edge is route.fill_source and self._servers.origin:
+            return self._servers.origin
+        return route.fill_source or route.edge
+
+    def _keep_rank(self, request: Request) -> int:
+        """Return how a copy is ranked.
+
+        A router that sees a part of its location's requests cannot tell what is repeated, and what it ranked
+        high would never be evicted.
+        """
+        if request.cls.uncached:
+            return KEEP_NOT
+        if self._capacity.edge_sharers < 2 and self._popularity.is_repeated(
+            request.arrival.cache_key, request.work
+        ):
+            return KEEP_REPEATED
+        return KEEP
+
+    @staticmethod
+    def _last_write_at(request: Request) -> float:
+        """Return when the first byte may go out last: a repeat's window ends then."""
+        if request.first_run_by is None or request.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
+            return math.inf
+        return request.first_run_at + request.cls.repeat_window
--- a/brackenlane/routing/fill_source.py
+++ b/brackenlane/routing/fill_source.py
@@ -1,7 +1,7 @@
-"""The capped geometric draw of a fill's source, over the origin and the parents of a hub.
+"""The source of a fill: a capped geometric draw over the origin and the parents of a hub.
 
 Pure. Each parent is drawn so many times as often as the next one, and the origin, below them all, as often as
-that leaves, up to a cap.
+that leaves, up to a cap. Times are Unix seconds.
 """
 
 from __future__ import annotations
@@ -10,8 +10,13 @@
 from collections.abc import Sequence
 from typing import TypeVar
 
+from brackenlane.routing.attempts import Request
+from brackenlane.routing.membership import ServerTable
+from brackenlane.routing.server_capacity import ServerCapacity
+from brackenlane.routing.servers import Server
+
 RATIO = 2.0  # of the chances of two neighbours, up to FEW parents
-STEADY_RATIO = 8.0  # the same for copies without a fresh time
+STEADY_RATIO = 8.0  # the same for copies without a time to live
 FEW = 3  # parents of a hub, from which on the ratio grows with them
 ORIGIN_CAP = 1 / 20  # the origin's share of all draws, at most
 CLASS_MEMORY = 256  # draws that a class's learned share of them is a mean over, about
@@ -19,25 +24,94 @@
 SourceT = TypeVar("SourceT")
 
 
+class FillSourceSelection:
+    """Selects fill sources among the servers that have room."""
+
+    def __init__(self, servers: ServerTable, capacity: ServerCapacity, rng: random.Random) -> None:
+        self._servers = servers
+        self._capacity = capacity
+        self._random = rng
+        self._draw = FillSourceDraw(rng)
+
+    def select(self, request: Request, now: float) -> Server | None:
+        """Return the server that fills a miss of this request; None if none has room for it."""
+        if not self._capacity.has_local_link_room(request, now):
+            return None
+        candidates = self._nearest_parents(request, now)
+        origin = self._usable_origin(request, now)
+        is_uncached = request.cls.uncached
+        is_parent_in_use = not is_uncached and self._is_any_parent_in_use(now)
+        if candidates and not is_uncached:
+            most_parents = max(map(len, self._servers.parents_by_distance))
+            expires = request.cls.fresh_for > 0
+            return self._draw.draw(candidates, origin, expires, most_parents)
+        if is_parent_in_use:
+            # Fills for which the parents have no room are not the origin's: it bears a part of them at most,
+            # and every router would send it theirs at once. It stands in for ejected parents alone.
+            return None
+        if origin is None and candidates:
+            return candidates[-1]
+        return origin
+
+    def _nearest_parents(self, request: Request, now: float) -> list[Server]:
+        """Return the parents with room at the least distance at which there is one, in rendezvous order."""
+        for distance in range(len(self._servers.parents_by_distance)):
+            candidates = self._parents_at(distance, request, now)
+            if candidates:
+                return candidates
+        return []
+
+    def _parents_at(self, distance: int, request: Request, now: float) -> list[Server]:
+        """Return the parents with room at a distance of hubs; one whose fills come late only now and then.
+
+        Such a parent is never ejected for long, as some of its fills come in time, and one fill in flight of
+        each router are many: it is offered as often as its timeliness deserves, also if all others are full.
+        """
+        capacity = self._capacity
+        sharers = capacity.far_parent_sharers if distance else capacity.near_parent_sharers
+        parents = self._servers.parents_by_distance[distance]
+        best = max((parent.timeliness for parent in parents if not parent.ejected_until), default=1.0)
+        return [
+            parent
+            for parent in self._servers.parents_in_order(request.arrival.obj, distance)
+            if capacity.is_usable(parent, request, now)
+            and capacity.has_room(parent, sharers, request, now)
+            and (parent.ejected_until or self._random.random() * best**2 < parent.timeliness**2)
+        ]
+
+    def _usable_origin(self, request: Request, now: float) -> Server | None:
+        origin = self._servers.origin
+        if origin is None or not self._capacity.is_usable(origin, request, now):
+            return None
+        return origin
+
+    def _is_any_parent_in_use(self, now: float) -> bool:
+        """Whether a parent is neither ejected nor kept empty by its slow start."""
+        budget = self._capacity.slow_start_budget
+        return any(
+            not parent.ejected_until and budget.capacity(parent, now) > 0 for parent in self._servers.parents
+        )
+
+
 class FillSourceDraw:
-    """Draws sources; learns which part of its draws the origin may have."""
+    """Draws fill sources; learns which share of its draws the origin may have."""
 
     __slots__ = ("_expiring", "_random")
 
     def __init__(self, rng: random.Random) -> None:
-        """All draws count as draws of copies that expire, until learned."""
-        self._expiring = 1.0  # their share of all draws: for these alone the origin is drawn
+        # Share of draws for copies that expire: for these alone the origin is drawn.
+        self._expiring = 1.0
         self._random = rng
 
     def draw(
         self, parents: Sequence[SourceT], origin: SourceT | None, expires: bool, most_parents: int
     ) -> SourceT:
-        """One of the parents, the least preferred first and one at least, or the origin where there is one.
+        """Return one of the parents, the least preferred first and one at least, or the origin if given.
 
-        expires: whether the copy has a fresh time; most_parents: of one hub.
+        expires: whether the copy has a time to live; most_parents: the most that one hub has.
         """
         # Each parent that the requests for an object reach asks the origin for it: the ratio grows with the
-        # parents of a hub. Copies without a fresh time never expire together, so few parents are enough.
+        # parents of a hub. Copies without a time to live never expire together, so few parents are enough.
         ratio = max(RATIO if expires else STEADY_RATIO, RATIO * most_parents / FEW)
         chances = [ratio**candidate for candidate in range(1, len(parents) + 1)]
         self._expiring += (expires - self._expiring) / CLASS_MEMORY
--- /dev/null
+++ b/brackenlane/routing/lookup_policy.py
@@ -0,0 +1,84 @@
+"""When a request only looks up a copy, and when the origin is spared.
+
+Pure. Times are Unix seconds. In an overload a request looks up its copy first, at the cache, then at the
+parent, as the origin behind them may be what is slow.
+"""
+
+from __future__ import annotations
+
+import random
+
+from brackenlane.routing.attempts import Request, Route
+from brackenlane.routing.members import Role
+from brackenlane.routing.overload import OverloadSigns
+from brackenlane.routing.purges import Purges
+from brackenlane.routing.server_capacity import ServerCapacity
+from brackenlane.routing.servers import Server
+from brackenlane.routing.settings import Settings
+
+FILLS_ONLY_SECONDS = 10.0  # for which a parent that was late with a copy it held is sent no lookups
+# Attempts that a request must be allowed, so that a lookup in vain leaves one for the fill.
+MIN_ATTEMPTS_FOR_CACHE_LOOKUP = 2
+MIN_ATTEMPTS_FOR_PARENT_LOOKUP = 3
+
+
+class LookupPolicy:
+    """Turns the route of a fetch into that of a lookup, or into none, where an overload asks for it."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        capacity: ServerCapacity,
+        overload: OverloadSigns,
+        purges: Purges,
+        rng: random.Random,
+    ) -> None:
+        self._max_attempts = settings.max_attempts
+        self._capacity = capacity
+        self._overload = overload
+        self._purges = purges
+        self._random = rng
+
+    def apply(self, request: Request, route: Route, now: float) -> Route | None:
+        """Return the route that an attempt takes instead of this one; None while the origin is spared."""
+        origin_share = self._overload.origin_throttle.part(now)
+        is_overloaded = self._overload.latency.overloaded or origin_share < 1
+        # What is uncached is nowhere to be looked up.
+        if not is_overloaded or request.cls.uncached:
+            return route
+        is_group_purged = self._purges.is_group_void(request.arrival.group, now)
+        if self._needs_origin(request, route, is_group_purged) and self._random.random() > origin_share:
+            return None
+        if self._can_look_up_at_cache(request, route.edge, now):
+            return Route(route.edge, fill_source=None, attributed_source=None)
+        if not is_group_purged and self._can_look_up_at_parent(request, route, now):
+            return Route(route.edge, route.fill_source, route.attributed_source, is_parent_lookup=True)
+        return route
+
+    @staticmethod
+    def _needs_origin(request: Request, route: Route, is_group_purged: bool) -> bool:
+        """Whether the origin surely has to serve a request: nobody else has a copy."""
+        if request.parent_missed and route.is_filled_by_origin:
+            return True
+        return request.cache_missed and is_group_purged
+
+    def _can_look_up_at_cache(self, request: Request, edge: Server, now: float) -> bool:
+        """Whether a lookup at the cache comes first: not after a miss, nor at a cache with few copies yet."""
+        return (
+            not request.cache_missed
+            and self._max_attempts >= MIN_ATTEMPTS_FOR_CACHE_LOOKUP
+            and edge.member.role is Role.EDGE
+            and self._capacity.is_warm(edge, now)
+        )
+
+    def _can_look_up_at_parent(self, request: Request, route: Route, now: float) -> bool:
+        """Whether a lookup at the parent comes next, after a miss at the cache alone."""
+        source = route.fill_source
+        return (
+            request.cache_missed
+            and self._max_attempts >= MIN_ATTEMPTS_FOR_PARENT_LOOKUP
+            and source is not None
+            and source is not route.edge
+            and not (request.parent_missed and route.is_filled_by_origin)
+            and now > source.late_with_held_at + FILLS_ONLY_SECONDS
+        )
--- /dev/null
+++ b/brackenlane/routing/outcome_attribution.py
@@ -0,0 +1,227 @@
+"""Which server an attempt's outcome is attributed to: hits tell of the edge cache, fills of the source.
+
+Pure. Times are Unix seconds. Failures go to outlier detection, fill windows and the origin's throttle;
+successes take a server back into use.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from brackenlane.routing.answer_learning import AnswerLearning
+from brackenlane.routing.attempts import HEADROOM, Attempt, Request
+from brackenlane.routing.events import AttemptResult, Outcome
+from brackenlane.routing.fill_estimate import FillEstimate
+from brackenlane.routing.members import Role
+from brackenlane.routing.membership import ServerTable
+from brackenlane.routing.origin_throttle import OriginThrottle
+from brackenlane.routing.outlier_detection import EJECTION_SCORE, Failure, OutlierDetection
+from brackenlane.routing.servers import Server
+from brackenlane.routing.settings import Settings
+
+UNREACHABLE_SCORE = 2 * EJECTION_SCORE  # of a failed connect: it ejects at once
+SOURCELESS_ERROR_SCORE = 0.5  # of an error that was probably its cache's own
+ERROR_SHARE_MEMORY_LOOKUPS = (
+    16  # attempts without a source that the caches' error share is a mean over, about
+)
+ERROR_SHARE_MEMORY_ANSWERS = 64  # the same for answers of attempts with a source
+OWN_ERROR_SHARE = 0.1  # of attempts without a source, from which caches are known to make errors alone
+OWN_REFUSAL_TICKS = 2  # within which a cache's own refusal comes; what takes longer failed at the source
+BOTH_SILENT_SOURCE_SHARE = 0.5  # of an overdue attempt, where neither its cache nor its source proved alive
+
+
+@dataclass(slots=True, eq=False)
+class FinishedAttempt:
+    """An attempt and its outcome."""
+
+    event: Outcome
+    attempt: Attempt
+    request: Request | None  # None: it was answered or given up before
+    at: float
+
+
+class OutcomeAttribution:
+    """Attributes outcomes; owns the share of errors that caches make without a source."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        servers: ServerTable,
+        outlier_detection: OutlierDetection,
+        origin_throttle: OriginThrottle,
+        fills: FillEstimate,
+        learning: AnswerLearning,
+    ) -> None:
+        self.cache_error_share = 0.0  # of attempts in which no source took part
+        self._servers = servers
+        self._outlier_detection = outlier_detection
+        self._origin_throttle = origin_throttle
+        self._fills = fills
+        self._learning = learning
+        self._connect_timeout = settings.connect_timeout
+        self._own_refusal_seconds = OWN_REFUSAL_TICKS * settings.tick
+        self._fill_objective = _fill_objective(settings)
+
+    def attribute(self, finished: FinishedAttempt) -> None:
+        """Attribute the outcome of an attempt that is no longer counted as in flight."""
+        self._observe_cache(finished)
+        self._observe_origin(finished)
+        match finished.event.result:
+            case AttemptResult.OK:
+                self._attribute_answer(finished)
+            case AttemptResult.UNREACHABLE:
+                self._record_failure(finished.attempt.route.edge, UNREACHABLE_SCORE, finished.at)
+            case AttemptResult.BROKEN:
+                self._attribute_broken_connection(finished.attempt.route.edge, finished.at)
+            case AttemptResult.TIMEOUT:
+                self._attribute_timeout(finished)
+            case AttemptResult.ERROR | AttemptResult.FULL:
+                self._attribute_error(finished)
+            case AttemptResult.CANCELLED | AttemptResult.NEVER_SENT | AttemptResult.MISS:
+                pass  # tells of no server's health
+        self._end_trials(finished.attempt)
+
+    def attribute_overdue(self, attempt: Attempt, now: float) -> None:
+        """Attribute an overdue attempt; a server that proved alive since it was sent is not at fault."""
+        route = attempt.route
+        edge = route.edge
+        source = route.attributed_source
+        is_edge_alive = edge.last_alive_at > attempt.sent_at
+        if source and route.is_parent_lookup:
+            # Late with a copy that it holds: sent fetches only for a while, so that it is still observed.
+            source.late_with_held_at = now
+        suspect = edge
+        if route.fill_source and is_edge_alive:
+            route.fill_source.record_overdue_fill()
+            if route.fill_source is not source:
+                # What a parent was to fetch from the origin it lost, if both ends of it are alive.
+                suspect = route.fill_source
+        source_share = _source_share(attempt)
+        if source_share < 1:
+            self._record_failure(suspect, 1 - source_share, now)
+        if source and source_share > 0:
+            self._record_failure(source, source_share, now)
+
+    def _observe_cache(self, finished: FinishedAttempt) -> None:
+        """Learn the cache's share of misses, and of errors where no source took part."""
+        edge = finished.attempt.route.edge
+        result = finished.event.result
+        has_source = finished.attempt.route.attributed_source is not None
+        self._fills.observe_report(edge, finished.event.report)
+        if not has_source:
+            self._fills.observe_lookup(edge, result)
+        if not has_source or result is AttemptResult.OK:
+            memory = ERROR_SHARE_MEMORY_ANSWERS if has_source else ERROR_SHARE_MEMORY_LOOKUPS
+            is_error = result is AttemptResult.ERROR
+            self.cache_error_share += (is_error - self.cache_error_share) / memory
+
+    def _observe_origin(self, finished: FinishedAttempt) -> None:
+        """Learn how the origin does from a fill that it may have taken part in."""
+        route = finished.attempt.route
+        source = route.attributed_source
+        request = finished.request
+        if request is None or source is None or route.is_parent_lookup or request.cls.uncached:
+            return
+        objective = request.cls.latency_objective if finished.event.first_byte else request.latency_objective
+        self._origin_throttle.learn(
+            finished.event,
+            finished.at,
+            HEADROOM * objective,
+            self._origin_failure_probability(source),
+            self._fill_objective,
+            self._own_refusal_seconds,
+        )
+
+    def _origin_failure_probability(self, source: Server) -> float:
+        """Return how surely a failed fill of a source failed at the origin.
+
+        A parent's error may be its own; what fails at the other parents alike fails behind them.
+        """
+        if source is self._servers.origin:
+            return 1.0
+        has_failures = [parent.failure_score > 0 for parent in self._servers.parents if parent is not source]
+        return sum(has_failures) / max(1, len(has_failures))
+
+    def _attribute_answer(self, finished: FinishedAttempt) -> None:
+        """Take the servers of a good answer back into use, and learn from it."""
+        route = finished.attempt.route
+        source = route.attributed_source
+        self._outlier_detection.record_success(route.edge, finished.at)
+        self._learning.observe_wait(finished.event, finished.request)
+        is_fill = False
+        if source and source is not route.edge:
+            self._learning.refund_hit(finished.event, finished.request, source)
+            is_fill = self._fills.was_filled(finished.event, finished.attempt.fill_probability)
+            if is_fill:
+                self._attribute_fill(finished, source)
+        self._learning.learn(finished.event, finished.attempt, finished.request, is_fill, finished.at)
+
+    def _attribute_fill(self, finished: FinishedAttempt, source: Server) -> None:
+        """Take a source back into use, and widen its window if the fill was in time."""
+        attempt = finished.attempt
+        request = finished.request
+        self._outlier_detection.record_success(source, finished.at)
+        if attempt.route.fill_source and not attempt.is_overdue:
+            attempt.route.fill_source.record_timely_fill()
+        if request and finished.event.wait < HEADROOM * request.latency_objective:
+            source.grow_window(attempt.fill_probability)
+
+    def _attribute_broken_connection(self, edge: Server, now: float) -> None:
+        """Count one failure for all attempts on a broken connection: the next connect tells of the cache."""
+        if now > edge.connection_broken_at + self._connect_timeout:
+            edge.connection_broken_at = now
+            self._record_failure(edge, 1.0, now)
+
+    def _attribute_timeout(self, finished: FinishedAttempt) -> None:
+        """Count a timeout as overdue, unless its timer has."""
+        if not finished.attempt.is_overdue:
+            self.attribute_overdue(finished.attempt, finished.at)
+
+    def _attribute_error(self, finished: FinishedAttempt) -> None:
+        """Attribute an error or refusal to the source, or to the cache if that makes errors alone."""
+        event = finished.event
+        route = finished.attempt.route
+        if event.wait <= self._own_refusal_seconds:
+            return
+        is_error = event.result is AttemptResult.ERROR
+        # A good source is not ejected for errors that caches make alone, sooner than a fill is given up.
+        is_own_error = (
+            is_error and self.cache_error_share > OWN_ERROR_SHARE and event.wait < self._fill_objective
+        )
+        # Fewer fills in flight would not have helped against a fast failure.
+        objective = finished.request.latency_objective if finished.request else self._fill_objective
+        is_overload = not is_error or event.wait >= HEADROOM * objective
+        if is_own_error:
+            self._record_failure(route.edge, SOURCELESS_ERROR_SCORE, finished.at, is_overload)
+        else:
+            self._record_failure(route.attributed_source or route.edge, 1.0, finished.at, is_overload)
+
+    def _record_failure(self, server: Server, score: float, now: float, is_overload: bool = True) -> None:
+        """Add to a server's failure score; an overloaded source may have fewer fills in flight."""
+        if is_overload and server.member.role is not Role.EDGE:
+            server.halve_window(now, self._fill_objective)
+        fallback = self._servers.origin if server.member.role is Role.PARENT else None
+        failure = Failure(score, self._servers.peers(server), fallback)
+        self._outlier_detection.record_failure(server, failure, now)
+
+    @staticmethod
+    def _end_trials(attempt: Attempt) -> None:
+        """End the trials of an attempt's servers; at last, as a failed trial lengthens the ejection."""
+        attempt.route.edge.has_trial = False
+        if attempt.route.attributed_source:
+            attempt.route.attributed_source.has_trial = False
+
+
+def _source_share(attempt: Attempt) -> float:
+    """Return the share, 0 to 1, of an overdue attempt's failure that is its source's."""
+    edge = attempt.route.edge
+    source = attempt.route.attributed_source
+    if source is None or source is edge or source.last_alive_at > attempt.sent_at:
+        return 0.0
+    return 1.0 if edge.last_alive_at > attempt.sent_at else BOTH_SILENT_SOURCE_SHARE
+
+
+def _fill_objective(settings: Settings) -> float:
+    """Return the seconds that fills may take: the longest objective of a class that is cached."""
+    objectives = [cls.latency_objective for cls in settings.classes if not cls.uncached]
+    return max(objectives, default=settings.classes[0].latency_objective)
--- a/brackenlane/routing/servers.py
+++ b/brackenlane/routing/servers.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Iterable
 
 from brackenlane.routing.concurrency_limit import ConcurrencyLimit
 from brackenlane.routing.members import Member, Role
@@ -14,7 +15,7 @@
 PRIOR_MISS_SHARE = 0.5  # of a cache's requests, until it is learned
 WIDTH_MEMORY = 8  # contended transfers that a learned width is a mean over, about
 UNCONTENDED_STRETCH = 1.3  # times its own sending time, within which a transfer had its link to itself
-LOAD_MEMORY = 16  # requests that the mean of transfers in flight is a mean over, about
+LOAD_MEMORY = 16  # arrivals that the mean of transfers in flight is a mean over, about
 MIN_FILL_WINDOW = 1.0  # fills in flight at a source, whatever has failed there
 MIN_TIMELINESS = 0.2  # kept however late a parent's fills are: it may have recovered
 TIMELINESS_KEPT = 0.75  # by a fill that is overdue
@@ -93,10 +94,6 @@
         """Transfers at a time that it is given."""
         return self.known_width * self.concurrency.factor
 
-    def observe_load(self) -> None:
-        """Take the transfers in flight into their mean."""
-        self.mean_in_flight += (self.in_flight - self.mean_in_flight) / LOAD_MEMORY
-
     def learn_width(self, transfers: float, stretch: float) -> None:
         """Learn the width of a link for which discovery lists none.
 
@@ -128,3 +125,9 @@
     def record_timely_fill(self) -> None:
         """Raise the timeliness."""
         self.timeliness += (1 - self.timeliness) / TIMELINESS_MEMORY
+
+
+def observe_loads(servers: Iterable[Server]) -> None:
+    """Take the transfers in flight of each server into their mean; called at each arrival."""
+    for server in servers:
+        server.mean_in_flight += (server.in_flight - server.mean_in_flight) / LOAD_MEMORY
--- a/tests/test_fill_source.py
+++ b/tests/test_fill_source.py
@@ -152,7 +152,7 @@
     """Quick errors that caches make without a source are not its fault; only late ones halve a window."""
     harness = RouterHarness(members(parents=("hub-a",)))
     [parent] = harness.router.server_table.parents_by_distance[0]
-    harness.router.faults = 0.3 if alone else 0.0
+    harness.router.outcome_attribution.cache_error_share = 0.3 if alone else 0.0
     for n in range(3):
         harness.now += 1.0
         harness.end(only(harness.ask(f"o{n}"), Fetch), AttemptResult.ERROR, wait=wait)
@@ -166,7 +166,7 @@
     for n in range(30):
         for fetch in every(harness.ask(f"o{n}"), Fetch):
             harness.end(fetch, AttemptResult.ERROR, wait=0.001)
-    assert harness.router.faults > 0.5
+    assert harness.router.outcome_attribution.cache_error_share > 0.5
 
 
 def test_cheap_errors_are_repeated() -> None:
--- a/tests/test_portal_settings.py
+++ b/tests/test_portal_settings.py
@@ -14,7 +14,6 @@
 
 import pytest
 
-from brackenlane.routing import Router
 from brackenlane.routing.actions import Action, Fail, Fetch, Reject, SetTimer
 from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus, Outcome, TimerFired
 from brackenlane.routing.members import Member, Role
@@ -25,6 +24,7 @@
     SiblingSources,
     SlowStart,
 )
+from brackenlane.routing.slow_start_budget import SlowStartBudget
 from tests.router_harness import RouterHarness
 
 PAGE = RequestClass(
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("role", ["edge", "parent"])
 def test_without_its_cold_budget_it_is_pushed_over(monkeypatch: pytest.MonkeyPatch, role: str) -> None:
     """The fault that the check must find: a server that started is used as if it were warm."""
-    monkeypatch.setattr(Router, "_slow_start_capacity", lambda self, server, now: math.inf)
+    monkeypatch.setattr(SlowStartBudget, "capacity", lambda self, server, now: math.inf)
     assert overload(role, 2.0) > 1.0
 
 
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -183,7 +183,7 @@
         )
         if not self.shares:  # the fault that the check must find
             budget = harness.router.slow_start_budget
-            harness.router.local_router_count = budget.local_router_count = 1.0
+            harness.router.capacity.edge_sharers = budget.local_router_count = 1.0
             budget.peer_locations = budget.peer_locations[:1]
             budget.peer_locations[0].member = Member("", place, weight=1.0)
         return harness
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -103,7 +103,7 @@
         )
     cold, plain = harness.router.servers["edge-1"], 4.0 * MARGIN * (0.18 + 0.82 * 10 / 18)
     cold.tokens = TokenBucket(0.0)
-    capacity = harness.router._slow_start_capacity(cold, harness.now)
+    capacity = harness.router.slow_start_budget.capacity(cold, harness.now)
     assert capacity == pytest.approx(3 * plain * (5.0 if learned else 1.0))
 
 
