--- a/brackenlane/core/router_set.py
+++ b/brackenlane/core/router_set.py
@@ -25,7 +25,7 @@
     def replace(self, router: Router) -> None:
         """Decide new requests by another router; the last keeps its requests, but no slow-start budget."""
         # Infinitely late: also the buckets of servers that it has yet to learn of stay empty.
-        self.current.since = math.inf
+        self.current.server_table.router_started_at = math.inf
         for server in self.current.servers.values():
             server.tokens = TokenBucket(math.inf)
         self.retired.append(self.current)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenlane.routing import router as router_module
+from brackenlane.routing import membership
 from brackenlane.routing.actions import Fetch, Reject
 from brackenlane.routing.concurrency_limit import DECREASE_FACTOR, LEAST_USED_SHARE, ConcurrencyLimit
 from brackenlane.routing.events import AttemptResult
@@ -77,9 +77,9 @@
 def test_wrongly_assumed_width_costs_a_branch_little(monkeypatch: pytest.MonkeyPatch, assumed: float) -> None:
     """With half of the widths assumed, over half of the requests were rejected for good, with idle links."""
     monkeypatch.setattr(
-        router_module,
+        membership,
         "DEFAULT_WIDTH",
-        {role: assumed * width for role, width in router_module.DEFAULT_WIDTH.items()},
+        {role: assumed * width for role, width in membership.DEFAULT_WIDTH.items()},
     )
     branch = Branch(weights_known=False)
     in_flight: dict[str, list[float]] = {}
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -149,7 +149,7 @@
     """Distances went by indexes in the list: parents of another hub counted as those of the own hub."""
     fleet = members(parents=("hub-a", "hub-c"))
     harness = RouterHarness(fleet, hub_of=(0, 0, 2, 0))
-    assert [[s.member.zone for s in ring] for ring in harness.router.parents_by_distance] == [
+    assert [[s.member.zone for s in ring] for ring in harness.router.server_table.parents_by_distance] == [
         ["hub-a"],
         ["hub-c"],
     ]
