--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -67,7 +67,8 @@
                 "fault": list(found.fault),
             }
         )
-    small, large = timed(lambda: divide(200.0, wants), 20), timed(lambda: divide(400.0, thousand), 20)
+    small = timed(lambda: divide(200.0, wants), 20)
+    large = timed(lambda: divide(400.0, thousand), 20)
     spent = min(s["max_min"] for s in shares)
     result = {
         "spent_max_min": spent,
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -25,7 +25,9 @@
 from brackenlane.lab.cluster.virtual import SimulatedFleet, Store, peak  # noqa: E402
 
 LANDED = "f8edb49"  # the last version before this subsystem
-REQUESTS_PER_S, LOADS, COMMANDS = 100.0, 20.0, 600.0  # a second, of the stand-in store
+REQUESTS_PER_S = 100.0
+LOADS = 20.0
+COMMANDS = 600.0  # a second, of the stand-in store
 BOUNDS = {
     "store_peak_of_stated": 1.0,
     "store_peak_of_landed": 0.2,
--- a/benchmarks/customers.py
+++ b/benchmarks/customers.py
@@ -21,7 +21,8 @@
 from brackenlane.lab.simulation.comparison import Result, compare  # noqa: E402
 from brackenlane.lab.simulation.drawn_sites import drawn  # noqa: E402
 
-DAYS, QUICK_DAYS = 140, 12
+DAYS = 140
+QUICK_DAYS = 12
 LOSS = 0.10  # of the worth asked for: a day that loses more against the plain policy is named
 BOUNDS = {
     "broken": at_most(0),  # days on which a rule was broken
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -94,7 +94,8 @@
             f"{sorted(drains)[10] * 1e6:8.0f} us a drain, {memory:.0f} bytes a box",
             flush=True,
         )
-    small, large = min(sizes), max(sizes)
+    small = min(sizes)
+    large = max(sizes)
     growth = (found[large] / (large * math.log(large))) / (found[small] / (small * math.log(small)))
     return {"merge_growth": growth, "merge_ms_10000": found[large] * 1000, "bytes_a_box": memory}
 
@@ -123,7 +124,8 @@
     """One appliance, its DNS server and its caches."""
 
     def __init__(self, folder: Path, server: DnsServer, caches: list[int], origin: int) -> None:
-        self.server, self.caches = server, caches
+        self.server = server
+        self.caches = caches
         self.ids = [srv_cache_id(f"box-{n}.branch.test", port) for n, port in enumerate(caches)]
         [self.http, self.dns] = free_ports(2)
         self.file = folder / "a.toml"
@@ -198,7 +200,9 @@
         for start in range(4):
             nursery.start_soon(request, start)
         nursery.start_soon(churn, harness)
-        console, worst, broken = await harness.console(), 0.0, 0
+        console = await harness.console()
+        worst = 0.0
+        broken = 0
         for number in range(count):
             server = harness.ids[number % len(harness.ids)]
             begun = time.monotonic()
@@ -217,7 +221,8 @@
 
 async def changes(harness: ApplianceHarness, count: int) -> dict[str, Any]:
     """From a change of SRV to its use, past its lifetime (and the grace period, for a removal)."""
-    console, worst = await harness.console(), 0.0
+    console = await harness.console()
+    worst = 0.0
     for _ in range(count):
         for numbers, grace in ((range(len(harness.caches) - 1), 0.5), (range(len(harness.caches)), 0.0)):
             harness.name(*numbers, ttl=1)
@@ -294,7 +299,8 @@
             server = await DnsServer().open(nursery)
             [origin, port, http, front] = free_ports(4)
             cache = Box("b")
-            cache.host, cache.port = "127.0.1.1", port
+            cache.host = "127.0.1.1"
+            cache.port = port
             await cache.open(nursery)
             server.put("moving.branch.test", "A", cache.host)
             file = Path(folder) / "a.toml"
@@ -318,11 +324,14 @@
                     await trio.sleep(0.05)
                 while f"{cache.host}:{port}" not in await command(console, "boxes"):
                     await trio.sleep(0.02)
-                wrong, start, begun = 0.0, len(server.asked), time.monotonic()
+                wrong = 0.0
+                start = len(server.asked)
+                begun = time.monotonic()
                 for number in range(moves):
                     await cache.close()
                     cache = Box("b")
-                    cache.host, cache.port = f"127.0.1.{number + 2}", port
+                    cache.host = f"127.0.1.{number + 2}"
+                    cache.port = port
                     await cache.open(nursery)
                     server.put("moving.branch.test", "A", cache.host)
                     server.fail(*[(), (Fault.LOST,), (Fault.SERVFAIL,), (Fault.SPOOFED,)][number % 4])
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -41,7 +41,8 @@
             )
         gc.enable()
         broken = violations(record)
-        attempts, answers = attempts + len(record.gets), answers + len(record.answers)
+        attempts = attempts + len(record.gets)
+        answers = answers + len(record.answers)
         found += broken
         print(
             f"seed {seed}: {len(record.gets)} attempts, {len(record.answers)} clients that stayed, "
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -66,7 +66,8 @@
         time.sleep(0.3)
         before = running.cpu()
         reported = site.collect(site.load(running.port, phases, others[1:]))
-        cpu, memory = running.cpu() - before, running.memory()
+        cpu = running.cpu() - before
+        memory = running.memory()
         log = running.log.read_text()
         assert "Traceback" not in log, log
     seconds = sum(length for length, _ in phases)
--- a/brackenlane/lab/cache_servers.py
+++ b/brackenlane/lab/cache_servers.py
@@ -65,9 +65,15 @@
         rng: random.Random,
         payload: bytes,
     ) -> None:
-        self._sock, self._poller, self._timers = sock, poller, timers
-        self._how, self._seen, self._random, self._payload = how, seen, rng, payload
-        self._in, self._out = bytearray(), bytearray()
+        self._sock = sock
+        self._poller = poller
+        self._timers = timers
+        self._how = how
+        self._seen = seen
+        self._random = rng
+        self._payload = payload
+        self._in = bytearray()
+        self._out = bytearray()
         self._open: set[str] = set()
         poller.add(sock.fileno(), self._ready)
 
@@ -141,7 +147,9 @@
 
 async def serve(ports: list[int], how: Behaviour, seed: int, seen: Seen) -> None:
     """Serve caches at some ports of 127.0.0.1 until cancelled."""
-    poller, timers, rng = Poller(256), Timers(), random.Random(seed)
+    poller = Poller(256)
+    timers = Timers()
+    rng = random.Random(seed)
     payload = bytes(max(how.sizes.values()) * 2)
     listeners = [socket.create_server(("127.0.0.1", port), backlog=512) for port in ports]
 
--- a/brackenlane/lab/cluster/cache_servers.py
+++ b/brackenlane/lab/cluster/cache_servers.py
@@ -66,7 +66,8 @@
 
     def _falls(self) -> bool:
         """Whether a request more pushes it over: by far more in a second than a cold cache works off."""
-        now, s = time.monotonic(), self.strength
+        now = time.monotonic()
+        s = self.strength
         if now < self.fallen + DOWN:
             return True
         if now > self.started + s.ramp:
@@ -95,7 +96,8 @@
         if time.monotonic() < self.fallen + DOWN:
             return await trio.aclose_forcefully(stream)
         self.record.add("handshake", box=self.id, peer=who)
-        reader, turn = CommandReader(), trio.Lock()
+        reader = CommandReader()
+        turn = trio.Lock()
         async with trio.open_nursery() as nursery:
             while got := await _receive(stream):
                 if self.unresponsive:
@@ -119,7 +121,9 @@
     ) -> None:
         if self._falls():
             return await trio.aclose_forcefully(stream)
-        obj, cls, source = fields["path"], fields["queue"], fields.get("miss", "")
+        obj = fields["path"]
+        cls = fields["queue"]
+        source = fields.get("miss", "")
         self.record.add("got", box=self.id, id=wire_id, cls=cls, obj=obj, miss=source)
         capacity_by_age = self.strength.capacity_by_age(time.monotonic() - self.started)
         if self.busy >= 4 * capacity_by_age:
@@ -130,7 +134,8 @@
             if cls == "sheet-submit":
                 where = self.all.get(source, self) if self.role != "origin" else self
                 self.record.add("run", box=where.id, id=wire_id)
-                issued, detail = int(time.time() * 1000), "filled"
+                issued = int(time.time() * 1000)
+                detail = "filled"
             else:
                 found = await self._copy(obj, fields)
                 if found is None:
@@ -157,7 +162,8 @@
 
     async def _copy(self, obj: str, fields: dict[str, str]) -> tuple[int, str] | None:
         """A copy that will do, kept or filled: when the origin gave it out, and how it came."""
-        within, source = int(fields.get("within", "0")), self.all.get(fields.get("miss", ""))
+        within = int(fields.get("within", "0"))
+        source = self.all.get(fields.get("miss", ""))
         if self.role == "origin":
             return int(time.time() * 1000), "hit"
         while True:
--- a/brackenlane/lab/cluster/clients.py
+++ b/brackenlane/lab/cluster/clients.py
@@ -21,8 +21,11 @@
         self, record: Record, ports: Callable[[], list[tuple[int, int]]], rate: float, objects: int, seed: int
     ) -> None:
         """ports: of those routers that run now, by number."""
-        self._record, self._ports, self._rate = record, ports, rate
-        self._chance, self.going = random.Random(seed), True
+        self._record = record
+        self._ports = ports
+        self._rate = rate
+        self._chance = random.Random(seed)
+        self.going = True
         self._names = [f"{random.Random(n).getrandbits(64):016x}" for n in range(objects)]
         self._weights = [1 / (n + 1) for n in range(objects)]
 
--- a/brackenlane/lab/cluster/clock_preload.py
+++ b/brackenlane/lab/cluster/clock_preload.py
@@ -8,8 +8,10 @@
 import sys
 import time
 
-real, begun = time.time, time.time()
-off, rate = float(sys.argv[1]), float(sys.argv[2])
+real = time.time
+begun = time.time()
+off = float(sys.argv[1])
+rate = float(sys.argv[2])
 
 
 def notified() -> float:
--- a/brackenlane/lab/cluster/invariants.py
+++ b/brackenlane/lab/cluster/invariants.py
@@ -35,7 +35,8 @@
             rises = event.kind == "cont" or (event.kind == "healthy" and event.router not in stopped)
             (up.add if rises else up.discard)(event.router)
             continue
-        found, ttl = ends.get(event.what["id"], []), event.what["ttl"]
+        found = ends.get(event.what["id"], [])
+        ttl = event.what["ttl"]
         if event.router not in up or any(0 <= at - event.at < ttl + 0.5 for at in hurt[event.router]):
             continue
         if len(found) != 1:
@@ -74,7 +75,8 @@
 
 def purged(record: Record) -> Faults:
     """No answer from a copy older than a purge, 1 s after it was told to that router."""
-    faults, reported = [], defaultdict(list)
+    faults = []
+    reported = defaultdict(list)
     for event in record.of("told_purge", "answer"):
         if event.kind == "told_purge":
             reported[event.router, event.what["obj"]].append((event.at, event.what["time"]))
@@ -99,7 +101,10 @@
 def heaviest(costs: Iterable[tuple[float, float]], span: float) -> tuple[float, float]:
     """The most that falls into any span, and when it ends."""
     window: list[tuple[float, float]] = []
-    low, total, worst, when = 0, 0.0, 0.0, 0.0
+    low = 0
+    total = 0.0
+    worst = 0.0
+    when = 0.0
     for at, cost in costs:
         window.append((at, cost))
         total += cost
@@ -107,7 +112,8 @@
             total -= window[low][1]
             low += 1
         if total > worst:
-            worst, when = total, at
+            worst = total
+            when = at
     return worst, when
 
 
@@ -128,7 +134,8 @@
     for event in record.of("box_start", "got", "fill"):
         cache = event.what["box"]
         if event.kind == "box_start":
-            started[cache], got[cache] = event.at, []
+            started[cache] = event.at
+            got[cache] = []
             continue
         if cache not in started or cache not in per_second or event.at > started[cache] + ramp:
             continue
--- a/brackenlane/lab/cluster/links.py
+++ b/brackenlane/lab/cluster/links.py
@@ -50,8 +50,11 @@
 
         owner: whose a connection is, by the port that it comes from.
         """
-        self.target, self.port = target, 0
-        self._commands, self._observer, self._owner = arguments, received, owner
+        self.target = target
+        self.port = 0
+        self._commands = arguments
+        self._observer = received
+        self._owner = owner
         self._faults: dict[int, Fault] = {}
         self._open: dict[trio.SocketStream, int] = {}
         self._changed = trio.Event()
@@ -124,7 +127,8 @@
     async def _pump(
         self, source: trio.SocketStream, sink: trio.SocketStream, who: int, up: bool, scope: trio.CancelScope
     ) -> None:
-        tail, passed = b"", 0
+        tail = b""
+        passed = 0
         with contextlib.suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             while data := await source.receive_some(CHUNK):
                 while not (self.fault(who).up if up else self.fault(who).down):
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -68,7 +68,10 @@
 
         coordinator: of the virtual time that all keep; without one time is the machine's.
         """
-        self.script, self.seed, self.folder, self._say = script, seed, folder, say
+        self.script = script
+        self.seed = seed
+        self.folder = folder
+        self._say = say
         self.record = Record()
         s = script.store
         self.store = Redis(Capacity(s.commands, s.connections, s.bytes, s.patience), self._of_store)
@@ -328,7 +331,8 @@
         return found
 
     def _figures(self, memory: list[float]) -> dict[str, float]:
-        record, n = self.record, len(self.routers)
+        record = self.record
+        n = len(self.routers)
         begun = next((e.at for e in record.of("begin")), 0.0)
 
         def peak(kind: str, field: str = "") -> float:
--- a/brackenlane/lab/cluster/shared_clock.py
+++ b/brackenlane/lab/cluster/shared_clock.py
@@ -96,7 +96,9 @@
     """Reports when a process becomes idle and when it runs again, in its slot."""
 
     def __init__(self, shared: SharedClock, slot: int, clock: VirtualClock) -> None:
-        self._shared, self._slot, self._clock = shared, slot, clock
+        self._shared = shared
+        self._slot = slot
+        self._clock = clock
         self._threads = 0  # calls made in other threads at present, whose ends trio does not foresee
 
     def before_io_wait(self, timeout: float) -> None:
@@ -126,7 +128,8 @@
 
     def __init__(self, shared: SharedClock, wall: Callable[[float], float]) -> None:
         """wall: the Unix time at a shared time."""
-        self._shared, self._wall = shared, wall
+        self._shared = shared
+        self._wall = wall
         self._real = time.time, time.monotonic, time.perf_counter
 
     def __enter__(self) -> None:
--- a/brackenlane/lab/cluster/time_coordinator.py
+++ b/brackenlane/lab/cluster/time_coordinator.py
@@ -23,7 +23,10 @@
 STEP = 0.004  # virtual seconds that time advances by at least, so that deadlines come in batches
 LOOK = 0.001  # real seconds between two looks at processes that still run
 HANG = 300.0  # real seconds at one moment of virtual time; a hang, since a start takes a few
-RUNNABLE, SLEEPING, STOPPED, ENDED = "R", "S", "T", "Z"  # states in /proc/PID/stat (proc(5))
+RUNNABLE = "R"
+SLEEPING = "S"
+STOPPED = "T"
+ENDED = "Z"  # states in /proc/PID/stat (proc(5))
 
 Result = TypeVar("Result")
 
--- a/brackenlane/lab/cluster/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -59,7 +59,8 @@
         starts: Callable[[int], float] = lambda _: 0.0,
         pace: Callable[[str, Capacity, random.Random], StorePacing] = StorePacing,
     ) -> None:
-        self.store, self.now = store, 0.0
+        self.store = store
+        self.now = 0.0
         self.chance = random.Random(seed)
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
@@ -84,7 +85,8 @@
 
     def lose(self) -> None:
         """The store goes away for all who are current at one moment: each notices within 5 ms."""
-        lost, self.current = list(self.current), {}
+        lost = list(self.current)
+        self.current = {}
         for n in lost:
             self.at(self.now + self.chance.uniform(0, 0.005), partial(self._again, n))
 
@@ -121,7 +123,9 @@
 
 def peak(times: list[float], span: float = 1.0) -> int:
     """The most that came within any span."""
-    times, low, most = sorted(times), 0, 0
+    times = sorted(times)
+    low = 0
+    most = 0
     for high, at in enumerate(times):
         while times[low] <= at - span:
             low += 1
--- a/brackenlane/lab/load.py
+++ b/brackenlane/lab/load.py
@@ -88,7 +88,8 @@
         self._sock.connect_ex(load.target)
         self._want: Want | None = None
         self._sent = 0.0
-        self._in, self._out = bytearray(), b""
+        self._in = bytearray()
+        self._out = b""
         self._timer: Timer | None = None
         self._length = -1
         self.idle_since = 0.0
@@ -100,7 +101,9 @@
         kind = want.kind
         ttl = kind.ttl * self._load.random.uniform(0.5, 1.0)
         body = b"signed" * 40 if kind.write else b""
-        self._want, self._sent, self._length = want, now, -1
+        self._want = want
+        self._sent = now
+        self._length = -1
         self._out = (
             b"%b %b HTTP/1.1\r\nHost: api.internal\r\nX-Txn: %b\r\nX-Ttl-Ms: %d\r\nX-Shard: 17\r\n%b%b\r\n%b"
         ) % (
@@ -187,9 +190,14 @@
     def __init__(
         self, target: tuple[str, int], phases: list[tuple[float, float]], seed: int, most: int, objects: int
     ) -> None:
-        self.target, self.phases, self._most, self._objects = target, phases, most, objects
+        self.target = target
+        self.phases = phases
+        self._most = most
+        self._objects = objects
         self.random = random.Random(seed)
-        self.poller, self.timers, self.tally = Poller(256), Timers(), Tally()
+        self.poller = Poller(256)
+        self.timers = Timers()
+        self.tally = Tally()
         self.idle: deque[Client] = deque()
         self.open = 0
         self._start = 0.0
--- a/brackenlane/lab/model.py
+++ b/brackenlane/lab/model.py
@@ -30,7 +30,8 @@
     """Follow all steps from the first state; each state is looked at once."""
     came: dict[S, tuple[S, str] | None] = {first: None}
     queue: deque[tuple[S, int]] = deque([(first, 0)])
-    reached, complete = 0, True
+    reached = 0
+    complete = True
     while queue:
         state, level = queue.popleft()
         reached = max(reached, level)
--- a/brackenlane/lab/queueing.py
+++ b/brackenlane/lab/queueing.py
@@ -68,7 +68,9 @@
 
     def __init__(self, bound: float = float("inf"), dead: bool = False, newest: bool = False) -> None:
         self._waiting: deque[tuple[float, Try]] = deque()
-        self._bound, self._dead, self._newest = bound, dead, newest
+        self._bound = bound
+        self._dead = dead
+        self._newest = newest
 
     def has_capacity_for(self, cls: str, is_retry: bool) -> bool:
         """Within the bound."""
@@ -138,7 +140,10 @@
     slow: Callable[[float], float] = lambda now: 1.0,
 ) -> Result:
     """Play a day. rate: first tries a second at a time; slow: by how much service costs more then."""
-    costs, rng, order, result = costs or Costs(), random.Random(seed), itertools.count(), Result()
+    costs = costs or Costs()
+    rng = random.Random(seed)
+    order = itertools.count()
+    result = Result()
     events: list[tuple[float, int, Try]] = []
 
     def again(item: Try, now: float, harmless: bool) -> None:
@@ -170,7 +175,8 @@
         heapq.heappush(events, (at, next(order), Try(cls, at, at, at + ttl)))
 
     leaves: list[tuple[float, int, Try]] = []
-    now, waiting = 0.0, 0
+    now = 0.0
+    waiting = 0
 
     def refuse(item: Try) -> None:
         nonlocal now
--- a/brackenlane/lab/races.py
+++ b/brackenlane/lab/races.py
@@ -101,7 +101,8 @@
 
     def __init__(self, name: str, model: str, draw: random.Random, record: Record) -> None:
         super().__init__(name, model)
-        self._draw, self._record = draw, record
+        self._draw = draw
+        self._record = record
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self._streams.append(stream)
@@ -139,7 +140,8 @@
     async def _reply(self, stream: trio.SocketStream, requested: Asked, got: ReceivedAttempt) -> None:
         await trio.sleep(self._draw.choice([0, 0, 0.005, 0.02, 0.1, 0.3]))
         good = data(requested, b"" if got.write else bytes(self._draw.choice([5, 5, 500, 100_000])))
-        full, large = data(requested, b"", "full"), data(requested, bytes(200_000))
+        full = data(requested, b"", "full")
+        large = data(requested, bytes(200_000))
         match self._draw.choices(range(10), (55, 7, 5, 6, 5, 4, 4, 4, 3, 7))[0]:
             case 0:
                 await self._say(stream, good)
@@ -186,9 +188,15 @@
         self, seed: int, seconds: float, folder: Path, cancel: bool = True, root: Path = site.ROOT
     ) -> None:
         """cancel: whether attempts may be cancelled; root: the checkout whose program is played with."""
-        self.draw, self.seconds, self.folder, self.root = random.Random(seed), seconds, folder, root
-        self.is_stalled, self.cancel = seed % 2 == 1, cancel
-        self.record, self.end, self.port = Record(), 0.0, site.free_ports(1)[0]
+        self.draw = random.Random(seed)
+        self.seconds = seconds
+        self.folder = folder
+        self.root = root
+        self.is_stalled = seed % 2 == 1
+        self.cancel = cancel
+        self.record = Record()
+        self.end = 0.0
+        self.port = site.free_ports(1)[0]
 
     async def run(self) -> Record:
         """Play it; what the peers saw."""
@@ -260,8 +268,10 @@
                     await log.latest.aclose()
                     continue
                 number += 1
-                cache, state = self.draw.choice(caches[:-1]), self.draw.choice([0, 0, 1, 2])
-                kind, host = site.SETTINGS["Skus"].index(cache.model), socket.inet_aton("127.0.0.1")
+                cache = self.draw.choice(caches[:-1])
+                state = self.draw.choice([0, 0, 1, 2])
+                kind = site.SETTINGS["Skus"].index(cache.model)
+                host = socket.inet_aton("127.0.0.1")
                 entry = (
                     int(cache.id[2:], 16).to_bytes(4, "big")
                     + host
@@ -274,7 +284,8 @@
                 self.record.told.append((time.time(), cache.id, state == 0))
 
     async def _signals(self, process: trio.Process, path: Path) -> None:
-        good, count = orjson.loads(path.read_bytes()), 0
+        good = orjson.loads(path.read_bytes())
+        count = 0
         while time.time() < self.end - 1.5:
             await trio.sleep(0.4)
             if self.is_stalled:
@@ -294,15 +305,18 @@
             await trio.sleep(self.draw.choice([0, 0, 0.01, 0.05]))
 
     async def _request(self, stream: trio.SocketStream) -> None:
-        draw, write = self.draw, self.draw.random() < 0.3
-        name, ttl = f"{draw.getrandbits(64):016x}", draw.choice([0.1, 0.3, 1.0, 2.0])
+        draw = self.draw
+        write = draw.random() < 0.3
+        name = f"{draw.getrandbits(64):016x}"
+        ttl = draw.choice([0.1, 0.3, 1.0, 2.0])
         cls = "sheet-submit" if write else draw.choice(["video-parts", "sheet-pages"])
         text = (
             f"{'PUT' if write else 'GET'} /api/v2/{cls}/{draw.randrange(40):016x}/n-3 HTTP/1.1\r\n"
             f"Host: a\r\nX-Txn: {name}\r\nX-Ttl-Ms: {ttl * 1000:.0f}\r\nX-Shard: 1\r\n"
             + ("Content-Length: 6\r\n\r\nsigned" if write else "\r\n")
         ).encode()
-        cut, how = draw.randrange(1, len(text)), draw.random()
+        cut = draw.randrange(1, len(text))
+        how = draw.random()
         leaves = draw.choice([0, 0.001, 0.003, 0.01, 0.05, 0.2, 0.4]) if how < 0.5 else ttl + 1.0
         try:
             if how < 0.1:
@@ -316,7 +330,8 @@
                 await trio.sleep(draw.choice([0, 0.001, 0.01]))
                 text = text[cut:]
             await stream.send_all(text)
-            sent, reported = time.time(), ClientAnswer(write, ttl, 0.0)
+            sent = time.time()
+            reported = ClientAnswer(write, ttl, 0.0)
             with trio.move_on_after(leaves) as left, contextlib.suppress(trio.BrokenResourceError):
                 reported.status, reported.more = await _answer(stream)
             reported.took = time.time() - sent
--- a/brackenlane/lab/simulation/clients.py
+++ b/brackenlane/lab/simulation/clients.py
@@ -46,8 +46,11 @@
         self._try(Client(operation, first))
 
     def _try(self, client: Client) -> None:
-        world, site, now = self._world, self._world.site, self._world.queue.now
-        cls, obj = client.first.cls, client.first.obj
+        world = self._world
+        site = self._world.site
+        now = self._world.queue.now
+        cls = client.first.cls
+        obj = client.first.obj
         left = min(cls.time_limit * site.try_share, client.operation.born + cls.time_limit - now)
         if left < LEAST_TRY:
             return
@@ -76,7 +79,8 @@
         )
 
     def _ended(self, client: Client, disposition: Disposition, cache_status: CacheStatus) -> None:
-        operation, site = client.operation, self._world.site
+        operation = client.operation
+        site = self._world.site
         if disposition is Disposition.SERVED:
             if operation.answered_at is None:
                 operation.answered_at = self._world.queue.now
--- a/brackenlane/lab/simulation/drawn_sites.py
+++ b/brackenlane/lab/simulation/drawn_sites.py
@@ -17,7 +17,8 @@
 from brackenlane.routing.settings import Idempotency, RequestClass, Scope, SiblingSources, SlowStart
 
 REQUESTS = 1000  # of one day, about
-SHORTEST, LONGEST = 4.0, 16.0  # seconds of one day
+SHORTEST = 4.0
+LONGEST = 16.0  # seconds of one day
 SMALL_ALONE = 3.0  # times the usual size of small objects where there are no others
 
 
--- a/brackenlane/lab/simulation/plain_policy.py
+++ b/brackenlane/lab/simulation/plain_policy.py
@@ -117,7 +117,8 @@
 
     def _source(self, obj: str) -> Member | None:
         """The parent that the object's hash prefers at the nearest hub that has one, else the origin."""
-        zones, hubs = self._settings.locations, self._settings.hub_of
+        zones = self._settings.locations
+        hubs = self._settings.hub_of
         hub = hubs[zones.index(self._settings.location)]
         ring = len(set(hubs))
 
@@ -138,7 +139,8 @@
             del self._requests[event.request_id]
             return []
         if not event.result.is_proven_not_run and not request.may_have_run:
-            request.may_have_run, request.ran_since = True, now - event.wait
+            request.may_have_run = True
+            request.ran_since = now - event.wait
         again = len(request.tried) < min(ATTEMPTS, self._settings.max_attempts)
         if event.result is AttemptResult.MISS or not again or now >= request.deadline:
             return self._give_up(request)
@@ -152,7 +154,8 @@
         return cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is not Scope.CELL and within
 
     def _give_up(self, request: PlainRequest) -> list[Action]:
-        name, cls = request.ask.request_id, request.cls
+        name = request.ask.request_id
+        cls = request.cls
         self._requests.pop(name, None)
         repeats = cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL
         harmless = cls.idempotency is Idempotency.IDEMPOTENT or repeats
--- a/brackenlane/lab/simulation/routers.py
+++ b/brackenlane/lab/simulation/routers.py
@@ -57,7 +57,10 @@
         ended: Callable[[Disposition, CacheStatus], None],
     ) -> None:
         """ended: told of the final answer."""
-        self.request, self.arrival, self.work, self.ended = request, send_request, work, ended
+        self.request = request
+        self.arrival = send_request
+        self.work = work
+        self.ended = ended
         self.attempts: list[Attempt] = []
         self.over = False
         self.streaming: Attempt | None = None
@@ -67,7 +70,10 @@
     """One attempt and its answer."""
 
     def __init__(self, opened: OpenRequest, number: int, server: str, sent_at: float) -> None:
-        self.opened, self.number, self.server, self.sent_at = opened, number, server, sent_at
+        self.opened = opened
+        self.number = number
+        self.server = server
+        self.sent_at = sent_at
         self.reply = Reply()
         self.timer: ScheduledCall | None = None
         self.over = False
@@ -77,7 +83,9 @@
     """One router."""
 
     def __init__(self, world: World, number: int, home: int, policy: Policy) -> None:
-        self.world, self.number, self.policy = world, number, policy
+        self.world = world
+        self.number = number
+        self.policy = policy
         self.zone = world.site.zones[world.site.hubs + home]
         self.on_list = 0.0  # when the latest change of the list that is on its way is heard
         self._requests: dict[str, OpenRequest] = {}
@@ -116,7 +124,8 @@
                 self.world.queue.at(at, lambda: self.deliver(TimerFired(action.token)))
 
     def _fetch(self, action: Fetch) -> None:
-        world, now = self.world, self.world.queue.now
+        world = self.world
+        now = world.queue.now
         opened = self._requests[action.request_id]
         attempt = Attempt(opened, len(opened.attempts), action.server, now)
         opened.attempts.append(attempt)
@@ -229,7 +238,8 @@
         if attempt.timer:
             attempt.timer.cancel()
         attempt.reply.fail(Failure.CANCELLED)
-        opened, now = attempt.opened, self.world.queue.now
+        opened = attempt.opened
+        now = self.world.queue.now
         name = opened.request.name
         self.world.record.ended.append(Ended(name, attempt.number, verdict, cache_status, issued, now))
         if not opened.over and (verdict is AttemptResult.OK or opened.streaming is attempt):
@@ -241,7 +251,8 @@
         self.deliver(self._outcome(attempt, verdict, cache_status))
 
     def _outcome(self, attempt: Attempt, verdict: AttemptResult, cache_status: CacheStatus) -> Outcome:
-        site, opened = self.world.site, attempt.opened
+        site = self.world.site
+        opened = attempt.opened
         seen = site.sizes_seen and verdict is AttemptResult.OK
         filled = site.status_reports is StatusReports.ALL and cache_status in (
             CacheStatus.FILLED,
--- a/brackenlane/lab/simulation/servers.py
+++ b/brackenlane/lab/simulation/servers.py
@@ -106,7 +106,9 @@
     """A link out, a state of health, and a cold start."""
 
     def __init__(self, name: str, zone: str, width: float, world: Surroundings) -> None:
-        self.name, self.zone, self.full_width = name, zone, width
+        self.name = name
+        self.zone = zone
+        self.full_width = width
         self.world = world
         self.link = FairLink(width)
         self.health = Health.UP
@@ -124,7 +126,9 @@
 
     def start_cold(self, cold: ColdBudget) -> None:
         """The process starts, empty."""
-        self.health, self.cold, self.error_share = Health.UP, cold, 0.0
+        self.health = Health.UP
+        self.cold = cold
+        self.error_share = 0.0
         self._warm()
 
     def _warm(self) -> None:
@@ -301,7 +305,8 @@
         self._next()
 
     def _watch_overload(self) -> None:
-        site, now = self.world.site, self.world.queue.now
+        site = self.world.site
+        now = self.world.queue.now
         if not site.origin_falls or self._stops >= ORIGIN_STOPS or self.health is not Health.UP:
             return
         self._recent.append(now)
--- a/brackenlane/lab/simulation/streams.py
+++ b/brackenlane/lab/simulation/streams.py
@@ -60,7 +60,9 @@
         """The first byte."""
         if self.started or self.ended:
             return
-        self.started, self.issued, self.from_origin = True, issued, from_origin
+        self.started = True
+        self.issued = issued
+        self.from_origin = from_origin
         for call in self._on_start:
             call()
 
--- a/brackenlane/lab/simulation/workload.py
+++ b/brackenlane/lab/simulation/workload.py
@@ -99,7 +99,8 @@
         complete = sum(other.share for other in self._site.classes)
         rate = self._site.request_rate(location) * load.share / complete
         expected = sum(STAY**n for n in range(load.parts))
-        begin, end = self._start, self._start + self._site.seconds
+        begin = self._start
+        end = self._start + self._site.seconds
         at = begin - (load.parts - 1) * load.gap
         while (at := at + self._rng.expovariate(rate / expected)) < end:
             yield from self._session(at, location, load, begin, end)
@@ -158,7 +159,8 @@
                 ]
         found.sort(key=lambda item: item[0], reverse=True)
         complete = sum(rate * obj.work * obj.parts for rate, obj, _ in found)
-        chosen, covered = [], 0.0
+        chosen = []
+        covered = 0.0
         for rate, obj, cls in found:
             if covered >= share * complete:
                 break
--- a/brackenlane/lab/site.py
+++ b/brackenlane/lab/site.py
@@ -150,7 +150,8 @@
     """The router of a checkout, from its start to its end."""
     [port] = free_ports(1)
     with tempfile.TemporaryDirectory() as folder:
-        path, log = Path(folder) / "config.json", Path(folder) / "log"
+        path = Path(folder) / "config.json"
+        log = Path(folder) / "log"
         path.write_bytes(platform_config(port, caches, origin, **config))
         with log.open("wb") as out:
             process = pinned(
--- a/brackenlane/lab/stand_ins/cache_server.py
+++ b/brackenlane/lab/stand_ins/cache_server.py
@@ -26,7 +26,8 @@
 
     async def open(self, nursery: trio.Nursery) -> Self:
         """Listen."""
-        self._scope, self._closed = trio.CancelScope(), trio.Event()
+        self._scope = trio.CancelScope()
+        self._closed = trio.Event()
         [listener] = await trio.open_tcp_listeners(self.port, host=self.host)
         self.port = listener.socket.getsockname()[1]
         nursery.start_soon(self._accept, listener)
--- a/brackenlane/lab/stand_ins/dns.py
+++ b/brackenlane/lab/stand_ins/dns.py
@@ -90,7 +90,8 @@
 
     async def open(self, nursery: trio.Nursery) -> Self:
         """Answer at a port of 127.0.0.1, the same one after `close`."""
-        self._scope, self._ended = trio.CancelScope(), trio.Event()
+        self._scope = trio.CancelScope()
+        self._ended = trio.Event()
         self._sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
         [listener] = await trio.open_tcp_listeners(self.port, host="127.0.0.1")
         self.port = listener.socket.getsockname()[1]
@@ -161,7 +162,8 @@
 
     def _note(self, query: dns.message.Message, port: int, tcp: bool) -> set[Fault]:
         [requested] = query.question
-        name, kind = requested.name.to_text(omit_final_dot=True), dns.rdatatype.to_text(requested.rdtype)
+        name = requested.name.to_text(omit_final_dot=True)
+        kind = dns.rdatatype.to_text(requested.rdtype)
         self.asked.append(Asked(name, kind, tcp, query.edns >= 0, port, query.id))
         self.news.set()
         keys = ((name.lower(), kind), (name.lower(), ""), ("", kind), ("", ""))
@@ -170,7 +172,8 @@
     def _records(self, name: str, kind: str, half: bool) -> Iterable[dns.rrset.RRset]:
         ttl, records = self.table.get((name.lower(), kind), (0, []))
         if not records and kind == "A" and self.default:
-            ttl, records = 5, [self.default]
+            ttl = 5
+            records = [self.default]
         if half:
             records = records[: len(records) // 2]
         if records:
@@ -179,7 +182,8 @@
     def _reply(self, query: dns.message.Message, faults: set[Fault], tcp: bool) -> bytes:
         response = dns.message.make_response(query)
         requested = query.question[0]
-        name, kind = requested.name.to_text(omit_final_dot=True), dns.rdatatype.to_text(requested.rdtype)
+        name = requested.name.to_text(omit_final_dot=True)
+        kind = dns.rdatatype.to_text(requested.rdtype)
         if Fault.FORMERR in faults and query.edns >= 0:
             return struct.pack("!HHHHHH", query.id, 0x8001, 0, 0, 0, 0)
         if Fault.NOISE in faults:
--- a/brackenlane/lab/stand_ins/redis.py
+++ b/brackenlane/lab/stand_ins/redis.py
@@ -39,10 +39,13 @@
 
     def __init__(self, capacity: Capacity = Capacity(), seen: Seen = lambda *_, **__: None) -> None:
         self.keys: dict[str, Any] = {}
-        self.news, self.seen = trio.Event(), trio.Event()
-        self.capacity, self._notify = capacity, seen
+        self.news = trio.Event()
+        self.seen = trio.Event()
+        self.capacity = capacity
+        self._notify = seen
         self.late = 0.0  # seconds that each answer takes besides
-        self.refuse_share, self._chance = 0.0, random.Random(1)  # of connections, refused whatever the load
+        self.refuse_share = 0.0
+        self._chance = random.Random(1)  # of connections, refused whatever the load
         self._free = 0.0  # when all that has come is worked off, monotonic
         self._undo: deque[tuple[float, Callable[[], None]]] = deque(maxlen=100_000)
         self.commands = self.connections = self.sent = self.refused = 0
@@ -83,7 +86,9 @@
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             while got := await stream.receive_some(65536):
                 reader.feed(got)
-                out, wait, refused = b"", 0.0, False
+                out = b""
+                wait = 0.0
+                refused = False
                 while (command := reader.gets()) is not False:  # what came together is done together
                     reply, queue = await self._turn(command, queue)
                     cost = 1 / self.capacity.commands + len(reply) / self.capacity.bytes
@@ -186,7 +191,8 @@
             case ["HGETALL", key]:
                 return _resp([part for pair in self.keys.get(key, {}).items() for part in pair])
             case ["HSCAN", key, cursor, "COUNT", count]:
-                table, at = sorted(self.keys.get(key, {}).items()), int(cursor)
+                table = sorted(self.keys.get(key, {}).items())
+                at = int(cursor)
                 piece = table[at : at + int(count)]
                 more = at + len(piece) if at + len(piece) < len(table) else 0
                 return _resp([str(more), [part for pair in piece for part in pair]])
@@ -212,7 +218,8 @@
         return b"-ERR unknown command\r\n"
 
     def _behind(self, key: str, after: str) -> list[Any]:
-        stream, low = self.keys.get(key, []), _read_place(after)
+        stream = self.keys.get(key, [])
+        low = _read_place(after)
         found: list[Any] = []
         for place, fields in reversed(stream):
             if place <= low:
--- a/brackenlane/lifecycle.py
+++ b/brackenlane/lifecycle.py
@@ -77,7 +77,8 @@
     """Signals by a socket on the board: a board that waits itself does not hear trio's own way of telling."""
 
     def __init__(self, poller: Poller, *signals: signal.Signals) -> None:
-        self._poller, self._signals = poller, signals
+        self._poller = poller
+        self._signals = signals
         self._read, self._write = socket.socketpair()
         self._came = trio.Event()
         self._old: list[Any] = []
--- a/brackenlane/placement/solve.py
+++ b/brackenlane/placement/solve.py
@@ -165,7 +165,8 @@
     for option in problem.constraints:
         for (_, kind, cache), number in x.items():
             if (kind, cache) == (option.kind, option.box):
-                slack, name = program.variable(), f"wish: {option.name}"
+                slack = program.variable()
+                name = f"wish: {option.name}"
                 found.append((option.name, slack))
                 program.rows.append(
                     Row(name, {number: 1.0, slack: 1.0}, option.share, math.inf)
@@ -184,7 +185,8 @@
     """Bytes that change their cache, as a goal."""
     goal: dict[int, float] = {}
     for (zone, kind, cache), number in x.items():
-        old, moved = problem.in_force.get((zone, kind, cache), 0.0), program.variable()
+        old = problem.in_force.get((zone, kind, cache), 0.0)
+        moved = program.variable()
         program.rows.append(Row("moved", {number: 1.0, moved: -1.0}, -math.inf, old))
         program.rows.append(Row("moved", {number: 1.0, moved: 1.0}, old, math.inf))
         goal[moved] = weight[zone, kind]
--- a/brackenlane/placement/verify.py
+++ b/brackenlane/placement/verify.py
@@ -30,7 +30,8 @@
             1 - kind.hit
         )
     for cache in problem.caches:
-        bears, age = cache.bytes_per_s, problem.now - cache.started
+        bears = cache.bytes_per_s
+        age = problem.now - cache.started
         if cache.started and age < problem.cold.ramp:
             bears *= problem.cold.share + (1 - problem.cold.share) * max(age, 0.0) / problem.cold.ramp
         if load[cache.id] > bears + SMALL * max(1.0, cache.bytes_per_s):
