--- a/brackenlane/routing/attempts.py
+++ b/brackenlane/routing/attempts.py
@@ -13,7 +13,7 @@
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Idempotency, RequestClass, Scope
 
-HEADROOM = 0.7  # of the time left, that an attempt may need by the transfers on its cache's link
+HEADROOM = 0.7  # share of the time left that transfers on a link may be planned to take
 FULL_RETRY_COST = 1.0  # of a retry, in retries of the budget
 BROKEN_RETRY_COST = 0.25  # after a broken connection, which is no sign of an overload
 
@@ -45,8 +45,8 @@
     attempts_sent: int = field(init=False, default=0)
     in_flight: int = field(init=False, default=0)  # attempts
     retry_cost: float = field(init=False, default=FULL_RETRY_COST)  # of the next retry, in retries
-    cache_missed: bool = field(init=False, default=False)  # the last attempt looked up a copy in vain
-    parent_missed: bool = field(init=False, default=False)  # so did its parent
+    cache_missed: bool = field(init=False, default=False)  # by the last attempt the cache has no copy
+    parent_missed: bool = field(init=False, default=False)  # nor has the parent
     is_cache_full: bool = field(init=False, default=False)  # the last cache had no place for a fill
     first_run_by: Member | None = field(init=False, default=None)  # the first cache where it may have run
     first_run_at: float = field(init=False)
@@ -64,6 +64,11 @@
         if cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not self.arrival.has_idempotency_key:
             self.idempotency = Idempotency.NON_IDEMPOTENT
 
+    @property
+    def is_next_a_retry(self) -> bool:
+        """Whether the next attempt repeats one; after a lookup in vain it does not."""
+        return self.attempts_sent > 0 and not self.cache_missed
+
     def can_run_at(self, server: Member, now: float) -> bool:
         """Whether a server drops the repeat, if an earlier attempt may have run."""
         first = self.first_run_by
@@ -121,7 +126,8 @@
     """The servers that an attempt passes."""
 
     edge: Server  # the cache that is sent the attempt
-    # The source that the cache is given for a miss: itself where it is passed by, None for a cache lookup.
+    # The source that is named to the cache for a miss: the same server if edge caches are bypassed, None
+    # for a cache lookup.
     fill_source: Server | None
     # The source to which a fill is attributed: the origin, where a parent has to fetch from it first.
     attributed_source: Server | None
--- a/brackenlane/routing/fill_source.py
+++ b/brackenlane/routing/fill_source.py
@@ -15,11 +15,11 @@
 from brackenlane.routing.server_capacity import ServerCapacity
 from brackenlane.routing.servers import Server
 
-RATIO = 2.0  # of the chances of two neighbours, up to FEW parents
-STEADY_RATIO = 8.0  # the same for copies without a time to live
-FEW = 3  # parents of a hub, from which on the ratio grows with them
-ORIGIN_CAP = 1 / 20  # the origin's share of all draws, at most
-CLASS_MEMORY = 256  # draws that a class's learned share of them is a mean over, about
+PARENT_RATIO = 2.0  # of the chances of a parent and the next one, up to FEW_PARENTS of them
+STEADY_PARENT_RATIO = 8.0  # the same for copies without a time to live
+FEW_PARENTS = 3  # of a hub; with more of them the ratio grows in proportion
+MAX_ORIGIN_SHARE = 1 / 20  # of all draws
+EXPIRING_MEMORY = 256  # draws that the share of expiring copies is a mean over, about
 
 SourceT = TypeVar("SourceT")
 
@@ -106,16 +106,19 @@
     def draw(
         self, parents: Sequence[SourceT], origin: SourceT | None, expires: bool, most_parents: int
     ) -> SourceT:
-        """Return one of the parents, the least preferred first and one at least, or the origin if given.
+        """Return one of the parents, or the origin if it is given.
 
-        expires: whether the copy has a time to live; most_parents: the most that one hub has.
+        parents: at least one, the least preferred first; expires: whether the copy has a time to live;
+        most_parents: the most that one hub has.
         """
-        # Each parent that the requests for an object reach asks the origin for it: the ratio grows with the
-        # parents of a hub. Copies without a time to live never expire together, so few parents are enough.
-        ratio = max(RATIO if expires else STEADY_RATIO, RATIO * most_parents / FEW)
+        # Each parent that the requests for an object reach fetches it from the origin: the ratio grows with
+        # the parents of a hub. Copies without a time to live never expire together: few parents are enough.
+        ratio = max(
+            PARENT_RATIO if expires else STEADY_PARENT_RATIO, PARENT_RATIO * most_parents / FEW_PARENTS
+        )
         chances = [ratio**candidate for candidate in range(1, len(parents) + 1)]
-        self._expiring += (expires - self._expiring) / CLASS_MEMORY
-        share = min(ORIGIN_CAP / max(self._expiring, ORIGIN_CAP), 1 / (1 + sum(chances)))
+        self._expiring += (expires - self._expiring) / EXPIRING_MEMORY
+        share = min(MAX_ORIGIN_SHARE / max(self._expiring, MAX_ORIGIN_SHARE), 1 / (1 + sum(chances)))
         if origin and expires and self._random.random() < share:
             return origin
         return self._random.choices(parents, chances)[0]
--- a/brackenlane/routing/outcome_attribution.py
+++ b/brackenlane/routing/outcome_attribution.py
@@ -21,10 +21,9 @@
 
 UNREACHABLE_SCORE = 2 * EJECTION_SCORE  # of a failed connect: it ejects at once
 SOURCELESS_ERROR_SCORE = 0.5  # of an error that was probably its cache's own
-ERROR_SHARE_MEMORY_LOOKUPS = (
-    16  # attempts without a source that the caches' error share is a mean over, about
-)
-ERROR_SHARE_MEMORY_ANSWERS = 64  # the same for answers of attempts with a source
+# Attempts that the caches' error share is a mean over, about: those without a source, and answers with one.
+ERROR_SHARE_MEMORY_SOURCELESS = 16
+ERROR_SHARE_MEMORY_ANSWERS = 64
 OWN_ERROR_SHARE = 0.1  # of attempts without a source, from which caches are known to make errors alone
 OWN_REFUSAL_TICKS = 2  # within which a cache's own refusal comes; what takes longer failed at the source
 BOTH_SILENT_SOURCE_SHARE = 0.5  # of an overdue attempt, where neither its cache nor its source proved alive
@@ -111,7 +110,7 @@
         if not has_source:
             self._fills.observe_lookup(edge, result)
         if not has_source or result is AttemptResult.OK:
-            memory = ERROR_SHARE_MEMORY_ANSWERS if has_source else ERROR_SHARE_MEMORY_LOOKUPS
+            memory = ERROR_SHARE_MEMORY_ANSWERS if has_source else ERROR_SHARE_MEMORY_SOURCELESS
             is_error = result is AttemptResult.ERROR
             self.cache_error_share += (is_error - self.cache_error_share) / memory
 
--- a/brackenlane/routing/router.py
+++ b/brackenlane/routing/router.py
@@ -7,7 +7,8 @@
     route_selection       the servers of an attempt: edge_selection, fill_source, lookup_policy
     attempt_table         attempts in flight and their load
     outcome_attribution   what an outcome tells of servers: outlier_detection, answer_learning
-    retry_budget, timers  whether a retry may be sent, and what is waited for
+    retry_policy          whether a further attempt may be sent: retry_budget
+    fetch_actions         the fetch that is sent; timers: what is waited for
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from brackenlane.routing.actions import Action, Cancel, Fail, Reject, Subscribe
 from brackenlane.routing.answer_learning import AnswerLearning
 from brackenlane.routing.attempt_table import AttemptTable
-from brackenlane.routing.attempts import FULL_RETRY_COST, Attempt, AttemptKey, Request, Route
+from brackenlane.routing.attempts import Attempt, AttemptKey, Request, Route
 from brackenlane.routing.edge_selection import EdgeSelection
 from brackenlane.routing.events import (
     Arrival,
@@ -34,7 +35,7 @@
 )
 from brackenlane.routing.fetch_actions import FetchActions
 from brackenlane.routing.fill_estimate import FillEstimate
-from brackenlane.routing.fill_source import FEW, FillSourceSelection
+from brackenlane.routing.fill_source import FillSourceSelection
 from brackenlane.routing.latency import LatencyEstimate
 from brackenlane.routing.lookup_policy import LookupPolicy
 from brackenlane.routing.membership import ServerTable
@@ -45,6 +46,7 @@
 from brackenlane.routing.popularity import Popularity
 from brackenlane.routing.purges import Purges
 from brackenlane.routing.retry_budget import RetryBudget
+from brackenlane.routing.retry_policy import RetryPolicy
 from brackenlane.routing.route_selection import RouteSelection
 from brackenlane.routing.server_capacity import ServerCapacity
 from brackenlane.routing.servers import Server, observe_loads
@@ -55,9 +57,10 @@
 from brackenlane.routing.topology import Topology
 
 MAX_REMEMBERED = 4000  # objects, in each table; those requested longest ago are forgotten first
-MIN_WAITING_SHARE = 0.5  # of its time that a fill waits for its source, where more than a few share a link
-OVERDUE_WAIT_FACTOR = 2  # in an overload, waits of overdue attempts count more: the patience grows
-OVERDUE_RECHECKS = 2  # of an overdue attempt, within its class's latency objective
+FEW_ROUTERS = 3  # sharing a link: up to these, a fill counts as a whole transfer until its waits are learned
+MIN_WAITING_SHARE = 0.5  # of its time that a fill waits for its source, where more routers share a link
+OVERDUE_WAIT_FACTOR = 2  # an overdue attempt's wait is not over: it is learned as so many times longer
+OVERDUE_RECHECKS = 2  # of an overdue attempt, in each latency objective of its class
 
 
 class Router:
@@ -74,9 +77,9 @@
         self.latency = LatencyEstimate()
         self.origin_throttle = OriginThrottle()
         self.retry_budget = RetryBudget()
-        # With few routers on a link a fill may count as a whole transfer; counted so by many, it would leave
-        # their caches idle.
-        min_waiting_share = MIN_WAITING_SHARE if topology.local_router_count > FEW else 0.0
+        self._retry_policy = RetryPolicy(settings, self.retry_budget)
+        # Counted as whole transfers by many routers, fills that wait would leave the links of caches idle.
+        min_waiting_share = MIN_WAITING_SHARE if topology.local_router_count > FEW_ROUTERS else 0.0
         self.fills = FillEstimate(settings.status_reporting, rng, min_waiting_share)
         self.server_table = ServerTable(settings, topology, MAX_REMEMBERED)
         self.slow_start_budget = SlowStartBudget(settings, topology, self.sizes, MAX_REMEMBERED)
@@ -190,27 +193,12 @@
         if self.latency.overloaded and is_late and not attempt.fill_probability:
             # Late work keeps links from others; a late fill at least leaves a copy.
             self._finish(request, now)
-        elif self._should_cancel(request, attempt.route, now):
+        elif self._retry_policy.should_cancel(request, attempt.route, now):
             self._actions.append(Cancel(key.request_id, key.number))
         else:
             recheck_at = now + request.cls.latency_objective / OVERDUE_RECHECKS
             self._actions.append(self._timers.set_overdue(key.request_id, key.number, recheck_at))
 
-    def _should_cancel(self, request: Request, route: Route, now: float) -> bool:
-        """Whether to cancel an overdue attempt: a server of it is ejected, and a retry would be in time.
-
-        A long wait alone is no reason.
-        """
-        source = route.attributed_source
-        is_ejected = route.edge.ejected_until or (source and source.ejected_until)
-        return bool(
-            is_ejected
-            and self.settings.may_cancel
-            and request.attempts_sent < self.settings.max_attempts
-            and self.retry_budget.can_spend(FULL_RETRY_COST)
-            and request.deadline - now > request.work
-        )
-
     def _on_outcome(self, event: Outcome, now: float) -> None:
         """Attribute an outcome; then end its request or send a further attempt."""
         attempt = self.attempts.close(AttemptKey(event.request_id, event.attempt))
@@ -232,26 +220,20 @@
 
     def _attempt(self, request: Request, now: float) -> None:
         """Send an attempt, or finish the request if none can be in time."""
-        is_retry = request.attempts_sent > 0 and not request.cache_missed
-        if request.attempts_sent >= self.settings.max_attempts or (
-            is_retry and not self._can_retry(request, now)
-        ):
+        if not self._retry_policy.can_attempt(request, now):
             self._finish(request, now)
             return
         route = self._route_selection.select(request, now)
         if route is None:
             self._finish(request, now)
             return
+        self._send(request, route, now)
+
+    def _send(self, request: Request, route: Route, now: float) -> None:
+        """Send an attempt by its route; a retry is paid for."""
+        is_retry = request.is_next_a_retry
         if is_retry:
             self.retry_budget.spend(request.retry_cost)
-        self._send(request, route, is_retry, now)
-
-    def _can_retry(self, request: Request, now: float) -> bool:
-        """Whether a retry can end before the deadline and is within the budget."""
-        return request.deadline - now >= request.work and self.retry_budget.can_spend(request.retry_cost)
-
-    def _send(self, request: Request, route: Route, is_retry: bool, now: float) -> None:
-        """Send an attempt by its route; is_retry: after an attempt that was no lookup."""
         key = self.attempts.open(request, route, now)
         overdue_at = now + self._fetches.overdue_after(request, now)
         self._actions.append(self._timers.set_overdue(key.request_id, key.number, overdue_at))
