--- a/brackenlane/core/router_set.py
+++ b/brackenlane/core/router_set.py
@@ -19,8 +19,7 @@
 
     def __iter__(self) -> Iterator[Router]:
         """Iterate over all routers, the current one first; events about caches are for each of them."""
-        yield self.current
-        yield from self.retired
+        return iter((self.current, *self.retired))
 
     def replace(self, router: Router) -> None:
         """Decide new requests by another router; the last keeps its requests, but no slow-start budget."""
