--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -13,7 +13,6 @@
 from brackenlane.net.change_log_codec import ChangeLogFormatError
 from brackenlane.observe.throttle import Throttle
 
-
 # Exit codes; a subcommand may have others.
 DONE = 0
 UNUSABLE_CONFIG = 2
--- a/brackenlane/appliance/program.py
+++ b/brackenlane/appliance/program.py
@@ -36,7 +36,10 @@
 
 
 class CacheObserver:
-    """Hears the result of each attempt: for the console, and for discovery."""
+    """Receives the result of each attempt, for the console and for discovery.
+
+    `registry` and `dns_source` are set once those exist.
+    """
 
     def __init__(self) -> None:
         self.health = CacheHealth()
@@ -44,7 +47,7 @@
         self.dns_source: DnsSource | None = None
 
     def on_result(self, server: str, result: AttemptResult) -> None:
-        """Note the result of an attempt; have the address of a cache that fails looked up again."""
+        """Record the result of an attempt; have the address of a cache that fails looked up again."""
         self.health.record(server, result, time.time())
         if self.registry:
             self.health.forget_removed(self.registry.merge.caches.keys())
--- a/brackenlane/cli/main.py
+++ b/brackenlane/cli/main.py
@@ -123,13 +123,13 @@
     from brackenlane.lab.cluster import report, scenario
     from brackenlane.lab.cluster.script import load
 
-    reported = load(script)
+    plan = load(script)
     if routers:
-        reported = reported.model_copy(update={"doormans": routers})
+        plan = plan.model_copy(update={"doormans": routers})
     out.mkdir(parents=True, exist_ok=True)
-    outcome = trio.run(lambda: scenario.run(reported, seed, out, say=click.echo))
+    outcome = trio.run(lambda: scenario.run(plan, seed, out, say=click.echo))
     click.echo(report.table(outcome))
-    report.save(outcome, out, reported.name)
+    report.save(outcome, out, plan.name)
     if not outcome.well:
         sys.exit(EXIT_FAILED)
 
--- a/brackenlane/platform_router.py
+++ b/brackenlane/platform_router.py
@@ -66,7 +66,7 @@
     pools: ConnectionPools
     front: HttpFront
     orders: MaintenanceOrders
-    handover: Handover | None  # None: no other process may serve at the same address
+    handover: Handover | None  # None: without an admin API, or without a handover log
     change_log: ChangeLogClient
 
 
@@ -152,7 +152,7 @@
 
 
 async def _serve_clients(config: Config, parts: RouterParts) -> None:
-    """Serve clients until SIGTERM and the last response after it; share the address if processes may."""
+    """Serve clients until SIGTERM and the last response after it; with an admin API, share the address."""
     handover = parts.handover
     if config.admin is None:
         await serve_until_signal(parts.front, config.listen, config.name)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 
 from brackenlane.limits import Limits
-from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
 from brackenlane.ops.handover_index import HandoverIndex
+from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
 from brackenlane.ops.handover_records import (
     HandoverRecord,
     MaintenanceEntered,
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -27,8 +27,8 @@
 from brackenlane.discovery.registry import Registry
 from brackenlane.lab.stand_ins.redis import Redis
 from brackenlane.limits import Limits
-from brackenlane.ops.handover_log import HandoverLog
 from brackenlane.ops.handover_index import HandoverIndex
+from brackenlane.ops.handover_log import HandoverLog
 from brackenlane.ops.handover_records import (
     HandoverRecord,
     MaintenanceEntered,
