--- a/brackenlane/appliance/config.py
+++ b/brackenlane/appliance/config.py
@@ -104,11 +104,11 @@
 
 def _policy(table: DiscoveryTable) -> Policy:
     return Policy(
-        grace=table.grace,
-        most_gone=table.most_gone,
-        confirm=table.confirm,
-        settle=table.settle,
-        remembered=table.remembered,
+        removal_grace=table.grace,
+        max_unconfirmed_share=table.most_gone,
+        confirmation_delay=table.confirm,
+        min_move_interval=table.settle,
+        max_snapshot_age=table.remembered,
         warm=table.warm,
     )
 
--- a/brackenlane/appliance/startup.py
+++ b/brackenlane/appliance/startup.py
@@ -16,6 +16,7 @@
 from brackenlane.discovery import snapshot
 from brackenlane.discovery.records import DefinitionSource, RememberedMembers
 from brackenlane.discovery.registry import Registry
+from brackenlane.discovery.snapshot_codec import Snapshot
 from brackenlane.limits import Limits
 
 log = logging.getLogger(__name__)
@@ -85,7 +86,7 @@
         assert self.retained is not None
         return 0 <= now - self.retained.saved <= max_age
 
-    def _restore(self, retained: snapshot.Snapshot) -> None:
+    def _restore(self, retained: Snapshot) -> None:
         """Serve from a snapshot."""
         now = time.time()
         merge = self._registry.merge
@@ -93,6 +94,6 @@
         self._phases.step(StartupEvent.SNAPSHOT_RESTORED, now)
         log.info("the last list, of %.0f s ago: %d boxes", now - retained.saved, len(merge.caches))
 
-    def _restore_orders(self, retained: snapshot.Snapshot, now: float) -> None:
+    def _restore_orders(self, retained: Snapshot, now: float) -> None:
         orders = RememberedMembers(orders=retained.memory.orders)
         self._registry.apply(self._registry.merge.restore_snapshot(orders, now, now))
--- a/brackenlane/console/views.py
+++ b/brackenlane/console/views.py
@@ -9,7 +9,8 @@
 from brackenlane.console.cache_health import CacheHealth
 from brackenlane.console.text_table import render_table
 from brackenlane.discovery.merge import MembershipMerge
-from brackenlane.discovery.records import MergedCache, SrvEntry
+from brackenlane.discovery.records import MergedCache
+from brackenlane.discovery.srv_entries import SrvEntry
 from brackenlane.store.shared_store import SharedStore
 
 HEADING = ("BOX", "ROLE", "ADDRESS", "STATE", "HEALTH")
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -16,7 +16,7 @@
 import orjson
 import trio
 
-from brackenlane.discovery import snapshot
+from brackenlane.discovery import snapshot_codec
 from brackenlane.lab.cluster import invariants
 from brackenlane.lab.cluster.cache_servers import ClusterCache, Strength
 from brackenlane.lab.cluster.clients import Clients, served
@@ -391,7 +391,7 @@
         ports = [cache["port"] for cache in raw["others"]]
         for cache, port in zip(raw["others"], ports[1:] + ports[:1], strict=True):
             cache["port"] = port
-    path.write_bytes(snapshot.sign(orjson.dumps(raw)))
+    path.write_bytes(snapshot_codec.sign(orjson.dumps(raw)))
 
 
 def run_in_virtual_time(script: Script, seed: int, folder: Path) -> Outcome:
--- a/brackenlane/ops/maintenance_orders.py
+++ b/brackenlane/ops/maintenance_orders.py
@@ -74,8 +74,10 @@
     def metrics(self, counts: RequestMetrics, active: int) -> bytes:
         """Return all metrics in the text format. active: requests in progress."""
         listed = self._maintenance.listed
-        avoided = self._engine.routers.ejected_servers()
-        ejected = sum(server in avoided or self._maintenance.is_out_of_service(server) for server in listed)
+        ejected_servers = self._engine.routers.ejected_servers()
+        ejected = sum(
+            server in ejected_servers or self._maintenance.is_out_of_service(server) for server in listed
+        )
         return expose(counts, Gauges(active, len(listed), ejected))
 
 
--- a/brackenlane/store/file_registration.py
+++ b/brackenlane/store/file_registration.py
@@ -7,8 +7,8 @@
 
 import orjson
 
+from brackenlane.discovery.definition_codec import encode_definition
 from brackenlane.discovery.records import CacheDefinition
-from brackenlane.discovery.registry import encode_definition
 from brackenlane.limits import Limits
 from brackenlane.store.connection import Command, Connection
 from brackenlane.store.event_codec import CacheDefined
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from brackenlane.admission.controller import AdmissionQueue
-from brackenlane.admission.lanes import Phase
 from brackenlane.admission.figures import Figures, Reason
+from brackenlane.admission.lanes import Phase
 from brackenlane.lab.queueing import CLASSES, Costs, Fifo, admission, run_queue
 
 CAPACITY = 200.0  # requests a second at 5 ms each
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -24,7 +24,7 @@
     is_log_continuous,
     missing_orders,
 )
-from brackenlane.discovery import snapshot
+from brackenlane.discovery import snapshot_codec
 from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.records import OperatorOrder, Policy, RememberedMembers
 from brackenlane.discovery.registry import Registry
@@ -34,8 +34,8 @@
 from brackenlane.routing.events import CacheStatus, Purged
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.settings import SlowStart
-from brackenlane.store.shared_store import SharedStore, StoreSettings
 from brackenlane.routing.slow_start import MARGIN, capacity_by_age, sharers_by_turn
+from brackenlane.store.shared_store import SharedStore, StoreSettings
 from tests.router_harness import RouterHarness, every
 
 CAPACITY = Capacity(1000, request_rate=500.0, load_rate=20.0)
@@ -286,14 +286,14 @@
     shared.applier.restore_purges({("clip", -1): now - 3.0, ("", 7): now - 11.0, ("old", -1): now - 13.0})
     found = {(e.obj, e.group): e.age for e in events if isinstance(e, Purged)}
     assert found == {("clip", -1): pytest.approx(3.0, abs=0.2), ("", 7): pytest.approx(11.0, abs=0.2)}
-    retained = snapshot.Snapshot(
+    retained = snapshot_codec.Snapshot(
         RememberedMembers(),
         now,
         StreamPosition(5, 1),
         True,
         tuple((*key, at) for key, at in shared.purges.items()),
     )
-    assert snapshot.parse(snapshot.dump(retained)) == retained and len(retained.purges) == 2
+    assert snapshot_codec.parse(snapshot_codec.dump(retained)) == retained and len(retained.purges) == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -34,6 +34,7 @@
 from brackenlane.net.dispatched_attempt import DispatchedAttempt
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
+from brackenlane.net.request_codec import EncodedResponse
 from brackenlane.observe.throttle import Throttle
 from brackenlane.routing.actions import Fetch
 from brackenlane.routing.events import Arrival, Membership, MembershipKind
@@ -432,11 +433,11 @@
                 raise
 
     with peer:
-        front._admit(Crossed(fileno=mine.detach()))
+        front.listener.admit(Crossed(fileno=mine.detach()))
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
-        while not front._waiting[ClientState.NEXT]:
+        while not front.table.in_state(ClientState.IDLE):
             poller.turn()
-        [client] = front._waiting[ClientState.NEXT]
+        [client] = front.table.in_state(ClientState.IDLE)
         if how == "leave":
             front.leave()
         else:
@@ -448,7 +449,7 @@
         poller.turn()
         assert not core.open_request_count  # what came after the end is not sent on
         peer.close()
-        while client.open:
+        while client.is_open:
             poller.turn()
 
 
@@ -825,12 +826,12 @@
         mine, _ = listener.accept()
     with peer:
         mine.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        front._admit(mine)
-        [client] = front._waiting[ClientState.FIRST]
-        client.wait(ClientState.NOT)
-        client._bytes_allowed = Limits().max_head_size
-        client.answer((200, {}, bytes(8_000_000)))
-        assert client in front._waiting[ClientState.TAKE]
+        front.listener.admit(mine)
+        [client] = front.table.in_state(ClientState.NEW)
+        client.wait(ClientState.ACTIVE)
+        client._input.bytes_allowed = Limits().max_head_size
+        client.answer(EncodedResponse(200, {}, bytes(8_000_000)))
+        assert client in front.table.in_state(ClientState.WRITING)
         peer.sendall(b"x" * 20_000)
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n" * 1000)
         peer.setblocking(False)
