--- a/brackenlane/routing/actions.py
+++ b/brackenlane/routing/actions.py
@@ -28,7 +28,7 @@
     join: bool = False  # whether the request may join a fill in progress
     revalidate: bool = False  # whether a copy that is about to expire is fetched anew in the background
     only_if_cached: bool = False  # whether the source gives only what it holds (RFC 9111, 5.2.1.7)
-    until: float = math.inf  # Unix seconds: when its first byte may be written last
+    until: float = math.inf  # Unix seconds: the latest time at which its first byte may be written
 
 
 @dataclass(slots=True, frozen=True)
--- a/brackenlane/routing/events.py
+++ b/brackenlane/routing/events.py
@@ -53,7 +53,7 @@
     UNKNOWN = 0
     HIT = 1
     FILLED = 2  # from a copy of the source
-    FILLED_BY_ORIGIN = 3  # the origin was asked, by the cache or by its source
+    FILLED_BY_ORIGIN = 3  # fetched from the origin, by the cache or by its source
     JOINED = 4  # by a fill in progress
     STALE = 5  # a copy past its fresh time
     SOURCE_REFUSED = 6
--- a/brackenlane/routing/purges.py
+++ b/brackenlane/routing/purges.py
@@ -1,7 +1,8 @@
 """Purges that a router was notified of, and the oldest copy that they leave usable.
 
-Pure. Times are Unix seconds, ages and durations seconds. The rule, the site's fifth guarantee: no attempt
-made after a notification may be answered from a copy that left the origin before the purge.
+Pure. Times are Unix seconds, ages and durations seconds. The rule (page WIRE-brackenlane, "Lines not to
+cross", 5): no attempt made more than `HeedWithinS` after a notification may be answered from a copy that left
+the origin before the purge.
 """
 
 from __future__ import annotations
--- a/brackenlane/routing/settings.py
+++ b/brackenlane/routing/settings.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests: what its answers are worth and when, and how its copies age."""
+    """One class of requests: the value of its answers by time, and how its copies age."""
 
     name: str  # as requests give it
     latency_objective: float  # seconds within which an answer has its full value
@@ -57,7 +57,7 @@
     objective_stretch: float = 0.0  # times a request's own transfer time: added to the objective
     value_weight: float = 1.0  # value of an answer in time
     late_value: float = 0.0  # share of the value, 0 to 1, that an answer after the objective has
-    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    idempotency: Idempotency = Idempotency.IDEMPOTENT  # whether repeats may run
     scope: Scope = Scope.ALL  # of dropped repeats, where requests have idempotency keys
     repeat_window: float = (
         0.0  # seconds from the first attempt that may have run, in which repeats are dropped
@@ -111,7 +111,7 @@
     locations: tuple[str, ...]  # of the whole site; what is given by location is in their order
     classes: tuple[RequestClass, ...]  # the first is that of requests that name no known class
     router_index: int = 0  # of this router among all, from 0
-    router_count: int = 1
+    router_count: int = 1  # routers of the whole site
     hub_of: tuple[int, ...] = ()  # by location: the index of its hub's location; empty: no hubs
     routers_by_location: tuple[int, ...] = ()  # empty: unknown
     peer_index: int = UNKNOWN_PEER_INDEX  # of this router among those of its location, from 0
@@ -130,14 +130,14 @@
     weights_known: bool = True  # else every server's weight is 1 and says nothing of its link
     must_subscribe: bool = False  # whether discovery sends changes only on request
     may_cancel: bool = False  # whether attempts can be cancelled
-    may_probe: bool = False  # whether servers may be asked for their load
+    may_probe: bool = False  # whether load reports may be requested from servers
     probe_price: float = 0.0  # share of the value served that one probe per request costs
-    may_message_peers: bool = False
+    may_message_peers: bool = False  # whether routers may send messages to each other
     may_hedge: bool = False  # whether a request may have two attempts in flight
     may_bypass_caches: bool = False  # whether parents and the origin take attempts as well
     may_join_fills: bool = False  # whether a request can join a fill in progress
-    sibling_sources: SiblingSources = SiblingSources.NONE
-    status_reporting: CacheStatusReporting = CacheStatusReporting.ALL
+    sibling_sources: SiblingSources = SiblingSources.NONE  # edge caches that may fill others
+    status_reporting: CacheStatusReporting = CacheStatusReporting.ALL  # answers that carry a cache status
 
     def __post_init__(self) -> None:
         """Raise InvalidSettingError where a field is out of its range or contradicts another."""
@@ -145,7 +145,8 @@
             raise InvalidSettingError("classes", "at least one class is needed")
         if self.location not in self.locations:
             raise InvalidSettingError("location", f"{self.location!r} is not among the locations")
-        if len({cls.name for cls in self.classes}) < len(self.classes):
+        names = {cls.name for cls in self.classes}
+        if len(names) < len(self.classes):
             raise InvalidSettingError("classes", "two classes bear one name")
         self._check_values_by_location()
         _check_at_least("router_count", self.router_count, 1)
--- a/brackenlane/routing/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -3,7 +3,7 @@
 Pure. The keys and words of the object stand here and nowhere else in the package. Every value that is used is
 checked for its type and range; SettingsError reports the first that cannot be used. Unknown keys and names of
 load report fields are ignored: newer sites may send them.
-Source: the simulator's page WIRE-brackenlane, "Settings".
+Source: the simulator's page WIRE-brackenlane, field `Config` of `LAUNCH`.
 """
 
 from __future__ import annotations
--- a/brackenlane/routing/sizes.py
+++ b/brackenlane/routing/sizes.py
@@ -28,7 +28,7 @@
         self.by_object: OrderedDict[str, float] = OrderedDict()  # all parts of an object are of one size
         self.means = {cls.name: _prior_mean(cls) for cls in classes}  # by class
         self._longest = {cls.name: cls.time_limit for cls in classes}
-        self._answer_counts = dict.fromkeys(self.means, PRIOR_ANSWERS)  # that a mean rests on, with its prior
+        self._answer_counts = dict.fromkeys(self.means, PRIOR_ANSWERS)  # in each mean, with its prior
         self._are_sizes_seen = False  # in answers
 
     @property
--- a/brackenlane/routing/slow_start.py
+++ b/brackenlane/routing/slow_start.py
@@ -1,9 +1,9 @@
 """The work that all routers together may send a server that started lately, shared without messages.
 
 Pure. Times are Unix seconds, work is in seconds of transfer at the highest pace, capacity and weight are in
-transfers at a time. The rule is the site's fourth guarantee: a server that is warming up and is sent more
-than `factor` times what it bears, for `span` seconds, fails. A token bucket holds what may come at once, and
-fills as fast as the server works.
+transfers at a time. The rule (page WIRE-brackenlane, "Lines not to cross", 4): a server that is warming up
+and is sent more than `factor` times what it bears, for `span` seconds, fails. A token bucket holds what may
+come at once, and fills as fast as the server works.
 """
 
 from __future__ import annotations
