--- a/brackenlane/routing/server_capacity.py
+++ b/brackenlane/routing/server_capacity.py
@@ -55,7 +55,7 @@
     def link_load(self, server: Server, sharers: float, request: Request, now: float) -> LinkLoad:
         """Return the load of a server's link with one more transfer like this request's."""
         transfers = self.transfers(server, sharers)
-        # At the least time told apart: the objective may be over.
+        # Once the objective is over there is no capacity; the least time that is told apart stands for 0.
         capacity = max(self.transfer_capacity(server, request, now), self._tick)
         return LinkLoad(transfers, (transfers + 1) / capacity)
 
