--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -17,7 +17,7 @@
 LINE = re.compile(r"(\S+::\S.*?), (\S.*), (issue \d+)")
 
 
-class Wrong(Exception):
+class KnownRedError(Exception):
     """A file that can't be kept to."""
 
 
@@ -26,14 +26,14 @@
     path = root / "KNOWN-RED.txt"
     lines = path.read_text().splitlines() if path.exists() else []
     if len(lines) > MOST:
-        raise Wrong(f"{len(lines)} lines, {MOST} are allowed")
+        raise KnownRedError(f"{len(lines)} lines, {MOST} are allowed")
     found = [LINE.fullmatch(line) for line in lines]
     for line, match in zip(lines, found, strict=True):
         if match is None:
-            raise Wrong(f"not 'TEST, CAUSE, issue N': {line!r}")
+            raise KnownRedError(f"not 'TEST, CAUSE, issue N': {line!r}")
     reported = [(match[1], match[2], match[3]) for match in found if match]
     if len({test for test, _, _ in reported}) < len(reported):
-        raise Wrong("a test stands twice")
+        raise KnownRedError("a test stands twice")
     return reported
 
 
@@ -45,24 +45,35 @@
     config.hook.pytest_deselected(items=gone)
 
 
+def check(root: Path) -> list[tuple[str, str, str]]:
+    """Return what the file lists; KnownRedError if it names a test that is not there."""
+    reported = read(root)
+    if reported:
+        known = collected_tests(root)
+        for test, _, _ in reported:
+            if test not in known:
+                raise KnownRedError(f"no such test: {test}")
+    return reported
+
+
+def collected_tests(root: Path) -> set[str]:
+    """Return the names of all tests."""
+    done = subprocess.run(
+        [sys.executable, "-m", "pytest", "--collect-only", "-q", "-n0"],
+        cwd=root,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    return set(done.stdout.splitlines())
+
+
 def main(root: Path) -> int:
     """Check the file and print it."""
     try:
-        reported = read(root)
-        if reported:
-            done = subprocess.run(
-                [sys.executable, "-m", "pytest", "--collect-only", "-q", "-n0"],
-                cwd=root,
-                capture_output=True,
-                text=True,
-                check=False,
-            )
-            known = set(done.stdout.splitlines())
-            for test, _, _ in reported:
-                if test not in known:
-                    raise Wrong(f"no such test: {test}")
-    except Wrong as fault:
-        print(f"KNOWN-RED.txt: {fault}", file=sys.stderr)
+        reported = check(root)
+    except KnownRedError as error:
+        print(f"KNOWN-RED.txt: {error}", file=sys.stderr)
         return 1
     for test, cause, issue in reported:
         print(f"known red, not run: {test}: {cause} ({issue})")
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -16,10 +16,10 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from brackenlane.budgets.division import ShareRequest, divide  # noqa: E402
-from brackenlane.budgets.leases import HeldLease, LeasePolicy, spendable_amount  # noqa: E402
-from brackenlane.lab.budget_model import Model  # noqa: E402
-from brackenlane.lab.model import explore  # noqa: E402
+from brackenlane.budgets.division import ShareRequest, divide
+from brackenlane.budgets.leases import HeldLease, LeasePolicy, spendable_amount
+from brackenlane.lab.budget_model import Model
+from brackenlane.lab.model import explore
 
 
 def uneven(members: int, seed: int) -> dict[str, float]:
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -17,12 +17,12 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from brackenlane.lab import site  # noqa: E402
-from brackenlane.lab.cluster import invariants, script  # noqa: E402
-from brackenlane.lab.cluster.clients import served  # noqa: E402
-from brackenlane.lab.cluster.record import Event, Record  # noqa: E402
-from brackenlane.lab.cluster.scenario import Outcome, Scenario, median  # noqa: E402
-from brackenlane.lab.cluster.virtual import SimulatedFleet, Store, peak  # noqa: E402
+from brackenlane.lab import site
+from brackenlane.lab.cluster import invariants, script
+from brackenlane.lab.cluster.clients import served
+from brackenlane.lab.cluster.record import Event, Record
+from brackenlane.lab.cluster.scenario import Outcome, Scenario, median
+from brackenlane.lab.cluster.virtual import SimulatedFleet, Store, peak
 
 LANDED = "f8edb49"  # the last version before this subsystem
 REQUESTS_PER_S = 100.0
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -17,8 +17,8 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from brackenlane.lab import site  # noqa: E402
-from brackenlane.lab.races import Scenario, violations  # noqa: E402
+from brackenlane.lab import site
+from brackenlane.lab.races import Scenario, violations
 
 
 def main() -> int:
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -20,7 +20,7 @@
 from brackenlane.discovery.query import Kind
 from brackenlane.discovery.records import MergedCache, fixed
 from brackenlane.discovery.registry import Registry
-from brackenlane.discovery.resolver import LookUpFailed, Resolver
+from brackenlane.discovery.resolver import LookUpFailedError, Resolver
 from brackenlane.limits import Limits
 
 HEADING = ("BOX", "ROLE", "ADDRESS", "WEIGHT", "STATE", "BY", "WHY")
@@ -129,7 +129,7 @@
     async def _look_up_service(self, name: str) -> None:
         try:
             found = await self._resolver.look_up(name, Kind.SRV)
-        except LookUpFailed as error:
+        except LookUpFailedError as error:
             self._fail(name, "SRV", error)
             return
         self._registry.apply(self._merge.answer(name, found.targets, found.upstream, time.time()))
@@ -141,13 +141,13 @@
     async def _look_up_host(self, name: str) -> None:
         try:
             found = await self._resolver.addresses(name)
-        except LookUpFailed as error:
+        except LookUpFailedError as error:
             self._fail(name, "A", error)
             return
         self._registry.apply(self._merge.locate(name, found.addresses, time.time()))
         self.answers.append(DnsAnswer(name, "A", found.upstream, tuple(found.addresses)))
 
-    def _fail(self, name: str, kind: str, error: LookUpFailed) -> None:
+    def _fail(self, name: str, kind: str, error: LookUpFailedError) -> None:
         self._merge.failed(name, str(error))
         self.answers.append(DnsAnswer(name, kind, fault=str(error)))
 
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -14,7 +14,7 @@
 from brackenlane.discovery.query import Kind
 from brackenlane.discovery.records import Change
 from brackenlane.discovery.registry import Registry
-from brackenlane.discovery.resolver import LookUpFailed, LookUpResult, Resolver
+from brackenlane.discovery.resolver import LookUpFailedError, LookUpResult, Resolver
 from brackenlane.limits import Limits
 
 log = logging.getLogger(__name__)
@@ -129,7 +129,7 @@
         """Return the result of a look-up; None if it failed or is stale, which is recorded."""
         try:
             result = await look_up
-        except LookUpFailed as error:
+        except LookUpFailedError as error:
             reason = str(error)
         else:
             if not result.is_stale:
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -102,12 +102,12 @@
         self.sources.warm_up.all_cold_since = now
         return self._list.rebuild()
 
-    def forget(self, now: float) -> list[Change]:
+    def forget(self) -> list[Change]:
         """Drop the definitions of the snapshot: the store has been read completely."""
         self.sources.definitions.replace_all(DefinitionSource.MEMORY, ())
         return self._list.rebuild()
 
-    def confirm(self, now: float) -> list[Change]:
+    def confirm(self) -> list[Change]:
         """Count the definitions of the snapshot as the store's: it has confirmed them."""
         if not self.sources.definitions.move_snapshot_to_store():
             return []
--- a/brackenlane/discovery/resolver.py
+++ b/brackenlane/discovery/resolver.py
@@ -36,7 +36,7 @@
 TCP_TIMEOUT_FACTOR = 2  # a connection takes one more round trip
 
 
-class LookUpFailed(DiscoveryError):
+class LookUpFailedError(DiscoveryError):
     """A look-up that no upstream answered and no cached answer serves."""
 
 
@@ -85,14 +85,14 @@
         self._pending: dict[Question, PendingLookUp] = {}
 
     async def look_up(self, name: str, kind: Kind) -> LookUpResult:
-        """Return the records of a name, aliases followed; LookUpFailed if no answer can be had."""
+        """Return the records of a name, aliases followed; LookUpFailedError if no answer can be had."""
         question = Question(name.rstrip(".").lower(), kind)
         for _ in range(MAX_ALIASES):
             answer, error = await self._answer(question)
             if not answer.reply.alias:
                 return _result(answer, error)
             question = Question(answer.reply.alias, kind)
-        raise LookUpFailed(f"{name}: a loop of aliases, or too many")
+        raise LookUpFailedError(f"{name}: a loop of aliases, or too many")
 
     async def addresses(self, name: str) -> LookUpResult:
         """Return the IPv4 addresses of a name, or its IPv6 addresses if it has no others."""
@@ -126,7 +126,7 @@
     def _stale_answer(self, question: Question, error: str, now: float) -> CachedAnswer:
         if answer := self.cache.stale(question, now):
             return answer
-        raise LookUpFailed(f"{question.name} {question.kind.name}: {error}")
+        raise LookUpFailedError(f"{question.name} {question.kind.name}: {error}")
 
     async def _run_look_up(self, question: Question, pending: PendingLookUp) -> None:
         try:
--- a/brackenlane/dns/responder.py
+++ b/brackenlane/dns/responder.py
@@ -10,14 +10,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
-import dns.edns
 import dns.exception
 import dns.flags
 import dns.message
 import dns.name
 import dns.opcode
 import dns.rcode
-import dns.rdata
 import dns.rdataclass
 import dns.rdatatype
 import dns.rrset
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -14,7 +14,7 @@
 from brackenlane.core.requests import PendingRequest
 from brackenlane.net.client_transport import ClientDisconnectedError, ClientTransport
 from brackenlane.net.front_context import FrontContext
-from brackenlane.net.http_codec import CONTINUE, BadRequest, ParsedRequest, encode_answer, read_plain
+from brackenlane.net.http_codec import CONTINUE, BadRequestError, ParsedRequest, encode_answer, read_plain
 from brackenlane.net.poller import READ, WRITE
 from brackenlane.net.request_codec import EncodedResponse, encode_fault, queue_class
 from brackenlane.net.request_input import RequestInput
@@ -77,7 +77,7 @@
     """What a connection hands its requests to; the answer comes by `ClientConnection.answer`."""
 
     def accept(self, client: ClientConnection, parsed: ParsedRequest, since: float) -> None:
-        """Accept a request, which came at a Unix time. Raises BadRequest."""
+        """Accept a request, which came at a Unix time. Raises BadRequestError."""
 
     def withdraw(self, request: PendingRequest) -> None:
         """Withdraw a request whose client has left."""
@@ -302,7 +302,7 @@
         self._closes_after_answer = not parsed.keep_alive or parsed.method == "HEAD"
         try:
             self._handler.accept(self, parsed, since)
-        except BadRequest as fault:  # a fault of the request alone: the connection is kept
+        except BadRequestError as fault:  # a fault of the request alone: the connection is kept
             log.warning("a request that can't be served: %s", fault)
             self.answer(encode_fault(fault))
 
--- a/brackenlane/net/http_codec.py
+++ b/brackenlane/net/http_codec.py
@@ -40,7 +40,7 @@
 STATUS = {s.value: b"HTTP/1.1 %d %b\r\n" % (s.value, s.phrase.encode()) for s in HTTPStatus}
 
 
-class BadRequest(Exception):
+class BadRequestError(Exception):
     """A request that is answered with an error: status, extra headers, and the text of the body."""
 
     def __init__(self, status: HTTPStatus, text: str, headers: Headers | None = None) -> None:
@@ -100,7 +100,7 @@
         self._in_head = False
         self._begun = False  # a message began within the bytes fed last
         self.partial = False  # a request has begun and not ended
-        self.fault: BadRequest | None = None
+        self.fault: BadRequestError | None = None
         self.wants_continue = False  # the client waits for 100 Continue before it sends its body
 
     def _begin(self) -> None:
@@ -130,7 +130,7 @@
             return data[end.args[0] :]
         except httptools.HttpParserCallbackError as fault:
             cause = fault.__context__
-            if isinstance(cause, BadRequest):
+            if isinstance(cause, BadRequestError):
                 self.fault = cause
             else:
                 raise
@@ -153,7 +153,7 @@
         return self._complete.popleft() if self._complete else None
 
     def _fail(self, status: HTTPStatus, text: str) -> None:
-        self.fault = self.fault or BadRequest(status, text)
+        self.fault = self.fault or BadRequestError(status, text)
 
     # Callbacks of httptools
 
@@ -172,44 +172,44 @@
         """Add one header; trailers behind a chunked body are ignored."""
         self._head_size += len(name) + len(value)
         if self._head_size > 2 * self._limits.max_head_size:
-            raise BadRequest(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
+            raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         known = READ_HEADERS.get(name.lower())
         if known is None or not self._in_head:
             return
         if known in self._headers:
-            raise BadRequest(HTTPStatus.BAD_REQUEST, "a header stands twice")
+            raise BadRequestError(HTTPStatus.BAD_REQUEST, "a header stands twice")
         self._headers[known] = value.decode("latin-1").strip(" \t")
 
     def on_headers_complete(self) -> None:
-        """Check the head before any body is read. Raises BadRequest."""
+        """Check the head before any body is read. Raises BadRequestError."""
         self._in_head = False
         headers = self._headers
         if self._head_size > self._limits.max_head_size:
-            raise BadRequest(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
+            raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         if self._parser.get_http_version() not in ("1.1", "1.0"):
-            raise BadRequest(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here")
+            raise BadRequestError(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here")
         if "host" not in headers and self._parser.get_http_version() == "1.1":
-            raise BadRequest(HTTPStatus.BAD_REQUEST, "Host is missing")
+            raise BadRequestError(HTTPStatus.BAD_REQUEST, "Host is missing")
         # Request smuggling: parsers differ in which of the two they follow (RFC 9112, 6.3).
         if "content-length" in headers and "transfer-encoding" in headers:
-            raise BadRequest(
+            raise BadRequestError(
                 HTTPStatus.BAD_REQUEST, "Content-Length and Transfer-Encoding: one of them at most"
             )
         if headers.get("transfer-encoding", "chunked").lower() != "chunked":
-            raise BadRequest(HTTPStatus.NOT_IMPLEMENTED, "of all encodings only chunked is known")
+            raise BadRequestError(HTTPStatus.NOT_IMPLEMENTED, "of all encodings only chunked is known")
         length = headers.get("content-length", "0")
         if not LENGTH.fullmatch(length):
-            raise BadRequest(HTTPStatus.BAD_REQUEST, "Content-Length must be a number")
+            raise BadRequestError(HTTPStatus.BAD_REQUEST, "Content-Length must be a number")
         if int(length) > self._limits.max_upload_size:
-            raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+            raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self.wants_continue = headers.get("expect", "").lower() == "100-continue"
 
     def on_body(self, data: bytes) -> None:
-        """Add a part of the body. Raises BadRequest if it is too large."""
+        """Add a part of the body. Raises BadRequestError if it is too large."""
         self.wants_continue = False
         self._body_size += len(data)
         if self._body_size > self._limits.max_upload_size:
-            raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+            raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self._body.append(data)
 
     def on_message_complete(self) -> None:
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -9,7 +9,7 @@
 
 from brackenlane.core.requests import Answer, Disposition, PendingRequest
 from brackenlane.limits import Limits
-from brackenlane.net.http_codec import BadRequest, Headers, ParsedRequest
+from brackenlane.net.http_codec import BadRequestError, Headers, ParsedRequest
 from brackenlane.routing.events import Arrival
 from brackenlane.routing.settings import RequestClass
 
@@ -42,16 +42,16 @@
 ) -> PendingRequest:
     """Return the request that a client makes, which arrived at `now` (Unix seconds).
 
-    Raises BadRequest for the first fault found.
+    Raises BadRequestError for the first fault found.
     """
     target = TARGET.fullmatch(parsed.target)
     request_class = classes.get(target[1]) if target else None
     if target is None or request_class is None:
-        raise BadRequest(HTTPStatus.NOT_FOUND, "no such class or object")
+        raise BadRequestError(HTTPStatus.NOT_FOUND, "no such class or object")
     _check_method(parsed, request_class)
     transaction_id = parsed.headers.get("x-txn", "")
     if not TRANSACTION_ID.fullmatch(transaction_id):
-        raise BadRequest(HTTPStatus.BAD_REQUEST, "X-Txn must be 16 hexadecimal digits")
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, "X-Txn must be 16 hexadecimal digits")
     time_to_live_ms = _read_number(parsed, "x-ttl-ms", 1, int(limits.max_client_wait * MS_PER_SECOND))
     shard = _read_number(parsed, "x-shard", 0, MAX_SHARD)
     is_retry = _read_retry_mark(parsed)
@@ -84,10 +84,10 @@
 def _check_method(parsed: ParsedRequest, request_class: RequestClass) -> None:
     method = "PUT" if request_class.uncached else "GET"
     if parsed.method != method:
-        raise BadRequest(HTTPStatus.METHOD_NOT_ALLOWED, f"this class takes {method}", {"Allow": method})
+        raise BadRequestError(HTTPStatus.METHOD_NOT_ALLOWED, f"this class takes {method}", {"Allow": method})
     # Guards the caches, which close on what they can't read, whatever else is open on that connection.
     if bool(parsed.body) is not request_class.uncached:
-        raise BadRequest(HTTPStatus.BAD_REQUEST, "a write has a body, a read has none")
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, "a write has a body, a read has none")
 
 
 def _read_number(parsed: ParsedRequest, name: str, low: int, high: int) -> int:
@@ -95,21 +95,21 @@
     text = parsed.headers.get(name, "")
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
     if not is_number or not low <= int(text) <= high:
-        raise BadRequest(HTTPStatus.BAD_REQUEST, f"{name.title()} must be a number, {low} to {high}")
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, f"{name.title()} must be a number, {low} to {high}")
     return int(text)
 
 
 def _read_retry_mark(parsed: ParsedRequest) -> bool:
     mark = parsed.headers.get("x-second-try")
     if mark not in (None, "1"):
-        raise BadRequest(HTTPStatus.BAD_REQUEST, "X-Second-Try must be 1 or absent")
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, "X-Second-Try must be 1 or absent")
     return mark == "1"
 
 
 def _read_idempotency_key(parsed: ParsedRequest) -> str:
     key = parsed.headers.get("x-txn-key", "")
     if key and not IDEMPOTENCY_KEY.fullmatch(key):
-        raise BadRequest(HTTPStatus.BAD_REQUEST, "X-Txn-Key must be a word of 64 characters at most")
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, "X-Txn-Key must be a word of 64 characters at most")
     return key
 
 
@@ -128,7 +128,7 @@
     return target[len(PATH_PREFIX) : target.find("/", len(PATH_PREFIX))]
 
 
-def encode_fault(fault: BadRequest) -> EncodedResponse:
+def encode_fault(fault: BadRequestError) -> EncodedResponse:
     """Encode the response to a request that can't be served."""
     return EncodedResponse(fault.status.value, fault.headers, f"{fault}\n".encode())
 
--- a/brackenlane/net/request_input.py
+++ b/brackenlane/net/request_input.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from brackenlane.limits import Limits
-from brackenlane.net.http_codec import BadRequest, ParsedRequest, RequestParser
+from brackenlane.net.http_codec import BadRequestError, ParsedRequest, RequestParser
 
 
 class RequestInput:
@@ -27,7 +27,7 @@
         return self._parser.complete
 
     @property
-    def fault(self) -> BadRequest | None:
+    def fault(self) -> BadRequestError | None:
         """What is wrong with the bytes that came; nothing behind it is read."""
         return self._parser.fault
 
--- a/brackenlane/net/request_intake.py
+++ b/brackenlane/net/request_intake.py
@@ -18,7 +18,7 @@
 from brackenlane.net.answer_encoder import AnswerEncoder
 from brackenlane.net.client_connection import ClientConnection
 from brackenlane.net.front_context import FrontContext
-from brackenlane.net.http_codec import BadRequest, ParsedRequest
+from brackenlane.net.http_codec import BadRequestError, ParsedRequest
 from brackenlane.net.request_codec import HEALTH_TARGET, EncodedResponse, read_request
 from brackenlane.net.write_record import WriteRecord
 
@@ -61,7 +61,7 @@
     def accept(self, client: ClientConnection, parsed: ParsedRequest, since: float) -> None:
         """Accept one request, which came at a Unix time; the client gets its answer, perhaps at once.
 
-        Raises BadRequest for a request that can't be served.
+        Raises BadRequestError for a request that can't be served.
         """
         if parsed.target == HEALTH_TARGET:
             self._answer_health_check(client, parsed)
@@ -82,7 +82,7 @@
             client.answer(self._encoder.encode_rejection())
             return
         if claim is ClaimResult.TAKEN:
-            raise BadRequest(HTTPStatus.CONFLICT, "this X-Txn has been taken already")
+            raise BadRequestError(HTTPStatus.CONFLICT, "this X-Txn has been taken already")
         self._start(client, request)
 
     def withdraw(self, request: PendingRequest) -> None:
@@ -98,7 +98,7 @@
 
     def _answer_health_check(self, client: ClientConnection, parsed: ParsedRequest) -> None:
         if parsed.method != "GET":
-            raise BadRequest(HTTPStatus.METHOD_NOT_ALLOWED, "health takes GET", {"Allow": "GET"})
+            raise BadRequestError(HTTPStatus.METHOD_NOT_ALLOWED, "health takes GET", {"Allow": "GET"})
         is_ready = self._core.membership.has_list and not self._context.drain.is_closing and self.is_ready()
         client.answer(HEALTHY_RESPONSE if is_ready else NOT_READY_RESPONSE)
 
--- a/brackenlane/routing/__init__.py
+++ b/brackenlane/routing/__init__.py
@@ -1,7 +1,7 @@
-"""Owns the decisions of a request: the server that gets it, the source of a fill, retries and rejections.
+"""The decisions of a request: which server is sent it, when it is retried, and when it is rejected.
 
-Never does input or output, reads a clock or sleeps: time and random seed are handed to it.
-Entry point: `Router`, whose `handle` takes an event and returns actions (records: events, actions, settings).
+Owns what one router learns of servers and objects. Never opens a connection, reads a clock, or draws a
+random number without a seed. Entry point: `Router.handle(event, now)`, which returns the actions to perform.
 """
 
 from brackenlane.routing.router import Router
--- a/brackenlane/store/replica.py
+++ b/brackenlane/store/replica.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import time
-
 from brackenlane.coldstart.stream_position import StreamPosition, is_log_continuous
 from brackenlane.discovery.registry import Registry
 from brackenlane.store.event_applier import EventApplier
@@ -34,7 +32,7 @@
         entries = state.entries + await self._reader.read_following_pages(state.entries)
         if not is_log_continuous(self.position, {entry.position for entry in entries}):
             return False
-        self._registry.apply(self._registry.merge.confirm(time.time()))
+        self._registry.apply(self._registry.merge.confirm())
         self._applier.orders_in_store.clear()
         for text in state.order_texts:
             if text:
@@ -56,7 +54,7 @@
             self._applier.apply_stored_cache(text)
         for entry in await self._reader.read_entries_from(position.earlier(purge_lifetime)):
             self._applier.apply_entry_if_purge(entry)
-        self._registry.apply(self._registry.merge.forget(time.time()))
+        self._registry.apply(self._registry.merge.forget())
         self.position = position
 
     async def follow(self, block: float) -> None:
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -261,7 +261,7 @@
     made.tick(now + 10)
     assert made.caches[IDS[0]].state is MergedState.DRAINING
     assert serving(made) == ({*IDS[1:], "box-9"} if known else set())
-    made.forget(now + 11)
+    made.forget()
     assert "box-9" not in made.caches
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,7 +10,7 @@
 import trio
 
 from brackenlane.limits import Limits
-from brackenlane.net.http_codec import BadRequest, RequestParser, read_plain
+from brackenlane.net.http_codec import BadRequestError, RequestParser, read_plain
 from tests.stand_ins import Asked, Box, Log, Program, data, platform, record, with_trio
 from tests.test_platform import EDGE, ORIGIN, SMUGGLED
 
@@ -177,7 +177,7 @@
     requests = RequestParser(Limits())
     for start in range(0, len(sent), step):
         requests.feed(sent[start : start + step].encode())
-    assert isinstance(requests.fault, BadRequest) and requests.fault.status == status
+    assert isinstance(requests.fault, BadRequestError) and requests.fault.status == status
     assert requests.next() is None
 
 
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -17,7 +17,7 @@
 from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.query import Kind, Question, Reply, ReplyKind, decode_reply, encode_query
 from brackenlane.discovery.records import Policy, SrvRecord, SrvWatch
-from brackenlane.discovery.resolver import LookUpFailed, Resolver
+from brackenlane.discovery.resolver import LookUpFailedError, Resolver
 from brackenlane.discovery.upstreams import Upstreams, UpstreamTimeouts
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
 from tests.stand_ins import free_port, with_trio
@@ -99,7 +99,7 @@
             found = await resolver.look_up(SRV, Kind.SRV)
             assert set(found.targets) == set(TARGETS)
             assert any(requested.tcp for requested in server.asked) is tcp or fault is Fault.SPOOFED
-        except LookUpFailed:
+        except LookUpFailedError:
             # One that lies over TCP too is not believed there either; one bad datagram is waited out first.
             assert fault in (Fault.WRONG_ID, Fault.WRONG_NAME, Fault.WRONG_CASE, Fault.NOISE)
         assert (fault is Fault.FORMERR) is (not resolver.upstreams.all[0].edns)
@@ -152,11 +152,11 @@
         server.fail(Fault.LOST)
         resolver = made(nursery, server, budget=0.4)
         begun = trio.current_time()
-        with pytest.raises(LookUpFailed, match="no answer|no upstream"):
+        with pytest.raises(LookUpFailedError, match="no answer|no upstream"):
             await resolver.look_up(SRV, Kind.SRV)
         assert trio.current_time() - begun >= 0.1
         requested = len(server.asked)
-        with pytest.raises(LookUpFailed):  # and is not put again for a moment
+        with pytest.raises(LookUpFailedError):  # and is not put again for a moment
             await resolver.look_up(SRV, Kind.SRV)
         assert len(server.asked) == requested
         nursery.cancel_scope.cancel()
@@ -167,7 +167,7 @@
     """A port where nobody listens fails at once, over UDP as over TCP."""
     async with trio.open_nursery() as nursery:
         resolver = Resolver([("127.0.0.1", free_port())], nursery, timeouts=QUICK)
-        with pytest.raises(LookUpFailed, match="refused"):
+        with pytest.raises(LookUpFailedError, match="refused"):
             await resolver.look_up(SRV, Kind.SRV)
         nursery.cancel_scope.cancel()
 
@@ -208,7 +208,7 @@
         server.put("y.test", "CNAME", "x.test.")
         resolver = made(nursery, server)
         assert (await resolver.addresses("a.test")).addresses == ("127.0.1.7",)
-        with pytest.raises(LookUpFailed, match="loop"):
+        with pytest.raises(LookUpFailedError, match="loop"):
             await resolver.look_up("x.test", Kind.A)
         assert len(server.asked) < 20
         nursery.cancel_scope.cancel()
