--- a/brackenlane/lab/site.py
+++ b/brackenlane/lab/site.py
@@ -189,7 +189,8 @@
         stdout=subprocess.PIPE,
     )
     try:
-        assert process.stdout and process.stdout.readline() == b"ready\n"
+        assert process.stdout
+        assert process.stdout.readline() == b"ready\n"
         yield ports[:-1], ports[-1], seen
         reported, _ = process.communicate(timeout=10)
         seen.update(orjson.loads(reported))
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -51,10 +51,10 @@
     text = expose(counts, Gauges(14, 9, 1)).decode()
     sample = re.compile(r'[a-z_]+(\{kind="(\\["\\n]|[^"\\\n])*"\})? \d+')
     kinds = re.compile(r"# TYPE [a-z_]+ (counter|gauge)")
-    assert text.endswith("\n") and all(
-        kinds.fullmatch(line) or sample.fullmatch(line) for line in text.splitlines()
-    )
-    assert 'gw_ok{kind="pages"} 2\n' in text and "gw_active 14\n" in text
+    assert text.endswith("\n")
+    assert all(kinds.fullmatch(line) or sample.fullmatch(line) for line in text.splitlines())
+    assert 'gw_ok{kind="pages"} 2\n' in text
+    assert "gw_active 14\n" in text
     assert r'gw_ok{kind="a\"b\\c\nd"} 0' in text
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -105,12 +105,14 @@
     queue: AdmissionQueue[int] = AdmissionQueue(CLASSES)
     for n in range(10):
         queue.add(n, "video-parts", False, 0.0)
-    assert queue.phase(INTERVAL - 0.001) is Phase.CALM and queue.shed(INTERVAL - 0.001) == []
+    assert queue.phase(INTERVAL - 0.001) is Phase.CALM
+    assert queue.shed(INTERVAL - 0.001) == []
     assert queue.take(INTERVAL - 0.001) == (0, 0.0)
     queue.add(10, "video-parts", False, INTERVAL)
     assert queue.phase(INTERVAL) is Phase.STANDING
     assert queue.take(INTERVAL) == (10, INTERVAL)
-    assert queue.shed(INTERVAL) == list(range(1, 10)) and queue.size == 0
+    assert queue.shed(INTERVAL) == list(range(1, 10))
+    assert queue.size == 0
     assert queue.phase(INTERVAL) is Phase.CALM
 
 
@@ -192,7 +194,9 @@
     figures.count_rejected(Reason.QUEUED)
     assert figures.tick(10.5, 0.2, 1.3) is None
     reported = figures.tick(11.0, 0.1, 1.5)
-    assert reported and reported.is_shedding and reported == figures.last
+    assert reported
+    assert reported.is_shedding
+    assert reported == figures.last
     assert (reported.taken, reported.shed, reported.wait, reported.lag) == (
         2,
         ((Reason.QUEUED, 1),),
@@ -201,4 +205,7 @@
     )
     assert reported.cpu == pytest.approx(0.5)
     again = figures.tick(12.0, 0.0, 1.5)
-    assert again and not again.is_shedding and figures.taken == 2 and figures.shed[Reason.QUEUED] == 1
+    assert again
+    assert not again.is_shedding
+    assert figures.taken == 2
+    assert figures.shed[Reason.QUEUED] == 1
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -126,7 +126,9 @@
     response.answer.append(dns.rrset.from_text(READ, 0, "IN", "A", *(f"127.0.0.{n}" for n in range(records))))
     wire = encode_response(response, 512)
     found = dns.message.from_wire(wire, ignore_trailing=False)
-    assert len(wire) <= 512 and bool(found.flags & dns.flags.TC) is cut and bool(found.answer) is not cut
+    assert len(wire) <= 512
+    assert bool(found.flags & dns.flags.TC) is cut
+    assert bool(found.answer) is not cut
 
 
 @with_trio
@@ -164,12 +166,13 @@
             await box.close()
             await origin.close()
             found = await query(port, READ)
-            assert found.rcode() == dns.rcode.SERVFAIL and not found.answer
+            assert found.rcode() == dns.rcode.SERVFAIL
+            assert not found.answer
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_dead_box(tmp_path: Path) -> None:
+async def test_unreachable_cache(tmp_path: Path) -> None:
     """A stale answer naming a dead cache: the next query names another, and a read at the router works."""
     async with trio.open_nursery() as nursery:
         first, second, origin = await boxes_at(nursery, "box-1", "box-2")
@@ -180,7 +183,8 @@
             # A client that ignores lifetimes finds nobody there; by the router it is served all the same.
             with pytest.raises(OSError):
                 await trio.open_tcp_stream("127.0.0.1", dead.port)
-            assert (await router_process.ask(obj=OBJECT))[0] == 200 and alive.asked
+            assert (await router_process.ask(obj=OBJECT))[0] == 200
+            assert alive.asked
             fresh = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             assert fresh.startswith(alive.id)
         nursery.cancel_scope.cancel()
@@ -302,7 +306,8 @@
             assert (await router_process.ask())[0] == 200
             before = [len(box.asked) for box in caches]
             status, headers, _ = await router_process.ask("sheet-submit", OBJECT, b"signed")
-            assert status == 503 and "retry-after" in headers
+            assert status == 503
+            assert "retry-after" in headers
             assert [len(box.asked) for box in caches] == before
             assert "the store is away" in await console(path, "drain", "box-1")
             redis.seen = trio.Event()
@@ -344,4 +349,5 @@
         timeout=60,
     )
     assert done.returncode == 2
-    assert said in done.stderr and done.stderr.count("\n") == 1
+    assert said in done.stderr
+    assert done.stderr.count("\n") == 1
--- a/tests/test_cache_commands.py
+++ b/tests/test_cache_commands.py
@@ -36,5 +36,5 @@
         list(CommandReader().feed(line))
 
 
-def test_a_cache_that_lives_says_so() -> None:
+def test_live_cache_answers_a_ping() -> None:
     assert Pinged("alive").reply == b"alive well - 0\r\n\r\n"
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -34,7 +34,8 @@
     wire = f"a1 data entity=t,use={use},detail=hit,issued=5000 2\r\nok\r\n".encode()
     [answer] = Parser(Limits()).feed(wire)
     assert (answer.result, answer.cache_status, answer.issued) == (AttemptResult.OK, CacheStatus.HIT, 5.0)
-    assert answer.body == b"ok" and answer.fields["use"] == use
+    assert answer.body == b"ok"
+    assert answer.fields["use"] == use
 
 
 @pytest.mark.parametrize(
@@ -75,7 +76,8 @@
     [twin] = read_known(
         {"results": [{"seq": 41, "fleet": {"all": True, "targets": [target(cache, command)]}}]}, SITE, 0.0
     )
-    assert change == twin and isinstance(change.event, Membership)
+    assert change == twin
+    assert isinstance(change.event, Membership)
     assert change.event.members[0].state is state
 
 
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -56,14 +56,15 @@
     """All start in one moment with a last list: never more than is stated, all current in twice the least."""
     fleet = SimulatedFleet(1000, store := Store(CAPACITY), seed)
     fleet.run(60.0)
-    assert len(fleet.current) == 1000 and not store.refused
+    assert len(fleet.current) == 1000
+    assert not store.refused
     assert peak(store.asked) <= 1.1 * CAPACITY.request_rate
     assert max(fleet.current.values()) <= 2 * 1000 / CAPACITY.request_rate
     assert peak(store.asked, 0.05) <= 3 * 0.05 * CAPACITY.request_rate
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_whole_lists_by_ticket(seed: int) -> None:
+def test_complete_lists_are_loaded_by_ticket(seed: int) -> None:
     """A tenth has no last list: whole lists keep to what is stated, and one alone waits for nobody."""
     fleet = SimulatedFleet(1000, store := Store(CAPACITY), seed, remembers=0.9)
     fleet.run(60.0)
@@ -106,14 +107,17 @@
     """Power comes back in two halves 5 s apart: the second meets a place of its own as the first did."""
     fleet = SimulatedFleet(1000, store := Store(CAPACITY), 1, starts=lambda n: 5.0 * (n % 2))
     fleet.run(60.0)
-    assert len(fleet.current) == 1000 and not store.refused and peak(store.asked) <= CAPACITY.request_rate
+    assert len(fleet.current) == 1000
+    assert not store.refused
+    assert peak(store.asked) <= CAPACITY.request_rate
 
 
 def test_the_planted_wave_is_found() -> None:
     """Without places, jitter and tickets the same checks see the wave."""
     fleet = SimulatedFleet(1000, store := Store(CAPACITY), 1, remembers=0.9, pace=eager)
     fleet.run(60.0)
-    assert peak(store.asked) > 1.1 * CAPACITY.request_rate and store.refused > 100
+    assert peak(store.asked) > 1.1 * CAPACITY.request_rate
+    assert store.refused > 100
     assert peak(store.loaded) > 2.1 * CAPACITY.load_rate
 
 
@@ -179,11 +183,14 @@
 def test_reading() -> None:
     """A place continues only while its very entry is there; orders that the store lacks are found."""
     ours, later = StreamPosition(5, 1), StreamPosition(6, 0)
-    assert is_log_continuous(ours, {ours, later}) and not is_log_continuous(ours, {later})
-    assert not is_log_continuous(STREAM_START, {STREAM_START}) and not is_log_continuous(ours, set())
+    assert is_log_continuous(ours, {ours, later})
+    assert not is_log_continuous(ours, {later})
+    assert not is_log_continuous(STREAM_START, {STREAM_START})
+    assert not is_log_continuous(ours, set())
     assert str(StreamPosition(5000, 1).earlier(1.5)) == "3500-0"
     assert str(StreamPosition(5000, 1).earlier(9.0)) == "0-0"
-    assert str(StreamPosition.parse("5-1")) == "5-1" and StreamPosition.parse("5-1") == ours
+    assert str(StreamPosition.parse("5-1")) == "5-1"
+    assert StreamPosition.parse("5-1") == ours
     assert ours < StreamPosition(5, 2) < StreamPosition(5, 10) < later
     for text in ("", "5", "5-", "-1", "a-1", "5-1-1", "²-1", "1" * 50 + "-1"):
         with pytest.raises(ValueError):
@@ -225,23 +232,26 @@
 
 
 @given(st.floats(0, 50), st.floats(0.01, 2), st.integers(1, 300), st.text("abc-0123", min_size=1, max_size=8))
-def test_rota(space: float, unit: float, mates: int, server: str) -> None:
+def test_turn_order(space: float, unit: float, mates: int, server: str) -> None:
     """Of one location exactly so many share as the burst pays for, whose shares are never more than it."""
     sharers = [sharers_by_turn(space, unit, peer, mates, server) for peer in range(mates)]
     few = max(sharers)
-    assert 1 <= few <= mates and set(sharers) <= {0, few}
+    assert 1 <= few <= mates
+    assert set(sharers) <= {0, few}
     assert sum(n > 0 for n in sharers) == few
     assert few == 1 or few == mates or few * unit <= space * (1 + 1e-9)
     later = [sharers_by_turn(2 * space, unit, peer, mates, server) for peer in range(mates)]
     assert all(late for late, early_ in zip(later, sharers, strict=True) if early_)  # nobody drops out again
 
 
-def test_rota_reaches_all() -> None:
+def test_turn_order_reaches_all_routers() -> None:
     """Over sixty caches each of two hundred has its turn at some, and none at far more than its part."""
     turns = [
         sum(sharers_by_turn(1.0, 0.1, peer, 200, f"box-{n}") > 0 for n in range(60)) for peer in range(200)
     ]
-    assert sum(turns) == 60 * 10 and max(turns) <= 12 and sum(t > 0 for t in turns) > 150
+    assert sum(turns) == 60 * 10
+    assert max(turns) <= 12
+    assert sum(t > 0 for t in turns) > 150
 
 
 @pytest.mark.parametrize("peer", [-1, 0])
@@ -293,13 +303,14 @@
         True,
         tuple((*key, at) for key, at in shared.purges.items()),
     )
-    assert snapshot_codec.parse(snapshot_codec.dump(retained)) == retained and len(retained.purges) == 2
+    assert snapshot_codec.parse(snapshot_codec.dump(retained)) == retained
+    assert len(retained.purges) == 2
 
 
 @pytest.mark.parametrize(
     ("ramp", "age", "part"),
     [(0.0, -2.0, 1.0), (0.0, 0.0, 1.0), (10.0, -2.0, 0.25), (10.0, 0.0, 0.25), (10.0, 5.0, 0.625)],
 )
-def test_ability_by_age(ramp: float, age: float, part: float) -> None:
+def test_capacity_by_age(ramp: float, age: float, part: float) -> None:
     """A server whose clock is ahead of ours is as cold as a new one, and warm where nothing is ever cold."""
     assert capacity_by_age(SlowStart(0.25, ramp, 2.0, 1.0), 8.0, age) == pytest.approx(MARGIN * 8.0 * part)
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -23,7 +23,7 @@
 
 
 @with_trio
-async def test_who_has_asked_is_not_closed(tmp_path: Path) -> None:
+async def test_connection_with_a_request_is_not_closed(tmp_path: Path) -> None:
     """More connections than have room, each with its request written before any is accepted: all answered.
 
     Fails where room is made by closing who was accepted and not yet read.
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -80,7 +80,8 @@
 
     async def test() -> None:
         answer = await harness.request()
-        assert answer.disposition is Disposition.REJECTED and answer.hold_off > 0
+        assert answer.disposition is Disposition.REJECTED
+        assert answer.hold_off > 0
 
     await harness.run(test)
 
@@ -141,6 +142,7 @@
 
     async def test() -> None:
         answer = await harness.request(left=0.05)
-        assert answer.disposition is Disposition.FAILED and answer.deadline_exceeded is late
+        assert answer.disposition is Disposition.FAILED
+        assert answer.deadline_exceeded is late
 
     await harness.run(test)
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -119,7 +119,7 @@
             assert serving(made) == set(IDS[: len(hosts)])
 
 
-def test_whole_deploy() -> None:
+def test_complete_deploy() -> None:
     """A deploy replaces every cache while the resolver times out: the new come cold, the old go late."""
     made = merge(hosts=(*HOSTS, "four.branch.test", "five.branch.test", "six.branch.test"))
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
@@ -209,7 +209,7 @@
     assert {made.caches[server].started for server in IDS[:2]} == {20.0}
 
 
-def test_one_box_two_names() -> None:
+def test_one_cache_with_two_names() -> None:
     """A cache named by the file and by SRV, or by two names at one address, is one, by the file's words."""
     made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
     made.locate(HOSTS[0], ["127.0.1.1"], 0.0)
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -38,9 +38,11 @@
         arguments = ("appliance", str(path)) if path.suffix == ".toml" else ()
         async with program(ports[front], *arguments, GW_CONFIG=str(path)) as router_process:
             status, _, body = await router_process.ask()
-            assert status == 200 and body.startswith(b"7f3a9c21e0b4d655/3 as ")
+            assert status == 200
+            assert body.startswith(b"7f3a9c21e0b4d655/3 as ")
             status, _, body = await router_process.ask("sheet-submit", body=b"signed")
-            assert status == 200 and body
+            assert status == 200
+            assert body
     finally:
         toy.kill()
         await toy.wait()
--- a/tests/test_fill_source.py
+++ b/tests/test_fill_source.py
@@ -46,7 +46,7 @@
     assert seen / 20 <= reached
 
 
-def test_origin_is_capped_below_its_rung_and_left_out_without_a_fresh_time() -> None:
+def test_origin_share_is_capped_and_zero_for_objects_without_fresh_time() -> None:
     seen = draw(RouterHarness(members(parents=("hub-a", "hub-a"))), "video")
     assert "origin" not in seen
     assert sorted(n / DRAWS for n in seen.values()) == pytest.approx([1 / 9, 8 / 9], abs=0.03)
@@ -62,7 +62,7 @@
     assert seen["origin"] / DRAWS == pytest.approx(0.05, abs=0.012)
 
 
-def test_next_hub_when_this_hub_has_no_parent_then_origin() -> None:
+def test_next_hub_then_origin_when_this_hub_has_no_parent() -> None:
     assert set(draw(RouterHarness(members(parents=("hub-b", "hub-b"))), "video", draws=300)) == {
         "parent-0",
         "parent-1",
@@ -77,7 +77,7 @@
     assert tops == {"parent-0", "parent-1"}
 
 
-def test_edge_pick_stays_and_moves_only_what_was_lost() -> None:
+def test_edge_selection_is_stable_and_moves_only_lost_objects() -> None:
     harness = RouterHarness(members(edges=4))
     before = {f"o{n}": harness.serve(f"o{n}").server for n in range(200)}
     harness.now += 100
@@ -111,7 +111,7 @@
     assert only(actions, Reject)
 
 
-def test_what_is_asked_for_again_is_kept_at_a_higher_rank() -> None:
+def test_repeated_object_is_cached_at_a_higher_priority() -> None:
     harness = RouterHarness()
     assert harness.serve("clip").keep == 1
     harness.now += 1
@@ -205,7 +205,8 @@
     router = harness.router
     assert len(router.servers) == len(members()) + 1
     assert max(len(router.popularity), len(router.sizes.by_object), len(router.server_table.orders)) <= 51
-    assert "o199" in router.sizes.by_object and not router.attempts
+    assert "o199" in router.sizes.by_object
+    assert not router.attempts
 
 
 def test_a_parent_whose_fills_mostly_come_late_is_drawn_seldom_and_comes_back() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -31,6 +31,7 @@
 from brackenlane.ops.handover_state import HandoverState, handover_state
 from tests.stand_ins import Asked, Box, Program, ScriptedReply, data, free_port, platform, with_trio
 from tests.test_admin_api import call
+import trio.lowlevel
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
 READ = (
@@ -129,7 +130,8 @@
     new.read_new_records()
     assert old.index.claims["t1"] == new.index.claims["t1"] == new.process_id
     new.close()
-    assert old.other_processes() == [] and old.index.claims["t1"] == new.process_id
+    assert old.other_processes() == []
+    assert old.index.claims["t1"] == new.process_id
 
 
 def test_full_log_takes_orders_but_no_claims(tmp_path: Path) -> None:
@@ -153,7 +155,8 @@
     assert (tmp_path / "x" / "ledger").stat().st_size < 500
     old.append(SubmitClaimed("t", old.process_id))
     later = HandoverLog(tmp_path / "x", limits)
-    assert later.index.out_of_service == {"s-1": 5.0} and len(later.index.claims) == 5
+    assert later.index.out_of_service == {"s-1": 5.0}
+    assert len(later.index.claims) == 5
 
 
 def test_deleted_log_is_written_again(tmp_path: Path) -> None:
@@ -274,7 +277,7 @@
                         got += more
                     closes = b"Connection: close" in got
                     self.statuses[int(got.split()[1])] += 1
-                await trio.sleep(0)
+                await trio.lowlevel.checkpoint()
 
 
 @with_trio
@@ -293,7 +296,8 @@
         await new.says(b"is alone")
         load.stop.set()
         await load.stopped.wait()
-        assert load.lost == 0 and load.statuses[200] == sum(load.statuses) > 300
+        assert load.lost == 0
+        assert load.statuses[200] == sum(load.statuses) > 300
 
 
 @pytest.mark.parametrize("first", [True, False])
--- a/tests/test_lab_cluster.py
+++ b/tests/test_lab_cluster.py
@@ -66,9 +66,11 @@
     assert {who for who, _ in times(record, "told_order", box="box-2", drained=True)} == set(range(8))
     since = max(at for _, at in times(record, "told_order", box="box-2"))
     late = {e.what["box"] for e in record.of("sent") if e.at > since + 0.1}
-    assert "box-2" not in late and {"box-0", "box-1"} <= late
+    assert "box-2" not in late
+    assert {"box-0", "box-1"} <= late
     assert {e.router for e in record.of("sent")} >= set(range(8))  # whose each request is, is known
-    assert outcome.figures["served"] > 0.6 and outcome.figures["current"] == 8
+    assert outcome.figures["served"] > 0.6
+    assert outcome.figures["current"] == 8
     # Who had its list asked for what was new; the two others for the whole.
     assert sum(1 for e in record.of("store_command") if e.what["word"] == "HSCAN") <= 2 * (8 + 2)
 
@@ -146,7 +148,7 @@
     assert {who for who, _ in times(outcome.record, "told_order", box="box-0", drained=True)} == set(range(8))
 
 
-def test_mute_box_and_two_halves(tmp_path: Path) -> None:
+def test_unresponsive_cache_and_partitioned_store(tmp_path: Path) -> None:
     """Power is back in two halves; a cache accepts and says nothing: the others serve, it is asked seldom."""
     outcome = played(
         tmp_path,
@@ -232,7 +234,7 @@
     assert len(found(rec(*bad))) == 1
 
 
-def test_no_two_rigs_share_a_port() -> None:
+def test_test_clusters_share_no_port() -> None:
     """A port is one cluster's until it gives it back, also while nobody listens; its router may."""
     with ports.reserve_port(routers.PORTS) as first:
         taken = first.getsockname()
@@ -314,6 +316,10 @@
     figures = {name: 1.0 for name, _, _ in report.ROWS}
     outcome = Outcome(record, {"once": ["submit x ran 2 times"], "drained": []}, figures)
     text = report.table(outcome)
-    assert "BROKEN, 1 times" in text and "drained" in text and "kept" in text and not outcome.well
+    assert "BROKEN, 1 times" in text
+    assert "drained" in text
+    assert "kept" in text
+    assert not outcome.well
     path, picture = report.save(outcome, tmp_path, "t")
-    assert load(path).events == record.events and picture.read_bytes().startswith(b"\x89PNG")
+    assert load(path).events == record.events
+    assert picture.read_bytes().startswith(b"\x89PNG")
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -36,7 +36,8 @@
     assert read_load_report(text, ",") == values
     fields = {"MsgId": "q", "SeqNo": "0", "Verdict": "0", "Usage": text}
     outcome = read_event(Message(1, "RESULT", fields))
-    assert isinstance(outcome, Outcome) and outcome.report == values
+    assert isinstance(outcome, Outcome)
+    assert outcome.report == values
     assert read_load_report(text.replace(",", "|"), "|") == values
 
 
@@ -45,4 +46,5 @@
 def test_any_text_is_accepted(text: str) -> None:
     """No report raises, and what it gives is a known name with a number that is not negative."""
     for name, value in read_load_report(text, ","):
-        assert name in NAMES and 0 <= value < float("inf")
+        assert name in NAMES
+        assert 0 <= value < float("inf")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -45,9 +45,12 @@
                 for number in range(300):
                     cls = "sheet-submit" if number % 50 == 0 else "video-parts"
                     clients.start_soon(ask, router_process, found, cls, number)
-            assert sum(found.values()) == 300 and found["sheet-submit", 200] == 6
+            assert sum(found.values()) == 300
+            assert found["sheet-submit", 200] == 6
             served, refused = found["video-parts", 200], found["video-parts", 503]
-            assert served > 0 and refused > 0 and served + refused == 294, found
+            assert served > 0, found
+            assert refused > 0, found
+            assert served + refused == 294, found
             # What was refused never reached a cache, and no write did twice.
             requested = [one for cache in caches for one in cache.asked]
             assert len(requested) == served + 6 == len({one.id for one in requested})
@@ -88,7 +91,8 @@
                 await trio.sleep(0.5)
                 late, since = len(edge.asked), len(other.asked)
                 await other.until(lambda: len(other.asked) > since + 30)
-                assert len(edge.asked) == late and found["video-parts", 503]
+                assert len(edge.asked) == late
+                assert found["video-parts", 503]
                 clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
@@ -177,7 +181,8 @@
     requests = RequestParser(Limits())
     for start in range(0, len(sent), step):
         requests.feed(sent[start : start + step].encode())
-    assert isinstance(requests.fault, BadRequestError) and requests.fault.status == status
+    assert isinstance(requests.fault, BadRequestError)
+    assert requests.fault.status == status
     assert requests.next() is None
 
 
@@ -194,18 +199,24 @@
     for start in range(0, len(sent), step):
         requests.feed(sent[start : start + step])
     first, option, second = requests.next(), requests.next(), requests.next()
-    assert first and second and option and option.target == "/u"
-    assert requests.fault is None and not requests.partial
+    assert first
+    assert second
+    assert option
+    assert option.target == "/u"
+    assert requests.fault is None
+    assert not requests.partial
     assert (first.method, first.target, first.body, first.keep_alive) == ("PUT", "/a", b"abcde", True)
-    assert first.headers["x-txn"] == "1" and "x-shard" not in first.headers
+    assert first.headers["x-txn"] == "1"
+    assert "x-shard" not in first.headers
     assert (second.method, second.target, second.keep_alive) == ("GET", "/b", False)
 
 
-def test_codec_wishes() -> None:
+def test_codec_rejects_malformed_options() -> None:
     """A packet full of wishes for another protocol is read like any other."""
     requests = RequestParser(Limits())
     requests.feed(b"GET /u HTTP/1.1\r\nHost: a\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n\r\n" * 1000)
-    assert requests.fault is None and sum(1 for _ in iter(requests.next, None)) == 1000
+    assert requests.fault is None
+    assert sum(1 for _ in iter(requests.next, None)) == 1000
 
 
 def test_codec_noise() -> None:
--- a/tests/test_overload_decisions.py
+++ b/tests/test_overload_decisions.py
@@ -16,7 +16,7 @@
 from tests.router_harness import TILES, VIDEO, RouterHarness, every, members, only
 
 
-def test_a_crowd_spills_over_and_is_then_refused_at_once() -> None:
+def test_overloaded_cache_spills_over_then_requests_are_rejected() -> None:
     harness = RouterHarness(members(edges=2))
     seen: dict[str, int] = {}
     for _ in range(200):
@@ -38,7 +38,7 @@
     return harness
 
 
-def test_under_strain_a_request_looks_for_a_hit_first() -> None:
+def test_overload_makes_a_request_look_up_hits_first() -> None:
     harness = strained()
     look = only(harness.ask("clip"), Fetch)
     assert look.source == look.server
@@ -67,7 +67,7 @@
     assert found == requested
 
 
-def test_a_known_miss_without_room_is_refused_at_once() -> None:
+def test_known_miss_without_capacity_is_rejected_at_once() -> None:
     harness = strained()
     for server in harness.router.servers.values():
         server.window, server.in_flight = (
@@ -78,19 +78,20 @@
     assert only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN), Reject)
 
 
-def test_under_strain_a_cold_cache_is_not_looked_at_first() -> None:
+def test_overload_skips_the_lookup_at_a_cold_cache() -> None:
     """It has little yet: a look there would come back, and would cost it a part of what it bears."""
     harness = strained()
     harness.tell([replace(m, started_at=harness.now) for m in members() if m.role is Role.EDGE])
     harness.now += 17.0
     fetch = only(harness.ask("fresh"), Fetch)
-    assert fetch.server.startswith("edge") and fetch.source.startswith(("parent", "origin"))
+    assert fetch.server.startswith("edge")
+    assert fetch.source.startswith(("parent", "origin"))
     harness.now += 2.0  # warm by now
     fetch = only(harness.ask("other"), Fetch)
     assert fetch.source == fetch.server
 
 
-def test_under_strain_a_copy_past_its_fresh_time_will_do_but_no_purged_one() -> None:
+def test_overload_serves_stale_but_never_purged_copies() -> None:
     harness = strained(classes=(VIDEO, replace(TILES, grace=20.0)))
     assert only(harness.ask("clip", "tiles"), Fetch).max_age == 28.0
     harness.router.handle(Purged("clip", 0, 0.0), harness.now)
@@ -98,16 +99,17 @@
     assert 0.9 < only(harness.ask("clip", "tiles"), Fetch).max_age < 1.0
 
 
-def test_under_strain_a_late_fill_runs_on() -> None:
+def test_overload_lets_a_late_fill_finish() -> None:
     harness = strained()
     actions = harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN)
     timer = every(actions, SetTimer)[0]
     harness.now = timer.at
     actions = harness.router.handle(TimerFired(timer.token), harness.now)
-    assert not every(actions, Cancel) and not every(actions, Reject)
+    assert not every(actions, Cancel)
+    assert not every(actions, Reject)
 
 
-def test_under_strain_late_work_is_let_go() -> None:
+def test_overload_drops_late_lookups() -> None:
     harness = strained()
     actions = harness.ask("clip", "tiles")
     fetch, timer = only(actions, Fetch), every(actions, SetTimer)[1]
@@ -117,7 +119,7 @@
     assert only(actions, Reject).request_id == fetch.request_id
 
 
-def test_without_strain_a_long_answer_is_left_to_run() -> None:
+def test_long_response_runs_on_without_overload() -> None:
     harness = RouterHarness()
     for n in range(30):
         harness.now += 5
@@ -125,7 +127,8 @@
     timer = every(harness.ask("clip"), SetTimer)[1]
     harness.now = timer.at
     actions = harness.router.handle(TimerFired(timer.token), harness.now)
-    assert not every(actions, Cancel) and only(actions, SetTimer).at > harness.now
+    assert not every(actions, Cancel)
+    assert only(actions, SetTimer).at > harness.now
 
 
 def test_a_cache_without_a_place_for_a_fill_is_passed_by() -> None:
@@ -137,7 +140,7 @@
     assert straight.source == "origin"  # a parent that names itself fills nothing
 
 
-def test_a_source_whose_fills_are_overdue_leaves_the_ladder_and_the_edge_stays() -> None:
+def test_overdue_source_is_ejected_and_its_edge_cache_is_not() -> None:
     harness = RouterHarness(members(parents=("hub-a", "hub-b")))
     for n in range(20):
         harness.now += 1
@@ -160,7 +163,7 @@
     assert only(harness.ask("next"), Fetch).source == "parent-1"
 
 
-def test_with_many_gateways_one_attempt_more_does_not_spill() -> None:
+def test_one_more_attempt_does_not_spill_with_many_routers() -> None:
     """The others are taken to have what this router usually has, not what it has right now."""
     harness = RouterHarness(routers_by_location=(0, 0, 0, 10), router_count=10)
     for n in range(50):
@@ -170,7 +173,7 @@
     assert len(set(first)) == 1
 
 
-def test_fills_of_all_gateways_must_fit_the_locations_link() -> None:
+def test_fills_of_all_routers_fit_the_link_of_the_location() -> None:
     harness = RouterHarness(
         routers_by_location=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 4000.0)
     )  # one transfer at full pace
@@ -186,19 +189,23 @@
     assert last.source != last.server
 
 
-def test_under_strain_the_parent_is_looked_at_before_the_origin_behind_it() -> None:
+def test_overload_looks_up_the_parent_before_the_origin() -> None:
     """What the parent lacks needs room in the origin's window, and its lateness is the origin's."""
     harness = strained()
     held = only(harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch)
-    assert held.only_if_cached and held.source.startswith("parent")
+    assert held.only_if_cached
+    assert held.source.startswith("parent")
     origin, parent = (harness.router.servers[name] for name in ("origin", held.source))
     actions = harness.end(held, AttemptResult.MISS, CacheStatus.UNKNOWN, attempt=1)
     full, timer = only(actions, Fetch), every(actions, SetTimer)[0]
-    assert not full.only_if_cached and full.source.startswith("parent") and origin.in_flight == 1
+    assert not full.only_if_cached
+    assert full.source.startswith("parent")
+    assert origin.in_flight == 1
     window = parent.window
     harness.now = timer.at
     harness.router.handle(TimerFired(timer.token), harness.now)
-    assert origin.window == 4 and parent.window == window
+    assert origin.window == 4
+    assert parent.window == window
     origin.window, origin.in_flight = 1.0, 1.0
     held = only(
         harness.end(only(harness.ask("other"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch
@@ -220,11 +227,12 @@
         )
         if fetch.source == held.source:
             break
-    assert fetch.source == held.source and not fetch.only_if_cached
+    assert fetch.source == held.source
+    assert not fetch.only_if_cached
 
 
 @pytest.mark.parametrize("gateways", [3, 40])
-def test_the_first_fills_of_all_gateways_are_a_number_that_a_source_bears(gateways: int) -> None:
+def test_first_fills_of_all_routers_fit_a_source(gateways: int) -> None:
     """A start of its own for each router was 8 fills a source; of forty it was 320, and never came back."""
     harnesses = [RouterHarness(members(edges=12), seed=n, router_count=gateways) for n in range(gateways)]
     sent = [
@@ -237,7 +245,7 @@
     assert all(count <= 2 * min(8 * gateways, 80) for count in held.values()), held  # half are likely hits
 
 
-def test_what_the_parents_have_no_room_for_is_not_sent_to_the_origin_unless_they_are_out() -> None:
+def test_origin_gets_no_overflow_of_parents_unless_they_are_ejected() -> None:
     harness = RouterHarness(members(edges=12), router_count=40)
     fetches = [f for n in range(12) for f in every(harness.ask(f"o{n}", size_kb=40.0), Fetch)]
     assert {f.source for f in fetches if f.source != f.server} == {"parent-0", "parent-1"}
@@ -276,16 +284,19 @@
     looked = only(harness.ask("fresh-one", group=7), Fetch)
     assert looked.source == looked.server
     fetch = only(harness.end(looked, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.01), Fetch)
-    assert fetch.source.startswith("parent") and fetch.only_if_cached is not purged
+    assert fetch.source.startswith("parent")
+    assert fetch.only_if_cached is not purged
 
 
-def test_under_strain_nobody_looks_for_a_write() -> None:
+def test_overload_never_looks_up_a_write() -> None:
     """It is kept nowhere: looks at a cache and a parent come back; then the origin's window ends it."""
     submit = replace(VIDEO, name="submit", idempotency=Idempotency.NON_IDEMPOTENT, uncached=True)
     harness = strained(classes=(VIDEO, submit))
     sent = only(harness.ask("sheet", "submit", is_write=True), Fetch)
-    assert sent.source != sent.server and not sent.only_if_cached
+    assert sent.source != sent.server
+    assert not sent.only_if_cached
     origin = harness.router.servers["origin"]
     origin.window, origin.in_flight = 1.0, 1.0  # with the origin's window full, a parent takes it there
     sent = only(harness.ask("sheet", "submit", is_write=True), Fetch)
-    assert sent.source.startswith("parent") and not sent.only_if_cached
+    assert sent.source.startswith("parent")
+    assert not sent.only_if_cached
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -65,12 +65,13 @@
     for caps, kinds, link, cold in FAMILY:
         problem = site(caps, kinds, link, cold)
         plan = solve(problem)
-        assert verify(problem, plan) == [] and not plan.gave_way
+        assert verify(problem, plan) == []
+        assert not plan.gave_way
         steps = {1: 8, 2: 8, 3: 4, 4: 3}.get(len(caps), 2)
         assert plan.worth_per_s >= brute(problem, steps) - 1e-3, (caps, kinds, link, cold, plan)
 
 
-def test_restarted_box() -> None:
+def test_restarted_cache() -> None:
     """Two caches, one just restarted: along its ramp it is never given more than it bears at any moment."""
     for step in range(0, 190, 5):
         problem = replace(site((9000.0, 9000.0), cold=1), now=1000.0 + step / 10)
@@ -121,7 +122,8 @@
     assert verify(problem, plan) == []
     assert [found.name for found in plan.gave_way] == ([gave] if gave else [])
     if gave:
-        assert plan.gave_way[0].conflict == conflict and gave in plan.gave_way[0].line()
+        assert plan.gave_way[0].conflict == conflict
+        assert gave in plan.gave_way[0].line()
 
 
 def test_movement() -> None:
@@ -139,7 +141,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_many_boxes(seed: int) -> None:
+def test_many_caches(seed: int) -> None:
     """The crumbs of rounding the shares of twenty-five caches don't push over one that is full."""
     rng = random.Random(seed)
     zones = ("a", "b")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -57,7 +57,8 @@
                 "7f3a9c21e0b4d655",
                 "3",
             )
-            assert reported["miss"] == ORIGIN and 0 < int(reported["budget"]) <= 2000
+            assert reported["miss"] == ORIGIN
+            assert 0 < int(reported["budget"]) <= 2000
             assert "uniq" not in reported
             await router_process.ask("sheet-submit", body=b"signed", X_Txn_Key="aad3d43f3c9565f6")
             assert (edge.asked + origin.asked)[-1].fields["uniq"] == "aad3d43f3c9565f6"
@@ -71,7 +72,7 @@
 
 
 @with_trio
-async def test_current_is_what_a_box_named(tmp_path: Path) -> None:
+async def test_only_a_tag_named_by_a_cache_is_current(tmp_path: Path) -> None:
     """A client's copy is called current only if a cache named that copy to this router, not another one."""
     named = "e2"
     async with trio.open_nursery() as nursery:
@@ -160,7 +161,8 @@
             found, headers, _ = await router_process.ask("sheet-submit", body=b"signed" * 8000, ttl=700)
             requested = caches[0].asked + caches[1].asked
             assert found == (504 if not command else status)
-            assert len(requested) <= runs and requested[0].body == b"signed" * 8000
+            assert len(requested) <= runs
+            assert requested[0].body == b"signed" * 8000
             assert "retry-after" in headers or found != 503
             # The same id again is another try of what was refused, and else a repeat that must not run.
             again = await router_process.ask(
@@ -261,8 +263,10 @@
                     found = b""
                     while got := await stream.receive_some(65536):
                         found += got
-            assert found.count(b"HTTP/1.1") == bool(status) and found[9:12] == status
-            assert not edge.asked and not origin.asked
+            assert found.count(b"HTTP/1.1") == bool(status)
+            assert found[9:12] == status
+            assert not edge.asked
+            assert not origin.asked
         nursery.cancel_scope.cancel()
 
 
@@ -297,7 +301,8 @@
             while len({requested.id for cache in caches for requested in cache.asked}) < 25:
                 await trio.sleep(0.01)
             status, headers, _ = await router_process.ask()
-            assert status == 503 and headers["connection"] == "close"
+            assert status == 503
+            assert headers["connection"] == "close"
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
@@ -331,7 +336,7 @@
 
 
 @with_trio
-async def test_mute_machine(tmp_path: Path) -> None:
+async def test_unresponsive_machine(tmp_path: Path) -> None:
     """A machine that is cut off lets no connection come up; another cache serves in time."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
@@ -362,7 +367,9 @@
     ],
 )
 @with_trio
-async def test_mute_connection(tmp_path: Path, cls: str, part: bytes, alive: bool, status: int) -> None:
+async def test_unresponsive_connection(
+    tmp_path: Path, cls: str, part: bytes, alive: bool, status: int
+) -> None:
     """A connection that stays open and says nothing more is given up; a read goes by another, in time."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
@@ -419,7 +426,8 @@
             await log.cut()
             assert log.since == [1, 2]
             assert (await router_process.ask())[0] == 200
-            assert len(edge.asked) == 2 and not origin.asked
+            assert len(edge.asked) == 2
+            assert not origin.asked
         nursery.cancel_scope.cancel()
 
 
@@ -439,12 +447,14 @@
             assert log.since == [1, 3]
             for n in range(12):
                 assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
-            assert not edge.asked and len(other.asked) == 12
+            assert not edge.asked
+            assert len(other.asked) == 12
             await router_process.ask("video-parts", "7f3a9c21e0b4d655")
             assert 0 < int(other.asked[-1].fields["within"]) < 6000
             await log.tell(4, 2, record(edge, 0) + record(other, 2))
             await log.cut()
-            assert (await router_process.ask())[0] == 200 and edge.asked
+            assert (await router_process.ask())[0] == 200
+            assert edge.asked
         nursery.cancel_scope.cancel()
 
 
@@ -472,9 +482,11 @@
                 router_process.process.send_signal(signal.SIGHUP)
                 await other.tell(3, 2, record(edge, 1))
                 await other.cut()
-            assert other.since == [2, 3] and log.since == [1, 2]
+            assert other.since == [2, 3]
+            assert log.since == [1, 2]
             assert (await router_process.ask())[0] == 200
-            assert len(edge.asked) == 1 and len(origin.asked) > 0
+            assert len(edge.asked) == 1
+            assert len(origin.asked) > 0
         nursery.cancel_scope.cancel()
 
 
@@ -521,7 +533,8 @@
                 await edge.until(lambda: len(edge.asked) > 1)
                 # The first one's client is served by the next attempt, or told that it failed: never cut off.
             assert await router_process.process.wait() == 0
-            assert 200 in found and len(found) == 2
+            assert 200 in found
+            assert len(found) == 2
         nursery.cancel_scope.cancel()
 
 
@@ -578,4 +591,5 @@
         timeout=60,
     )
     assert done.returncode == 2
-    assert said in done.stderr and done.stderr.count("\n") == 1
+    assert said in done.stderr
+    assert done.stderr.count("\n") == 1
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -78,7 +78,7 @@
     theirs.close()
 
 
-def test_what_was_ready_of_a_socket_that_ended_is_not_told_to_the_next_with_its_number() -> None:
+def test_events_of_a_closed_socket_do_not_reach_its_successor() -> None:
     """A try to connect that took the number of a client's closed socket passed for one that had come up."""
     poller = Poller(16)
     pairs = [socket.socketpair() for _ in range(2)]
@@ -99,14 +99,15 @@
         poller.add(ours.fileno(), partial(lambda mine, _: end_the_other(mine), mine))
         theirs.send(b"!")
     poller.turn()
-    assert reported[:1] == ["old"] and reported.count("old") == 1
+    assert reported[:1] == ["old"]
+    assert reported.count("old") == 1
     assert "new" not in reported
     for sock in (*fresh, *(sock for pair in pairs for sock in pair)):
         sock.close()
 
 
 @with_trio
-async def test_a_second_signal_ends_the_doorman_while_it_waits_for_its_last_answers(tmp_path: Path) -> None:
+async def test_second_signal_ends_the_router_during_shutdown(tmp_path: Path) -> None:
     """The handler that leaves in order stayed on, and whoever asked again had to wait for it."""
     async with trio.open_nursery() as nursery:
         origin = await Box("s-00000009", "origin").open(nursery)
--- a/tests/test_portal_settings.py
+++ b/tests/test_portal_settings.py
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("factor", [1.0, 1.5, 2.0])
 @pytest.mark.parametrize("role", ["edge", "parent"])
-def test_a_cold_server_whose_weight_is_told_too_high_is_not_pushed_over(role: str, factor: float) -> None:
+def test_cold_server_with_too_high_a_weight_is_not_overloaded(role: str, factor: float) -> None:
     """All routers that may use it stay under the rule by its true weight."""
     assert overload(role, factor) <= 1.0
 
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("widths", [(4.0, 16.0, 8.0), (4.0, 4.0, 8.0)])
-def test_a_weight_told_wrong_costs_a_warm_branch_little(widths: tuple[float, ...]) -> None:
+def test_wrong_weight_costs_a_warm_location_little(widths: tuple[float, ...]) -> None:
     """A cache or two of three bear half of what is told: their crowds differ, yet all is served."""
     branch = Branch()
     true = {f"edge-{number}": width for number, width in enumerate(widths)}
@@ -219,13 +219,12 @@
     ],
 )
 @pytest.mark.parametrize("share", [1.0, 0.6])
-def test_a_hub_that_is_lost_hands_its_fills_to_the_next(
-    result: AttemptResult, wait: float, share: float
-) -> None:
+def test_fills_of_a_lost_hub_go_to_the_next(result: AttemptResult, wait: float, share: float) -> None:
     """The branch is served by the next hub's parent within seconds, and no cache is shut for it."""
     branch = Branch()
     branch.run(110.0)
-    assert set(branch.sources(105.0)) <= {"parent-0", "origin"} and branch.share(105, 110) > 0.99
+    assert set(branch.sources(105.0)) <= {"parent-0", "origin"}
+    assert branch.share(105, 110) > 0.99
 
     def end(fetch: Fetch) -> tuple[float, AttemptResult]:
         lost = fetch.source == "parent-0" and branch.random.random() < share
@@ -235,7 +234,8 @@
     branch.run(130.0)
     late = branch.sources(120.0)
     assert branch.share(118, 128) > 0.95
-    assert late.count("parent-1") > 0.5 * len(late) and late.count("origin") < 0.1 * len(late)
+    assert late.count("parent-1") > 0.5 * len(late)
+    assert late.count("origin") < 0.1 * len(late)
     assert not any(edge.ejected_until for edge in branch.harness.router.server_table.edges)
 
 
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize(("lines", "again"), [(["X-Second-Try: 1"], True), ([], False)])
-def test_what_a_request_tells_of_itself_reaches_the_module(lines: list[str], again: bool) -> None:
+def test_request_fields_reach_the_router(lines: list[str], again: bool) -> None:
     """Class, object, part, group, mark of a retry, and the time left: its own, less our way back."""
     reported = arrival_of(*lines)
     assert (reported.cls, reported.obj, reported.part, reported.group) == (
@@ -135,7 +135,9 @@
         3,
         17,
     )
-    assert reported.is_retry is again and not reported.is_write and 1.48 < reported.time_left < 1.5
+    assert reported.is_retry is again
+    assert not reported.is_write
+    assert 1.48 < reported.time_left < 1.5
 
 
 FIRST_TRY = (
@@ -198,7 +200,8 @@
         async with platform(tmp_path, caches, settings=settings) as router:
             status, _, _ = await router.ask("sheet-submit", body=b"signed", ttl=2500, X_Txn_Key=KEY)
             requested = caches[0].asked + caches[1].asked
-            assert status in (502, 503) and len(requested) > 1
+            assert status in (502, 503)
+            assert len(requested) > 1
             assert {(a.id, a.fields["uniq"], a.body) for a in requested} == {
                 (requested[0].id, KEY, b"signed")
             }
@@ -236,7 +239,7 @@
     ],
 )
 @with_trio
-async def test_refusal_tells_how_long_to_stay_away(
+async def test_rejection_carries_a_hold_off(
     tmp_path: Path, limits: dict[str, Any], cls: str, reported: str | None
 ) -> None:
     """In milliseconds, as the module says, bounded by what clients honour; nothing where they honour none."""
@@ -246,13 +249,14 @@
         )
         async with platform(tmp_path, [edge, origin], settings=site(**limits)) as router:
             status, headers, _ = await router.ask(cls)
-            assert status == 503 and throttle(headers) == reported
+            assert status == 503
+            assert throttle(headers) == reported
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("allowed", [True, False])
 @with_trio
-async def test_refusal_of_the_door_itself_is_bounded_too(tmp_path: Path, allowed: bool) -> None:
+async def test_hold_off_of_admission_rejections_is_bounded(tmp_path: Path, allowed: bool) -> None:
     """All connections have work in hand: who comes then is refused, with no more than clients honour."""
     async with trio.open_nursery() as nursery:
         caches = await fleet(nursery, *(f"s-0000000{n}" for n in range(1, 7)), answer=lambda requested: None)
@@ -266,14 +270,15 @@
             while len({requested.id for box in caches for requested in box.asked}) < 25:
                 await trio.sleep(0.01)
             status, headers, _ = await router.ask()
-            assert status == 503 and throttle(headers) == ("500" if allowed else None)
+            assert status == 503
+            assert throttle(headers) == ("500" if allowed else None)
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize(("most", "reported"), [(0.5, True), (0.0, False)])
 @pytest.mark.parametrize("waits", [0.0, 0.123, 0.5, 7.0, 1e6])
-def test_refusal_of_a_queue_that_stands(
+def test_rejection_of_a_stalled_queue(
     monkeypatch: pytest.MonkeyPatch, most: float, reported: bool, waits: float
 ) -> None:
     """Worded without the request's being read: the time to stay away is bounded, and whole milliseconds."""
@@ -289,7 +294,7 @@
     assert not reported or min(1000 * waits, 500) <= int(lines["X-Throttle-Ms"]) <= 500
 
 
-def test_refusals_worded_in_advance_follow_new_settings() -> None:
+def test_prepared_rejections_follow_new_settings() -> None:
     """Clients that honour less from now on are told no longer time that was worded before."""
     limits = Limits()
     settings = [read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})[0] for most in (0.04, 0.02)]
@@ -306,9 +311,7 @@
     [("/api/v2/video-parts/7f3a9c21e0b4d655/n-3", 300, 504), ("/api/v2/none/7f3a9c21e0b4d655/n-3", 900, 404)],
 )
 @with_trio
-async def test_what_is_no_refusal_tells_nobody_to_stay_away(
-    tmp_path: Path, path: str, ttl: int, status: int
-) -> None:
+async def test_other_answers_carry_no_hold_off(tmp_path: Path, path: str, ttl: int, status: int) -> None:
     """A failure is not harmless to try again, and no header of a refusal may say so."""
     async with trio.open_nursery() as nursery:
         edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
@@ -316,12 +319,14 @@
             found, headers, _ = await router.send(
                 "GET", path, {"X-Txn": "1" * 16, "X-Ttl-Ms": str(ttl), "X-Shard": "17"}
             )
-            assert found == status and throttle(headers) is None and "retry-after" not in headers
+            assert found == status
+            assert throttle(headers) is None
+            assert "retry-after" not in headers
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_connection_that_rests_as_long_as_clients_let_it_is_kept(tmp_path: Path) -> None:
+async def test_idle_client_connection_is_kept_for_its_allowed_time(tmp_path: Path) -> None:
     """Clients end theirs after 4 s of rest: until then a next request is served on the same connection."""
     async with trio.open_nursery() as nursery:
         edge, origin = await fleet(nursery, EDGE, ORIGIN)
@@ -367,7 +372,8 @@
     arrival = Arrival("q0", 1.0, "video-parts", "7f3a9c21e0b4d655", 3)
     line = encode_get("1" * 16, arrival, fetch, 0.9999, age, "", b"")
     command, name, reported, length = line.decode().split()
-    assert (command, name, length) == ("GET", "1" * 16, "0") and line.endswith(b" 0\r\n\r\n")
+    assert (command, name, length) == ("GET", "1" * 16, "0")
+    assert line.endswith(b" 0\r\n\r\n")
     usual = {"queue": "video-parts", "path": "7f3a9c21e0b4d655", "blk": "3", "budget": "999"}
     assert dict(pair.split("=") for pair in reported.split(",")) == usual | fields | within
 
@@ -443,7 +449,7 @@
         (AttemptResult.FULL, {"report": (("inflight", 9.0),)}),
     ],
 )
-def test_what_an_answer_tells_reaches_the_module(
+def test_response_fields_reach_the_router(
     monkeypatch: pytest.MonkeyPatch, result: AttemptResult, reported: dict[str, Any]
 ) -> None:
     """Cache status, time waited for the source and load report, with every verdict."""
@@ -467,7 +473,8 @@
     [outcome] = received
     assert (outcome.result, outcome.wait) == (result, 0.1)
     assert outcome.cache_status is reported.get("cache_status", CacheStatus.UNKNOWN)
-    assert outcome.first_byte == reported.get("delay", 0.0) and outcome.report == reported.get("report", ())
+    assert outcome.first_byte == reported.get("delay", 0.0)
+    assert outcome.report == reported.get("report", ())
 
 
 @pytest.mark.parametrize(
@@ -486,7 +493,8 @@
         async with platform(tmp_path, [edge, origin], settings=site()) as router:
             found = [(await router.ask(obj=f"{n:016x}"))[0] for n in range(3)]
             assert found == [200 if command == "data" else 503] * 3
-            assert edge.links == 1 and edge.ended == 0
+            assert edge.links == 1
+            assert edge.ended == 0
         nursery.cancel_scope.cancel()
 
 
@@ -516,8 +524,10 @@
             for n in range(8):
                 clients.start_soon(functools.partial(router.ask, obj=f"{n:016x}", ttl=5000))
             await edge.until(lambda: len(edge.asked) >= 8)
-            assert edge.most == 2 and edge.links == 4
-            assert (await router.ask())[0] == 503 and len(edge.asked) == 8
+            assert edge.most == 2
+            assert edge.links == 4
+            assert (await router.ask())[0] == 503
+            assert len(edge.asked) == 8
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
@@ -542,7 +552,8 @@
             async with trio.open_nursery() as clients:
                 for n in range(4):
                     clients.start_soon(request, f"{n:016x}")
-            assert len(found) == 4 and all(body == obj.encode() for obj, body in found.items())
+            assert len(found) == 4
+            assert all(body == obj.encode() for obj, body in found.items())
             assert edge.links == 1
         nursery.cancel_scope.cancel()
 
@@ -580,16 +591,15 @@
         (origin,) = await fleet(nursery, ORIGIN)
         async with platform(tmp_path, [edge, origin], settings=site(MayProbe=allowed)) as router:
             assert (await router.ask(ttl=1800))[0] == 504
-            assert (b"PING" in edge.heard) is allowed and b"LOAD" not in edge.heard
+            assert (b"PING" in edge.heard) is allowed
+            assert b"LOAD" not in edge.heard
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("cls", ["video-parts", "sheet-submit"])
 @pytest.mark.parametrize("how", ["full", "down", "drained"])
 @with_trio
-async def test_only_edge_caches_are_asked_where_they_may_not_be_passed_by(
-    tmp_path: Path, cls: str, how: str
-) -> None:
+async def test_only_edge_caches_receive_requests_without_bypass(tmp_path: Path, cls: str, how: str) -> None:
     """No cache takes anything: parent and origin hear nothing, and the request is refused."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
@@ -602,13 +612,15 @@
                 await log.tell(2, 2, record(edge, 1))
                 await log.cut()
             status, _, _ = await router.ask(cls, body=b"signed" * (cls == "sheet-submit"), X_Txn_Key=KEY)
-            assert status == 503 and not parent.asked and not origin.asked
+            assert status == 503
+            assert not parent.asked
+            assert not origin.asked
             assert bool(edge.asked) is (how == "full")
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_write_runs_at_the_origin_and_is_kept_nowhere(tmp_path: Path) -> None:
+async def test_write_runs_at_the_origin_and_is_not_cached(tmp_path: Path) -> None:
     """It goes by a cache, the origin its source, at no rank."""
     async with trio.open_nursery() as nursery:
         edge, parent, origin = await fleet(nursery, EDGE, PARENT, ORIGIN)
@@ -632,13 +644,14 @@
     frame = read_frame(Frame(7, 2, record(box, 0)[:-8] + boot_ms.to_bytes(8, "big")), names, 0.0)
     item = {"seq": 7, "fleet": {"targets": [{**target(box), "boot_ms": boot_ms}]}}
     [known] = read_known({"results": [item]}, names, 0.0)
-    assert frame == known and isinstance(frame.event, Membership)
+    assert frame == known
+    assert isinstance(frame.event, Membership)
     assert frame.event.members[0].started_at == boot_ms / 1000
 
 
 @pytest.mark.parametrize(("state", "name"), [(1, PARENT), (2, PARENT), (1, EDGE)])
 @with_trio
-async def test_drained_box_is_neither_asked_nor_a_source_after_250_ms(
+async def test_draining_cache_receives_no_new_requests_after_250_ms(
     tmp_path: Path, state: int, name: str
 ) -> None:
     """A parent of the hub, or a cache, drains or is gone while requests keep coming."""
@@ -678,7 +691,7 @@
 
 
 @with_trio
-async def test_purge_of_a_group_holds_for_boxes_and_our_own_copies(tmp_path: Path) -> None:
+async def test_group_purge_covers_caches_and_the_response_cache(tmp_path: Path) -> None:
     """Told by a frame: copies of that group must be younger than the purge, those of others stay."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
--- a/tests/test_purge_wave.py
+++ b/tests/test_purge_wave.py
@@ -76,7 +76,8 @@
     record, copies = fetched(site, Router)
     assert max(copies.values()) <= len(site.parents) + 1
     assert sum(copies.values()) <= AGAIN * len(copies)
-    assert record.origin_stops == 0 and worth(record) >= SERVED
+    assert record.origin_stops == 0
+    assert worth(record) >= SERVED
     assert invariants.violations(site, record) == {}
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -83,7 +83,8 @@
         edge, origin = await fleet(nursery)
         log, path = await Log().open(nursery), tmp_path / "config.json"
         async with platform(tmp_path, [edge, origin], log) as router_process:
-            assert (await router_process.ask())[0] == 200 and await put(router_process, "sheet-submit") == 200
+            assert (await router_process.ask())[0] == 200
+            assert await put(router_process, "sheet-submit") == 200
             edge.answer = lambda requested: held.append(requested)
             found: list[int] = []
 
@@ -97,9 +98,8 @@
                 router_process.process.send_signal(signal.SIGHUP)
                 await router_process.says(b"other settings hold")
                 edge.answer = data
-                assert (await router_process.ask())[0] == 404 and await put(
-                    router_process, "sheet-submit"
-                ) == 404
+                assert (await router_process.ask())[0] == 404
+                assert await put(router_process, "sheet-submit") == 404
                 assert (await router_process.ask("plates"))[0] == 200
                 assert edge.asked[-1].fields["queue"] == "plates"
                 assert int(edge.asked[-1].fields["budget"]) <= 2000
@@ -141,7 +141,8 @@
             router_process.process.send_signal(signal.SIGHUP)
             await router_process.says(b"the old configuration stays in force")
             assert said in router_process.said
-            assert (await router_process.ask("plates"))[0] == 404 and (await router_process.ask())[0] == 200
+            assert (await router_process.ask("plates"))[0] == 404
+            assert (await router_process.ask())[0] == 200
             await log.cut()  # it comes back to the old address
         nursery.cancel_scope.cancel()
 
@@ -174,9 +175,8 @@
     core.reconfigure(
         EngineConfig(Settings("here", ("here",), (new,), may_bypass_caches=True, max_attempts=4), 1, Limits())
     )
-    assert core.routers.current is not first and {s.width for s in core.routers.current.servers.values()} == {
-        0.0
-    }
+    assert core.routers.current is not first
+    assert {s.width for s in core.routers.current.servers.values()} == {0.0}
     assert not any(s.ejected_until for s in core.routers.current.servers.values())
     assert core.routers.current.purges.keys() == {"thing"}
     assert first.servers["box"].tokens.fill(now + 99, 5.0, 5.0) == 0.0
@@ -187,7 +187,9 @@
     core.report(
         placed[0], AttemptReply(AttemptResult.ERROR, 0.1)
     )  # by the class of now it could be tried again
-    assert len(placed) == 1 and request.is_finished and not core.routers.retired
+    assert len(placed) == 1
+    assert request.is_finished
+    assert not core.routers.retired
     for _ in range(9):  # with no request in hand, settings that follow one another leave nothing behind
         core.reconfigure(EngineConfig(core.settings, 1, Limits()))
     assert not core.routers.retired
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -229,7 +229,8 @@
                 cache = await trio.to_thread.run_sync(late.empty)
                 with cache:
                     found = await trio.to_thread.run_sync(cache.recv, 65536)
-            assert found.startswith(b"GET " + b"2" * 16) and b"1" * 16 not in found
+            assert found.startswith(b"GET " + b"2" * 16)
+            assert b"1" * 16 not in found
         nursery.cancel_scope.cancel()
 
 
@@ -252,7 +253,8 @@
         caches = await fleet(nursery, ORIGIN, answer=answer)
         async with platform(tmp_path, caches) as router_process:
             status, _, _ = await router_process.ask("sheet-submit", body=b"signed")
-            assert len(runs) == 1 and status == 200
+            assert len(runs) == 1
+            assert status == 200
             await router_process.ask("sheet-submit", body=b"signed")  # answered twice, for nothing
             await router_process.says(b"a cache answered a request a second time")
         nursery.cancel_scope.cancel()
@@ -327,7 +329,8 @@
                 cache.setblocking(False)
                 with cache, contextlib.suppress(BlockingIOError):
                     received = cache.recv(65536)
-                assert not received and len(edge.asked) == 1
+                assert not received
+                assert len(edge.asked) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -347,14 +350,15 @@
             await log.cut()  # what was told has been taken in
             assert log.since[-1] == 2
             assert [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(8)] == [200] * 8
-            assert not edge.asked and other.asked
+            assert not edge.asked
+            assert other.asked
             for stream in resting:
                 await stream.aclose()
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_all_who_came_before_the_door_shuts_are_answered(tmp_path: Path) -> None:
+async def test_clients_accepted_before_shutdown_are_answered(tmp_path: Path) -> None:
     """Forty connect, and ask, between the last look and the moment in which the door shuts."""
     # However slow the machine, none waits so long in the queue that it is refused for that.
     patient = [{**c, "TargetS": 20.0, "GiveUpS": 25.0} for c in SETTINGS["Classes"]]
@@ -383,7 +387,7 @@
 
 
 @with_trio
-async def test_what_is_asked_after_the_last_answers_is_refused(tmp_path: Path) -> None:
+async def test_requests_after_the_last_answers_are_rejected(tmp_path: Path) -> None:
     """A request whose rest comes after all in hand was answered unserved is refused, and not sent on."""
     classes = [{**c, "GiveUpS": 1.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
@@ -445,7 +449,8 @@
         found = b""
         while got := peer.recv(4096):  # no reset
             found += got
-        assert found.startswith(b"HTTP/1.1 503") and found.count(b"HTTP/1.1") == 1
+        assert found.startswith(b"HTTP/1.1 503")
+        assert found.count(b"HTTP/1.1") == 1
         poller.turn()
         assert not core.open_request_count  # what came after the end is not sent on
         peer.close()
@@ -469,8 +474,10 @@
                 with contextlib.suppress(trio.BrokenResourceError):
                     while more := await client.receive_some(65536):
                         got += more
-            assert got.startswith(b"HTTP/1.1 200") and b"Connection: close" in got
-            assert got.count(b"HTTP/1.1") == 1 and got.endswith(b"bytes")
+            assert got.startswith(b"HTTP/1.1 200")
+            assert b"Connection: close" in got
+            assert got.count(b"HTTP/1.1") == 1
+            assert got.endswith(b"bytes")
             edge.answer = data
             assert (await router_process.ask())[0] == 200
             assert [requested.id for requested in edge.asked].count("2" * 16) == 0
@@ -494,11 +501,12 @@
             for n in range(200):
                 await router_process.ask(obj=f"{n:016x}", ttl=300)
             reported = router_process.said.count(b"answered with what can't be served")
-            assert sum(len(cache.asked) for cache in caches) >= 200 and 0 < reported <= 100
+            assert sum(len(cache.asked) for cache in caches) >= 200
+            assert 0 < reported <= 100
         nursery.cancel_scope.cancel()
 
 
-def test_a_line_that_passes_tells_of_those_that_did_not() -> None:
+def test_log_line_reports_suppressed_lines() -> None:
     throttle, passed = Throttle(2, 1.0, max_kinds=3), []
     for n in range(50):
         record = logging.LogRecord("a", logging.WARNING, "", 0, "%s is bad", (f"box {n}",), None)
@@ -529,7 +537,7 @@
 
 
 @with_trio
-async def test_log_that_is_slow_to_begin_is_not_asked_anew_for_ever(tmp_path: Path) -> None:
+async def test_slow_change_log_is_not_reconnected_for_ever(tmp_path: Path) -> None:
     """Its first word takes 4 s on any connection, longer than a silence: the router is ready in 10 s."""
     async with trio.open_nursery() as nursery:
         caches = await fleet(nursery, EDGE)
@@ -537,7 +545,8 @@
         async with platform(tmp_path, [], log, known=False) as router_process:
             with trio.fail_after(10):
                 await ready(router_process)
-            assert (await router_process.ask())[0] == 200 and len(log.since) == 2
+            assert (await router_process.ask())[0] == 200
+            assert len(log.since) == 2
         nursery.cancel_scope.cancel()
 
 
@@ -570,12 +579,13 @@
             for place in range(10):
                 (folder := tmp_path / str(place)).mkdir()
                 starts.start_soon(restart, place, folder)
-        assert len(in_time) == 10 and sum(in_time) >= 9
+        assert len(in_time) == 10
+        assert sum(in_time) >= 9
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_left_before_its_head_was_whole(tmp_path: Path) -> None:
+async def test_client_leaves_before_its_request_is_complete(tmp_path: Path) -> None:
     """Half a head, then the end or a reset: nothing is sent on, and the next client is served."""
     async with trio.open_nursery() as nursery:
         caches = await fleet(nursery, EDGE, ORIGIN)
@@ -663,13 +673,14 @@
         caches = await fleet(nursery, *names, ORIGIN)
         async with platform(tmp_path, caches, files=64) as router_process:
             found = [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(200)]
-            assert found == [200] * 200 and all(cache.asked for cache in caches[:-1])
+            assert found == [200] * 200
+            assert all(cache.asked for cache in caches[:-1])
             assert sum(cache.links for cache in caches) > 30
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_connections_that_rest_end_before_the_box_ends_them(tmp_path: Path) -> None:
+async def test_idle_connections_close_before_the_cache_closes_them(tmp_path: Path) -> None:
     """The settings tell after how long a cache closes them; we close sooner, and ask on a new one."""
     async with trio.open_nursery() as nursery:
         (edge,) = await fleet(nursery, EDGE)
@@ -677,7 +688,8 @@
             assert (await router_process.ask())[0] == 200
             with trio.fail_after(5):
                 await edge.until(lambda: edge.ended == 1)
-            assert (await router_process.ask())[0] == 200 and edge.links == 2
+            assert (await router_process.ask())[0] == 200
+            assert edge.links == 2
         nursery.cancel_scope.cancel()
 
 
@@ -700,7 +712,7 @@
 
 
 @with_trio
-async def test_watch_that_falls_silent_is_asked_anew(tmp_path: Path) -> None:
+async def test_silent_change_log_is_reconnected(tmp_path: Path) -> None:
     """The change log's connection stays open and says nothing: what was missed comes on the next."""
     async with trio.open_nursery() as nursery:
         edge, origin = await fleet(nursery, EDGE, ORIGIN)
@@ -712,12 +724,14 @@
                 await log.news.wait()
             await log.tell(3, 2, record(edge, 1))
             await log.cut()
-            assert log.since[-1] == 3 and (await router_process.ask())[0] == 200 and not edge.asked
+            assert log.since[-1] == 3
+            assert (await router_process.ask())[0] == 200
+            assert not edge.asked
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_box_that_moves_is_asked_where_it_is_now(tmp_path: Path) -> None:
+async def test_moved_cache_is_reached_at_its_new_address(tmp_path: Path) -> None:
     """A connect to its old address is under way: what waits for it goes to the new one, at once."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
@@ -740,7 +754,7 @@
 
 
 @with_trio
-async def test_no_descriptor_for_a_connect_is_no_fault_of_the_box(tmp_path: Path) -> None:
+async def test_descriptor_shortage_is_not_attributed_to_the_cache(tmp_path: Path) -> None:
     """The system lets us open no more: a request is refused, not cut off; the cache is asked once it does."""
     async with trio.open_nursery() as nursery:
         (edge,) = await fleet(nursery, EDGE)
@@ -756,7 +770,8 @@
             usual = resource.prlimit(process, resource.RLIMIT_NOFILE)
             resource.prlimit(process, resource.RLIMIT_NOFILE, (open_now, usual[1]))
             await client.send_all(request("1" * 16))
-            assert (await client.receive_some(1000)).startswith(b"HTTP/1.1 503") and not edge.asked
+            assert (await client.receive_some(1000)).startswith(b"HTTP/1.1 503")
+            assert not edge.asked
             resource.prlimit(process, resource.RLIMIT_NOFILE, usual)
             await client.send_all(request("2" * 16))
             assert (await client.receive_some(1000)).startswith(b"HTTP/1.1 200")
@@ -805,7 +820,8 @@
                 got += peer.recv(65_536)
             poller.turn()
             assert time.time() < now + 8, f"{len(got)} bytes came"
-        assert ended == ["y"] and got.count(b"GET ") == 2
+        assert ended == ["y"]
+        assert got.count(b"GET ") == 2
         assert b"x" * 2_000_000 + b"\r\nGET z " in got
     link.close()
 
@@ -842,5 +858,6 @@
             with contextlib.suppress(BlockingIOError):
                 more = peer.recv(1_000_000)
                 got, end = got + more, not more
-        assert got.count(b"HTTP/1.1") == 1 and len(got) > 8_000_000
+        assert got.count(b"HTTP/1.1") == 1
+        assert len(got) > 8_000_000
         front.poller.remove(mine.fileno())
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -66,9 +66,11 @@
 def test_least_recently_used_copy_is_dropped_first() -> None:
     """Bytes are bounded, and what is too large is not stored."""
     cache = cache_with(**{f"o{n}": 1000 for n in range(8)}, large=1001)
-    assert cache.find(arrival("o0"), "", 101.0) and not cache.find(arrival("large"), "", 101.0)
+    assert cache.find(arrival("o0"), "", 101.0)
+    assert not cache.find(arrival("large"), "", 101.0)
     cache.store(Copy(arrival("new"), bytes(1000), "e1", 100.0))
-    assert not cache.find(arrival("o1"), "", 105.0) and cache.find(arrival("o0"), "", 110.0)
+    assert not cache.find(arrival("o1"), "", 105.0)
+    assert cache.find(arrival("o0"), "", 110.0)
 
 
 def test_full_link_leaves_requests_to_the_caches() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -41,7 +41,9 @@
 def test_unsafe_effect_is_never_sent_again_once_it_may_have_run(result: AttemptResult) -> None:
     harness = RouterHarness(classes=(replace(VIDEO, idempotency=Idempotency.NON_IDEMPOTENT),))
     actions = harness.end(only(harness.ask(), Fetch), result)
-    assert only(actions, Fail) and not every(actions, Fetch) and not every(actions, Reject)
+    assert only(actions, Fail)
+    assert not every(actions, Fetch)
+    assert not every(actions, Reject)
 
 
 @pytest.mark.parametrize("result", [AttemptResult.BROKEN, AttemptResult.TIMEOUT, AttemptResult.ERROR])
@@ -52,7 +54,9 @@
     harness = RouterHarness(classes=(keyed(Scope.ALL),))
     assert only(harness.end(only(harness.ask(), Fetch), result), Fetch)
     actions = harness.end(only(harness.ask(has_idempotency_key=False), Fetch), result)
-    assert only(actions, Fail) and not every(actions, Fetch) and not every(actions, Reject)
+    assert only(actions, Fail)
+    assert not every(actions, Fetch)
+    assert not every(actions, Reject)
 
 
 def test_unsafe_effect_may_go_elsewhere_when_it_never_ran() -> None:
@@ -61,7 +65,7 @@
     assert only(harness.end(first, AttemptResult.UNREACHABLE), Fetch).server != first.server
 
 
-def test_keyed_effect_stays_in_its_group_and_window() -> None:
+def test_keyed_write_is_retried_only_within_scope_and_window() -> None:
     fleet = [replace(m, cell=n) for n, m in enumerate(members())]
     harness = RouterHarness(fleet, classes=(keyed(Scope.CELL),))
     assert only(harness.end(only(harness.ask(), Fetch), AttemptResult.BROKEN), Fail)
@@ -81,7 +85,8 @@
     for n in range(200):
         harness.now += 1
         fetch = harness.serve(f"o{n}", "tiles")
-        assert fetch.server != "edge-0" and fetch.source != "parent-0"
+        assert fetch.server != "edge-0"
+        assert fetch.source != "parent-0"
 
 
 def test_purge_bounds_the_age_of_copies_by_object_and_by_group() -> None:
@@ -149,7 +154,7 @@
     assert again.server != fetch.server
 
 
-def test_purges_never_asked_for_again_are_let_go() -> None:
+def test_old_purges_are_forgotten() -> None:
     harness = RouterHarness()
     for n in range(2000):
         harness.now += 0.1
@@ -160,7 +165,7 @@
 
 
 @pytest.mark.parametrize("sharers", [9, 40])
-def test_sharers_of_a_cold_cache_keep_its_budget_whatever_crowds_they_saw(sharers: int) -> None:
+def test_routers_sharing_a_cold_cache_keep_its_budget(sharers: int) -> None:
     """Widths learned from a guess at the others' crowds, in a jam of fills, were five times the link's."""
     cold = Member("edge-0", "depot", started_at=100.0)
     harnesses = [
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -275,7 +275,7 @@
 @pytest.mark.parametrize("raw", [None, [], "settings", 3])
 def test_settings_that_are_no_object_are_rejected(raw: object) -> None:
     """What is no object at all is rejected like any value."""
-    with pytest.raises(SettingsError, match="^settings: .*: must be an object$"):
+    with pytest.raises(SettingsError, match=r"^settings: .*: must be an object$"):
         read_settings(raw)
 
 
@@ -285,7 +285,8 @@
     with pytest.raises(SettingsError) as fault:
         read_settings(changed(WITH_HUBS, (("Weights",), value)))
     assert len(str(fault.value)) < 2 * LONGEST_EXCERPT + 20
-    assert str(fault.value).isascii() and str(fault.value).isprintable()
+    assert str(fault.value).isascii()
+    assert str(fault.value).isprintable()
 
 
 @pytest.mark.parametrize(
@@ -306,16 +307,20 @@
 def test_each_value_is_read_into_its_field() -> None:
     """Each value of the object is found in its own field."""
     found = read_settings(WITH_HUBS)
-    assert found.classes[0].late_value == 0.25 and found.classes[0].in_parts
-    assert found.classes[1].fresh_for == 12.0 and found.classes[1].grace == 45.0
-    assert found.classes[1].stale_value == 0.4 and not found.classes[1].uncached
+    assert found.classes[0].late_value == 0.25
+    assert found.classes[0].in_parts
+    assert found.classes[1].fresh_for == 12.0
+    assert found.classes[1].grace == 45.0
+    assert found.classes[1].stale_value == 0.4
+    assert not found.classes[1].uncached
     votes = found.classes[2]
     assert (votes.idempotency, votes.scope, votes.repeat_window) == (
         Idempotency.IDEMPOTENT_WITH_KEY,
         Scope.ZONE,
         2.0,
     )
-    assert votes.uncached and not votes.in_parts
+    assert votes.uncached
+    assert not votes.in_parts
     assert (found.router_index, found.router_count, found.hub_of, found.routers_by_location) == (
         1,
         5,
@@ -324,9 +329,9 @@
     )
     assert found.edge_cold == SlowStart(0.22, 16.0, 3.5, 1.5)
     assert found.parent_cold == SlowStart(0.12, 14.0, 2.5, 1.5)
-    assert (
-        found.weights_known and not found.must_subscribe and found.sibling_sources is SiblingSources.LOCATION
-    )
+    assert found.weights_known
+    assert not found.must_subscribe
+    assert found.sibling_sources is SiblingSources.LOCATION
     assert (found.probe_price, found.max_hold_off, found.streams) == (0.02, 2.5, 64)
     assert (found.tick, found.keepalive, found.link_kb_per_s[2]) == (0.004, 25.0, 52000.0)
     assert kind_roles(WITH_HUBS) == {"relay": Role.PARENT, "vault": Role.ORIGIN}
@@ -357,7 +362,8 @@
     """Fills come from the origin; figures of parents may be zeros, since there are none."""
     router = started(WITHOUT_HUBS)
     fetch = request_once(router, "pages")
-    assert fetch.server.startswith("edge-") and fetch.source == "origin"
+    assert fetch.server.startswith("edge-")
+    assert fetch.source == "origin"
     assert kind_roles(WITHOUT_HUBS) == {"vault": Role.ORIGIN}
 
 
@@ -398,7 +404,8 @@
         (info("PipeKbPerS"), [52000.0]),
     )
     fetch = request_once(started(raw, ("isle",)), "films")
-    assert fetch.server.startswith("edge-") and fetch.source.startswith("parent-isle")
+    assert fetch.server.startswith("edge-")
+    assert fetch.source.startswith("parent-isle")
 
 
 @pytest.mark.parametrize(
@@ -465,12 +472,11 @@
     )
     absent = read_settings(changed(WITH_HUBS, *[(info(name), DELETED) for name in names]))
     assert absent == read_settings(changed(WITH_HUBS, *[(info(name), []) for name in names]))
-    assert absent.hub_of == absent.routers_by_location == () and not any(
-        cls.uncached for cls in absent.classes
-    )
+    assert absent.hub_of == absent.routers_by_location == ()
+    assert not any(cls.uncached for cls in absent.classes)
 
 
-def test_whole_numbers_may_be_written_as_fractions() -> None:
+def test_integers_may_be_written_as_fractions() -> None:
     """JSON has one kind of number: 2.0 and 2 are the same."""
     raw = changed(
         WITH_HUBS, (info("HubByZone"), [0.0, 1.0, 0.0, 1.0]), (("Limits", "MaxAttempts"), 6.0), (("Me",), 1.0)
@@ -579,8 +585,10 @@
     try:
         reported, roles = read_settings(mutated), kind_roles(mutated)
     except SettingsError as fault:
-        assert str(fault).startswith(fault.path) and fault.path.startswith("settings")
-        assert len(str(fault)) < 300 and str(fault).isprintable()
+        assert str(fault).startswith(fault.path)
+        assert fault.path.startswith("settings")
+        assert len(str(fault)) < 300
+        assert str(fault).isprintable()
         return
     Limits().with_settings(reported).with_kill_deadline(reported)
     run_all_events(reported, roles)
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -22,6 +22,7 @@
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.settings import RequestClass
 from tests.router_harness import VIDEO, RouterHarness, every, members, settings
+import itertools
 
 
 class Clock(Timers):
@@ -76,7 +77,7 @@
         self._then(self, None)
 
 
-def test_doormans_come_back_to_a_lost_log_spread_over_time(
+def test_routers_reconnect_to_a_lost_change_log_spread_over_time(
     clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All lose it at one moment; none may leave it for 2 s, by when it counts as told."""
@@ -106,10 +107,10 @@
     for at, name in NoDial.tries:
         by_log.setdefault(name, []).append(at)
     assert len(by_log) == 200
-    assert all(b - a < 1.0 for times in by_log.values() for a, b in zip(times, times[1:], strict=False))
+    assert all(b - a < 1.0 for times in by_log.values() for a, b in itertools.pairwise(times))
 
 
-def test_an_idle_doorman_looks_seldom_and_a_busy_one_often(clock: Clock) -> None:
+def test_idle_router_checks_connections_seldom_and_busy_one_often(clock: Clock) -> None:
     """Two hundred that look twenty times a second for nothing are four thousand wakes."""
     limits = Limits()
 
@@ -221,14 +222,14 @@
 
 @pytest.mark.parametrize("uneven", [False, True])
 @pytest.mark.parametrize("cold", [0.0, 0.6])
-def test_what_is_cold_is_neither_pushed_over_nor_left_idle(cold: float, uneven: bool) -> None:
+def test_cold_caches_are_neither_overloaded_nor_idle(cold: float, uneven: bool) -> None:
     """One cache and one parent cold, or six in ten; equal loads, or some routers with ten times others'."""
     fleet = MembershipView(cold, uneven)
     assert fleet.run(118.0) == ""
     assert all(fleet.spent.values())
 
 
-def test_the_check_finds_gateways_that_take_no_share() -> None:
+def test_invariant_check_finds_routers_that_take_no_share() -> None:
     """The fault planted: each takes the whole budget for its own."""
     assert MembershipView(0.6, False, shares=False).run(118.0)
 
@@ -310,18 +311,19 @@
 @pytest.mark.parametrize("weight", [4.0, 2.0])
 @pytest.mark.parametrize("sharers", [20, 30])
 @pytest.mark.parametrize(("aim", "work"), [(0.5, 0.4), (0.3, 0.075), (0.15, 0.6), (0.8, 0.05)])
-def test_the_sum_of_all_sends_keeps_a_cold_budget_through_restarts(
+def test_all_sends_together_keep_a_slow_start_budget_through_restarts(
     sharers: int, weight: float, aim: float, work: float
 ) -> None:
     calls, over = calls_at_a_cold_cache(sharers, weight, aim, work, sharers)
-    assert not over and (calls or sharers * work > 7)  # a share may pay for no request at all
+    assert not over
+    assert calls or sharers * work > 7
 
 
-def test_the_count_finds_a_cold_budget_that_each_takes_for_its_own() -> None:
+def test_count_finds_a_budget_that_each_router_takes_alone() -> None:
     assert calls_at_a_cold_cache(20, 4.0, 0.3, 0.075, 1)[1]
 
 
-def test_gateways_that_come_back_do_not_spend_a_cold_budget_twice() -> None:
+def test_restarted_routers_do_not_spend_a_slow_start_budget_twice() -> None:
     """All are killed just after a new cache was told of: they forget what they sent it, and it does not."""
     spent, cold = 0.0, Member("edge-0", "depot", started_at=100.0)
     for start, now in ((90.0, 104.0), (104.3, 104.4)):
--- a/tests/test_simulated_caches.py
+++ b/tests/test_simulated_caches.py
@@ -94,14 +94,16 @@
 def test_a_day_is_the_same_by_its_seed() -> None:
     day = site(troubles=(trouble(TroubleKind.CRASH),))
     first, second = play(day, PlainPolicy), play(day, PlainPolicy)
-    assert first.ended == second.ended and first.sent == second.sent
+    assert first.ended == second.ended
+    assert first.sent == second.sent
     assert play(replace(day, seed=4), PlainPolicy).ended != first.ended
 
 
-def test_a_quiet_day_is_served_and_keeps_all_rules() -> None:
+def test_calm_day_is_served_and_breaks_no_invariant() -> None:
     day = site()
     record = play(day, PlainPolicy)
-    assert len(record.operations) > 200 and worth(record) > 0.95
+    assert len(record.operations) > 200
+    assert worth(record) > 0.95
     assert invariants.violations(day, record) == {}
     notes = {ended.cache_status for ended in record.ended}
     assert {CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN} <= notes
@@ -193,10 +195,11 @@
     strikes = trouble(TroubleKind.FAST_ERRORS, parents=True, size=0.9)
     play(site(status_reports=status_reports, troubles=(strikes,), load=0.8), listener)
     seen = {outcome.cache_status for outcome in listener.outcomes}
-    assert seen <= notes | {CacheStatus.UNKNOWN} and len(seen) >= min(3, len(notes))
+    assert seen <= notes | {CacheStatus.UNKNOWN}
+    assert len(seen) >= min(3, len(notes))
 
 
-def test_reports_sizes_and_weights_are_told_as_the_site_says(listener: type[Listener]) -> None:
+def test_reports_sizes_and_weights_follow_the_site(listener: type[Listener]) -> None:
     play(site(report_x0=True, sizes_known=False, weights=Weights.SILENT), listener)
     assert any(dict(outcome.report).keys() == {"inflight", "x0"} for outcome in listener.outcomes)
     assert {arrival.size_kb for arrival in listener.arrivals} == {0.0}
@@ -211,7 +214,8 @@
     load = ClassLoad(replace(VIDEO, time_limit=0.5), 0.5, 2.0, objects=50, streamed=True)
     record = play(site(classes=(load,)), PlainPolicy)
     late = [r for r in record.ended if r.at > record.requests[r.request_id].deadline + 0.1]
-    assert any(ended.result is AttemptResult.OK for ended in late) and not record.overdue
+    assert any(ended.result is AttemptResult.OK for ended in late)
+    assert not record.overdue
 
 
 # Policies with one fault each, and the check that finds it.
--- a/tests/test_simulation_parts.py
+++ b/tests/test_simulation_parts.py
@@ -34,7 +34,8 @@
 
     queue.at(0.5, second)
     queue.run(9.0)
-    assert ends == [pytest.approx(1.0), pytest.approx(1.25)] and len(link) == 0
+    assert ends == [pytest.approx(1.0), pytest.approx(1.25)]
+    assert len(link) == 0
 
 
 def test_the_narrowest_of_two_links_counts() -> None:
@@ -54,20 +55,27 @@
     memory = RankedMemory(3.0)
     assert all(memory.store(copy(name, rank)) for name, rank in (("a", 2), ("b", 1), ("c", 1)))
     memory.use(memory.get("b") or copy(""), 0)
-    assert memory.store(copy("d")) and memory.get("c") is None
-    assert memory.store(copy("e", 3)) and memory.get("b") is None
-    assert memory.store(copy("f", 2)) and memory.get("d") is None and memory.get("a")
+    assert memory.store(copy("d"))
+    assert memory.get("c") is None
+    assert memory.store(copy("e", 3))
+    assert memory.get("b") is None
+    assert memory.store(copy("f", 2))
+    assert memory.get("d") is None
+    assert memory.get("a")
 
 
 def test_memory_drops_nothing_of_a_higher_rank() -> None:
     memory = RankedMemory(2.0)
-    assert memory.store(copy("a", 2)) and memory.store(copy("b", 3))
-    assert not memory.store(copy("c", 1)) and len(memory) == 2
+    assert memory.store(copy("a", 2))
+    assert memory.store(copy("b", 3))
+    assert not memory.store(copy("c", 1))
+    assert len(memory) == 2
 
 
 def test_memory_takes_no_copy_older_than_a_purge() -> None:
     memory = RankedMemory(9.0)
     memory.store(copy("a", issued=5.0))
     memory.purge("a", 6.0)
-    assert memory.get("a") is None and not memory.store(copy("a", issued=5.5))
+    assert memory.get("a") is None
+    assert not memory.store(copy("a", issued=5.5))
     assert memory.store(copy("a", issued=6.5))
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -71,7 +71,8 @@
     )
     text += batch(4, REQUEST.format(n=2), 2.0) + batch(5, "STOP I=1\n") + batch(6, REQUEST.format(n=3))
     done = talk(text)
-    assert done.returncode == 0 and done.stderr == ""
+    assert done.returncode == 0
+    assert done.stderr == ""
     replies = re.split(r"EOR n=\d+\n", done.stdout)
     assert replies[0] == replies[1] == replies[3] == replies[5] == replies[6] == ""
     assert "FETCH_THROUGH I=1 MsgId=q1 Cache=1.1.1.1:1 PatienceS=2.500000 Supplier=2.2.2.2:2" in replies[2]
@@ -108,7 +109,8 @@
 def test_unreadable_input_ends_with_one_line_and_no_partial_reply(text: str, reported: str) -> None:
     done = talk(text)
     assert done.returncode != 0
-    assert reported in done.stderr and done.stderr.count("\n") == 1
+    assert reported in done.stderr
+    assert done.stderr.count("\n") == 1
     assert done.stdout == "" or done.stdout.endswith("EOR n=1\n")
 
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -181,7 +181,8 @@
             assert await shared.claims.claim("txn-2") is ClaimResult.OURS
             nursery.cancel_scope.cancel()
         memory = merge.memory()
-        assert set(memory.definitions) == others and not memory.srv_members
+        assert set(memory.definitions) == others
+        assert not memory.srv_members
         assert memory.orders == {"e-1": DRAIN, "p-1": RESTORE}
         assert str(shared.position) == "1700000200750-5"
         told_at = pytest.approx(SAVED, abs=5.0)  # by the store's clock, less the time of an answer
@@ -231,7 +232,8 @@
         HandoverIndex(Limits().max_handover_claims),
     )
     reader_records = tuple(reader.feed(data))
-    assert reader_records == RECORDS and reader.damaged_lines == 0
+    assert reader_records == RECORDS
+    assert reader.damaged_lines == 0
     assert [type(record) for record in reader_records] == [type(record) for record in RECORDS]
     assert {type(record) for record in RECORDS} == set(get_args(HandoverRecord))
     assert b"".join(map(encode, RECORDS)) == data
--- a/tests/test_unresponsive_caches.py
+++ b/tests/test_unresponsive_caches.py
@@ -22,17 +22,19 @@
         assert fetch.server.startswith("edge")
         actions = harness.end(fetch, AttemptResult.UNREACHABLE, attempt=n, wait=0.4)
     straight = only(actions, Fetch)
-    assert straight.server.startswith("parent") and straight.source == "origin"
+    assert straight.server.startswith("parent")
+    assert straight.source == "origin"
     harness.now = 3.0
     harness.tell([replace(m, started_at=2.0) for m in members() if m.server.startswith("edge")])
     for n in range(20):
         harness.now += 0.5
         harness.serve(f"o{n}")
     back = [s for s in harness.router.servers.values() if s.member.server.startswith("edge")]
-    assert not any(s.ejected_until for s in back) and all(s.born == 2.0 for s in back)
+    assert not any(s.ejected_until for s in back)
+    assert all(s.born == 2.0 for s in back)
 
 
-def test_a_restarted_gateway_with_an_old_list_leaves_what_does_not_answer() -> None:
+def test_restarted_router_with_an_old_list_avoids_unresponsive_caches() -> None:
     harness = RouterHarness(members(edges=2))  # the remembered list
     for n in range(4):
         fetch = only(harness.ask(f"o{n}"), Fetch)
@@ -58,10 +60,8 @@
         harness.now += wait
         harness.end(fetch, AttemptResult.TIMEOUT if fetch.server == "edge-0" else AttemptResult.OK, wait=wait)
     assert harness.router.servers["edge-0"].ejected_until
-    assert (
-        not harness.router.servers["edge-1"].ejected_until
-        and not harness.router.servers["edge-2"].ejected_until
-    )
+    assert not harness.router.servers["edge-1"].ejected_until
+    assert not harness.router.servers["edge-2"].ejected_until
 
 
 def test_a_cache_that_grows_slower_is_passed_over_by_its_crowd() -> None:
@@ -74,7 +74,8 @@
         if fetch.server == "edge-1":
             harness.end(fetch)  # edge-0 takes ever longer: nothing comes back yet
     late = [only(harness.ask(f"p{n}"), Fetch) for n in range(15)]
-    assert seen == {"edge-0", "edge-1"} and {f.server for f in late} == {"edge-1"}
+    assert seen == {"edge-0", "edge-1"}
+    assert {f.server for f in late} == {"edge-1"}
 
 
 @pytest.mark.parametrize(("price", "quiet"), [(0.0, 0.2), (0.011, 0.2), (0.05, 0.8), (0.9, 3.0)])
@@ -85,7 +86,5 @@
         RequestClass("b", latency_objective=0.5, time_limit=2.0),
     )
     reported = Limits().with_settings(settings(classes=classes, may_probe=True, probe_price=price))
-    assert (
-        reported.idle_probe_after == pytest.approx(quiet)
-        and reported.idle_probe_after <= reported.unresponsive_timeout == 3.0
-    )
+    assert reported.idle_probe_after == pytest.approx(quiet)
+    assert reported.idle_probe_after <= reported.unresponsive_timeout == 3.0
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -118,7 +118,7 @@
     assert times == pytest.approx([0.0, 35.0], abs=4 * time_coordinator.STEP)
 
 
-def test_a_process_that_stays_busy_is_named(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_busy_process_is_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A process that is busy for good ends the play, with its number."""
     monkeypatch.setattr(time_coordinator, "HANG", 0.5)
     coordinator = TimeCoordinator(tmp_path / "clock", 1)
@@ -138,7 +138,7 @@
         worker.end()
 
 
-def test_all_waiting_for_ever_is_told(tmp_path: Path) -> None:
+def test_deadlock_of_all_processes_is_reported(tmp_path: Path) -> None:
     """Nobody waits for a time: no time would ever come."""
     with pytest.RaisesGroup(pytest.RaisesExc(NoDeadline, match="nobody"), flatten_subgroups=True):
         TimeCoordinator(tmp_path / "clock", 0).run(trio.sleep_forever)
@@ -154,7 +154,8 @@
 
     monkeypatch.setattr(Scenario, "_do", stall)
     outcome = run_in_virtual_time(_two_doormans("stop", "cont"), 1, tmp_path)
-    assert outcome.faults.pop("answered") and not any(outcome.faults.values())
+    assert outcome.faults.pop("answered")
+    assert not any(outcome.faults.values())
 
 
 def _two_doormans(first: str, second: str) -> Script:
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize(("reported", "sent"), [(False, True), (True, False)])
 @pytest.mark.parametrize("cls", ["submit", "video"])
-def test_untold_weight(cls: str, reported: bool, sent: bool) -> None:
+def test_unknown_weight(cls: str, reported: bool, sent: bool) -> None:
     """A weight of 1 that tells nothing must not pass for a cache whose link bears one transfer."""
     harness = RouterHarness(FLEET, weights_known=reported, classes=(VIDEO, SUBMIT))
     found = [
@@ -130,7 +130,7 @@
     assert next(reversed(harness.router.pending_requests.values())).work == pytest.approx(0.4)
 
 
-def test_an_answer_without_bytes_tells_of_no_size() -> None:
+def test_response_without_bytes_teaches_no_size() -> None:
     harness = RouterHarness(weights_known=False)
     for size, wait in ((1600.0, 0.6), (0.0, 0.01)):
         fetch = only(harness.ask("clip", size_kb=0.0), Fetch)
@@ -144,13 +144,13 @@
 
 
 @pytest.mark.parametrize(("seats", "ranks"), [(1, [1, 2]), (9, [1, 1])])
-def test_rank_of_what_is_asked_for_again(seats: int, ranks: list[int]) -> None:
+def test_priority_of_repeated_objects(seats: int, ranks: list[int]) -> None:
     """Of nine routers each called known what it saw twice: copies that the others' could not push out."""
     harness = RouterHarness(routers_by_location=(0, 0, 0, seats))
     assert [harness.serve("clip").keep for _ in ranks] == ranks
 
 
-def test_an_absurd_size_that_a_client_tells_moves_no_mean_far() -> None:
+def test_absurd_client_size_moves_no_mean_far() -> None:
     """One told size of years made every cold cache too dear for hundreds of requests."""
     harness = RouterHarness()
     before = harness.router.sizes.means["video"]
