--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -135,7 +135,7 @@
             if not result.is_stale:
                 return result
             reason = f"the last answer is used on: {result.stale_reason}"
-        log.warning("%s: %s", name, reason)
+        log.warning("look-up of %s failed: %s", name, reason)
         self._merge.failed(name, reason)
         return None
 
--- a/brackenlane/discovery/resolver.py
+++ b/brackenlane/discovery/resolver.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import logging
 import random
 import time
 from collections.abc import Iterable
@@ -29,8 +28,6 @@
 from brackenlane.discovery.records import SrvRecord
 from brackenlane.discovery.upstreams import Upstream, Upstreams, UpstreamTimeouts
 
-log = logging.getLogger(__name__)
-
 ROUNDS = 2  # over all upstreams, for one look-up
 ATTEMPTS_PER_UPSTREAM = 3  # FORMERR and truncation lead to one more each
 TCP_TIMEOUT_FACTOR = 2  # a connection takes one more round trip
--- a/brackenlane/discovery/snapshot.py
+++ b/brackenlane/discovery/snapshot.py
@@ -49,11 +49,11 @@
 
 def _set_aside(path: Path, reason: Exception) -> None:
     aside = path.with_name(path.name + ".damaged")
-    log.warning("%s can't be used: %s; it is set aside as %s", path, reason, aside.name)
+    log.warning("snapshot %s can't be used: %s; it is set aside as %s", path, reason, aside.name)
     try:
         os.replace(path, aside)
     except OSError as error:
-        log.warning("%s: %s", path, error)
+        log.warning("snapshot %s not set aside: %s", path, error)
 
 
 def save(path: Path, data: bytes) -> None:
@@ -95,7 +95,9 @@
             try:
                 await self.keep()
             except OSError as error:
-                log.warning("%s: not kept: %s", self._path, error)
+                log.warning(
+                    "snapshot %s not written: %s; retried in %.1f s", self._path, error, self._interval
+                )
                 self._changed.set()
             await trio.sleep(self._interval)
 
