--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -143,7 +143,9 @@
                     answer = await query(port, f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
                     named |= {text.split()[3].split(".")[0] for text in texts(answer)}
                     await router_process.ask(obj=obj)
-            assert site.ids[0] not in named and named and len(first.asked) == before
+            assert site.ids[0] not in named
+            assert named
+            assert len(first.asked) == before
             assert "drained by the console of a1" in await console(path, "why", site.ids[0])
             # The churn may have kept the cache off SRV for longer than the grace period, or its address
             # unknown: that it is drained and not merely absent shows once all answers name it again.
@@ -179,7 +181,8 @@
             assert "draining" in next(line for line in text.splitlines() if line.startswith(site.ids[1]))
             for number in range(8):
                 assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
-            assert site.caches[0].asked and not site.caches[1].asked
+            assert site.caches[0].asked
+            assert not site.caches[1].asked
             # The resolver is back, and has lost all but one: not believed at once.
             site.name(0)
             await site.server.open(nursery)
@@ -266,7 +269,8 @@
                 site.server.put(SRV, "SRV", "0 0 0 .", ttl=0)
                 while site.ids[0] in await console(path, "boxes"):
                     await trio.sleep(0.05)
-            assert found[0] in (502, 504) and len(held) == 1
+            assert found[0] in (502, 504)
+            assert len(held) == 1
             assert sum(len(cache.asked) for cache in (*site.caches, site.origin)) == 1
         nursery.cancel_scope.cancel()
 
@@ -295,10 +299,12 @@
                 site.server.fail(*[Fault.SERVFAIL] * fails, name="box-1.branch.test")
                 done = await trio.to_thread.run_sync(run, "discover", str(path), "--json")
                 view = orjson.loads(done.stdout)
-                assert done.returncode == int(fails) and bool(view["failed"]) is fails
+                assert done.returncode == int(fails)
+                assert bool(view["failed"]) is fails
                 assert {cache["id"] for cache in view["boxes"]} == {*site.ids, "origin"}
             table = await trio.to_thread.run_sync(run, "discover", str(path))
-            assert "SERVFAIL" in table.stdout and "named by file" in table.stdout
+            assert "SERVFAIL" in table.stdout
+            assert "named by file" in table.stdout
         nursery.cancel_scope.cancel()
 
 
@@ -346,7 +352,9 @@
 def test_command_line(arguments: list[str], code: int, said: str) -> None:
     """Help and version are no faults; wrong words are, with 2."""
     done = run(*arguments)
-    assert done.returncode == code and said in done.stdout and "Traceback" not in done.stderr
+    assert done.returncode == code
+    assert said in done.stdout
+    assert "Traceback" not in done.stderr
     assert bool(done.stderr) is bool(code)
 
 
@@ -386,4 +394,5 @@
             assert found == retained, (place, damaged)
     path = tmp_path / "last.json"
     snapshot.save(path, complete)
-    assert snapshot.load(path) == retained and snapshot.load(tmp_path / "none.json") is None
+    assert snapshot.load(path) == retained
+    assert snapshot.load(tmp_path / "none.json") is None
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -61,7 +61,8 @@
     assert {c.endpoint for c in changes} == {("127.0.1.1", 80), ("127.0.1.2", 80)}
     assert all(c.member.started_at == 0 and c.member.weight == 8 for c in changes)
     [added] = made.answer(SRV, targets(*HOSTS), "u1", 20.0)
-    assert added.member.server == IDS[2] and added.member.started_at == 20.0
+    assert added.member.server == IDS[2]
+    assert added.member.started_at == 20.0
     assert made.answer(SRV, targets(*HOSTS), "u1", 30.0) == []  # nothing new, nothing told
 
 
@@ -76,12 +77,14 @@
     assert IDS[0] not in made.caches
     assert made.locate(HOSTS[0], ["127.0.9.9"], 20.0) == []
     [back] = made.answer(SRV, targets(*HOSTS), "u1", 21.0)
-    assert back.member.state is ServerState.DRAINING and back.endpoint == ("127.0.9.9", 80)
+    assert back.member.state is ServerState.DRAINING
+    assert back.endpoint == ("127.0.9.9", 80)
     assert serving(made) == set(IDS[1:])
     assert "drained by console" in made.explain(IDS[0], 22.0)[0]
     assert made.order(IDS[0], OperatorOrder(False, 10.5, "late news")) == []  # older than the drain
     [again] = made.order(IDS[0], OperatorOrder(False, 24.0, "console"))
-    assert again.member.state is ServerState.SERVING and again.member.started_at == 21.0  # and cold
+    assert again.member.state is ServerState.SERVING
+    assert again.member.started_at == 21.0
 
 
 def test_drained_cache_named_again_before_its_address_is_known() -> None:
@@ -132,7 +135,8 @@
     assert len(serving(made)) == 6  # half of six may go at once: the old three are missing, not yet gone
     made.failed(SRV, "timed out")
     gone = made.tick(19.5)
-    assert states(gone) == dict.fromkeys(IDS, ServerState.GONE) and len(serving(made)) == 3
+    assert states(gone) == dict.fromkeys(IDS, ServerState.GONE)
+    assert len(serving(made)) == 3
 
 
 def test_mistake_undone() -> None:
@@ -143,7 +147,8 @@
         assert made.answer(SRV, [SrvRecord(".", 0)], "u1", now) == []
     assert made.answer(SRV, targets(*HOSTS), "u1", 21.5) == []
     assert made.entries[SRV].held is None
-    assert made.tick(99.0) == [] and serving(made) == set(IDS)
+    assert made.tick(99.0) == []
+    assert serving(made) == set(IDS)
 
 
 def test_failed() -> None:
@@ -152,7 +157,8 @@
     made.answer(SRV, targets(*HOSTS), "u1", 10.0)
     made.failed(SRV, "timed out")
     made.failed(HOSTS[0], "SERVFAIL")
-    assert made.tick(1e6) == [] and serving(made) == set(IDS)
+    assert made.tick(1e6) == []
+    assert serving(made) == set(IDS)
     assert any("timed out" in line for line in made.explain(IDS[0], 20.0))
 
 
@@ -165,12 +171,14 @@
         now = 11.0 + number
         reported += made.answer(SRV, targets(*HOSTS[number % 2 : number % 2 + 2]), "u1", now)
         reported += made.tick(now)
-    assert reported == [] and serving(made) == set(IDS)
+    assert reported == []
+    assert serving(made) == set(IDS)
     made.answer(SRV, targets(*HOSTS), "u1", 51.0)
     for number in range(40):
         reported += made.locate(HOSTS[0], [f"127.0.2.{number % 2 + 1}"], 60.0 + number)
         reported += made.tick(60.0 + number)
-    assert 0 < len(reported) <= 9 and all(c.member.started_at >= 60.0 for c in reported)
+    assert 0 < len(reported) <= 9
+    assert all(c.member.started_at >= 60.0 for c in reported)
 
 
 def test_hosts_let_go() -> None:
@@ -185,7 +193,8 @@
         made.tick(30.0 + 20 * number)
         made.sources.discard_unnamed_host(host)
         made.sources.discard_unnamed_host(HOSTS[0])
-    assert made.sources.addresses.by_host.keys() == set(HOSTS) and serving(made) == set(IDS)
+    assert made.sources.addresses.by_host.keys() == set(HOSTS)
+    assert serving(made) == set(IDS)
 
 
 def test_dead_address() -> None:
@@ -217,7 +226,8 @@
     made.define(DefinitionSource.FILE, CacheDefinition("box-1", HOSTS[0], 80, "branch", weight=5.0))
     made.define(DefinitionSource.FILE, CacheDefinition("box-2", "127.0.1.2", 80, "branch"))
     made.answer(SRV, targets(*HOSTS[:2], weight=50), "u1", 2.0)
-    assert made.caches.keys() == {"box-1", "box-2"} and made.caches["box-1"].definition.weight == 5.0
+    assert made.caches.keys() == {"box-1", "box-2"}
+    assert made.caches["box-1"].definition.weight == 5.0
     assert made.caches["box-1"].sources == (DefinitionSource.FILE, DefinitionSource.SRV)
     # Drained by either name it is drained.
     [drained] = made.order(IDS[0], OperatorOrder(True, 3.0, "console"))
@@ -231,14 +241,17 @@
     """A target of lower priority stands by until too few better ones serve; a drain counts at once."""
     made = merge(enough=2)
     changes = made.answer(SRV, [*targets(*HOSTS[:2]), *targets(HOSTS[2], priority=10)], "u1", 10.0)
-    assert states(changes).keys() == set(IDS[:2]) and made.caches[IDS[2]].state is MergedState.STANDBY
+    assert states(changes).keys() == set(IDS[:2])
+    assert made.caches[IDS[2]].state is MergedState.STANDBY
     changes = made.order(IDS[0], OperatorOrder(True, 11.0, "console"))
     assert states(changes) == {
         IDS[0]: ServerState.DRAINING
     }  # the drain alone, at once, whatever the list's size
-    assert made.next_due() < 11.0 and states(made.tick(11.0)) == {IDS[2]: ServerState.SERVING}
+    assert made.next_due() < 11.0
+    assert states(made.tick(11.0)) == {IDS[2]: ServerState.SERVING}
     assert states(made.order(IDS[0], OperatorOrder(False, 12.0, "console"))) == {IDS[0]: ServerState.SERVING}
-    assert states(made.tick(12.0)) == {IDS[2]: ServerState.GONE} and made.next_due() > 12.0
+    assert states(made.tick(12.0)) == {IDS[2]: ServerState.GONE}
+    assert made.next_due() > 12.0
 
 
 @pytest.mark.parametrize(
@@ -269,9 +282,11 @@
     """More caches than there is room for are left out and counted; a drain is never forgotten for another."""
     made = MembershipMerge(Policy(max_caches=5, max_orders=3), [SrvWatch(SRV, "branch")])
     made.answer(SRV, [SrvRecord(f"127.0.0.{n}", 80) for n in range(1, 9)], "u1", 1.0)
-    assert len(made.caches) == 5 and made.entries[SRV].left_out == 3
+    assert len(made.caches) == 5
+    assert made.entries[SRV].left_out == 3
     made.define(DefinitionSource.FILE, CacheDefinition("late", "127.0.0.99", 80, "branch"))
-    assert made.left_out == 1 and "late" not in made.caches
+    assert made.left_out == 1
+    assert "late" not in made.caches
     for number in range(3):
         made.order(f"b{number}", OperatorOrder(True, float(number), "console"))
     made.order("b3", OperatorOrder(True, 9.0, "console"))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,6 +11,7 @@
 
 import pytest
 import trio
+import trio.lowlevel
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -31,7 +32,6 @@
 from brackenlane.ops.handover_state import HandoverState, handover_state
 from tests.stand_ins import Asked, Box, Program, ScriptedReply, data, free_port, platform, with_trio
 from tests.test_admin_api import call
-import trio.lowlevel
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
 READ = (
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -55,7 +55,8 @@
         script(server, ttl=60)
         resolver = made(nursery, server)
         found = await resolver.look_up(SRV + ".", Kind.SRV)
-        assert set(found.targets) == set(TARGETS) and not found.is_stale
+        assert set(found.targets) == set(TARGETS)
+        assert not found.is_stale
         assert dict(found.additional)["box-2.branch.test"] == ("127.0.1.3",)
         assert await resolver.look_up(SRV.upper(), Kind.SRV) == found
         for number in range(4):
@@ -67,7 +68,8 @@
         assert not (await another.look_up(SRV, Kind.SRV)).additional
         for number in range(3):
             await another.addresses(f"box-{number}.branch.test")
-        assert len(server.asked) == 5 and all(requested.edns for requested in server.asked)
+        assert len(server.asked) == 5
+        assert all(requested.edns for requested in server.asked)
         assert len({requested.id for requested in server.asked}) == 5
         # The kernel draws ports among 28,000: two of five are the same once in 3,000 runs, three never.
         assert len({requested.port for requested in server.asked}) >= 4
@@ -137,7 +139,9 @@
         server.fail(Fault.CUT, fault)
         await trio.sleep(0.06)
         found = await resolver.look_up(SRV, Kind.SRV)
-        assert found.is_stale and found.targets == first.targets and "TCP" in found.stale_reason
+        assert found.is_stale
+        assert found.targets == first.targets
+        assert "TCP" in found.stale_reason
         server.fail()
         await trio.sleep(1.05)  # past the moment for which nobody is asked again
         assert not (await resolver.look_up(SRV, Kind.SRV)).is_stale
@@ -152,7 +156,7 @@
         server.fail(Fault.LOST)
         resolver = made(nursery, server, budget=0.4)
         begun = trio.current_time()
-        with pytest.raises(LookUpFailedError, match="no answer|no upstream"):
+        with pytest.raises(LookUpFailedError, match=r"no answer|no upstream"):
             await resolver.look_up(SRV, Kind.SRV)
         assert trio.current_time() - begun >= 0.1
         requested = len(server.asked)
@@ -192,7 +196,8 @@
                     leaving.cancel()
             for _ in range(50):
                 askers.start_soon(request)
-        assert len(found) >= 50 and len(server.asked) == 1
+        assert len(found) >= 50
+        assert len(server.asked) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -225,7 +230,8 @@
         for name in ("no-such.test", "only-a.test"):
             for _ in range(2):
                 found = await resolver.look_up(name, Kind.SRV)
-                assert not found.targets and not found.is_stale
+                assert not found.targets
+                assert not found.is_stale
         assert len(server.asked) == 2
         assert (await resolver.addresses("only-a.test")).addresses == ("127.0.1.1",)
         nursery.cancel_scope.cancel()
@@ -246,7 +252,8 @@
             timeouts=UpstreamTimeouts(initial=20.0, shortest=20.0, longest=20.0, backoff=0.2),
         )
         found = await resolver.look_up("_c._tcp.x", Kind.SRV)
-        assert len(found.targets) == 2000 and server.asked[-1].tcp
+        assert len(found.targets) == 2000
+        assert server.asked[-1].tcp
         merge = MembershipMerge(Policy(), [SrvWatch("_c._tcp.x", "branch")])
         merge.answer("_c._tcp.x", found.targets, found.upstream, 1.0)
         assert len(merge.caches) == len(merge.hosts) == 2000
@@ -269,7 +276,8 @@
     wire, sent = reply()
     for data in (noise, wire[:2] + noise, wire[:cut], wire[:12] + noise):
         found = decode_reply(data, sent, is_tcp=False)  # type: ignore[arg-type]
-        assert not found.addresses and not found.targets
+        assert not found.addresses
+        assert not found.targets
 
 
 @pytest.mark.parametrize(("ttl", "until"), [(0, 0.5), (10, 10.0), (2**31 - 1, 300.0)])
@@ -278,8 +286,10 @@
     cache, question = AnswerCache(Lifetimes(floor=0.5, ceiling=300.0)), Question("a.test", Kind.A)
     found = Reply(ReplyKind.FOUND, addresses=("127.0.0.1",), ttl=float(ttl))
     cache.put(question, found, "u", 100.0)
-    assert cache.fresh(question, 100.0 + until - 0.01) and not cache.fresh(question, 100.0 + until)
-    assert cache.stale(question, 100.0 + until + 3599) and not cache.stale(question, 100.0 + until + 3601)
+    assert cache.fresh(question, 100.0 + until - 0.01)
+    assert not cache.fresh(question, 100.0 + until)
+    assert cache.stale(question, 100.0 + until + 3599)
+    assert not cache.stale(question, 100.0 + until + 3601)
     assert not cache.fresh(question, 99.0)  # the clock has gone back: asked anew
 
 
@@ -289,7 +299,8 @@
     for number in range(5):
         cache.put(Question(f"{number}.test", Kind.A), Reply(ReplyKind.FOUND, ttl=60.0), "u", 1.0)
         cache.fresh(Question("2.test", Kind.A), 1.0)
-    assert len(cache) == 3 and cache.fresh(Question("2.test", Kind.A), 2.0)
+    assert len(cache) == 3
+    assert cache.fresh(Question("2.test", Kind.A), 2.0)
     assert not cache.fresh(Question("0.test", Kind.A), 2.0)
     cache.fail(Question("f.test", Kind.A), "SERVFAIL", 10.0)
     assert cache.failure_reason(Question("f.test", Kind.A), 10.9) == "SERVFAIL"
@@ -308,7 +319,10 @@
     both.record_answer(two, 0.3)
     assert both.order(5.0) == [one, two]
     both.record_failure(one, 5.0)
-    assert both.timeout(one) >= 0.1 and both.order(5.1) == [two, one] and both.order(5.6) == [one, two]
+    assert both.timeout(one) >= 0.1
+    assert both.order(5.1) == [two, one]
+    assert both.order(5.6) == [one, two]
     for _ in range(20):
         both.record_failure(one, 5.0)
-    assert both.timeout(one) == 1.0 and one.backoff_until <= 13.0
+    assert both.timeout(one) == 1.0
+    assert one.backoff_until <= 13.0
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import heapq
+import itertools
 import math
 import random
 import time
@@ -22,7 +23,6 @@
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.settings import RequestClass
 from tests.router_harness import VIDEO, RouterHarness, every, members, settings
-import itertools
 
 
 class Clock(Timers):
