--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -38,7 +38,7 @@
 from brackenlane.lab.bounds import at_least, at_most, conclude  # noqa: E402
 from brackenlane.lab.cache_servers import Behaviour, Seen, serve  # noqa: E402
 from brackenlane.lab.site import checkout, free_ports  # noqa: E402
-from brackenlane.lab.stand_ins.cache_server import Box  # noqa: E402
+from brackenlane.lab.stand_ins.cache_server import CacheStandIn  # noqa: E402
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault  # noqa: E402
 
 BOUNDS = {
@@ -298,7 +298,7 @@
         async with trio.open_nursery() as nursery:
             server = await DnsServer().open(nursery)
             [origin, port, http, front] = free_ports(4)
-            cache = Box("b")
+            cache = CacheStandIn("b")
             cache.host = "127.0.1.1"
             cache.port = port
             await cache.open(nursery)
@@ -329,7 +329,7 @@
                 begun = time.monotonic()
                 for number in range(moves):
                     await cache.close()
-                    cache = Box("b")
+                    cache = CacheStandIn("b")
                     cache.host = f"127.0.1.{number + 2}"
                     cache.port = port
                     await cache.open(nursery)
--- a/brackenlane/appliance/startup.py
+++ b/brackenlane/appliance/startup.py
@@ -64,7 +64,7 @@
             return
         # Which purges were ordered while this router was down is unknown, so each object counts as purged,
         # for as long as a purge takes at the caches themselves.
-        log.warning("the store was not heard yet: no copy from before now is served")
+        log.warning("the store has not answered yet: no copy from before now is served")
         for group in range(NO_GROUP, GROUP_COUNT):
             self._registry.purge("", group, time.time())
         if self.retained is None or self.is_trusted:
@@ -92,7 +92,7 @@
         merge = self._registry.merge
         self._registry.apply(merge.restore_snapshot(retained.memory, retained.saved, now))
         self._phases.step(StartupEvent.SNAPSHOT_RESTORED, now)
-        log.info("the last list, of %.0f s ago: %d boxes", now - retained.saved, len(merge.caches))
+        log.info("snapshot of %.0f s ago restored: %d caches", now - retained.saved, len(merge.caches))
 
     def _restore_orders(self, retained: Snapshot, now: float) -> None:
         orders = RememberedMembers(orders=retained.memory.orders)
--- a/brackenlane/lab/cluster/cache_servers.py
+++ b/brackenlane/lab/cluster/cache_servers.py
@@ -16,7 +16,7 @@
 import trio
 
 from brackenlane.lab.cluster.record import Record
-from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Pinged
+from brackenlane.lab.stand_ins.cache_commands import CommandReader, Pinged, ReceivedRequest
 from brackenlane.lab.stand_ins.cache_server import CacheListener
 
 FILL = 0.02  # seconds that a fill takes besides its transfer
@@ -104,7 +104,7 @@
                     continue
                 for command in reader.feed(got):
                     match command:
-                        case Asked():
+                        case ReceivedRequest():
                             nursery.start_soon(self._answer, stream, turn, command.id, command.fields)
                         case Pinged():
                             nursery.start_soon(self._say, stream, turn, command.reply)
--- a/brackenlane/lab/races.py
+++ b/brackenlane/lab/races.py
@@ -24,8 +24,8 @@
 import trio
 
 from brackenlane.lab import site
-from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Pinged
-from brackenlane.lab.stand_ins.cache_server import Box, CacheListener, data
+from brackenlane.lab.stand_ins.cache_commands import CommandReader, Pinged, ReceivedRequest
+from brackenlane.lab.stand_ins.cache_server import CacheListener, CacheStandIn, data
 
 SLACK = 0.05  # seconds: the protocol's on sockets
 LEFT = 0.1  # after a client has left, no attempt
@@ -96,7 +96,7 @@
     return found
 
 
-class ErraticCache(Box):
+class ErraticCache(CacheStandIn):
     """A cache whose answers are drawn."""
 
     def __init__(self, name: str, model: str, draw: random.Random, record: Record) -> None:
@@ -109,7 +109,7 @@
         self.links = link = self.links + 1
         async with trio.open_nursery() as nursery:
 
-            def take(requested: Asked) -> None:
+            def take(requested: ReceivedRequest) -> None:
                 write = requested.fields["queue"] == "sheet-submit"
                 got = ReceivedAttempt(time.time(), self.id, requested.id, write)
                 self._record.gets.append(got)
@@ -124,7 +124,7 @@
         while more := await stream.receive_some(65536):
             for command in reader.feed(more):
                 match command:
-                    case Asked():
+                    case ReceivedRequest():
                         take(command)
                     case Pinged() if self._draw.random() < 0.8:
                         nursery.start_soon(self._say, stream, command.reply)
@@ -137,7 +137,9 @@
                     await trio.sleep(self._draw.choice([0, 0.001, 0.005, 0.02]))
                 await stream.send_all(text)
 
-    async def _reply(self, stream: trio.SocketStream, requested: Asked, got: ReceivedAttempt) -> None:
+    async def _reply(
+        self, stream: trio.SocketStream, requested: ReceivedRequest, got: ReceivedAttempt
+    ) -> None:
         await trio.sleep(self._draw.choice([0, 0, 0.005, 0.02, 0.1, 0.3]))
         good = data(requested, b"" if got.write else bytes(self._draw.choice([5, 5, 500, 100_000])))
         full = data(requested, b"", "full")
--- a/brackenlane/lab/stand_ins/cache_commands.py
+++ b/brackenlane/lab/stand_ins/cache_commands.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ReceivedRequest:
     """One GET as a cache received it."""
 
     id: str
@@ -38,7 +38,7 @@
         return f"{self.word} well - 0\r\n\r\n".encode()
 
 
-Command = Asked | Dropped | Pinged
+Command = ReceivedRequest | Dropped | Pinged
 
 
 class CommandReader:
@@ -71,7 +71,7 @@
                 if len(rest) < size + len(LINE_END):
                     return None
                 self._buffer = rest[size + len(LINE_END) :]
-                return Asked(wire_id, _read_fields(reported), rest[:size], self._link)
+                return ReceivedRequest(wire_id, _read_fields(reported), rest[:size], self._link)
         raise ValueError(f"no command: {line[:80]!r}")
 
 
--- a/brackenlane/lab/stand_ins/cache_server.py
+++ b/brackenlane/lab/stand_ins/cache_server.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Dropped, Pinged
+from brackenlane.lab.stand_ins.cache_commands import CommandReader, Dropped, Pinged, ReceivedRequest
 
 ScriptedReply = bytes | None
 
@@ -47,7 +47,7 @@
         raise NotImplementedError
 
 
-def data(requested: Asked, body: bytes = b"bytes", token: str = "data", **more: str) -> bytes:
+def data(requested: ReceivedRequest, body: bytes = b"bytes", token: str = "data", **more: str) -> bytes:
     """A box's answer."""
     fields = {"entity": "e1", "issued": str(int(time.time() * 1000)), "detail": "hit", **more}
     reported = ",".join(f"{k}={v}" for k, v in fields.items())
@@ -55,26 +55,26 @@
 
 
 @dataclass
-class Box(CacheListener):
+class CacheStandIn(CacheListener):
     """A cache, parent or the origin. None is no answer; one that ends no line ends the connection."""
 
     id: str
     model: str = "type-a"
-    answer: Callable[[Asked], ScriptedReply] = data
-    asked: list[Asked] = field(default_factory=list)
+    answer: Callable[[ReceivedRequest], ScriptedReply] = data
+    received: list[ReceivedRequest] = field(default_factory=list)
     dropped: list[str] = field(default_factory=list)
     alive: bool = True  # whether it answers PING
     most: int = 0  # requests that came on one connection
     links: int = 0  # connections so far
     ended: int = 0  # of these, by the other side
-    news: trio.Event = field(default_factory=trio.Event)
+    updated: trio.Event = field(default_factory=trio.Event)
     _streams: list[trio.SocketStream] = field(default_factory=list)
 
     async def until(self, true: Callable[[], bool]) -> None:
         """Wait until what this cache has seen makes something true."""
         while not true():
-            self.news = trio.Event()
-            await self.news.wait()
+            self.updated = trio.Event()
+            await self.updated.wait()
 
     async def say(self, link: int, text: bytes) -> None:
         """Say something on one connection."""
@@ -98,14 +98,14 @@
                         case Pinged():
                             if self.alive:
                                 await stream.send_all(command.reply)
-                        case Asked():
-                            self.asked.append(command)
+                        case ReceivedRequest():
+                            self.received.append(command)
                             here += 1
                             self.most = max(self.most, here)
                             if reply := self.answer(command):
                                 await stream.send_all(reply)
                                 if not reply.endswith(b"\r\n"):
                                     return await stream.aclose()
-                    self.news.set()
+                    self.updated.set()
         self.ended += 1
-        self.news.set()
+        self.updated.set()
--- a/brackenlane/lab/stand_ins/dns.py
+++ b/brackenlane/lab/stand_ins/dns.py
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class Asked:
+class ReceivedQuery:
     """One query as it came."""
 
     name: str
@@ -69,9 +69,9 @@
         self.minimum = 5  # of the SOA: how long "none" may be kept
         self.additional = True  # addresses of SRV targets are sent along
         self.forged = "127.0.9.9"  # the address in forged answers
-        self.asked: deque[Asked] = deque(maxlen=100_000)
+        self.asked: deque[ReceivedQuery] = deque(maxlen=100_000)
         self.port = 0
-        self.news = trio.Event()
+        self.updated = trio.Event()
         self._random = random.Random(seed)
         self._scope = trio.CancelScope()
         self._ended = trio.Event()
@@ -107,8 +107,8 @@
     async def until(self, count: int) -> None:
         """Wait until so many queries have come in all."""
         while len(self.asked) < count:
-            self.news = trio.Event()
-            await self.news.wait()
+            self.updated = trio.Event()
+            await self.updated.wait()
 
     async def _run(self, listener: trio.SocketListener) -> None:
         with self._scope:
@@ -164,8 +164,8 @@
         [requested] = query.question
         name = requested.name.to_text(omit_final_dot=True)
         kind = dns.rdatatype.to_text(requested.rdtype)
-        self.asked.append(Asked(name, kind, tcp, query.edns >= 0, port, query.id))
-        self.news.set()
+        self.asked.append(ReceivedQuery(name, kind, tcp, query.edns >= 0, port, query.id))
+        self.updated.set()
         keys = ((name.lower(), kind), (name.lower(), ""), ("", kind), ("", ""))
         return set().union(*(self.faults.get(key, set()) for key in keys))
 
--- a/brackenlane/lab/stand_ins/redis.py
+++ b/brackenlane/lab/stand_ins/redis.py
@@ -39,7 +39,7 @@
 
     def __init__(self, capacity: Capacity = Capacity(), seen: Seen = lambda *_, **__: None) -> None:
         self.keys: dict[str, Any] = {}
-        self.news = trio.Event()
+        self.updated = trio.Event()
         self.seen = trio.Event()
         self.capacity = capacity
         self._notify = seen
@@ -151,7 +151,7 @@
         stream.append(entry)
         self._undo.append((time.monotonic(), lambda: stream.remove(entry) if entry in stream else None))
         del stream[:-most]
-        self.news.set()
+        self.updated.set()
         self._notify("write", 0, key=key, event=fields[-1])
         return place
 
@@ -211,8 +211,8 @@
                 if "BLOCK" in reported:
                     with trio.move_on_after(int(reported["BLOCK"]) / 1000):
                         while not self._behind(key, after):
-                            self.news = self.news if not self.news.is_set() else trio.Event()
-                            await self.news.wait()
+                            self.updated = self.updated if not self.updated.is_set() else trio.Event()
+                            await self.updated.wait()
                 found = self._behind(key, after)[: int(reported.get("COUNT", 1 << 30))]
                 return _resp([[key, found]] if found else None)
         return b"-ERR unknown command\r\n"
--- a/brackenlane/ops/submit_claims.py
+++ b/brackenlane/ops/submit_claims.py
@@ -34,4 +34,4 @@
         try:
             self._handover_log.append(SubmitReleased(request_id))
         except HandoverLogError as error:
-            log.warning("submit %s stays claimed: %s", request_id, error)
+            log.warning("submit %s remains claimed: %s", request_id, error)
--- a/brackenlane/platform_router.py
+++ b/brackenlane/platform_router.py
@@ -190,10 +190,10 @@
             known = list(read_known(new.known, new.site, time.time()))
             self._reconfigure(new)
         except (ConfigError, ChangeLogFormatError) as error:
-            log.warning("SIGHUP: the old configuration stays in force: %s", " ".join(str(error).split()))
+            log.warning("SIGHUP: the old configuration remains in force: %s", " ".join(str(error).split()))
             return
         except Exception:  # guards the requests in flight against a fault that no check foresaw
-            log.exception("SIGHUP: the old configuration stays in force")
+            log.exception("SIGHUP: the old configuration remains in force")
             return
         self._follow_change_log(new, known)
         self._config = new
--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -19,8 +19,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from brackenlane.lab.stand_ins.cache_commands import Asked
-from brackenlane.lab.stand_ins.cache_server import Box, data
+from brackenlane.lab.stand_ins.cache_commands import ReceivedRequest
+from brackenlane.lab.stand_ins.cache_server import CacheStandIn, data
 from brackenlane.lab.stand_ins.dns import DnsServer
 
 Endpoint = tuple[str, int]
@@ -50,7 +50,7 @@
 async def serve_cache(name: str, endpoint: Endpoint, nursery: trio.Nursery) -> None:
     """Serve one cache, which holds every object and prints each request."""
 
-    def answer(requested: Asked) -> bytes:
+    def answer(requested: ReceivedRequest) -> bytes:
         reported = ",".join(f"{field}={value}" for field, value in requested.fields.items())
         print(f"{name} GET {requested.id} {reported} {len(requested.body)}", flush=True)
         return data(
@@ -59,7 +59,7 @@
             entity="toy1",
         )
 
-    cache = Box(name, answer=answer)
+    cache = CacheStandIn(name, answer=answer)
     cache.host, cache.port = endpoint
     await cache.open(nursery)
 
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -21,12 +21,12 @@
 
 from brackenlane.lab import site
 from brackenlane.lab.cluster.ports import reserve_port
-from brackenlane.lab.stand_ins.cache_commands import Asked
-from brackenlane.lab.stand_ins.cache_server import Box, CacheListener, ScriptedReply, data
+from brackenlane.lab.stand_ins.cache_commands import ReceivedRequest
+from brackenlane.lab.stand_ins.cache_server import CacheListener, CacheStandIn, ScriptedReply, data
 from brackenlane.lab.stand_ins.dns import DnsServer
 from brackenlane.lab.stand_ins.redis import Redis
 
-__all__ = ["Asked", "Box", "Redis", "ScriptedReply", "data"]
+__all__ = ["CacheStandIn", "ReceivedRequest", "Redis", "ScriptedReply", "data"]
 
 FIRST_PORT, PORT_COUNT = 10_000, 10_000  # below the kernel's own range, and the rig's
 PORTS = itertools.count(os.getpid() * 97)  # each worker begins at a place of its own
@@ -64,28 +64,28 @@
 
     def __init__(self) -> None:
         self.since: list[int] = []
-        self.news = trio.Event()
+        self.updated = trio.Event()
         self._streams: list[trio.SocketStream] = []
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self.since.append(int.from_bytes(await stream.receive_some(8), "big"))
         self._streams.append(stream)
-        self.news.set()
+        self.updated.set()
         await trio.sleep_forever()
 
     async def tell(self, number: int, kind: int, payload: bytes) -> None:
         """One frame on the latest connection."""
         while not self._streams:
-            await self.news.wait()
+            await self.updated.wait()
         await self._streams[-1].send_all(
             (9 + len(payload)).to_bytes(4, "big") + number.to_bytes(8, "big") + bytes([kind]) + payload
         )
 
     async def cut(self) -> None:
         """End the connection and wait for the next."""
-        self.news = trio.Event()
+        self.updated = trio.Event()
         await self._streams.pop().aclose()
-        await self.news.wait()
+        await self.updated.wait()
 
 
 SETTINGS: dict[str, Any] = {
@@ -94,7 +94,7 @@
 }
 
 
-def target(cache: Box, state: str = "in_service") -> dict[str, Any]:
+def target(cache: CacheStandIn, state: str = "in_service") -> dict[str, Any]:
     """A cache in the JSON list."""
     return {
         "uid": cache.id,
@@ -108,7 +108,7 @@
     }
 
 
-def record(cache: Box, state: int) -> bytes:
+def record(cache: CacheStandIn, state: int) -> bytes:
     """A cache in a frame."""
     kind = SETTINGS["Skus"].index(cache.model)
     return (
@@ -127,15 +127,15 @@
     process: trio.Process
     port: int
     said: bytearray
-    news: trio.Event = field(default_factory=trio.Event)
+    updated: trio.Event = field(default_factory=trio.Event)
     ended: bool = False
 
     async def says(self, text: bytes) -> None:
         """Wait until its log holds a text."""
         while text not in self.said:
             assert not self.ended, self.said.decode()
-            self.news = trio.Event()
-            await self.news.wait()
+            self.updated = trio.Event()
+            await self.updated.wait()
 
     async def ask(
         self,
@@ -195,9 +195,9 @@
         assert process.stderr
         while got := await process.stderr.receive_some(4096):
             said.extend(got)
-            running.news.set()
+            running.updated.set()
         running.ended = True
-        running.news.set()
+        running.updated.set()
 
     try:
         async with trio.open_nursery() as nursery:
@@ -216,7 +216,7 @@
 @contextlib.asynccontextmanager
 async def platform(
     tmp_path: Path,
-    caches: list[Box],
+    caches: list[CacheStandIn],
     log: Log | None = None,
     purged: list[dict[str, Any]] | None = None,
     sockets: int = 1024,
@@ -256,7 +256,7 @@
 @contextlib.asynccontextmanager
 async def appliance(
     tmp_path: Path,
-    caches: list[Box],
+    caches: list[CacheStandIn],
     resolver: DnsServer | None = None,
     redis: Redis | None = None,
     name: str = "a1",
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -14,7 +14,17 @@
 from brackenlane.ops.maintenance import Maintenance, MaintenanceAction, MaintenanceResult
 from brackenlane.routing.events import Membership, MembershipKind
 from brackenlane.routing.members import Member, ServerState
-from tests.stand_ins import Asked, Box, Log, ScriptedReply, data, free_port, platform, record, with_trio
+from tests.stand_ins import (
+    CacheStandIn,
+    Log,
+    ReceivedRequest,
+    ScriptedReply,
+    data,
+    free_port,
+    platform,
+    record,
+    with_trio,
+)
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
 ENTER, EXIT = MaintenanceAction.ENTER, MaintenanceAction.EXIT
@@ -109,7 +119,7 @@
 async def test_each_call_gets_its_response(tmp_path: Path, raw: bytes, status: int) -> None:
     """Each call gets its answer; what can't be read or is not known changes nothing."""
     async with trio.open_nursery() as nursery:
-        caches = [await cache.open(nursery) for cache in (Box(EDGE), Box(ORIGIN, "origin"))]
+        caches = [await cache.open(nursery) for cache in (CacheStandIn(EDGE), CacheStandIn(ORIGIN, "origin"))]
         ops = free_port()
         async with platform(tmp_path, caches, ops=ops) as router_process:
             found, _ = await call(ops, "", raw=raw)
@@ -123,7 +133,7 @@
 async def test_idle_connections_give_way_to_new_calls(tmp_path: Path) -> None:
     """More callers than may stand there, idle or half-way, and a caller that calls is answered at once."""
     async with trio.open_nursery() as nursery:
-        caches = [await cache.open(nursery) for cache in (Box(EDGE), Box(ORIGIN, "origin"))]
+        caches = [await cache.open(nursery) for cache in (CacheStandIn(EDGE), CacheStandIn(ORIGIN, "origin"))]
         ops = free_port()
         async with platform(tmp_path, caches, ops=ops):
             idle = [await trio.open_tcp_stream("127.0.0.1", ops) for _ in range(40)]
@@ -147,7 +157,7 @@
         "00000000000000a3": None,
     }
 
-    def answer(requested: Asked) -> ScriptedReply:
+    def answer(requested: ReceivedRequest) -> ScriptedReply:
         worded = ways.get(requested.fields["path"], b"")
         if requested.fields["path"] == "00000000000000a4":
             return data(requested, b"", "unchanged")
@@ -156,7 +166,7 @@
     async with trio.open_nursery() as nursery:
         caches = [
             await cache.open(nursery)
-            for cache in (Box(EDGE, answer=answer), Box(ORIGIN, "origin", answer=answer))
+            for cache in (CacheStandIn(EDGE, answer=answer), CacheStandIn(ORIGIN, "origin", answer=answer))
         ]
         ops = free_port()
         async with platform(tmp_path, caches, ops=ops) as router_process:
@@ -183,15 +193,15 @@
                     b"GET /api/v2/sheet-pages/00000000000000a3/n-1 HTTP/1.1\r\nHost: o\r\nX-Txn: "
                     b"9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 9000\r\nX-Shard: 1\r\n\r\n"
                 )
-                before = len(caches[0].asked)
-                await caches[0].until(lambda: len(caches[0].asked) > before)
+                before = len(caches[0].received)
+                await caches[0].until(lambda: len(caches[0].received) > before)
                 assert (await figures(ops))["gw_active"] == 1
             now = await figures(ops)
             while now["gw_active"]:
                 now = await figures(ops)
             assert {(n, c): now[f'gw_{n}{{kind="{c}"}}'] for n, c in seen} == seen
             for cls in ("video-parts", "sheet-pages", "sheet-submit"):
-                written = sum(a.fields["queue"] == cls for cache in caches for a in cache.asked)
+                written = sum(a.fields["queue"] == cls for cache in caches for a in cache.received)
                 assert now[f'gw_tries{{kind="{cls}"}}'] == written > 0
             assert now["gw_pool_size"] == 2
         nursery.cancel_scope.cancel()
@@ -203,34 +213,35 @@
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, other, origin = [
-            await cache.open(nursery) for cache in (Box(EDGE), Box(OTHER), Box(ORIGIN, "origin"))
+            await cache.open(nursery)
+            for cache in (CacheStandIn(EDGE), CacheStandIn(OTHER), CacheStandIn(ORIGIN, "origin"))
         ]
         ops = free_port()
         async with platform(tmp_path, [edge, other, origin], log, ops=ops) as router_process:
 
-            async def ask_all() -> None:
+            async def request_all() -> None:
                 for n in range(12):
                     assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
 
-            await ask_all()
-            assert edge.asked
+            await request_all()
+            assert edge.received
             for _ in range(2):
                 assert (await call(ops, f"/maintenance/enter/{EDGE}", "PUT"))[0] == 200
-            before = len(edge.asked)
-            await ask_all()
+            before = len(edge.received)
+            await request_all()
             await log.tell(2, 2, record(edge, 1))
             await log.tell(3, 2, record(edge, 0))
             await log.tell(4, 1, record(edge, 0) + record(other, 0) + record(origin, 0))
             await log.cut()
-            await ask_all()
-            assert len(edge.asked) == before
-            assert not [a for a in (*other.asked, *origin.asked) if a.fields.get("miss") == EDGE]
+            await request_all()
+            assert len(edge.received) == before
+            assert not [a for a in (*other.received, *origin.received) if a.fields.get("miss") == EDGE]
             now = await figures(ops)
             assert (now["gw_pool_size"], now["gw_pool_ejected"]) == (3, 1)
             assert (await call(ops, f"/maintenance/exit/{EDGE}", "PUT"))[0] == 200
             end = time.monotonic() + 5
-            while len(edge.asked) == before:
+            while len(edge.received) == before:
                 assert time.monotonic() < end
-                await ask_all()
+                await request_all()
             assert (await figures(ops))["gw_pool_ejected"] == 0
         nursery.cancel_scope.cancel()
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -18,7 +18,7 @@
 
 from brackenlane.dns.responder import encode_response
 from brackenlane.lab.stand_ins.dns import DnsServer
-from tests.stand_ins import ROOT, Box, Program, Redis, appliance, data, with_trio
+from tests.stand_ins import ROOT, CacheStandIn, Program, Redis, appliance, data, with_trio
 
 OBJECT = "7f3a9c21e0b4d655"
 READ = f"n-3.{OBJECT}.video-parts.caches.test."
@@ -48,9 +48,11 @@
     return done.stdout.decode()
 
 
-async def boxes_at(nursery: trio.Nursery, *ids: str) -> list[Box]:
+async def caches_at(nursery: trio.Nursery, *ids: str) -> list[CacheStandIn]:
     """Boxes by these ids, and the origin."""
-    return [await Box(i, "origin" if i == "origin" else "type-a").open(nursery) for i in (*ids, "origin")]
+    return [
+        await CacheStandIn(i, "origin" if i == "origin" else "type-a").open(nursery) for i in (*ids, "origin")
+    ]
 
 
 @pytest.mark.parametrize("tcp", [False, True])
@@ -80,13 +82,15 @@
 async def test_answers(tmp_path: Path, name: str, kind: str, code: str, answer: list[str], tcp: bool) -> None:
     """Every kind of question has its answer, none of which may be kept."""
     async with trio.open_nursery() as nursery:
-        box, origin = await boxes_at(nursery, "box-1")
-        async with appliance(tmp_path, [box, origin]) as (router_process, port, _):
+        cache_stand_in, origin = await caches_at(nursery, "box-1")
+        async with appliance(tmp_path, [cache_stand_in, origin]) as (router_process, port, _):
             if kind == "AXFR" and tcp:
                 kind = "MAILB"  # the library asks for a transfer in its own way; another meta type will do
             found = await query(port, name, kind, tcp)
             assert dns.rcode.to_text(found.rcode()) == code
-            assert texts(found) == [text.format(box=box.port, http=router_process.port) for text in answer]
+            assert texts(found) == [
+                text.format(cache_stand_in=cache_stand_in.port, http=router_process.port) for text in answer
+            ]
             assert bool(found.authority) is (not answer and code != "REFUSED")
         nursery.cancel_scope.cancel()
 
@@ -95,7 +99,7 @@
 async def test_odd_queries(tmp_path: Path) -> None:
     """FORMERR, NOTIMP, BADVERS and TC; what is no query has no answer, and the next one has."""
     async with trio.open_nursery() as nursery:
-        async with appliance(tmp_path, await boxes_at(nursery, "box-1")) as (_, port, _path):
+        async with appliance(tmp_path, await caches_at(nursery, "box-1")) as (_, port, _path):
             sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
             await sock.connect(("127.0.0.1", port))
             good = dns.message.make_query(READ, "A")
@@ -135,7 +139,7 @@
 async def test_drain(tmp_path: Path) -> None:
     """No answer names a drained cache once 500 ms have passed; a restored one is named again."""
     async with trio.open_nursery() as nursery:
-        first, second, origin = await boxes_at(nursery, "box-1", "box-2")
+        first, second, origin = await caches_at(nursery, "box-1", "box-2")
         async with appliance(tmp_path, [first, second, origin]) as (_, port, path):
 
             async def named() -> set[str]:
@@ -161,9 +165,9 @@
 async def test_give_up(tmp_path: Path) -> None:
     """With no cache left to name the answer is SERVFAIL, at once."""
     async with trio.open_nursery() as nursery:
-        box, origin = await boxes_at(nursery, "box-1")
-        async with appliance(tmp_path, [box, origin]) as (_, port, _path):
-            await box.close()
+        cache_stand_in, origin = await caches_at(nursery, "box-1")
+        async with appliance(tmp_path, [cache_stand_in, origin]) as (_, port, _path):
+            await cache_stand_in.close()
             await origin.close()
             found = await query(port, READ)
             assert found.rcode() == dns.rcode.SERVFAIL
@@ -175,7 +179,7 @@
 async def test_unreachable_cache(tmp_path: Path) -> None:
     """A stale answer naming a dead cache: the next query names another, and a read at the router works."""
     async with trio.open_nursery() as nursery:
-        first, second, origin = await boxes_at(nursery, "box-1", "box-2")
+        first, second, origin = await caches_at(nursery, "box-1", "box-2")
         async with appliance(tmp_path, [first, second, origin]) as (router_process, port, _):
             stale = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             dead, alive = (first, second) if stale.startswith("box-1") else (second, first)
@@ -184,7 +188,7 @@
             with pytest.raises(OSError):
                 await trio.open_tcp_stream("127.0.0.1", dead.port)
             assert (await router_process.ask(obj=OBJECT))[0] == 200
-            assert alive.asked
+            assert alive.received
             fresh = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             assert fresh.startswith(alive.id)
         nursery.cancel_scope.cancel()
@@ -196,9 +200,9 @@
     async with trio.open_nursery() as nursery:
         resolver = await DnsServer().open(nursery)
         resolver.put("named.branch.test", "A", "127.0.0.3", ttl=600)
-        box, origin = await boxes_at(nursery, "box-1")
+        cache_stand_in, origin = await caches_at(nursery, "box-1")
         hosts = {"box-1": "named.branch.test."}
-        async with appliance(tmp_path, [box, origin], resolver, hosts=hosts) as (_, port, path):
+        async with appliance(tmp_path, [cache_stand_in, origin], resolver, hosts=hosts) as (_, port, path):
             await resolver.until(3)  # nobody listens at 127.0.0.3: that answer is never used
             assert "not found" in await console(path, "boxes")
             resolver.put("named.branch.test", "A", "127.0.0.1", ttl=600)
@@ -206,7 +210,7 @@
             while "not found" in await console(path, "boxes"):
                 await trio.sleep(0.05)
             # The answer may be kept for 600 s, but the cache is dead: it is asked for again, not named.
-            await box.close()
+            await cache_stand_in.close()
             before = len(resolver.asked)
             assert texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3].startswith("origin")
             await resolver.until(before + 1)
@@ -223,7 +227,7 @@
     """A write's name is the doorman's own, and two routers run a submit once between them."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        caches = await boxes_at(nursery, "box-1")
+        caches = await caches_at(nursery, "box-1")
         async with (
             appliance(tmp_path, caches, redis=redis) as (one, port, _),
             appliance(tmp_path, caches, redis=redis, name="a2") as (two, _port, _path),
@@ -231,14 +235,14 @@
             assert texts(await query(port, f"_http._tcp.{WRITE}", "SRV"))[0].split()[2] == str(one.port)
             txn = "00000000000000a1"
             assert [await submit(one, txn), await submit(two, txn), await submit(one, txn)] == [200, 409, 409]
-            ran = [requested.id for box in caches for requested in box.asked]
+            ran = [requested.id for cache_stand_in in caches for requested in cache_stand_in.received]
             assert ran == [txn]
             # A submit that provably never ran may be sent again.
-            for box in caches:
-                box.answer = lambda requested: data(requested, b"", "full")
+            for cache_stand_in in caches:
+                cache_stand_in.answer = lambda requested: data(requested, b"", "full")
             assert await submit(one, "00000000000000a2") == 503
-            for box in caches:
-                box.answer = data
+            for cache_stand_in in caches:
+                cache_stand_in.answer = data
             while any(key.endswith("claim:00000000000000a2") for key in redis.keys):
                 await trio.sleep(0.01)  # the answer does not wait for the claim to be given back
             assert await submit(two, "00000000000000a2") == 200
@@ -250,7 +254,7 @@
     """The store's answer comes when the client has gone: the submit is not run."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        caches = await boxes_at(nursery, "box-1")
+        caches = await caches_at(nursery, "box-1")
         async with appliance(tmp_path, caches, redis=redis) as (router_process, _, _path):
             assert await submit(router_process, "00000000000000b1") == 200
             redis.late = 0.2
@@ -263,7 +267,12 @@
             assert (
                 await submit(router_process, "00000000000000b3") == 200
             )  # claimed behind the one that has left
-            assert [requested.id[-2:] for box in caches for requested in box.asked] == ["b1", "b3"]
+            assert [
+                requested.id[-2:] for cache_stand_in in caches for requested in cache_stand_in.received
+            ] == [
+                "b1",
+                "b3",
+            ]
         nursery.cancel_scope.cancel()
 
 
@@ -272,7 +281,7 @@
     """A drain at one router reaches the other's answers; the store keeps it for a third."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        first, second, origin = await boxes_at(nursery, "box-1", "box-2")
+        first, second, origin = await caches_at(nursery, "box-1", "box-2")
         caches = [first, second, origin]
         async with (
             appliance(tmp_path, caches, redis=redis) as (_, _port, path),
@@ -298,17 +307,17 @@
     """Without the store reads go on; a submit is refused before it runs; drains are shared later."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        caches = await boxes_at(nursery, "box-1", "box-2")
+        caches = await caches_at(nursery, "box-1", "box-2")
         async with appliance(tmp_path, caches, redis=redis) as (router_process, port, path):
             await redis.seen.wait()
             await redis.close()
             assert texts(await query(port, READ)) == ["127.0.0.1"]
             assert (await router_process.ask())[0] == 200
-            before = [len(box.asked) for box in caches]
+            before = [len(cache_stand_in.received) for cache_stand_in in caches]
             status, headers, _ = await router_process.ask("sheet-submit", OBJECT, b"signed")
             assert status == 503
             assert "retry-after" in headers
-            assert [len(box.asked) for box in caches] == before
+            assert [len(cache_stand_in.received) for cache_stand_in in caches] == before
             assert "the store is away" in await console(path, "drain", "box-1")
             redis.seen = trio.Event()
             await redis.open(nursery)
--- a/tests/test_cache_commands.py
+++ b/tests/test_cache_commands.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from brackenlane.lab.stand_ins.cache_commands import Asked, CommandReader, Dropped, Pinged
+from brackenlane.lab.stand_ins.cache_commands import CommandReader, Dropped, Pinged, ReceivedRequest
 
 LINES = b"PING alive\r\nGET a1 queue=video,miss=o 3\r\nx\r\n\r\nGET a2 - 0\r\n\r\nDROP a1\r\n"
 COMMANDS = [
     Pinged("alive"),
-    Asked("a1", {"queue": "video", "miss": "o"}, b"x\r\n", 7),
-    Asked("a2", {}, b"", 7),
+    ReceivedRequest("a1", {"queue": "video", "miss": "o"}, b"x\r\n", 7),
+    ReceivedRequest("a2", {}, b"", 7),
     Dropped("a1"),
 ]
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -10,7 +10,7 @@
 from brackenlane.net.change_log_codec import ChangeLogFormatError, Frame, FrameReader, read_frame, read_known
 from brackenlane.routing.events import AttemptResult, CacheStatus, Membership, Purged
 from brackenlane.routing.members import ServerState
-from tests.stand_ins import SETTINGS, Box, record, target
+from tests.stand_ins import SETTINGS, CacheStandIn, record, target
 
 _, SITE = read_settings(SETTINGS)
 
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("piece", [1, 1000])
 def test_list(number: int, state: ServerState, command: str, piece: int) -> None:
     """A frame and its JSON twin mean the same."""
-    cache = Box("s-00c41f7a", "parent")
+    cache = CacheStandIn("s-00c41f7a", "parent")
     cache.port = 7001
     payload = record(cache, number)
     wire = (9 + len(payload)).to_bytes(4, "big") + (41).to_bytes(8, "big") + b"\x01" + payload
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from tests.stand_ins import Asked, Box, ScriptedReply, data, free_port, platform, with_trio
+from tests.stand_ins import CacheStandIn, ReceivedRequest, ScriptedReply, data, free_port, platform, with_trio
 from tests.test_admin_api import figures
 from tests.test_handover import READ, read_answer
 
@@ -31,7 +31,10 @@
     async with trio.open_nursery() as nursery:
         caches = [
             await cache.open(nursery)
-            for cache in (Box(EDGE, answer=lambda _: None), Box(ORIGIN, "origin", answer=lambda _: None))
+            for cache in (
+                CacheStandIn(EDGE, answer=lambda _: None),
+                CacheStandIn(ORIGIN, "origin", answer=lambda _: None),
+            )
         ]
         async with platform(tmp_path, caches, sockets=SOCKETS) as router_process:
             router_process.process.send_signal(signal.SIGSTOP)
@@ -51,7 +54,7 @@
     """Hundreds connect and say nothing or stop half-way: work in hand ends well, new work is served."""
     held = trio.Event()
 
-    def answer(requested: Asked) -> ScriptedReply:
+    def answer(requested: ReceivedRequest) -> ScriptedReply:
         return (
             None if requested.fields["path"] == "00000000000000aa" and not held.is_set() else data(requested)
         )
@@ -59,7 +62,7 @@
     async with trio.open_nursery() as nursery:
         caches = [
             await cache.open(nursery)
-            for cache in (Box(EDGE, answer=answer), Box(ORIGIN, "origin", answer=answer))
+            for cache in (CacheStandIn(EDGE, answer=answer), CacheStandIn(ORIGIN, "origin", answer=answer))
         ]
         ops = free_port()
         async with (
@@ -70,7 +73,7 @@
                 await trio.open_tcp_stream("127.0.0.1", router_process.port)
             )
             await working.send_all(request("00000000000000aa"))
-            await caches[0].until(lambda: bool(caches[0].asked))
+            await caches[0].until(lambda: bool(caches[0].received))
             for n in range(300):
                 stream = await crowd.enter_async_context(
                     await trio.open_tcp_stream("127.0.0.1", router_process.port)
@@ -95,8 +98,8 @@
         caches = [
             await cache.open(nursery)
             for cache in (
-                Box(EDGE, answer=lambda requested: data(requested, body)),
-                Box(ORIGIN, "origin", answer=lambda requested: data(requested, body)),
+                CacheStandIn(EDGE, answer=lambda requested: data(requested, body)),
+                CacheStandIn(ORIGIN, "origin", answer=lambda requested: data(requested, body)),
             )
         ]
         async with (
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,16 @@
 from brackenlane.discovery import snapshot, snapshot_codec
 from brackenlane.discovery.records import CacheDefinition, OperatorOrder, RememberedMembers, srv_cache_id
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
-from tests.stand_ins import ROOT, Asked, Box, Program, ScriptedReply, appliance, data, with_trio
+from tests.stand_ins import (
+    ROOT,
+    CacheStandIn,
+    Program,
+    ReceivedRequest,
+    ScriptedReply,
+    appliance,
+    data,
+    with_trio,
+)
 from tests.test_appliance import OBJECT, console, query, texts
 
 SRV = "_cache._tcp.branch.test"
@@ -37,7 +46,7 @@
 class Site:
     """Boxes that a scripted DNS server names."""
 
-    def __init__(self, server: DnsServer, caches: list[Box], origin: Box) -> None:
+    def __init__(self, server: DnsServer, caches: list[CacheStandIn], origin: CacheStandIn) -> None:
         self.server, self.caches, self.origin = server, caches, origin
         self.ids = [srv_cache_id(f"box-{n}.branch.test", cache.port) for n, cache in enumerate(caches)]
 
@@ -45,8 +54,8 @@
     async def open(cls, nursery: trio.Nursery, count: int = 3) -> Site:
         """A site with all its caches up and named."""
         server = await DnsServer().open(nursery)
-        caches = [await Box(f"b{n}").open(nursery) for n in range(count)]
-        site = cls(server, caches, await Box("origin", "origin").open(nursery))
+        caches = [await CacheStandIn(f"b{n}").open(nursery) for n in range(count)]
+        site = cls(server, caches, await CacheStandIn("origin", "origin").open(nursery))
         for number in range(count):
             server.put(f"box-{number}.branch.test", "A", "127.0.0.1")
         site.name(*range(count))
@@ -63,7 +72,7 @@
 SEARCH_LIMIT = 60.0  # seconds: over three times the ramp (18 s) after which no cold budget holds a cache back
 
 
-async def objects_at(router_process: Program, cache: Box, count: int) -> list[str]:
+async def objects_at(router_process: Program, cache: CacheStandIn, count: int) -> list[str]:
     """Objects of which a cache is asked first: which ones those are follows from ports drawn anew each time.
 
     A cache whose connect failed is ejected for a while, then cold: its budget fills with time, not with
@@ -73,9 +82,9 @@
     found: list[str] = []
     with trio.move_on_after(SEARCH_LIMIT):
         for number in itertools.cycle(range(OBJECT_COUNT)):
-            before, obj = len(cache.asked), f"{number:016x}"
+            before, obj = len(cache.received), f"{number:016x}"
             assert (await router_process.ask(obj=obj))[0] == 200
-            if len(cache.asked) > before and obj not in found:
+            if len(cache.received) > before and obj not in found:
                 found.append(obj)
             if len(found) == count:
                 return found
@@ -116,7 +125,7 @@
             first = site.caches[0]
             objects = await objects_at(router_process, first, 4)
             assert await console(path, "drain", site.ids[0]) == f"{site.ids[0]} drained\n"
-            reported, before = time.monotonic(), len(first.asked)
+            reported, before = time.monotonic(), len(first.received)
 
             async def churn() -> None:
                 for number in range(10_000):
@@ -145,7 +154,7 @@
                     await router_process.ask(obj=obj)
             assert site.ids[0] not in named
             assert named
-            assert len(first.asked) == before
+            assert len(first.received) == before
             assert "drained by the console of a1" in await console(path, "why", site.ids[0])
             # The churn may have kept the cache off SRV for longer than the grace period, or its address
             # unknown: that it is drained and not merely absent shows once all answers name it again.
@@ -156,7 +165,7 @@
             assert "drained by the console of a1" in why.splitlines()[0]
             for obj in objects:
                 await router_process.ask(obj=obj)
-            assert len(first.asked) == before
+            assert len(first.received) == before
         nursery.cancel_scope.cancel()
 
 
@@ -181,8 +190,8 @@
             assert "draining" in next(line for line in text.splitlines() if line.startswith(site.ids[1]))
             for number in range(8):
                 assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
-            assert site.caches[0].asked
-            assert not site.caches[1].asked
+            assert site.caches[0].received
+            assert not site.caches[1].received
             # The resolver is back, and has lost all but one: not believed at once.
             site.name(0)
             await site.server.open(nursery)
@@ -214,7 +223,7 @@
                 assert (await router_process.ask())[0] == 200
             for number in range(8):
                 assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
-            assert site.caches[2].asked or site.caches[3].asked
+            assert site.caches[2].received or site.caches[3].received
         nursery.cancel_scope.cancel()
 
 
@@ -240,9 +249,9 @@
     """A submit that is out at a cache that SRV drops is not sent again; its answer still counts."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery, 2)
-        held: list[Asked] = []
+        held: list[ReceivedRequest] = []
 
-        def hold(requested: Asked) -> ScriptedReply:
+        def hold(requested: ReceivedRequest) -> ScriptedReply:
             held.append(requested)
             return None
 
@@ -271,7 +280,7 @@
                     await trio.sleep(0.05)
             assert found[0] in (502, 504)
             assert len(held) == 1
-            assert sum(len(cache.asked) for cache in (*site.caches, site.origin)) == 1
+            assert sum(len(cache.received) for cache in (*site.caches, site.origin)) == 1
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -366,7 +366,7 @@
         self.hear(self.made.tick(self.now))
 
     @rule(which=st.integers(0, 2), drain=st.booleans(), late=st.floats(0.0005, 50))
-    def late_news(self, which: int, drain: bool, late: float) -> None:
+    def late_updates(self, which: int, drain: bool, late: float) -> None:
         """News from another router, perhaps older than what is known here."""
         at = self.now - late
         known = self.made.orders.get(IDS[which])
@@ -402,7 +402,7 @@
                 assert change.member.state is not ServerState.SERVING
 
     @invariant()
-    def told_is_true(self) -> None:
+    def report_is_true(self) -> None:
         """What the core was told is what the merge holds; one address is one cache."""
         on = {s for s, c in self.heard.items() if c.member.state is not ServerState.GONE}
         true = {
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -30,7 +30,16 @@
     encode,
 )
 from brackenlane.ops.handover_state import HandoverState, handover_state
-from tests.stand_ins import Asked, Box, Program, ScriptedReply, data, free_port, platform, with_trio
+from tests.stand_ins import (
+    CacheStandIn,
+    Program,
+    ReceivedRequest,
+    ScriptedReply,
+    data,
+    free_port,
+    platform,
+    with_trio,
+)
 from tests.test_admin_api import call
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
@@ -174,7 +183,7 @@
 class Site:
     """Boxes, and processes of one router one after another."""
 
-    def __init__(self, tmp_path: Path, caches: list[Box]) -> None:
+    def __init__(self, tmp_path: Path, caches: list[CacheStandIn]) -> None:
         self.path, self.boxes, self.port = tmp_path, caches, free_port()
         (tmp_path / "shared").mkdir()
 
@@ -191,10 +200,12 @@
 
 
 @contextlib.asynccontextmanager
-async def site(tmp_path: Path, answer: Callable[[Asked], ScriptedReply] = data) -> AsyncIterator[Site]:
+async def site(
+    tmp_path: Path, answer: Callable[[ReceivedRequest], ScriptedReply] = data
+) -> AsyncIterator[Site]:
     async with trio.open_nursery() as nursery:
         caches = [
-            await Box(name, "origin" if name is ORIGIN else "small", answer=answer).open(nursery)
+            await CacheStandIn(name, "origin" if name is ORIGIN else "small", answer=answer).open(nursery)
             for name in (EDGE, OTHER, ORIGIN)
         ]
         yield Site(tmp_path, caches)
@@ -238,7 +249,7 @@
     """Clients that ask on without a pause, half of them on kept connections."""
 
     def __init__(self, router_process: Program) -> None:
-        self._doorman, self.statuses, self.lost = router_process, [0] * 600, 0
+        self._router_process, self.statuses, self.lost = router_process, [0] * 600, 0
         self.stop = trio.Event()
         self.stopped = trio.Event()
 
@@ -256,14 +267,14 @@
         """A connection for each request."""
         while True:
             try:
-                self.statuses[(await self._doorman.ask(obj=os.urandom(8).hex()))[0]] += 1
+                self.statuses[(await self._router_process.ask(obj=os.urandom(8).hex()))[0]] += 1
             except (OSError, trio.BrokenResourceError, AssertionError):
                 self.lost += 1
 
     async def kept(self) -> None:
         """One connection until the router says that it closes it."""
         while True:
-            stream = await trio.open_tcp_stream("127.0.0.1", self._doorman.port)
+            stream = await trio.open_tcp_stream("127.0.0.1", self._router_process.port)
             got, closes = b"", False
             async with stream:
                 while not closes:
@@ -318,9 +329,9 @@
             async with here.process() as (last, _):
                 for n in range(12):
                     assert (await last.ask(obj=f"{n:016x}"))[0] == 200
-            assert not here.boxes[0].asked
+            assert not here.boxes[0].received
             assert (await call(new_ops, f"/maintenance/exit/{EDGE}", "PUT"))[0] == 200
-            while not here.boxes[0].asked:
+            while not here.boxes[0].received:
                 await new.ask(obj=os.urandom(8).hex())
 
 
@@ -342,7 +353,7 @@
         async with here.process(), await trio.open_tcp_stream("127.0.0.1", here.port) as again:
             await again.send_all(SUBMIT)
             assert [*found, await read_answer(again)] == [200, 409, 409]
-        assert sum(len(cache.asked) for cache in here.boxes) == 1
+        assert sum(len(cache.received) for cache in here.boxes) == 1
 
 
 @with_trio
@@ -387,7 +398,7 @@
         async with here.process() as (router_process, ops):
             for n in range(8):
                 assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
-            assert bool(here.boxes[0].asked) is (left != "torn")  # what was whole is in force
-            assert here.boxes[1].asked
+            assert bool(here.boxes[0].received) is (left != "torn")  # what was whole is in force
+            assert here.boxes[1].received
             assert (await call(ops, f"/maintenance/enter/{OTHER}", "PUT"))[0] == 200
             assert b"relieved" not in router_process.said
--- a/tests/test_lab_cluster.py
+++ b/tests/test_lab_cluster.py
@@ -37,7 +37,7 @@
     )
 
 
-def played(tmp_path: Path, text: str) -> Outcome:
+def run_in_cluster(tmp_path: Path, text: str) -> Outcome:
     """One play, in which every invariant must hold."""
     outcome = run_in_virtual_time(script.read(HEAD + text, "t.toml"), 1, tmp_path)
     assert outcome.well, (outcome.faults, outcome.logs)
@@ -51,7 +51,7 @@
 
 def test_down_while_a_drain_is_given(tmp_path: Path) -> None:
     """All lose power; a cache is drained elsewhere; snapshots are whole, torn, missing: it is soon unused."""
-    outcome = played(
+    outcome = run_in_cluster(
         tmp_path,
         "seconds = 7.5\nrate = 60.0\n"
         + steps(
@@ -77,7 +77,7 @@
 
 def test_store_set_back(tmp_path: Path) -> None:
     """The store loses its last writes, a drain among them, and is back: it is told again, once or twice."""
-    outcome = played(
+    outcome = run_in_cluster(
         tmp_path,
         "seconds = 7.0\nrate = 40.0\n"
         + steps(
@@ -99,7 +99,7 @@
 
 def test_addresses_of_others(tmp_path: Path) -> None:
     """A last list a week old in which each address is another box's, and no store: it is not served from."""
-    outcome = played(
+    outcome = run_in_cluster(
         tmp_path,
         "seconds = 6.0\nrate = 40.0\n"
         + steps("1.5 kill", '1.6 list state = "foreign"', "1.6 store_down", "1.8 start", "4.0 store_up"),
@@ -114,12 +114,12 @@
     follows = {who for who, at in times(record, "follow") if at > began}
     assert follows == set(range(8))
     assert "another" not in "".join((tmp_path / f"router-{n}.log").read_text() for n in range(8))
-    assert (tmp_path / "router-1.log").read_text().count("the last list, of") == 0
+    assert (tmp_path / "router-1.log").read_text().count("snapshot of") == 0
 
 
 def test_refused_and_stopped(tmp_path: Path) -> None:
     """Nine in ten connections to the store are refused, one router is stopped, one clock is 10 min ahead."""
-    outcome = played(
+    outcome = run_in_cluster(
         tmp_path,
         # Long enough that much is asked for after the purge, also if it is heard of 5 s later.
         "seconds = 18.0\nrate = 80.0\nclocks = { 5 = [600.0, 1.0] }\n"
@@ -150,7 +150,7 @@
 
 def test_unresponsive_cache_and_partitioned_store(tmp_path: Path) -> None:
     """Power is back in two halves; a cache accepts and says nothing: the others serve, it is asked seldom."""
-    outcome = played(
+    outcome = run_in_cluster(
         tmp_path,
         "seconds = 8.0\nrate = 60.0\nstarted = false\n"
         + steps('0.0 start who = "odd"', '0.0 box_mute box = "box-1"', '3.0 start who = "even"'),
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -21,24 +21,24 @@
     ("cli",),
     ("__main__",),
 )
-RANK = {room: n for n, row in enumerate(ROWS) for room in row}
+RANK = {package: n for n, row in enumerate(ROWS) for package in row}
 ALSO = {("appliance", "console"), ("dns", "admission")}  # within a row, told by name
 
 
-def room(module: str) -> str:
+def package(module: str) -> str:
     """The room of a module of ours; "" for the package itself."""
     return module.split(".")[1] if "." in module else ""
 
 
 def upward(module: str, text: str) -> list[str]:
     """What a module's text imports from a room that is not below its own."""
-    here, found = room(module), []
+    here, found = package(module), []
     for node in ast.walk(ast.parse(text)):
         names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
         if isinstance(node, ast.ImportFrom) and node.module:
             names = [f"{node.module}.{a.name}" for a in node.names]
         for name in names:
-            there = room(name) if name.startswith("brackenlane.") else here
+            there = package(name) if name.startswith("brackenlane.") else here
             below = RANK.get(there, 99) < RANK.get(here, 99)
             if there != here and there != "__version__" and not below and (here, there) not in ALSO:
                 found.append(name)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,13 +11,13 @@
 
 from brackenlane.limits import Limits
 from brackenlane.net.http_codec import BadRequestError, RequestParser, read_plain
-from tests.stand_ins import Asked, Box, Log, Program, data, platform, record, with_trio
+from tests.stand_ins import CacheStandIn, Log, Program, ReceivedRequest, data, platform, record, with_trio
 from tests.test_platform import EDGE, ORIGIN, SMUGGLED
 
 HEAD = "GET /api/v2/video-parts/7f3a9c21e0b4d655/n-0 HTTP/1.1\r\nHost: a\r\n"
 
 
-def answer(requested: Asked) -> bytes:
+def answer(requested: ReceivedRequest) -> bytes:
     """A good answer, to reads and writes."""
     return data(requested, b"" if requested.fields["queue"] == "sheet-submit" else b"bytes")
 
@@ -35,8 +35,8 @@
     """Many times what its core can do: reads are shed before they reach a cache, submits never."""
     async with trio.open_nursery() as nursery:
         caches = [
-            await Box(EDGE, answer=answer).open(nursery),
-            await Box(ORIGIN, "origin", answer=answer).open(nursery),
+            await CacheStandIn(EDGE, answer=answer).open(nursery),
+            await CacheStandIn(ORIGIN, "origin", answer=answer).open(nursery),
         ]
         async with platform(tmp_path, caches, module="tests.slow_program", SLOW_MS="8") as router_process:
             found: Counter[tuple[str, int]] = Counter()
@@ -52,7 +52,7 @@
             assert refused > 0, found
             assert served + refused == 294, found
             # What was refused never reached a cache, and no write did twice.
-            requested = [one for cache in caches for one in cache.asked]
+            requested = [one for cache in caches for one in cache.received]
             assert len(requested) == served + 6 == len({one.id for one in requested})
             await router_process.says(b"short of CPU")
             # And it comes back by itself.
@@ -69,7 +69,7 @@
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, other, origin = [
-            await Box(i, m, answer=answer).open(nursery)
+            await CacheStandIn(i, m, answer=answer).open(nursery)
             for i, m in ((EDGE, "type-a"), ("s-00000002", "type-a"), (ORIGIN, "origin"))
         ]
         async with platform(
@@ -85,13 +85,13 @@
             async with trio.open_nursery() as clients:
                 for number in range(100):
                     clients.start_soon(flood, number)
-                while not edge.asked or not found["video-parts", 503]:
+                while not edge.received or not found["video-parts", 503]:
                     await trio.sleep(0.01)
                 await log.tell(2, 2, record(edge, 1))
                 await trio.sleep(0.5)
-                late, since = len(edge.asked), len(other.asked)
-                await other.until(lambda: len(other.asked) > since + 30)
-                assert len(edge.asked) == late
+                late, since = len(edge.received), len(other.received)
+                await other.until(lambda: len(other.received) > since + 30)
+                assert len(edge.received) == late
                 assert found["video-parts", 503]
                 clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
@@ -102,8 +102,8 @@
     """Two requests in one packet get two answers in their order; one cut at any byte is one request."""
     async with trio.open_nursery() as nursery:
         caches = [
-            await Box(EDGE, answer=answer).open(nursery),
-            await Box(ORIGIN, "origin", answer=answer).open(nursery),
+            await CacheStandIn(EDGE, answer=answer).open(nursery),
+            await CacheStandIn(ORIGIN, "origin", answer=answer).open(nursery),
         ]
         async with platform(tmp_path, caches) as router_process:
 
@@ -122,8 +122,11 @@
                     await stream.send_all(sent[cut:])
                     while not (got := await stream.receive_some(65536)).endswith(b"bytes"):
                         pass
-            assert [requested.id[0] for requested in caches[0].asked + caches[1].asked][:2] == ["1", "2"]
-            assert len(caches[0].asked + caches[1].asked) == 5
+            assert [requested.id[0] for requested in caches[0].received + caches[1].received][:2] == [
+                "1",
+                "2",
+            ]
+            assert len(caches[0].received + caches[1].received) == 5
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_overload_decisions.py
+++ b/tests/test_overload_decisions.py
@@ -29,7 +29,7 @@
     assert seen == {"edge-0": 18, "edge-1": 18}
 
 
-def strained(**changes: Any) -> RouterHarness:
+def overloaded_harness(**changes: Any) -> RouterHarness:
     """A rig whose usual answers come after the aim."""
     harness = RouterHarness(**changes)
     for n in range(60):
@@ -39,7 +39,7 @@
 
 
 def test_overload_makes_a_request_look_up_hits_first() -> None:
-    harness = strained()
+    harness = overloaded_harness()
     look = only(harness.ask("clip"), Fetch)
     assert look.source == look.server
     fill = only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch)
@@ -56,7 +56,7 @@
 )
 def test_looks_that_find_nothing_leave_an_attempt_for_the_fill(attempts: int, requested: list[str]) -> None:
     """Before, a site that allows two attempts had both spent on looks, and refused what it could fill."""
-    harness = strained(max_attempts=attempts, may_bypass_caches=False)
+    harness = overloaded_harness(max_attempts=attempts, may_bypass_caches=False)
     sent, found = only(harness.ask("clip"), Fetch), list[str]()
     while True:
         own = sent.source == sent.server
@@ -68,7 +68,7 @@
 
 
 def test_known_miss_without_capacity_is_rejected_at_once() -> None:
-    harness = strained()
+    harness = overloaded_harness()
     for server in harness.router.servers.values():
         server.window, server.in_flight = (
             1.0,
@@ -80,7 +80,7 @@
 
 def test_overload_skips_the_lookup_at_a_cold_cache() -> None:
     """It has little yet: a look there would come back, and would cost it a part of what it bears."""
-    harness = strained()
+    harness = overloaded_harness()
     harness.tell([replace(m, started_at=harness.now) for m in members() if m.role is Role.EDGE])
     harness.now += 17.0
     fetch = only(harness.ask("fresh"), Fetch)
@@ -92,7 +92,7 @@
 
 
 def test_overload_serves_stale_but_never_purged_copies() -> None:
-    harness = strained(classes=(VIDEO, replace(TILES, grace=20.0)))
+    harness = overloaded_harness(classes=(VIDEO, replace(TILES, grace=20.0)))
     assert only(harness.ask("clip", "tiles"), Fetch).max_age == 28.0
     harness.router.handle(Purged("clip", 0, 0.0), harness.now)
     harness.now += 1
@@ -100,7 +100,7 @@
 
 
 def test_overload_lets_a_late_fill_finish() -> None:
-    harness = strained()
+    harness = overloaded_harness()
     actions = harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN)
     timer = every(actions, SetTimer)[0]
     harness.now = timer.at
@@ -110,7 +110,7 @@
 
 
 def test_overload_drops_late_lookups() -> None:
-    harness = strained()
+    harness = overloaded_harness()
     actions = harness.ask("clip", "tiles")
     fetch, timer = only(actions, Fetch), every(actions, SetTimer)[1]
     harness.now = timer.at
@@ -132,7 +132,7 @@
 
 
 def test_a_cache_without_a_place_for_a_fill_is_passed_by() -> None:
-    harness = strained()
+    harness = overloaded_harness()
     look = only(harness.ask("clip"), Fetch)
     fill = only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.001), Fetch)
     straight = only(harness.end(fill, AttemptResult.FULL, CacheStatus.UNKNOWN, attempt=1, wait=0.001), Fetch)
@@ -191,7 +191,7 @@
 
 def test_overload_looks_up_the_parent_before_the_origin() -> None:
     """What the parent lacks needs room in the origin's window, and its lateness is the origin's."""
-    harness = strained()
+    harness = overloaded_harness()
     held = only(harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch)
     assert held.only_if_cached
     assert held.source.startswith("parent")
@@ -215,7 +215,7 @@
 
 def test_a_parent_late_with_what_it_holds_is_slow_itself_and_not_excused() -> None:
     """After a late look at a parent, misses are asked of it in full again and judged as its own."""
-    harness = strained()
+    harness = overloaded_harness()
     actions = harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN)
     held, timer = only(actions, Fetch), every(actions, SetTimer)[0]
     harness.now = timer.at
@@ -278,7 +278,7 @@
 @pytest.mark.parametrize("purged", [False, True])
 def test_what_was_purged_as_a_group_lately_is_not_looked_for_at_the_parent(purged: bool) -> None:
     """With all copies void each look at a parent came back with nothing, 265 a second, before any fill."""
-    harness = strained()
+    harness = overloaded_harness()
     if purged:
         harness.router.handle(Purged(group=7, age=0.2), harness.now)
     looked = only(harness.ask("fresh-one", group=7), Fetch)
@@ -291,7 +291,7 @@
 def test_overload_never_looks_up_a_write() -> None:
     """It is kept nowhere: looks at a cache and a parent come back; then the origin's window ends it."""
     submit = replace(VIDEO, name="submit", idempotency=Idempotency.NON_IDEMPOTENT, uncached=True)
-    harness = strained(classes=(VIDEO, submit))
+    harness = overloaded_harness(classes=(VIDEO, submit))
     sent = only(harness.ask("sheet", "submit", is_write=True), Fetch)
     assert sent.source != sent.server
     assert not sent.only_if_cached
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -20,9 +20,9 @@
 from tests.stand_ins import (
     ROOT,
     SETTINGS,
-    Asked,
-    Box,
+    CacheStandIn,
     Log,
+    ReceivedRequest,
     ScriptedReply,
     data,
     free_port,
@@ -35,9 +35,9 @@
 TICK_MS = 1000 * SETTINGS["QuantumS"]  # the least time told apart
 
 
-def fleet(answer: Callable[[Asked], ScriptedReply] = data) -> list[Box]:
+def fleet(answer: Callable[[ReceivedRequest], ScriptedReply] = data) -> list[CacheStandIn]:
     """An edge cache and the origin."""
-    return [Box(EDGE, answer=answer), Box(ORIGIN, "origin", answer=answer)]
+    return [CacheStandIn(EDGE, answer=answer), CacheStandIn(ORIGIN, "origin", answer=answer)]
 
 
 @with_trio
@@ -49,7 +49,7 @@
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
             status, headers, body = await router_process.ask(txn="9b1f03aa5c7e2d41")
             assert (status, headers["etag"], body) == (200, '"e1"', b"bytes")
-            [requested] = edge.asked
+            [requested] = edge.received
             assert requested.id == "9b1f03aa5c7e2d41"
             reported = requested.fields
             assert (reported["queue"], reported["path"], reported["blk"]) == (
@@ -61,13 +61,13 @@
             assert 0 < int(reported["budget"]) <= 2000
             assert "uniq" not in reported
             await router_process.ask("sheet-submit", body=b"signed", X_Txn_Key="aad3d43f3c9565f6")
-            assert (edge.asked + origin.asked)[-1].fields["uniq"] == "aad3d43f3c9565f6"
+            assert (edge.received + origin.received)[-1].fields["uniq"] == "aad3d43f3c9565f6"
             assert (await router_process.ask(X_Txn_Key="a,b"))[0] == 400
-            edge.asked = edge.asked[:1]
+            edge.received = edge.received[:1]
             edge.answer = lambda requested: data(requested, b"", "unchanged")
             status, headers, body = await router_process.ask(If_None_Match='"e1"')
             assert (status, headers["etag"], body) == (304, '"e1"', b"")
-            assert edge.asked[1].fields["mine"] == "e1"
+            assert edge.received[1].fields["mine"] == "e1"
         nursery.cancel_scope.cancel()
 
 
@@ -77,7 +77,7 @@
     named = "e2"
     async with trio.open_nursery() as nursery:
 
-        def answer(requested: Asked) -> ScriptedReply:
+        def answer(requested: ReceivedRequest) -> ScriptedReply:
             return (
                 data(requested, b"", "unchanged", entity=named)
                 if "mine" in requested.fields
@@ -90,15 +90,15 @@
             named = "e1"
             assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
             assert (await router_process.ask())[0] == 200  # a copy of our own from now on
-            requested = len(edge.asked) + len(origin.asked)
+            requested = len(edge.received) + len(origin.received)
             assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
             status, headers, body = await router_process.ask(If_None_Match='"made-up"')
             assert (status, headers["etag"], body) == (200, '"e1"', b"bytes")
-            assert len(edge.asked) + len(origin.asked) == requested
+            assert len(edge.received) + len(origin.received) == requested
         nursery.cancel_scope.cancel()
 
 
-def old(requested: Asked) -> bytes:
+def old(requested: ReceivedRequest) -> bytes:
     """A copy past all that its class allows."""
     return data(requested, issued=str(int(time.time() * 1000) - 60_000))
 
@@ -119,7 +119,9 @@
     ],
 )
 @with_trio
-async def test_bad_answers(tmp_path: Path, cls: str, answer: Callable[[Asked], bytes], good: bool) -> None:
+async def test_bad_answers(
+    tmp_path: Path, cls: str, answer: Callable[[ReceivedRequest], bytes], good: bool
+) -> None:
     """What can't be read, is cut or too old is never served; the largest object is."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet(answer)]
@@ -146,7 +148,7 @@
 async def test_submit(tmp_path: Path, command: str, runs: int, status: int) -> None:
     """A submit is sent again, or refused, only after a proof that it never ran."""
 
-    def answer(requested: Asked) -> ScriptedReply:
+    def answer(requested: ReceivedRequest) -> ScriptedReply:
         return (
             data(requested, b"", command)
             if command not in ("", "cut")
@@ -159,7 +161,7 @@
         caches = [await cache.open(nursery) for cache in fleet(answer)]
         async with platform(tmp_path, caches) as router_process:
             found, headers, _ = await router_process.ask("sheet-submit", body=b"signed" * 8000, ttl=700)
-            requested = caches[0].asked + caches[1].asked
+            requested = caches[0].received + caches[1].received
             assert found == (504 if not command else status)
             assert len(requested) <= runs
             assert requested[0].body == b"signed" * 8000
@@ -169,7 +171,7 @@
                 "sheet-submit", body=b"signed" * 8000, ttl=700, txn=requested[0].id
             )
             assert again[0] == (503 if found == 503 else 409)
-            assert found == 503 or len(caches[0].asked + caches[1].asked) == len(requested)
+            assert found == 503 or len(caches[0].received + caches[1].received) == len(requested)
         nursery.cancel_scope.cancel()
 
 
@@ -265,8 +267,8 @@
                         found += got
             assert found.count(b"HTTP/1.1") == bool(status)
             assert found[9:12] == status
-            assert not edge.asked
-            assert not origin.asked
+            assert not edge.received
+            assert not origin.received
         nursery.cancel_scope.cancel()
 
 
@@ -293,12 +295,13 @@
     """With work in hand on every connection that descriptors allow, one more is refused, not closed."""
     async with trio.open_nursery() as nursery:
         caches = [
-            await Box(f"s-0000000{n}", answer=lambda requested: None).open(nursery) for n in range(1, 7)
+            await CacheStandIn(f"s-0000000{n}", answer=lambda requested: None).open(nursery)
+            for n in range(1, 7)
         ]
         async with platform(tmp_path, caches, sockets=64) as router_process, trio.open_nursery() as clients:
             for n in range(25):
                 clients.start_soon(functools.partial(router_process.ask, obj=f"{n:016x}", ttl=5000))
-            while len({requested.id for cache in caches for requested in cache.asked}) < 25:
+            while len({requested.id for cache in caches for requested in cache.received}) < 25:
                 await trio.sleep(0.01)
             status, headers, _ = await router_process.ask()
             assert status == 503
@@ -315,9 +318,9 @@
         async with platform(tmp_path, [edge, origin]) as router_process:
             async with trio.open_nursery() as client:
                 client.start_soon(router_process.ask)
-                await edge.until(lambda: bool(edge.asked))
+                await edge.until(lambda: bool(edge.received))
                 client.cancel_scope.cancel()
-            await edge.until(lambda: edge.dropped == [edge.asked[0].id])
+            await edge.until(lambda: edge.dropped == [edge.received[0].id])
         nursery.cancel_scope.cancel()
 
 
@@ -326,12 +329,12 @@
     """A refused connection proves that nothing ran, also of a submit: another cache gets it."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
-        other = await Box("s-00000002").open(nursery)
+        other = await CacheStandIn("s-00000002").open(nursery)
         await edge.close()
         async with platform(tmp_path, [edge, other, origin]) as router_process:
             found = [await router_process.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)]
             assert [status for status, _, _ in found] == [200] * 8
-            assert len(other.asked) + len(origin.asked) == 8
+            assert len(other.received) + len(origin.received) == 8
         nursery.cancel_scope.cancel()
 
 
@@ -347,7 +350,7 @@
                 waiting = full.enter_context(socket.socket())
                 waiting.setblocking(False)
                 waiting.connect_ex(unresponsive.getsockname())
-            silent = Box("s-00000002")
+            silent = CacheStandIn("s-00000002")
             silent.port = unresponsive.getsockname()[1]
             async with platform(tmp_path, [edge, silent, origin]) as router_process:
                 found = [await router_process.ask(obj=f"{n:016x}", ttl=5000) for n in range(8)]
@@ -375,8 +378,8 @@
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         edge.alive = origin.alive = alive
 
-        def once(requested: Asked) -> ScriptedReply:
-            if len(edge.asked) + len(origin.asked) > 1 and not alive:
+        def once(requested: ReceivedRequest) -> ScriptedReply:
+            if len(edge.received) + len(origin.received) > 1 and not alive:
                 return data(requested)
             return part % requested.id.encode() if part else None
 
@@ -394,7 +397,7 @@
         async with platform(tmp_path, [edge, origin], settings=patient) as router_process:
             body = b"signed" * (cls == "sheet-submit")
             assert (await router_process.ask(cls, body=body, ttl=2000 if alive else 20_000))[0] == status
-            assert len(edge.asked) + len(origin.asked) == (2 if status == 200 else 1)
+            assert len(edge.received) + len(origin.received) == (2 if status == 200 else 1)
         nursery.cancel_scope.cancel()
 
 
@@ -406,7 +409,7 @@
         async with platform(tmp_path, caches) as router_process, trio.open_nursery() as clients:
             for n in range(16):
                 clients.start_soon(router_process.ask, "video-parts", f"{n:016x}")
-                await caches[0].until(lambda n=n: len(caches[0].asked) > n)  # type: ignore[misc]
+                await caches[0].until(lambda n=n: len(caches[0].received) > n)  # type: ignore[misc]
             assert caches[0].most < 12
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
@@ -418,7 +421,7 @@
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
-        new = Box("s-00000005")
+        new = CacheStandIn("s-00000005")
         new.port = edge.port
         async with platform(tmp_path, [edge, origin], log) as router_process:
             assert (await router_process.ask())[0] == 200
@@ -426,8 +429,8 @@
             await log.cut()
             assert log.since == [1, 2]
             assert (await router_process.ask())[0] == 200
-            assert len(edge.asked) == 2
-            assert not origin.asked
+            assert len(edge.received) == 2
+            assert not origin.received
         nursery.cancel_scope.cancel()
 
 
@@ -437,7 +440,7 @@
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
-        other = await Box("s-00000002").open(nursery)
+        other = await CacheStandIn("s-00000002").open(nursery)
         async with platform(tmp_path, [edge, other, origin], log) as router_process:
             # The answer to a purge shows that the frames before it were taken in.
             await log.tell(2, 2, record(edge, 1))
@@ -447,14 +450,14 @@
             assert log.since == [1, 3]
             for n in range(12):
                 assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
-            assert not edge.asked
-            assert len(other.asked) == 12
+            assert not edge.received
+            assert len(other.received) == 12
             await router_process.ask("video-parts", "7f3a9c21e0b4d655")
-            assert 0 < int(other.asked[-1].fields["within"]) < 6000
+            assert 0 < int(other.received[-1].fields["within"]) < 6000
             await log.tell(4, 2, record(edge, 0) + record(other, 2))
             await log.cut()
             assert (await router_process.ask())[0] == 200
-            assert edge.asked
+            assert edge.received
         nursery.cancel_scope.cancel()
 
 
@@ -471,13 +474,13 @@
             good = path.read_bytes()
             path.write_bytes(good[:-1])
             router_process.process.send_signal(signal.SIGHUP)
-            await router_process.says(b"the old configuration stays in force")
+            await router_process.says(b"the old configuration remains in force")
             edge.answer = lambda requested: (
                 None
             )  # a request stays open meanwhile; its answer fails if it is lost
             async with trio.open_nursery() as client:
                 client.start_soon(router_process.ask)
-                await edge.until(lambda: bool(edge.asked))
+                await edge.until(lambda: bool(edge.received))
                 path.write_bytes(good.replace(str(log.port).encode(), str(other.port).encode()))
                 router_process.process.send_signal(signal.SIGHUP)
                 await other.tell(3, 2, record(edge, 1))
@@ -485,8 +488,8 @@
             assert other.since == [2, 3]
             assert log.since == [1, 2]
             assert (await router_process.ask())[0] == 200
-            assert len(edge.asked) == 1
-            assert len(origin.asked) > 0
+            assert len(edge.received) == 1
+            assert len(origin.received) > 0
         nursery.cancel_scope.cancel()
 
 
@@ -504,10 +507,10 @@
         lasting = {"FamilyInfo": {**SETTINGS["FamilyInfo"], "GoneEverywhereS": 60.0}}
         async with platform(tmp_path, caches, purged=purges, settings=lasting) as router_process:
             for obj, purged in (("00000000000000aa", now - 500), ("00000000000000bb", now - 3000)):
-                seen = len(caches[0].asked)
+                seen = len(caches[0].received)
                 await router_process.ask("video-parts", obj)
                 latest = time.time() * 1000 - purged
-                age = int(caches[0].asked[seen].fields["within"])
+                age = int(caches[0].received[seen].fields["within"])
                 # A purge known at the start may count as later by what the start took, never as earlier.
                 assert now - purged - TICK_MS - 1 <= age <= latest
         nursery.cancel_scope.cancel()
@@ -526,11 +529,11 @@
 
             async with trio.open_nursery() as clients:
                 clients.start_soon(request)
-                await edge.until(lambda: bool(edge.asked))
+                await edge.until(lambda: bool(edge.received))
                 router_process.process.send_signal(signal.SIGTERM)
                 edge.answer = data
                 clients.start_soon(request)
-                await edge.until(lambda: len(edge.asked) > 1)
+                await edge.until(lambda: len(edge.received) > 1)
                 # The first one's client is served by the next attempt, or told that it failed: never cut off.
             assert await router_process.process.wait() == 0
             assert 200 in found
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -14,7 +14,7 @@
 
 from brackenlane.lifecycle import SignalWatcher
 from brackenlane.net.poller import Poller
-from tests.stand_ins import Box, platform, with_trio
+from tests.stand_ins import CacheStandIn, platform, with_trio
 
 
 def kind_of(descriptor: Path) -> str:
@@ -46,7 +46,10 @@
 async def test_no_epoll_waits_for_another(tmp_path: Path) -> None:
     """Where an epoll in an epoll is told nothing, the router would never hear of a client."""
     async with trio.open_nursery() as nursery:
-        caches = [await cache.open(nursery) for cache in (Box("s-00000001"), Box("s-00000009", "origin"))]
+        caches = [
+            await cache.open(nursery)
+            for cache in (CacheStandIn("s-00000001"), CacheStandIn("s-00000009", "origin"))
+        ]
         async with platform(tmp_path, caches) as router_process:
             assert (await router_process.ask())[0] == 200
             assert nested(router_process.process.pid) == []
@@ -110,15 +113,15 @@
 async def test_second_signal_ends_the_router_during_shutdown(tmp_path: Path) -> None:
     """The handler that leaves in order stayed on, and whoever asked again had to wait for it."""
     async with trio.open_nursery() as nursery:
-        origin = await Box("s-00000009", "origin").open(nursery)
-        unresponsive = await Box("s-00000001", answer=lambda requested: None).open(nursery)
+        origin = await CacheStandIn("s-00000009", "origin").open(nursery)
+        unresponsive = await CacheStandIn("s-00000001", answer=lambda requested: None).open(nursery)
         async with platform(tmp_path, [unresponsive, origin]) as router_process:
             client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
             await client.send_all(
                 b"GET /api/v2/video-parts/7f3a9c21e0b4d655/n-3 HTTP/1.1\r\nHost: a\r\n"
                 b"X-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 30000\r\nX-Shard: 1\r\n\r\n"
             )
-            while not unresponsive.asked:
+            while not unresponsive.received:
                 await trio.sleep(0.01)
             router_process.process.send_signal(signal.SIGTERM)
             await trio.sleep(0.2)
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -34,10 +34,10 @@
 from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus, Event, Membership, Outcome
 from tests.stand_ins import (
     SETTINGS,
-    Asked,
-    Box,
+    CacheStandIn,
     Log,
     Program,
+    ReceivedRequest,
     ScriptedReply,
     data,
     free_port,
@@ -81,10 +81,10 @@
 
 
 async def fleet(
-    nursery: trio.Nursery, *names: str, answer: Callable[[Asked], ScriptedReply] = data
-) -> list[Box]:
+    nursery: trio.Nursery, *names: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data
+) -> list[CacheStandIn]:
     """Boxes that answer alike."""
-    return [await Box(name, MODELS.get(name, "type-a"), answer).open(nursery) for name in names]
+    return [await CacheStandIn(name, MODELS.get(name, "type-a"), answer).open(nursery) for name in names]
 
 
 def parse(text: bytes) -> RequestParser:
@@ -159,7 +159,7 @@
         async with start() as router:
             async with await trio.open_tcp_stream("127.0.0.1", port) as client:
                 await client.send_all(FIRST_TRY)
-                await edge.until(lambda: bool(edge.asked))
+                await edge.until(lambda: bool(edge.received))
                 if restart:
                     router.process.send_signal(restart)
             if restart is None:
@@ -171,9 +171,9 @@
             edge.answer = data
             async with start() as router:
                 assert (await retry(router))[0] == 200
-        assert {requested.fields["uniq"] for requested in edge.asked} == {KEY}
-        assert {requested.body for requested in edge.asked} == {b"signed"}
-        assert {requested.id for requested in edge.asked} == {"1" * 16, "2" * 16}
+        assert {requested.fields["uniq"] for requested in edge.received} == {KEY}
+        assert {requested.body for requested in edge.received} == {b"signed"}
+        assert {requested.id for requested in edge.received} == {"1" * 16, "2" * 16}
         nursery.cancel_scope.cancel()
 
 
@@ -191,7 +191,7 @@
 
     async with trio.open_nursery() as nursery:
 
-        def fail(requested: Asked) -> bytes:
+        def fail(requested: ReceivedRequest) -> bytes:
             sent.append(time.time())
             time.sleep(0.1)  # this cache alone is slow: four sends would take 0.4 s
             return data(requested, b"", "failed")
@@ -199,7 +199,7 @@
         caches = await fleet(nursery, EDGE, OTHER, ORIGIN, answer=fail)
         async with platform(tmp_path, caches, settings=settings) as router:
             status, _, _ = await router.ask("sheet-submit", body=b"signed", ttl=2500, X_Txn_Key=KEY)
-            requested = caches[0].asked + caches[1].asked
+            requested = caches[0].received + caches[1].received
             assert status in (502, 503)
             assert len(requested) > 1
             assert {(a.id, a.fields["uniq"], a.body) for a in requested} == {
@@ -219,7 +219,7 @@
         async with platform(tmp_path, caches, settings=site()) as router:
             status, _, _ = await router.ask("sheet-submit", body=b"signed", ttl=2500)
             assert status == 502
-            assert len([requested for box in caches for requested in box.asked]) == 1
+            assert len([requested for cache_stand_in in caches for requested in cache_stand_in.received]) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -267,7 +267,9 @@
         ):
             for n in range(25):
                 clients.start_soon(functools.partial(router.ask, obj=f"{n:016x}", ttl=5000))
-            while len({requested.id for box in caches for requested in box.asked}) < 25:
+            while (
+                len({requested.id for cache_stand_in in caches for requested in cache_stand_in.received}) < 25
+            ):
                 await trio.sleep(0.01)
             status, headers, _ = await router.ask()
             assert status == 503
@@ -486,7 +488,7 @@
     """Whatever the report says, what it came with counts, and its connection stays."""
     async with trio.open_nursery() as nursery:
 
-        def notify(requested: Asked) -> bytes:
+        def notify(requested: ReceivedRequest) -> bytes:
             return data(requested, b"bytes" if command == "data" else b"", command, use=use)
 
         edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=notify)
@@ -505,7 +507,7 @@
         edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
         async with platform(tmp_path, [edge, origin], settings=site(MaxAttempts=1)) as router:
             assert (await router.ask(ttl=300))[0] == 504
-            await edge.say(1, data(edge.asked[0], use="inflight:1;x0:0.5"))
+            await edge.say(1, data(edge.received[0], use="inflight:1;x0:0.5"))
             edge.answer = functools.partial(data, use="inflight:1;x0:0.5")
             assert (await router.ask())[::2] == (200, b"bytes")
             assert edge.links == 1
@@ -523,11 +525,11 @@
         ):
             for n in range(8):
                 clients.start_soon(functools.partial(router.ask, obj=f"{n:016x}", ttl=5000))
-            await edge.until(lambda: len(edge.asked) >= 8)
+            await edge.until(lambda: len(edge.received) >= 8)
             assert edge.most == 2
             assert edge.links == 4
             assert (await router.ask())[0] == 503
-            assert len(edge.asked) == 8
+            assert len(edge.received) == 8
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
@@ -537,10 +539,10 @@
     """Four requests on one connection, answered last first: each client gets the bytes meant for it."""
     async with trio.open_nursery() as nursery:
 
-        def hold(requested: Asked) -> ScriptedReply:
-            if len(edge.asked) < 4:
+        def hold(requested: ReceivedRequest) -> ScriptedReply:
+            if len(edge.received) < 4:
                 return None
-            return b"".join(data(one, one.fields["path"].encode()) for one in reversed(edge.asked))
+            return b"".join(data(one, one.fields["path"].encode()) for one in reversed(edge.received))
 
         edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=hold)
         found: dict[str, bytes] = {}
@@ -572,7 +574,7 @@
         return bytes(got)
 
 
-class Tapped(Box):
+class Tapped(CacheStandIn):
     """A cache that keeps all that it is sent."""
 
     heard = bytearray()
@@ -613,9 +615,9 @@
                 await log.cut()
             status, _, _ = await router.ask(cls, body=b"signed" * (cls == "sheet-submit"), X_Txn_Key=KEY)
             assert status == 503
-            assert not parent.asked
-            assert not origin.asked
-            assert bool(edge.asked) is (how == "full")
+            assert not parent.received
+            assert not origin.received
+            assert bool(edge.received) is (how == "full")
         nursery.cancel_scope.cancel()
 
 
@@ -627,8 +629,8 @@
         async with platform(tmp_path, [edge, parent, origin], settings=site()) as router:
             for n in range(4):
                 assert (await router.ask("sheet-submit", f"{n:016x}", b"signed", X_Txn_Key=KEY))[0] == 200
-            assert {requested.fields["miss"] for requested in edge.asked} == {ORIGIN}
-            assert not any("prio" in requested.fields for requested in edge.asked)
+            assert {requested.fields["miss"] for requested in edge.received} == {ORIGIN}
+            assert not any("prio" in requested.fields for requested in edge.received)
         nursery.cancel_scope.cancel()
 
 
@@ -638,11 +640,11 @@
 @pytest.mark.parametrize("boot_ms", [0, 1_764_576_000_123])
 def test_late_start(boot_ms: int) -> None:
     """The moment of a late start means the same in a frame and in the configuration, in seconds."""
-    box = Box(EDGE)
-    box.port = 7001
+    cache_stand_in = CacheStandIn(EDGE)
+    cache_stand_in.port = 7001
     _, names = read_settings(SETTINGS)
-    frame = read_frame(Frame(7, 2, record(box, 0)[:-8] + boot_ms.to_bytes(8, "big")), names, 0.0)
-    item = {"seq": 7, "fleet": {"targets": [{**target(box), "boot_ms": boot_ms}]}}
+    frame = read_frame(Frame(7, 2, record(cache_stand_in, 0)[:-8] + boot_ms.to_bytes(8, "big")), names, 0.0)
+    item = {"seq": 7, "fleet": {"targets": [{**target(cache_stand_in), "boot_ms": boot_ms}]}}
     [known] = read_known({"results": [item]}, names, 0.0)
     assert frame == known
     assert isinstance(frame.event, Membership)
@@ -659,32 +661,41 @@
         log = await Log().open(nursery)
         named: list[tuple[float, str, str]] = []
 
-        def answer(requested: Asked, box: str) -> bytes:
-            named.append((time.time(), box, requested.fields.get("miss", "")))
+        def answer(requested: ReceivedRequest, cache_stand_in: str) -> bytes:
+            named.append((time.time(), cache_stand_in, requested.fields.get("miss", "")))
             return data(requested)
 
         caches = await fleet(nursery, EDGE, OTHER, NEXT_PARENT, PARENT, ORIGIN)
-        for box in caches:
-            box.answer = functools.partial(answer, box=box.id)
+        for cache_stand_in in caches:
+            cache_stand_in.answer = functools.partial(answer, cache_stand_in=cache_stand_in.id)
         async with platform(tmp_path, caches, log, settings=site()) as router:
 
-            async def ask_on(first: int, until: Callable[[], bool]) -> None:
+            async def send_on(first: int, until: Callable[[], bool]) -> None:
                 n = first
                 while not until():
                     assert (await router.ask(obj=f"{n:016x}"))[0] == 200
                     n += 100
 
             def uses(since: float, until: float) -> int:
-                return sum(since <= at < until and name in (box, source) for at, box, source in named)
+                return sum(
+                    since <= at < until and name in (cache_stand_in, source)
+                    for at, cache_stand_in, source in named
+                )
 
             reported = math.inf
             async with trio.open_nursery() as clients:
                 for first in range(4):
-                    clients.start_soon(ask_on, first, lambda: time.time() > reported + 1.0)
+                    clients.start_soon(send_on, first, lambda: time.time() > reported + 1.0)
                 while not uses(0.0, math.inf):
                     await trio.sleep(0.01)
                 reported = time.time()
-                await log.tell(2, 2, record(next(box for box in caches if box.id == name), state))
+                await log.tell(
+                    2,
+                    2,
+                    record(
+                        next(cache_stand_in for cache_stand_in in caches if cache_stand_in.id == name), state
+                    ),
+                )
             assert uses(reported + 0.25, math.inf) == 0
             assert sum(at >= reported + 0.25 for at, _, _ in named) > 10
         nursery.cancel_scope.cancel()
@@ -699,13 +710,13 @@
         async with platform(tmp_path, [edge, origin], log, flow=1e6, settings=site()) as router:
             for group in ("17", "18"):
                 assert (await router.ask(obj=f"{group:0>16}", X_Shard=group))[0] == 200
-            before = len(edge.asked)
+            before = len(edge.received)
             at = time.time()
             await log.tell(2, 4, (17).to_bytes(2, "big") + int(at * 1000).to_bytes(8, "big"))
             await log.cut()
             for group in ("18", "17"):
                 assert (await router.ask(obj=f"{group:0>16}", X_Shard=group))[0] == 200
-            [again] = edge.asked[before:]  # of the other group we hold a copy that will do
+            [again] = edge.received[before:]  # of the other group we hold a copy that will do
             assert again.fields["path"].endswith("17")
             assert 0 < int(again.fields["within"]) <= 1000 * (time.time() - at)
         nursery.cancel_scope.cancel()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -26,10 +26,10 @@
 from tests.stand_ins import (
     ROOT,
     SETTINGS,
-    Asked,
-    Box,
+    CacheStandIn,
     Log,
     Program,
+    ReceivedRequest,
     data,
     free_port,
     platform,
@@ -54,9 +54,12 @@
 }
 
 
-async def fleet(nursery: trio.Nursery) -> list[Box]:
+async def fleet(nursery: trio.Nursery) -> list[CacheStandIn]:
     """An edge cache and the origin."""
-    return [await Box(name, model).open(nursery) for name, model in ((EDGE, "type-a"), (ORIGIN, "origin"))]
+    return [
+        await CacheStandIn(name, model).open(nursery)
+        for name, model in ((EDGE, "type-a"), (ORIGIN, "origin"))
+    ]
 
 
 def replaced(path: Path, **changes: Any) -> None:
@@ -79,7 +82,7 @@
 async def test_new_settings_replace_old_ones_completely(tmp_path: Path) -> None:
     """What is in hand ends as it came; then classes, effects, zones and times are the new ones alone."""
     async with trio.open_nursery() as nursery:
-        held: list[Asked] = []
+        held: list[ReceivedRequest] = []
         edge, origin = await fleet(nursery)
         log, path = await Log().open(nursery), tmp_path / "config.json"
         async with platform(tmp_path, [edge, origin], log) as router_process:
@@ -101,13 +104,13 @@
                 assert (await router_process.ask())[0] == 404
                 assert await put(router_process, "sheet-submit") == 404
                 assert (await router_process.ask("plates"))[0] == 200
-                assert edge.asked[-1].fields["queue"] == "plates"
-                assert int(edge.asked[-1].fields["budget"]) <= 2000
+                assert edge.received[-1].fields["queue"] == "plates"
+                assert int(edge.received[-1].fields["budget"]) <= 2000
                 await edge.say(held[0].link, data(held[0]))
             assert found == [200]
             # An id whose submit may have run stays known whatever the settings.
             assert await put(router_process, "filing") == 409
-            assert len([a for cache in (edge, origin) for a in cache.asked if a.id == "7" * 16]) == 1
+            assert len([a for cache in (edge, origin) for a in cache.received if a.id == "7" * 16]) == 1
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
         nursery.cancel_scope.cancel()
 
@@ -139,7 +142,7 @@
             raw = orjson.loads(path.read_bytes())
             path.write_bytes(orjson.dumps({**raw, "changelog": f"127.0.0.1:{free_port()}", **change}))
             router_process.process.send_signal(signal.SIGHUP)
-            await router_process.says(b"the old configuration stays in force")
+            await router_process.says(b"the old configuration remains in force")
             assert said in router_process.said
             assert (await router_process.ask("plates"))[0] == 404
             assert (await router_process.ask())[0] == 200
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -42,10 +42,10 @@
 from brackenlane.routing.settings import RequestClass, Settings
 from tests.stand_ins import (
     SETTINGS,
-    Asked,
-    Box,
+    CacheStandIn,
     Log,
     Program,
+    ReceivedRequest,
     ScriptedReply,
     data,
     free_port,
@@ -59,10 +59,10 @@
 
 
 async def fleet(
-    nursery: trio.Nursery, *names: str, answer: Callable[[Asked], ScriptedReply] = data
-) -> list[Box]:
+    nursery: trio.Nursery, *names: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data
+) -> list[CacheStandIn]:
     """Boxes that answer alike."""
-    return [await Box(name, MODELS.get(name, "type-a"), answer).open(nursery) for name in names]
+    return [await CacheStandIn(name, MODELS.get(name, "type-a"), answer).open(nursery) for name in names]
 
 
 def limits(**reported: Any) -> dict[str, Any]:
@@ -149,7 +149,7 @@
                     found.append((await router_process.ask(ttl=20_000))[0])
 
                 clients.start_soon(send_request)
-                await caches[0].until(lambda: bool(caches[0].asked))
+                await caches[0].until(lambda: bool(caches[0].received))
                 router_process.process.send_signal(signal.SIGTERM)
                 with trio.move_on_after(2.7):
                     assert await router_process.process.wait() == 0
@@ -170,7 +170,7 @@
                 with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                     client.sendall(request("1" * 16) + more)
             assert (await router_process.ask(txn="3" * 16))[0] == 200
-            ids = [requested.id for cache in caches for requested in cache.asked]
+            ids = [requested.id for cache in caches for requested in cache.received]
             assert ids[1:] == ["3" * 16]
         nursery.cancel_scope.cancel()
 
@@ -179,9 +179,9 @@
 async def test_left_before_the_next_attempt(tmp_path: Path) -> None:
     """A box's failure and the client's end come together: caches are heard first, yet none is tried again."""
     async with trio.open_nursery() as nursery:
-        first: list[Asked] = []
+        first: list[ReceivedRequest] = []
 
-        def hold(requested: Asked) -> ScriptedReply:
+        def hold(requested: ReceivedRequest) -> ScriptedReply:
             first.append(requested)
             received.set()
             return None
@@ -196,14 +196,14 @@
             with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                 client.sendall(request("1" * 16))
                 await received.wait()
-                holder = next(cache for cache in caches if first[0] in cache.asked)
+                holder = next(cache for cache in caches if first[0] in cache.received)
                 async with still(router_process):
                     client.close()
                     await holder.say(first[0].link, data(first[0], b"", "failed"))
             for cache in caches:
                 cache.answer = data
             assert (await router_process.ask(txn="3" * 16))[0] == 200
-            assert [requested.id for cache in caches for requested in cache.asked].count("1" * 16) == 1
+            assert [requested.id for cache in caches for requested in cache.received].count("1" * 16) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -213,7 +213,7 @@
     """What waits for a connect is not sent once its client has left, also where nothing may be cancelled."""
     async with trio.open_nursery() as nursery:
         (origin,) = await fleet(nursery, ORIGIN)
-        slow = Box(EDGE)
+        slow = CacheStandIn(EDGE)
         with late_listener() as late:
             slow.port = late.port
             async with platform(
@@ -237,10 +237,10 @@
 @with_trio
 async def test_second_answer_is_none_to_the_next_attempt(tmp_path: Path) -> None:
     """A cache says twice that a write did not run, the second time after a retry: it runs once."""
-    runs: list[Asked] = []
-    came: list[Asked] = []
+    runs: list[ReceivedRequest] = []
+    came: list[ReceivedRequest] = []
 
-    def answer(requested: Asked) -> ScriptedReply:
+    def answer(requested: ReceivedRequest) -> ScriptedReply:
         came.append(requested)
         if len(came) == 1:
             return data(requested, b"", "full")
@@ -267,13 +267,13 @@
     async with trio.open_nursery() as nursery:
         ended = trio.Event()
 
-        def answer(requested: Asked) -> ScriptedReply:
+        def answer(requested: ReceivedRequest) -> ScriptedReply:
             if requested.id != "1" * 16:
                 return data(requested)
             nursery.start_soon(drip, requested)
             return None
 
-        async def drip(requested: Asked) -> None:
+        async def drip(requested: ReceivedRequest) -> None:
             with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 await caches[0].say(requested.link, data(requested, bytes(200_000))[:-190_000])
                 while True:
@@ -305,7 +305,7 @@
         edge, origin = await fleet(
             nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, b"", "failed")
         )
-        slow = Box(OTHER)
+        slow = CacheStandIn(OTHER)
         with late_listener() as late:
             slow.port = late.port
             async with platform(
@@ -322,7 +322,7 @@
 
                 async with trio.open_nursery() as client:
                     client.start_soon(send_request)
-                    await edge.until(lambda: bool(edge.asked))
+                    await edge.until(lambda: bool(edge.received))
                     await late.tried()
                     cache = await trio.to_thread.run_sync(late.empty)  # after TCP's first wait, 1 s
                 assert status in (502, 503)
@@ -330,7 +330,7 @@
                 with cache, contextlib.suppress(BlockingIOError):
                     received = cache.recv(65536)
                 assert not received
-                assert len(edge.asked) == 1
+                assert len(edge.received) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -350,8 +350,8 @@
             await log.cut()  # what was told has been taken in
             assert log.since[-1] == 2
             assert [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(8)] == [200] * 8
-            assert not edge.asked
-            assert other.asked
+            assert not edge.received
+            assert other.received
             for stream in resting:
                 await stream.aclose()
         nursery.cancel_scope.cancel()
@@ -400,11 +400,11 @@
             await half.send_all(text[:40])
             await complete.send_all(text.replace(b"1" * 16, b"2" * 16))
             assert (await complete.receive_some(12)) == b"HTTP/1.1 503"
-            requested = sum(len(cache.asked) for cache in caches)
+            requested = sum(len(cache.received) for cache in caches)
             await half.send_all(text[40:])
             assert (await half.receive_some(12)) == b"HTTP/1.1 503"
             assert await router_process.process.wait() == 0
-            assert sum(len(cache.asked) for cache in caches) == requested
+            assert sum(len(cache.received) for cache in caches) == requested
         nursery.cancel_scope.cancel()
 
 
@@ -467,9 +467,9 @@
             before = resident(router_process)
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                 await client.send_all(request("1" * 16))
-                await edge.until(lambda: bool(edge.asked))
+                await edge.until(lambda: bool(edge.received))
                 await client.send_all(request("2" * 16) * 16_000)  # 2.2 MB: read, or this does not end
-                await edge.say(1, data(edge.asked[0]))
+                await edge.say(1, data(edge.received[0]))
                 got = b""
                 with contextlib.suppress(trio.BrokenResourceError):
                     while more := await client.receive_some(65536):
@@ -480,7 +480,7 @@
             assert got.endswith(b"bytes")
             edge.answer = data
             assert (await router_process.ask())[0] == 200
-            assert [requested.id for requested in edge.asked].count("2" * 16) == 0
+            assert [requested.id for requested in edge.received].count("2" * 16) == 0
             assert resident(router_process) - before < 1_000_000
             assert router_process.said.count(b"sends on and on behind its request") == 1
         nursery.cancel_scope.cancel()
@@ -501,7 +501,7 @@
             for n in range(200):
                 await router_process.ask(obj=f"{n:016x}", ttl=300)
             reported = router_process.said.count(b"answered with what can't be served")
-            assert sum(len(cache.asked) for cache in caches) >= 200
+            assert sum(len(cache.received) for cache in caches) >= 200
             assert 0 < reported <= 100
         nursery.cancel_scope.cancel()
 
@@ -523,14 +523,14 @@
 class SlowLog(Log):
     """Says nothing for a while; then that the caches are there."""
 
-    def __init__(self, seconds: float, caches: list[Box]) -> None:
+    def __init__(self, seconds: float, caches: list[CacheStandIn]) -> None:
         super().__init__()
-        self._seconds, self._boxes = seconds, caches
+        self._seconds, self._caches = seconds, caches
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self.since.append(int.from_bytes(await stream.receive_some(8), "big"))
         await trio.sleep(self._seconds)
-        entries = b"".join(record(cache, 0) for cache in self._boxes)
+        entries = b"".join(record(cache, 0) for cache in self._caches)
         with contextlib.suppress(trio.BrokenResourceError):
             await stream.send_all((9 + len(entries)).to_bytes(4, "big") + bytes(7) + b"\x01\x01" + entries)
             await trio.sleep_forever()
@@ -596,7 +596,7 @@
                     if reset:
                         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             assert (await router_process.ask(txn="3" * 16))[0] == 200
-            assert [requested.id for cache in caches for requested in cache.asked] == ["3" * 16]
+            assert [requested.id for cache in caches for requested in cache.received] == ["3" * 16]
             assert (await router_process.ask("no-such-class"))[0] == 404
             await router_process.says(b"a request that can't be served: no such class or object")
         nursery.cancel_scope.cancel()
@@ -631,7 +631,7 @@
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         parent, origin, other = await fleet(nursery, PARENT, ORIGIN, OTHER)
-        slow = Box(EDGE)
+        slow = CacheStandIn(EDGE)
         with late_listener() as late:
             slow.port = late.port
             listed = [slow, parent, origin] if how == "source" else [slow, origin]
@@ -674,7 +674,7 @@
         async with platform(tmp_path, caches, files=64) as router_process:
             found = [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(200)]
             assert found == [200] * 200
-            assert all(cache.asked for cache in caches[:-1])
+            assert all(cache.received for cache in caches[:-1])
             assert sum(cache.links for cache in caches) > 30
         nursery.cancel_scope.cancel()
 
@@ -707,7 +707,7 @@
                         await origin.end(origin.links)
                         await client.send_all(text[:-2] + b"Content-Length: 6\r\n\r\nsigned")
                     assert (await client.receive_some(12)) == b"HTTP/1.1 200"
-                assert [requested.id for requested in origin.asked].count(f"{n:016x}") == 1
+                assert [requested.id for requested in origin.received].count(f"{n:016x}") == 1
         nursery.cancel_scope.cancel()
 
 
@@ -720,13 +720,13 @@
         async with platform(tmp_path, [edge, origin], log) as router_process:
             await log.tell(2, 0, b"")
             while len(log.since) < 2:
-                log.news = trio.Event()
-                await log.news.wait()
+                log.updated = trio.Event()
+                await log.updated.wait()
             await log.tell(3, 2, record(edge, 1))
             await log.cut()
             assert log.since[-1] == 3
             assert (await router_process.ask())[0] == 200
-            assert not edge.asked
+            assert not edge.received
         nursery.cancel_scope.cancel()
 
 
@@ -736,7 +736,7 @@
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         (edge,) = await fleet(nursery, EDGE)
-        slow = Box(EDGE)
+        slow = CacheStandIn(EDGE)
         with late_listener() as late:
             slow.port = late.port
             async with platform(tmp_path, [slow], log, settings=limits(DialTimeoutS=8.0)) as router_process:
@@ -771,7 +771,7 @@
             resource.prlimit(process, resource.RLIMIT_NOFILE, (open_now, usual[1]))
             await client.send_all(request("1" * 16))
             assert (await client.receive_some(1000)).startswith(b"HTTP/1.1 503")
-            assert not edge.asked
+            assert not edge.received
             resource.prlimit(process, resource.RLIMIT_NOFILE, usual)
             await client.send_all(request("2" * 16))
             assert (await client.receive_some(1000)).startswith(b"HTTP/1.1 200")
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -93,10 +93,10 @@
             for _ in range(3):
                 assert (await router_process.ask())[::2] == (200, b"bytes")
             assert (await router_process.ask(If_None_Match='"e1"'))[::2] == (304, b"")
-            assert len(edge.asked) == 1
+            assert len(edge.received) == 1
             purged = int(time.time() * 1000).to_bytes(8, "big")
             await log.tell(2, 3, bytes.fromhex("7f3a9c21e0b4d655") + purged)
             await log.cut()
             assert (await router_process.ask())[0] == 200
-            assert len(edge.asked) == 2
+            assert len(edge.received) == 2
         nursery.cancel_scope.cancel()
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -153,12 +153,12 @@
         process.send_signal(signal.SIGSTOP if step.do == "stop" else signal.SIGCONT)
 
     monkeypatch.setattr(Scenario, "_do", stall)
-    outcome = run_in_virtual_time(_two_doormans("stop", "cont"), 1, tmp_path)
+    outcome = run_in_virtual_time(_two_routers("stop", "cont"), 1, tmp_path)
     assert outcome.faults.pop("answered")
     assert not any(outcome.faults.values())
 
 
-def _two_doormans(first: str, second: str) -> Script:
+def _two_routers(first: str, second: str) -> Script:
     """Two routers, and a step 1 and 4 s after the play's begin."""
     return read(
         'name = "t"\ndoormans = 2\nboxes = 2\nseconds = 6.0\nrate = 20.0\n'
