--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -75,13 +75,13 @@
                     for n, t in enumerate(part)
                 ],
             )
-        made.answer(SRV, records, "u", 1.0)
+        made.apply_srv_answer(SRV, records, "u", 1.0)
         memory = tracemalloc.get_traced_memory()[0] / size
         tracemalloc.stop()
         took = []
         for number in range(5):
             begun = time.perf_counter()
-            made.answer(SRV, records[: -1 - number], "u", 2.0 + number)
+            made.apply_srv_answer(SRV, records[: -1 - number], "u", 2.0 + number)
             took.append(time.perf_counter() - begun)
         drains = []
         for number in range(20):
--- a/brackenlane/appliance/config.py
+++ b/brackenlane/appliance/config.py
@@ -109,7 +109,7 @@
         confirmation_delay=table.confirm,
         min_move_interval=table.settle,
         max_snapshot_age=table.remembered,
-        warm=table.warm,
+        max_warm_age=table.warm,
     )
 
 
--- a/brackenlane/appliance/program.py
+++ b/brackenlane/appliance/program.py
@@ -52,7 +52,7 @@
         if self.registry:
             self.health.forget_removed(self.registry.merge.caches.keys())
         if self.dns_source and result in SUSPICIOUS_RESULTS:
-            self.dns_source.doubt(server)
+            self.dns_source.replace_unreachable(server)
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
         await serve_until_signal(front, config.http, config.name)
         config.console.unlink(missing_ok=True)
         if snapshot_writer:
-            await snapshot_writer.keep(left=True)
+            await snapshot_writer.write(is_shutdown=True)
         nursery.cancel_scope.cancel()
 
 
--- a/brackenlane/appliance/startup.py
+++ b/brackenlane/appliance/startup.py
@@ -78,21 +78,21 @@
 
         After a power failure it cannot know that they did, nor what has become of them since long ago.
         """
-        if self.retained is None or not self.retained.left:
+        if self.retained is None or not self.retained.is_shutdown:
             return False
-        return self._is_younger_than(self._config.discovery.policy.warm, now)
+        return self._is_younger_than(self._config.discovery.policy.max_warm_age, now)
 
     def _is_younger_than(self, max_age: float, now: float) -> bool:
         assert self.retained is not None
-        return 0 <= now - self.retained.saved <= max_age
+        return 0 <= now - self.retained.saved_at <= max_age
 
     def _restore(self, retained: Snapshot) -> None:
         """Serve from a snapshot."""
         now = time.time()
         merge = self._registry.merge
-        self._registry.apply(merge.restore_snapshot(retained.memory, retained.saved, now))
+        self._registry.apply(merge.restore_snapshot(retained.memory, retained.saved_at, now))
         self._phases.step(StartupEvent.SNAPSHOT_RESTORED, now)
-        log.info("snapshot of %.0f s ago restored: %d caches", now - retained.saved, len(merge.caches))
+        log.info("snapshot of %.0f s ago restored: %d caches", now - retained.saved_at, len(merge.caches))
 
     def _restore_orders(self, retained: Snapshot, now: float) -> None:
         orders = RememberedMembers(orders=retained.memory.orders)
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -17,8 +17,8 @@
 from brackenlane.coldstart.phases import StartupPhases
 from brackenlane.console.text_table import render_table
 from brackenlane.discovery.merge import MembershipMerge
-from brackenlane.discovery.query import Kind
-from brackenlane.discovery.records import MergedCache, fixed
+from brackenlane.discovery.query import RecordType
+from brackenlane.discovery.records import MergedCache, ip_address_of
 from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import LookUpFailedError, Resolver
 from brackenlane.limits import Limits
@@ -123,16 +123,16 @@
     async def look_up_hosts(self) -> None:
         """Look up all host names at once, those of the SRV targets included."""
         async with trio.open_nursery() as nursery:
-            for name in sorted(self._merge.hosts):
+            for name in sorted(self._merge.sources.hosts):
                 nursery.start_soon(self._look_up_host, name)
 
     async def _look_up_service(self, name: str) -> None:
         try:
-            found = await self._resolver.look_up(name, Kind.SRV)
+            found = await self._resolver.look_up(name, RecordType.SRV)
         except LookUpFailedError as error:
             self._fail(name, "SRV", error)
             return
-        self._registry.apply(self._merge.answer(name, found.targets, found.upstream, time.time()))
+        self._registry.apply(self._merge.apply_srv_answer(name, found.targets, found.upstream, time.time()))
         records = tuple(
             f"{target.priority} {target.weight} {target.port} {target.host}" for target in found.targets
         )
@@ -144,11 +144,11 @@
         except LookUpFailedError as error:
             self._fail(name, "A", error)
             return
-        self._registry.apply(self._merge.locate(name, found.addresses, time.time()))
+        self._registry.apply(self._merge.apply_host_answer(name, found.addresses, time.time()))
         self.answers.append(DnsAnswer(name, "A", found.upstream, tuple(found.addresses)))
 
     def _fail(self, name: str, kind: str, error: LookUpFailedError) -> None:
-        self._merge.failed(name, str(error))
+        self._merge.sources.record_failure(name, str(error))
         self.answers.append(DnsAnswer(name, kind, fault=str(error)))
 
 
@@ -159,7 +159,7 @@
 def _host_name(cache: MergedCache) -> str | None:
     """Return the host name of a cache; None if it is described by its address."""
     host = cache.definition.host
-    return host if fixed(host) is None else None
+    return host if ip_address_of(host) is None else None
 
 
 def _source_names(cache: MergedCache) -> list[str]:
--- a/brackenlane/console/views.py
+++ b/brackenlane/console/views.py
@@ -36,7 +36,7 @@
     rows: list[tuple[str, ...]] = [VERBOSE_HEADING]
     for cache in _sorted_caches(merge):
         sources = ", ".join(source.name.lower() for source in cache.sources)
-        warmth = f"cold, {max(0.0, now - cache.started):.0f} s" if cache.started else "warm"
+        warmth = f"cold, {max(0.0, now - cache.cold_since):.0f} s" if cache.cold_since else "warm"
         rows.append((*_cache_row(cache, health, now), sources, warmth, cache.reason))
     troubles = [line + "\n" for entry in merge.entries.values() for line in _srv_troubles(entry, now)]
     return render_table(rows) + "".join(troubles)
@@ -60,15 +60,15 @@
 
 def _srv_troubles(entry: SrvEntry, now: float) -> Iterator[str]:
     name = entry.watch.srv
-    if entry.fault:
-        yield f"{name}: the last look-up failed: {entry.fault}"
-    if entry.held:
+    if entry.last_error:
+        yield f"{name}: the last look-up failed: {entry.last_error}"
+    if entry.pending_removal:
         yield (
-            f"{name}: {len(entry.held.gone)} of {len(entry.listed)} boxes are missing"
-            f" since {now - entry.held.since:.0f} s; not believed until it is confirmed"
+            f"{name}: {len(entry.pending_removal.cache_ids)} of {len(entry.members)} boxes are missing"
+            f" since {now - entry.pending_removal.since:.0f} s; not believed until it is confirmed"
         )
-    if entry.left_out:
-        yield f"{name}: {entry.left_out} boxes are left out for want of room"
+    if entry.omitted_count:
+        yield f"{name}: {entry.omitted_count} boxes are left out for want of room"
 
 
 def show_load(figures: Figures) -> str:
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -11,7 +11,7 @@
 
 from brackenlane.discovery.address_probe import AddressProbe
 from brackenlane.discovery.look_up_schedule import LookUpSchedule
-from brackenlane.discovery.query import Kind
+from brackenlane.discovery.query import RecordType
 from brackenlane.discovery.records import Change
 from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.resolver import LookUpFailedError, LookUpResult, Resolver
@@ -68,7 +68,7 @@
             self._apply_if_any(self._merge.tick(time.time()))
             await trio.sleep(self._min_interval / TICKS_PER_LOOK_UP)
 
-    def doubt(self, server: str) -> None:
+    def replace_unreachable(self, server: str) -> None:
         """Move a cache that could not be reached to another address, and look up its host name again."""
         cache = self._merge.caches.get(server)
         if cache is None or cache.endpoint is None:
@@ -87,7 +87,7 @@
 
     def _on_change(self) -> None:
         self._merge_changed.set()
-        for host in self._merge.hosts - self._hosts.keys():
+        for host in self._merge.sources.hosts - self._hosts.keys():
             self._hosts[host] = HostWatch()
             self._nursery.start_soon(self._follow_host, host)
 
@@ -96,20 +96,22 @@
         await self._wait_for_turn(srv)
         failures = 0
         while True:
-            result = await self._fresh(srv, self._resolver.look_up(srv, Kind.SRV))
+            result = await self._fresh(srv, self._resolver.look_up(srv, RecordType.SRV))
             if result is None:
                 failures += 1
                 await trio.sleep(self._schedule.retry_wait(failures))
                 continue
             failures = 0
-            self._registry.apply(self._merge.answer(srv, result.targets, result.upstream, time.time()))
+            self._registry.apply(
+                self._merge.apply_srv_answer(srv, result.targets, result.upstream, time.time())
+            )
             await trio.sleep(self._schedule.refresh_wait(result.expires_at))
 
     async def _follow_host(self, host: str) -> None:
         """Look up one host name whenever its answer expires or proves wrong, until nothing names it."""
         watch = self._hosts[host]
         await self._wait_for_turn(host)
-        while host in self._merge.hosts:
+        while host in self._merge.sources.hosts:
             wait = await self._locate(host, watch)
             watch.looked_up_at = time.time()
             with trio.move_on_after(wait):
@@ -136,7 +138,7 @@
                 return result
             reason = f"the last answer is used on: {result.stale_reason}"
         log.warning("look-up of %s failed: %s", name, reason)
-        self._merge.failed(name, reason)
+        self._merge.sources.record_failure(name, reason)
         return None
 
     async def _locate(self, host: str, watch: HostWatch) -> float:
@@ -154,7 +156,7 @@
         known = self._merge.sources.addresses.by_host.get(host)
         if known is not None and known.address is not None and addresses == (known.address,):
             # The address in use is not probed, or all routers would connect to all caches each lifetime.
-            self._registry.apply(self._merge.locate(host, addresses, time.time()))
+            self._registry.apply(self._merge.apply_host_answer(host, addresses, time.time()))
             return True
         ports = {
             cache.definition.port for cache in self._merge.caches.values() if cache.definition.host == host
@@ -170,5 +172,5 @@
         is_current_dead = False
         if known is not None and known.address is not None and known.address not in reachable:
             is_current_dead = not await self._probe.is_reachable(known.address, ports)
-        self._registry.apply(self._merge.locate(host, reachable, time.time(), is_current_dead))
+        self._registry.apply(self._merge.apply_host_answer(host, reachable, time.time(), is_current_dead))
         return bool(reachable)
--- a/brackenlane/discovery/explanation.py
+++ b/brackenlane/discovery/explanation.py
@@ -26,7 +26,7 @@
         lines += _explain_state(cache, now)
     lines += _explain_definitions(sources, ids)
     for entry in sources.entries.values():
-        for member_id in sorted(ids & entry.listed.keys()):
+        for member_id in sorted(ids & entry.members.keys()):
             lines += _explain_member(entry, member_id, now)
     if cache:
         lines += _explain_addresses(sources.addresses, cache.definition.host, now)
@@ -46,8 +46,8 @@
 def _explain_state(cache: MergedCache, now: float) -> Iterator[str]:
     place = f" at {cache.endpoint[0]}, port {cache.endpoint[1]}" if cache.endpoint else ""
     yield f"{cache.definition.id} is {cache.state.value}{place}: {cache.reason}"
-    if cache.started:
-        yield f"  cold since {_seconds_since(cache.started, now)}"
+    if cache.cold_since:
+        yield f"  cold since {_seconds_since(cache.cold_since, now)}"
     for alias in cache.aliases:
         yield f"  the same box as {alias}"
 
@@ -63,16 +63,16 @@
 
 def _explain_member(entry: SrvEntry, cache_id: str, now: float) -> Iterator[str]:
     name = entry.watch.srv
-    member = entry.listed[cache_id]
+    member = entry.members[cache_id]
     seen = f"  {name}: told {_seconds_since(member.last_seen_at, now)} ago"
     if member.missing_since is not None:
         seen += f", missing since {now - member.missing_since:.0f} s"
     yield seen
-    if entry.held and cache_id in entry.held.gone:
-        others = len(entry.held.gone) - 1
+    if entry.pending_removal and cache_id in entry.pending_removal.cache_ids:
+        others = len(entry.pending_removal.cache_ids) - 1
         yield f"  {name}: missing with {others} others, not believed until it is confirmed"
-    if entry.fault:
-        yield f"  {name}: the last look-up failed: {entry.fault}"
+    if entry.last_error:
+        yield f"  {name}: the last look-up failed: {entry.last_error}"
 
 
 def _explain_addresses(addresses: HostAddressTable, host: str, now: float) -> Iterator[str]:
--- a/brackenlane/discovery/host_addresses.py
+++ b/brackenlane/discovery/host_addresses.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from brackenlane.discovery.records import NEVER, Policy, fixed
+from brackenlane.discovery.records import NEVER, Policy, ip_address_of
 
 
 @dataclass(slots=True)
@@ -97,7 +97,7 @@
 
     def resolve(self, host: str) -> str | None:
         """Return the address of a host: itself if it is an address, else the one in use; None if unknown."""
-        address = fixed(host)
+        address = ip_address_of(host)
         if address is None and host in self.by_host:
             return self.by_host[host].address
         return address
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -32,7 +32,7 @@
         self.sources = Sources(policy, watches)
         self.entries = self.sources.entries
         self.orders = OperatorOrders(policy.max_orders)
-        self.left_out = 0  # definitions that exceeded `Policy.max_caches`
+        self.omitted_count = 0  # definitions that exceeded `Policy.max_caches`
         self._list = MergedList(self.sources, self.orders)
         self.caches = self._list.caches
 
@@ -45,7 +45,7 @@
         if known == definition:
             return []
         if known is None and self.sources.remaining_capacity() <= 0:
-            self.left_out += 1
+            self.omitted_count += 1
             return []
         definitions.put(source, definition)
         return self._list.rebuild()
@@ -63,17 +63,17 @@
         cache = self._list.find(cache_id)
         return self._list.update_ordered(cache) if cache else []
 
-    def answer(self, srv: str, records: Iterable[SrvRecord], upstream: str, now: float) -> list[Change]:
+    def apply_srv_answer(
+        self, srv: str, records: Iterable[SrvRecord], upstream: str, now: float
+    ) -> list[Change]:
         """Apply a complete answer of an SRV entry."""
         capacity = self.sources.remaining_capacity()
         self.entries[srv].apply_answer(records, upstream, now, capacity)
         return self._list.rebuild()
 
-    def failed(self, name: str, error: str) -> None:
-        """Record that a look-up failed: nothing is added or removed by it."""
-        self.sources.record_failure(name, error)
-
-    def locate(self, host: str, addresses: Iterable[str], now: float, dead: bool = False) -> list[Change]:
+    def apply_host_answer(
+        self, host: str, addresses: Iterable[str], now: float, dead: bool = False
+    ) -> list[Change]:
         """Apply a complete answer for a host name; `dead`: nobody answers at its address in use."""
         if not self.sources.addresses.apply_answer(host, addresses, now, dead):
             return []
@@ -87,7 +87,7 @@
 
     # Restart and the shared store
 
-    def memory(self) -> RememberedMembers:
+    def to_remember(self) -> RememberedMembers:
         """Return what a later start has to know while no source answers."""
         return self.sources.remember(dict(self.orders))
 
@@ -102,12 +102,12 @@
         self.sources.warm_up.all_cold_since = now
         return self._list.rebuild()
 
-    def forget(self) -> list[Change]:
+    def drop_snapshot(self) -> list[Change]:
         """Drop the definitions of the snapshot: the store has been read completely."""
         self.sources.definitions.replace_all(DefinitionSource.MEMORY, ())
         return self._list.rebuild()
 
-    def confirm(self) -> list[Change]:
+    def confirm_snapshot(self) -> list[Change]:
         """Count the definitions of the snapshot as the store's: it has confirmed them."""
         if not self.sources.definitions.move_snapshot_to_store():
             return []
@@ -134,11 +134,6 @@
 
     # Reading
 
-    @property
-    def hosts(self) -> set[str]:
-        """The host names whose addresses are needed."""
-        return self.sources.hosts
-
     def is_known(self, cache_id: str) -> bool:
         """Whether a cache or an order of that id is known."""
         return self._list.find(cache_id) is not None or cache_id in self.orders
--- a/brackenlane/discovery/query.py
+++ b/brackenlane/discovery/query.py
@@ -27,7 +27,7 @@
 HEADER_SIZE = 12  # bytes
 
 
-class Kind(Enum):
+class RecordType(Enum):
     """The type of record that is asked for."""
 
     SRV = dns.rdatatype.SRV
@@ -51,7 +51,7 @@
     """One question; the name in lower case, without its last dot."""
 
     name: str
-    kind: Kind
+    kind: RecordType
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,7 +159,7 @@
 def _read_found(
     message: dns.message.Message, question: Question, rrset: dns.rrset.RRset, ttl: float
 ) -> Reply:
-    if question.kind is not Kind.SRV:
+    if question.kind is not RecordType.SRV:
         addresses = tuple(sorted(record.to_text() for record in rrset))
         return Reply(ReplyKind.FOUND, addresses=addresses, ttl=ttl)
     targets = tuple(
--- a/brackenlane/discovery/records.py
+++ b/brackenlane/discovery/records.py
@@ -84,7 +84,7 @@
     confirmation_delay: float = 2.0  # after which a later answer of the same upstream confirms a removal
     min_move_interval: float = 5.0  # between two addresses of one host, unless nobody answers at the first
     max_snapshot_age: float = 7 * 86_400.0  # an older snapshot's caches are ignored
-    warm: float = 600.0  # the caches of a snapshot that is older count as cold
+    max_warm_age: float = 600.0  # the caches of a snapshot that is older count as cold
     max_caches: int = 10_000  # known at once; more are left out, and counted
     max_orders: int = 10_000  # ids whose drain or restore is kept; the oldest restore goes first
 
@@ -109,7 +109,7 @@
     definition: CacheDefinition
     state: MergedState
     endpoint: Endpoint | None
-    started: float  # Unix time from which it counts as cold; 0: warm
+    cold_since: float  # Unix time from which it counts as cold; 0: warm
     sources: tuple[DefinitionSource, ...]
     aliases: tuple[str, ...] = ()  # other ids that name the same cache
     reason: str = ""
@@ -124,7 +124,7 @@
             self.definition.role,
             state=state,
             weight=self.definition.weight,
-            started_at=self.started,
+            started_at=self.cold_since,
         )
 
 
@@ -152,7 +152,7 @@
     return f"{label}-{blake2b(f'{host}:{port}'.encode(), digest_size=4).hexdigest()}"
 
 
-def fixed(host: str) -> str | None:
+def ip_address_of(host: str) -> str | None:
     """Return the address that a host already is; None if it is a name."""
     try:
         return str(ipaddress.ip_address(host))
--- a/brackenlane/discovery/resolver.py
+++ b/brackenlane/discovery/resolver.py
@@ -18,8 +18,8 @@
 from brackenlane.discovery.errors import DiscoveryError, IncompleteReplyError
 from brackenlane.discovery.query import (
     MAX_ALIASES,
-    Kind,
     Question,
+    RecordType,
     Reply,
     ReplyKind,
     SentQuery,
@@ -81,7 +81,7 @@
         self._random = rng or random.SystemRandom()
         self._pending: dict[Question, PendingLookUp] = {}
 
-    async def look_up(self, name: str, kind: Kind) -> LookUpResult:
+    async def look_up(self, name: str, kind: RecordType) -> LookUpResult:
         """Return the records of a name, aliases followed; LookUpFailedError if no answer can be had."""
         question = Question(name.rstrip(".").lower(), kind)
         for _ in range(MAX_ALIASES):
@@ -93,12 +93,12 @@
 
     async def addresses(self, name: str) -> LookUpResult:
         """Return the IPv4 addresses of a name, or its IPv6 addresses if it has no others."""
-        ipv4 = await self.look_up(name, Kind.A)
-        return ipv4 if ipv4.addresses else await self.look_up(name, Kind.AAAA)
+        ipv4 = await self.look_up(name, RecordType.A)
+        return ipv4 if ipv4.addresses else await self.look_up(name, RecordType.AAAA)
 
     def expire_addresses(self, name: str) -> None:
         """Let the next look-up of a name's addresses ask the upstreams: the cached ones proved wrong."""
-        for kind in (Kind.A, Kind.AAAA):
+        for kind in (RecordType.A, RecordType.AAAA):
             self.cache.expire(Question(name.rstrip(".").lower(), kind), time.time())
 
     async def _answer(self, question: Question) -> tuple[CachedAnswer, str]:
@@ -155,7 +155,7 @@
             ipv4 = tuple(address for address in addresses if ":" not in address)
             if ipv4:
                 found = Reply(ReplyKind.FOUND, addresses=ipv4, ttl=reply.ttl)
-                self.cache.put(Question(host, Kind.A), found, upstream, now)
+                self.cache.put(Question(host, RecordType.A), found, upstream, now)
 
     async def _ask(self, upstream: Upstream, question: Question, errors: dict[str, str]) -> Reply | None:
         """Return one upstream's reply, asked without EDNS or over TCP if need be; None without a usable one.
--- a/brackenlane/discovery/snapshot.py
+++ b/brackenlane/discovery/snapshot.py
@@ -99,7 +99,7 @@
             await self._changed.wait()
             self._changed = trio.Event()
             try:
-                await self.keep()
+                await self.write()
             except OSError as error:
                 log.warning(
                     "snapshot %s not written: %s; retried in %.1f s", self._path, error, self._interval
@@ -107,15 +107,15 @@
                 self._changed.set()
             await trio.sleep(self._interval)
 
-    async def keep(self, left: bool = False) -> None:
-        """Write the present state if it differs from the file's; `left`: at a graceful shutdown."""
-        snapshot = Snapshot(self._registry.merge.memory(), 0.0, left=left)
+    async def write(self, is_shutdown: bool = False) -> None:
+        """Write the present state if it differs from the file's; `is_shutdown`: at a graceful shutdown."""
+        snapshot = Snapshot(self._registry.merge.to_remember(), 0.0, is_shutdown=is_shutdown)
         if self._store:
             purges = tuple((obj, group, at) for (obj, group), at in self._store.purges.items())
             snapshot = replace(snapshot, position=self._store.position, purges=purges)
         document = dump(snapshot)
         if document == self._written:
             return
-        data = dump(replace(snapshot, saved=time.time()))
+        data = dump(replace(snapshot, saved_at=time.time()))
         await trio.to_thread.run_sync(save, self._path, data)
         self._written = document
--- a/brackenlane/discovery/snapshot_codec.py
+++ b/brackenlane/discovery/snapshot_codec.py
@@ -23,9 +23,9 @@
     """What a router knew when it was written."""
 
     memory: RememberedMembers
-    saved: float  # Unix time
+    saved_at: float  # Unix time
     position: StreamPosition = STREAM_START  # in the store's stream: all entries up to it are included
-    left: bool = False  # written at a graceful shutdown; otherwise the process or its power was lost
+    is_shutdown: bool = False  # written at a graceful shutdown; otherwise the process or its power was lost
     purges: tuple[tuple[str, int, float], ...] = ()  # recent ones: object, group, Unix time
 
 
@@ -34,9 +34,9 @@
     memory = snapshot.memory
     body = orjson.dumps(
         {
-            "saved": snapshot.saved,
+            "saved": snapshot.saved_at,
             "place": str(snapshot.position),
-            "left": snapshot.left,
+            "left": snapshot.is_shutdown,
             "purges": snapshot.purges,
             "others": [encode_definition(definition) for definition in memory.definitions],
             "listed": {
--- a/brackenlane/discovery/sources.py
+++ b/brackenlane/discovery/sources.py
@@ -18,7 +18,7 @@
     Policy,
     RememberedMembers,
     SrvWatch,
-    fixed,
+    ip_address_of,
 )
 from brackenlane.discovery.srv_entries import SrvEntry
 from brackenlane.discovery.warm_up import WarmUpTimes
@@ -37,11 +37,15 @@
     @property
     def hosts(self) -> set[str]:
         """The host names whose addresses are needed."""
-        return {definition.host for _, definition in self.all_definitions() if fixed(definition.host) is None}
+        return {
+            definition.host
+            for _, definition in self.all_definitions()
+            if ip_address_of(definition.host) is None
+        }
 
     def remaining_capacity(self) -> int:
         """Return how many more definitions may be added."""
-        members = sum(len(entry.listed) for entry in self.entries.values())
+        members = sum(len(entry.members) for entry in self.entries.values())
         return self._policy.max_caches - len(self.definitions) - members
 
     def all_definitions(self) -> Iterator[tuple[DefinitionSource, CacheDefinition]]:
@@ -49,7 +53,7 @@
         for source in DefinitionSource:
             if source is DefinitionSource.SRV:
                 for entry in self.entries.values():
-                    for member in entry.listed.values():
+                    for member in entry.members.values():
                         yield source, member.definition
             else:
                 for definition in self.definitions.of(source):
@@ -67,7 +71,7 @@
     def record_failure(self, name: str, error: str) -> None:
         """Record that a look-up failed or its answer was unusable: nothing is added or removed by it."""
         if name in self.entries:
-            self.entries[name].fault = error
+            self.entries[name].last_error = error
         elif name in self.addresses.by_host:
             self.addresses.by_host[name].error = error
 
@@ -94,7 +98,7 @@
     def remember(self, orders: dict[str, OperatorOrder]) -> RememberedMembers:
         """Return what a later start has to know while no source answers, with the operators' orders."""
         srv_members = {
-            srv: tuple(member.definition for member in entry.listed.values())
+            srv: tuple(member.definition for member in entry.members.values())
             for srv, entry in self.entries.items()
         }
         return RememberedMembers(self.definitions.to_remember(), srv_members, self.addresses.in_use(), orders)
@@ -104,7 +108,7 @@
         age = now - saved
         if not 0 <= age <= self._policy.max_snapshot_age:
             return
-        is_cold = age > self._policy.warm
+        is_cold = age > self._policy.max_warm_age
         self.warm_up.snapshot_cold_since = now if is_cold else 0.0
         self.definitions.replace_all(DefinitionSource.MEMORY, memory.definitions)
         for srv, definitions in memory.srv_members.items():
--- a/brackenlane/discovery/srv_entries.py
+++ b/brackenlane/discovery/srv_entries.py
@@ -36,7 +36,7 @@
 class PendingRemoval:
     """A mass disappearance that is reported but not applied until a second answer confirms it."""
 
-    gone: frozenset[str]
+    cache_ids: frozenset[str]
     upstream: str
     since: float
 
@@ -47,76 +47,76 @@
 
     watch: SrvWatch
     policy: Policy
-    listed: dict[str, SrvMember] = field(default_factory=dict)
-    held: PendingRemoval | None = None
-    answered: float = NEVER  # time of the last complete answer
-    fault: str = ""  # reason why the last look-up failed
-    left_out: int = 0  # targets of the last answer that exceeded the capacity
+    members: dict[str, SrvMember] = field(default_factory=dict)
+    pending_removal: PendingRemoval | None = None
+    answered_at: float = NEVER  # time of the last complete answer
+    last_error: str = ""  # reason why the last look-up failed
+    omitted_count: int = 0  # targets of the last answer that exceeded the capacity
 
     def apply_answer(
         self, records: Iterable[SrvRecord], upstream: str, now: float, remaining_capacity: int
     ) -> None:
         """Apply a complete answer; at most `remaining_capacity` members are added."""
         # Without an earlier answer or a snapshot it is unknown which caches are new: all count as warm.
-        is_first = self.answered == NEVER and not self.listed
+        is_first = self.answered_at == NEVER and not self.members
         reported = definitions_of(records, self.watch)
-        self.left_out = 0
+        self.omitted_count = 0
         for cache_id, definition in reported.items():
-            member = self.listed.get(cache_id)
+            member = self.members.get(cache_id)
             if member is not None:
                 member.definition = definition
                 member.last_seen_at = now
                 member.missing_since = None
             elif remaining_capacity > 0:
-                self.listed[cache_id] = SrvMember(definition, now, now, is_cold=not is_first)
+                self.members[cache_id] = SrvMember(definition, now, now, is_cold=not is_first)
                 remaining_capacity -= 1
             else:
-                self.left_out += 1
-        self._record_missing(frozenset(self.listed.keys() - reported.keys()), upstream, now)
-        self.answered = now
-        self.fault = ""
+                self.omitted_count += 1
+        self._record_missing(frozenset(self.members.keys() - reported.keys()), upstream, now)
+        self.answered_at = now
+        self.last_error = ""
 
     def restore(
         self, definitions: Iterable[CacheDefinition], saved_at: float, now: float, is_cold: bool
     ) -> None:
         """Add the members of a snapshot that was written at `saved_at`."""
         for definition in definitions:
-            self.listed.setdefault(definition.id, SrvMember(definition, now, saved_at, is_cold=is_cold))
+            self.members.setdefault(definition.id, SrvMember(definition, now, saved_at, is_cold=is_cold))
 
     def remove_expired(self, now: float) -> bool:
         """Remove members that were missing for the whole grace period; return whether there were any."""
         expired = [
             cache_id
-            for cache_id, member in self.listed.items()
+            for cache_id, member in self.members.items()
             if member.missing_since is not None and now - member.missing_since >= self.policy.removal_grace
         ]
         for cache_id in expired:
-            del self.listed[cache_id]
+            del self.members[cache_id]
         return bool(expired)
 
     def removal_times(self) -> Iterator[float]:
         """Yield the end of the grace period of each missing member."""
-        for member in self.listed.values():
+        for member in self.members.values():
             if member.missing_since is not None:
                 yield member.missing_since + self.policy.removal_grace
 
     def cold_since(self, cache_id: str) -> float | None:
         """Return when a member was added; None if it is no member, or was there from the first answer."""
-        member = self.listed.get(cache_id)
+        member = self.members.get(cache_id)
         if member is None or not member.is_cold:
             return None
         return member.first_seen_at
 
     def _record_missing(self, missing: frozenset[str], upstream: str, now: float) -> None:
         """Start the grace period of members that an answer lacks, unless they are too many to be believed."""
-        most = max(1.0, self.policy.max_unconfirmed_share * len(self.listed))
+        most = max(1.0, self.policy.max_unconfirmed_share * len(self.members))
         if len(missing) > most:
             missing = self._confirm_removal(missing, upstream, now)
             if not missing:
                 return
-        self.held = None
+        self.pending_removal = None
         for cache_id in missing:
-            member = self.listed[cache_id]
+            member = self.members[cache_id]
             if member.missing_since is None:
                 member.missing_since = now
 
@@ -125,13 +125,13 @@
 
         Another upstream confirms at once, the same one after `Policy.confirmation_delay`.
         """
-        pending = self.held
-        confirmed = pending.gone & missing if pending else frozenset()
+        pending = self.pending_removal
+        confirmed = pending.cache_ids & missing if pending else frozenset()
         if pending is None or not confirmed:
-            self.held = PendingRemoval(missing, upstream, now)
+            self.pending_removal = PendingRemoval(missing, upstream, now)
             return frozenset()
         if upstream == pending.upstream and now - pending.since < self.policy.confirmation_delay:
-            self.held = PendingRemoval(confirmed, upstream, pending.since)
+            self.pending_removal = PendingRemoval(confirmed, upstream, pending.since)
             return frozenset()
         return confirmed
 
--- a/brackenlane/discovery/state_rules.py
+++ b/brackenlane/discovery/state_rules.py
@@ -30,12 +30,12 @@
 
 def is_governed_by(cache: MergedCache, entry: SrvEntry) -> bool:
     """Whether an SRV entry's priorities apply to a cache: a member that no source before SRV defines."""
-    return cache.sources[0] is DefinitionSource.SRV and cache.definition.id in entry.listed
+    return cache.sources[0] is DefinitionSource.SRV and cache.definition.id in entry.members
 
 
 def find_standby(entry: SrvEntry, caches: Mapping[str, MergedCache]) -> list[MergedCache]:
     """Return the caches that go on standby, in that state: enough members of a better priority serve."""
-    members = [caches[cache_id] for cache_id in entry.listed if cache_id in caches]
+    members = [caches[cache_id] for cache_id in entry.members if cache_id in caches]
     governed = [cache for cache in members if is_governed_by(cache, entry)]
     governed.sort(key=lambda cache: (cache.definition.priority, cache.definition.id))
     standby: list[MergedCache] = []
--- a/brackenlane/settings/consistency.py
+++ b/brackenlane/settings/consistency.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from brackenlane.discovery.records import fixed
+from brackenlane.discovery.records import ip_address_of
 from brackenlane.settings.appliance import ApplianceFile, SettingsTable
 
 
@@ -54,7 +54,7 @@
 
 
 def _missing_sources(file: ApplianceFile) -> Iterator[str]:
-    looked_up = [cache.id for cache in file.caches if fixed(cache.host) is None]
+    looked_up = [cache.id for cache in file.caches if ip_address_of(cache.host) is None]
     looked_up += [entry.srv for entry in file.discover]
     if looked_up and file.resolver is None:
         yield f"resolver: needed, since {looked_up[0]} must be looked up"
--- a/brackenlane/settings/value_types.py
+++ b/brackenlane/settings/value_types.py
@@ -10,7 +10,7 @@
 import dns.name
 from pydantic import AfterValidator, Field
 
-from brackenlane.discovery.records import fixed
+from brackenlane.discovery.records import ip_address_of
 
 MAX_PORT = 65_535
 
@@ -37,7 +37,7 @@
 
 
 def _check_host(text: str) -> str:
-    if fixed(text) is not None:
+    if ip_address_of(text) is not None:
         return text
     return _check_dns_name(text)
 
--- a/brackenlane/store/replica.py
+++ b/brackenlane/store/replica.py
@@ -32,7 +32,7 @@
         entries = state.entries + await self._reader.read_following_pages(state.entries)
         if not is_log_continuous(self.position, {entry.position for entry in entries}):
             return False
-        self._registry.apply(self._registry.merge.confirm())
+        self._registry.apply(self._registry.merge.confirm_snapshot())
         self._applier.orders_in_store.clear()
         for text in state.order_texts:
             if text:
@@ -54,7 +54,7 @@
             self._applier.apply_stored_cache(text)
         for entry in await self._reader.read_entries_from(position.earlier(purge_lifetime)):
             self._applier.apply_entry_if_purge(entry)
-        self._registry.apply(self._registry.merge.forget())
+        self._registry.apply(self._registry.merge.drop_snapshot())
         self.position = position
 
     async def follow(self, block: float) -> None:
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -89,7 +89,7 @@
             found = await query(port, name, kind, tcp)
             assert dns.rcode.to_text(found.rcode()) == code
             assert texts(found) == [
-                text.format(cache_stand_in=cache_stand_in.port, http=router_process.port) for text in answer
+                text.format(box=cache_stand_in.port, http=router_process.port) for text in answer
             ]
             assert bool(found.authority) is (not answer and code != "REFUSED")
         nursery.cancel_scope.cancel()
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -33,7 +33,7 @@
     """A merge that watches one SRV entry, whose hosts are all found."""
     made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", standby_threshold=enough)])
     for number, host in enumerate(hosts):
-        made.locate(host, [f"127.0.1.{number + 1}"], 0.0)
+        made.apply_host_answer(host, [f"127.0.1.{number + 1}"], 0.0)
     return made
 
 
@@ -56,27 +56,27 @@
 def test_first_answer() -> None:
     """The first answer's caches are warm, with address and weight; what comes later is cold."""
     made = merge()
-    changes = made.answer(SRV, targets(*HOSTS[:2]), "u1", 10.0)
+    changes = made.apply_srv_answer(SRV, targets(*HOSTS[:2]), "u1", 10.0)
     assert states(changes) == dict.fromkeys(IDS[:2], ServerState.SERVING)
     assert {c.endpoint for c in changes} == {("127.0.1.1", 80), ("127.0.1.2", 80)}
     assert all(c.member.started_at == 0 and c.member.weight == 8 for c in changes)
-    [added] = made.answer(SRV, targets(*HOSTS), "u1", 20.0)
+    [added] = made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 20.0)
     assert added.member.server == IDS[2]
     assert added.member.started_at == 20.0
-    assert made.answer(SRV, targets(*HOSTS), "u1", 30.0) == []  # nothing new, nothing told
+    assert made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 30.0) == []  # nothing new, nothing told
 
 
 def test_drain_wins() -> None:
     """A drain holds at once, over each new answer, priority, absence and return elsewhere, until restored."""
     made = merge()
-    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
     assert states(made.order(IDS[0], OperatorOrder(True, 11.0, "console"))) == {IDS[0]: ServerState.DRAINING}
-    made.answer(SRV, targets(*HOSTS, priority=0, weight=99), "u1", 12.0)
-    made.answer(SRV, targets(*HOSTS[1:]), "u1", 13.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS, priority=0, weight=99), "u1", 12.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS[1:]), "u1", 13.0)
     made.tick(19.0)
     assert IDS[0] not in made.caches
-    assert made.locate(HOSTS[0], ["127.0.9.9"], 20.0) == []
-    [back] = made.answer(SRV, targets(*HOSTS), "u1", 21.0)
+    assert made.apply_host_answer(HOSTS[0], ["127.0.9.9"], 20.0) == []
+    [back] = made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 21.0)
     assert back.member.state is ServerState.DRAINING
     assert back.endpoint == ("127.0.9.9", 80)
     assert serving(made) == set(IDS[1:])
@@ -90,15 +90,15 @@
 def test_drained_cache_named_again_before_its_address_is_known() -> None:
     """Off the list past its grace period a cache has no address; its drain holds when it is named again."""
     made = merge()
-    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
     made.order(IDS[0], OperatorOrder(True, 11.0, "console"))
-    made.answer(SRV, targets(*HOSTS[1:]), "u1", 12.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS[1:]), "u1", 12.0)
     made.tick(19.0)
     made.sources.discard_unnamed_host(HOSTS[0])
     assert made.explain(IDS[0], 19.0)[0].startswith(f"{IDS[0]} is named by nobody now")
-    assert made.answer(SRV, targets(*HOSTS), "u1", 20.0) == []
+    assert made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 20.0) == []
     assert made.explain(IDS[0], 20.0)[0] == f"{IDS[0]} is not found: drained by console"
-    [found] = made.locate(HOSTS[0], ["127.0.1.1"], 21.0)
+    [found] = made.apply_host_answer(HOSTS[0], ["127.0.1.1"], 21.0)
     assert found.member.state is ServerState.DRAINING
     assert made.explain(IDS[0], 21.0)[0].startswith(f"{IDS[0]} is draining at 127.0.1.1")
 
@@ -108,16 +108,16 @@
     """One answer takes away half of a list, until a second upstream, or a later answer, says so too."""
     for second in ("u1", "u2"):
         made = merge()
-        made.answer(SRV, targets(*HOSTS), "u1", 10.0)
-        made.answer(SRV, targets(*hosts), "u1", 20.0)
+        made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
+        made.apply_srv_answer(SRV, targets(*hosts), "u1", 20.0)
         assert made.tick(30.0) == [] if held else made.tick(30.0)
         assert serving(made) == set(IDS if held else IDS[:2])
         if held:
             assert any("not believed" in line for line in made.explain(IDS[2], 30.0))
-            made.answer(SRV, targets(*hosts), second, 21.0)  # too early, from the same one
+            made.apply_srv_answer(SRV, targets(*hosts), second, 21.0)  # too early, from the same one
             made.tick(30.0)
             assert serving(made) == (set(IDS) if second == "u1" else set(IDS[: len(hosts)]))
-            made.answer(SRV, targets(*hosts), second, 31.0)
+            made.apply_srv_answer(SRV, targets(*hosts), second, 31.0)
             made.tick(37.0)
             assert serving(made) == set(IDS[: len(hosts)])
 
@@ -125,15 +125,15 @@
 def test_complete_deploy() -> None:
     """A deploy replaces every cache while the resolver times out: the new come cold, the old go late."""
     made = merge(hosts=(*HOSTS, "four.branch.test", "five.branch.test", "six.branch.test"))
-    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
     for now in (11.0, 12.0, 13.0):
-        made.failed(SRV, "timed out")
+        made.sources.record_failure(SRV, "timed out")
         assert made.tick(now) == []
     new = ("four.branch.test", "five.branch.test", "six.branch.test")
-    changes = made.answer(SRV, targets(*new), "u1", 14.0)
+    changes = made.apply_srv_answer(SRV, targets(*new), "u1", 14.0)
     assert all(c.member.started_at == 14.0 and c.member.state is ServerState.SERVING for c in changes)
     assert len(serving(made)) == 6  # half of six may go at once: the old three are missing, not yet gone
-    made.failed(SRV, "timed out")
+    made.sources.record_failure(SRV, "timed out")
     gone = made.tick(19.5)
     assert states(gone) == dict.fromkeys(IDS, ServerState.GONE)
     assert len(serving(made)) == 3
@@ -142,11 +142,11 @@
 def test_mistake_undone() -> None:
     """An SRV entry emptied by mistake and put right takes no cache away and restarts none."""
     made = merge()
-    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
     for now in (20.0, 21.0):
-        assert made.answer(SRV, [SrvRecord(".", 0)], "u1", now) == []
-    assert made.answer(SRV, targets(*HOSTS), "u1", 21.5) == []
-    assert made.entries[SRV].held is None
+        assert made.apply_srv_answer(SRV, [SrvRecord(".", 0)], "u1", now) == []
+    assert made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 21.5) == []
+    assert made.entries[SRV].pending_removal is None
     assert made.tick(99.0) == []
     assert serving(made) == set(IDS)
 
@@ -154,9 +154,9 @@
 def test_failed() -> None:
     """A look-up that fails takes nothing away, and is said to have failed."""
     made = merge()
-    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
-    made.failed(SRV, "timed out")
-    made.failed(HOSTS[0], "SERVFAIL")
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
+    made.sources.record_failure(SRV, "timed out")
+    made.sources.record_failure(HOSTS[0], "SERVFAIL")
     assert made.tick(1e6) == []
     assert serving(made) == set(IDS)
     assert any("timed out" in line for line in made.explain(IDS[0], 20.0))
@@ -165,17 +165,17 @@
 def test_flapping_answers() -> None:
     """An entry that alternates between two answers keeps both caches; addresses that do move one seldom."""
     made = merge()
-    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
     reported: list[Change] = []
     for number in range(40):
         now = 11.0 + number
-        reported += made.answer(SRV, targets(*HOSTS[number % 2 : number % 2 + 2]), "u1", now)
+        reported += made.apply_srv_answer(SRV, targets(*HOSTS[number % 2 : number % 2 + 2]), "u1", now)
         reported += made.tick(now)
     assert reported == []
     assert serving(made) == set(IDS)
-    made.answer(SRV, targets(*HOSTS), "u1", 51.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 51.0)
     for number in range(40):
-        reported += made.locate(HOSTS[0], [f"127.0.2.{number % 2 + 1}"], 60.0 + number)
+        reported += made.apply_host_answer(HOSTS[0], [f"127.0.2.{number % 2 + 1}"], 60.0 + number)
         reported += made.tick(60.0 + number)
     assert 0 < len(reported) <= 9
     assert all(c.member.started_at >= 60.0 for c in reported)
@@ -184,12 +184,12 @@
 def test_hosts_let_go() -> None:
     """Targets that come and go all day leave no places behind; one that is still named keeps its own."""
     made = merge()
-    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
     for number in range(50):
         host = f"new-{number}.branch.test"
-        made.answer(SRV, targets(*HOSTS, host), "u1", 20.0 + 20 * number)
-        made.locate(host, [f"127.0.4.{number + 1}"], 20.0 + 20 * number)
-        made.answer(SRV, targets(*HOSTS), "u1", 22.0 + 20 * number)
+        made.apply_srv_answer(SRV, targets(*HOSTS, host), "u1", 20.0 + 20 * number)
+        made.apply_host_answer(host, [f"127.0.4.{number + 1}"], 20.0 + 20 * number)
+        made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 22.0 + 20 * number)
         made.tick(30.0 + 20 * number)
         made.sources.discard_unnamed_host(host)
         made.sources.discard_unnamed_host(HOSTS[0])
@@ -200,9 +200,9 @@
 def test_dead_address() -> None:
     """A cache that has left its old address moves at once, however lately it moved before."""
     made = merge()
-    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
     for number, dead in ((1, False), (2, True), (3, False), (3, True)):
-        changes = made.locate(HOSTS[0], [f"127.0.3.{number}"], 20.0, dead)
+        changes = made.apply_host_answer(HOSTS[0], [f"127.0.3.{number}"], 20.0, dead)
         assert bool(changes) is (dead or number == 1)
     assert made.caches[IDS[0]].endpoint == ("127.0.3.3", 80)
 
@@ -210,22 +210,22 @@
 def test_swapped_addresses() -> None:
     """An upstream that swaps two boxes' addresses: each is the same cache elsewhere, cold; none is two."""
     made = merge()
-    made.answer(SRV, targets(*HOSTS), "u1", 10.0)
-    first = made.locate(HOSTS[0], ["127.0.1.2"], 20.0)
-    both = made.locate(HOSTS[1], ["127.0.1.1"], 20.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
+    first = made.apply_host_answer(HOSTS[0], ["127.0.1.2"], 20.0)
+    both = made.apply_host_answer(HOSTS[1], ["127.0.1.1"], 20.0)
     ends = [cache.endpoint for cache in made.caches.values()]
     assert len(ends) == len(set(ends)) == 3, (first, both)
-    assert {made.caches[server].started for server in IDS[:2]} == {20.0}
+    assert {made.caches[server].cold_since for server in IDS[:2]} == {20.0}
 
 
 def test_one_cache_with_two_names() -> None:
     """A cache named by the file and by SRV, or by two names at one address, is one, by the file's words."""
     made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
-    made.locate(HOSTS[0], ["127.0.1.1"], 0.0)
-    made.locate(HOSTS[1], ["127.0.1.2"], 0.0)
+    made.apply_host_answer(HOSTS[0], ["127.0.1.1"], 0.0)
+    made.apply_host_answer(HOSTS[1], ["127.0.1.2"], 0.0)
     made.define(DefinitionSource.FILE, CacheDefinition("box-1", HOSTS[0], 80, "branch", weight=5.0))
     made.define(DefinitionSource.FILE, CacheDefinition("box-2", "127.0.1.2", 80, "branch"))
-    made.answer(SRV, targets(*HOSTS[:2], weight=50), "u1", 2.0)
+    made.apply_srv_answer(SRV, targets(*HOSTS[:2], weight=50), "u1", 2.0)
     assert made.caches.keys() == {"box-1", "box-2"}
     assert made.caches["box-1"].definition.weight == 5.0
     assert made.caches["box-1"].sources == (DefinitionSource.FILE, DefinitionSource.SRV)
@@ -240,7 +240,7 @@
 def test_standby() -> None:
     """A target of lower priority stands by until too few better ones serve; a drain counts at once."""
     made = merge(enough=2)
-    changes = made.answer(SRV, [*targets(*HOSTS[:2]), *targets(HOSTS[2], priority=10)], "u1", 10.0)
+    changes = made.apply_srv_answer(SRV, [*targets(*HOSTS[:2]), *targets(HOSTS[2], priority=10)], "u1", 10.0)
     assert states(changes).keys() == set(IDS[:2])
     assert made.caches[IDS[2]].state is MergedState.STANDBY
     changes = made.order(IDS[0], OperatorOrder(True, 11.0, "console"))
@@ -260,32 +260,32 @@
 def test_recall(age: float, known: bool, warm: bool) -> None:
     """A start with the resolver away goes on with the last list, by its age; drains hold at any age."""
     old = merge()
-    old.answer(SRV, targets(*HOSTS), "u1", 10.0)
+    old.apply_srv_answer(SRV, targets(*HOSTS), "u1", 10.0)
     old.define(DefinitionSource.STORE, CacheDefinition("box-9", "127.0.1.9", 80, "branch"))
     old.order(IDS[0], OperatorOrder(True, 11.0, "console"))
     now = 12.0 + age
     made = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
-    made.restore_snapshot(old.memory(), 12.0, now)
+    made.restore_snapshot(old.to_remember(), 12.0, now)
     assert serving(made) == ({*IDS[1:], "box-9"} if known else set())
-    assert all((cache.started == 0) is warm for cache in made.caches.values())
+    assert all((cache.cold_since == 0) is warm for cache in made.caches.values())
     # An answer that has lost most of it is not believed at once, and the drained cache stays drained.
-    made.answer(SRV, targets(HOSTS[0]), "u1", now + 1)
-    made.locate(HOSTS[0], ["127.0.1.1"], now + 1)
+    made.apply_srv_answer(SRV, targets(HOSTS[0]), "u1", now + 1)
+    made.apply_host_answer(HOSTS[0], ["127.0.1.1"], now + 1)
     made.tick(now + 10)
     assert made.caches[IDS[0]].state is MergedState.DRAINING
     assert serving(made) == ({*IDS[1:], "box-9"} if known else set())
-    made.forget()
+    made.drop_snapshot()
     assert "box-9" not in made.caches
 
 
 def test_bounds() -> None:
     """More caches than there is room for are left out and counted; a drain is never forgotten for another."""
     made = MembershipMerge(Policy(max_caches=5, max_orders=3), [SrvWatch(SRV, "branch")])
-    made.answer(SRV, [SrvRecord(f"127.0.0.{n}", 80) for n in range(1, 9)], "u1", 1.0)
+    made.apply_srv_answer(SRV, [SrvRecord(f"127.0.0.{n}", 80) for n in range(1, 9)], "u1", 1.0)
     assert len(made.caches) == 5
-    assert made.entries[SRV].left_out == 3
+    assert made.entries[SRV].omitted_count == 3
     made.define(DefinitionSource.FILE, CacheDefinition("late", "127.0.0.99", 80, "branch"))
-    assert made.left_out == 1
+    assert made.omitted_count == 1
     assert "late" not in made.caches
     for number in range(3):
         made.order(f"b{number}", OperatorOrder(True, float(number), "console"))
@@ -312,7 +312,7 @@
 def test_orders_commute(orders: tuple[OperatorOrder, ...]) -> None:
     """However news of drains and restores arrives, all routers end alike: the last, and of two the drain."""
     made = merge()
-    made.answer(SRV, targets(*HOSTS), "u1", 0.5)
+    made.apply_srv_answer(SRV, targets(*HOSTS), "u1", 0.5)
     for order in orders:
         made.order(IDS[0], order)
     assert made.orders[IDS[0]] == OperatorOrder(True, 2.0, "c")
@@ -343,12 +343,14 @@
     def answer(self, which: set[str], priority: int, upstream: str) -> None:
         """SRV says something else."""
         reported = [*targets(*sorted(which)[:1], priority=priority), *targets(*sorted(which)[1:])]
-        self.hear(self.made.answer(SRV, reported, upstream, self.now))
+        self.hear(self.made.apply_srv_answer(SRV, reported, upstream, self.now))
 
     @rule(which=st.integers(0, 2), where=st.sets(st.integers(1, 4), max_size=2))
     def locate(self, which: int, where: set[int]) -> None:
         """A box's name has other addresses, or none; two caches may be given one."""
-        self.hear(self.made.locate(HOSTS[which], [f"127.0.1.{n}" for n in sorted(where)], self.now))
+        self.hear(
+            self.made.apply_host_answer(HOSTS[which], [f"127.0.1.{n}" for n in sorted(where)], self.now)
+        )
 
     @rule(which=st.integers(0, 2))
     def doubt(self, which: int) -> None:
@@ -379,14 +381,14 @@
     def wait(self, wait: float) -> None:
         """Time passes, the resolver failing meanwhile."""
         self.now += wait
-        self.made.failed(SRV, "timed out")
+        self.made.sources.record_failure(SRV, "timed out")
         self.hear(self.made.tick(self.now))
         assert self.made.next_due() > self.now or self.made.tick(self.now) == []
 
     @rule(age=st.floats(0.1, 2000))
     def restart(self, age: float) -> None:
         """The router starts anew, with its last list alone."""
-        memory, saved = self.made.memory(), self.now
+        memory, saved = self.made.to_remember(), self.now
         self.now += age
         self.made, self.heard = MembershipMerge(POLICY, [SrvWatch(SRV, "branch", standby_threshold=2)]), {}
         self.hear(self.made.restore_snapshot(memory, saved, self.now))
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -15,7 +15,7 @@
 from brackenlane.config import Endpoint
 from brackenlane.discovery.dns_cache import AnswerCache, Lifetimes
 from brackenlane.discovery.merge import MembershipMerge
-from brackenlane.discovery.query import Kind, Question, Reply, ReplyKind, decode_reply, encode_query
+from brackenlane.discovery.query import Question, RecordType, Reply, ReplyKind, decode_reply, encode_query
 from brackenlane.discovery.records import Policy, SrvRecord, SrvWatch
 from brackenlane.discovery.resolver import LookUpFailedError, Resolver
 from brackenlane.discovery.upstreams import Upstreams, UpstreamTimeouts
@@ -54,18 +54,18 @@
         server = await DnsServer().open(nursery)
         script(server, ttl=60)
         resolver = made(nursery, server)
-        found = await resolver.look_up(SRV + ".", Kind.SRV)
+        found = await resolver.look_up(SRV + ".", RecordType.SRV)
         assert set(found.targets) == set(TARGETS)
         assert not found.is_stale
         assert dict(found.additional)["box-2.branch.test"] == ("127.0.1.3",)
-        assert await resolver.look_up(SRV.upper(), Kind.SRV) == found
+        assert await resolver.look_up(SRV.upper(), RecordType.SRV) == found
         for number in range(4):
             one = await resolver.addresses(f"box-{number}.branch.test")
             assert one.addresses == (f"127.0.1.{number + 1}",)
         assert len(server.asked) == 1  # the addresses were sent along
         server.additional = False
         another = made(nursery, server)
-        assert not (await another.look_up(SRV, Kind.SRV)).additional
+        assert not (await another.look_up(SRV, RecordType.SRV)).additional
         for number in range(3):
             await another.addresses(f"box-{number}.branch.test")
         assert len(server.asked) == 5
@@ -98,7 +98,7 @@
         server.fail(fault)
         resolver = made(nursery, server)
         try:
-            found = await resolver.look_up(SRV, Kind.SRV)
+            found = await resolver.look_up(SRV, RecordType.SRV)
             assert set(found.targets) == set(TARGETS)
             assert any(requested.tcp for requested in server.asked) is tcp or fault is Fault.SPOOFED
         except LookUpFailedError:
@@ -121,7 +121,7 @@
         script(good)
         bad.fail(fault)
         resolver = made(nursery, bad, good, floor=0.0)
-        assert set((await resolver.look_up(SRV, Kind.SRV)).targets) == set(TARGETS)
+        assert set((await resolver.look_up(SRV, RecordType.SRV)).targets) == set(TARGETS)
         if fault in (Fault.LOST, Fault.LATE, Fault.WRONG_PORT):
             assert resolver.upstreams.order(0.0)[0].endpoint[1] == good.port
         nursery.cancel_scope.cancel()
@@ -135,16 +135,16 @@
         server = await DnsServer().open(nursery)
         script(server, ttl=0)
         resolver = made(nursery, server, budget=1.0, floor=0.05)
-        first = await resolver.look_up(SRV, Kind.SRV)
+        first = await resolver.look_up(SRV, RecordType.SRV)
         server.fail(Fault.CUT, fault)
         await trio.sleep(0.06)
-        found = await resolver.look_up(SRV, Kind.SRV)
+        found = await resolver.look_up(SRV, RecordType.SRV)
         assert found.is_stale
         assert found.targets == first.targets
         assert "TCP" in found.stale_reason
         server.fail()
         await trio.sleep(1.05)  # past the moment for which nobody is asked again
-        assert not (await resolver.look_up(SRV, Kind.SRV)).is_stale
+        assert not (await resolver.look_up(SRV, RecordType.SRV)).is_stale
         nursery.cancel_scope.cancel()
 
 
@@ -157,11 +157,11 @@
         resolver = made(nursery, server, budget=0.4)
         begun = trio.current_time()
         with pytest.raises(LookUpFailedError, match=r"no answer|no upstream"):
-            await resolver.look_up(SRV, Kind.SRV)
+            await resolver.look_up(SRV, RecordType.SRV)
         assert trio.current_time() - begun >= 0.1
         requested = len(server.asked)
         with pytest.raises(LookUpFailedError):  # and is not put again for a moment
-            await resolver.look_up(SRV, Kind.SRV)
+            await resolver.look_up(SRV, RecordType.SRV)
         assert len(server.asked) == requested
         nursery.cancel_scope.cancel()
 
@@ -172,7 +172,7 @@
     async with trio.open_nursery() as nursery:
         resolver = Resolver([("127.0.0.1", free_port())], nursery, timeouts=QUICK)
         with pytest.raises(LookUpFailedError, match="refused"):
-            await resolver.look_up(SRV, Kind.SRV)
+            await resolver.look_up(SRV, RecordType.SRV)
         nursery.cancel_scope.cancel()
 
 
@@ -186,7 +186,7 @@
         found: list[object] = []
 
         async def request() -> None:
-            found.append(await resolver.look_up(SRV, Kind.SRV))
+            found.append(await resolver.look_up(SRV, RecordType.SRV))
 
         async with trio.open_nursery() as askers:
             with trio.CancelScope() as leaving:
@@ -214,7 +214,7 @@
         resolver = made(nursery, server)
         assert (await resolver.addresses("a.test")).addresses == ("127.0.1.7",)
         with pytest.raises(LookUpFailedError, match="loop"):
-            await resolver.look_up("x.test", Kind.A)
+            await resolver.look_up("x.test", RecordType.A)
         assert len(server.asked) < 20
         nursery.cancel_scope.cancel()
 
@@ -229,7 +229,7 @@
         resolver = made(nursery, server)
         for name in ("no-such.test", "only-a.test"):
             for _ in range(2):
-                found = await resolver.look_up(name, Kind.SRV)
+                found = await resolver.look_up(name, RecordType.SRV)
                 assert not found.targets
                 assert not found.is_stale
         assert len(server.asked) == 2
@@ -251,18 +251,18 @@
             budget=60.0,
             timeouts=UpstreamTimeouts(initial=20.0, shortest=20.0, longest=20.0, backoff=0.2),
         )
-        found = await resolver.look_up("_c._tcp.x", Kind.SRV)
+        found = await resolver.look_up("_c._tcp.x", RecordType.SRV)
         assert len(found.targets) == 2000
         assert server.asked[-1].tcp
         merge = MembershipMerge(Policy(), [SrvWatch("_c._tcp.x", "branch")])
-        merge.answer("_c._tcp.x", found.targets, found.upstream, 1.0)
-        assert len(merge.caches) == len(merge.hosts) == 2000
+        merge.apply_srv_answer("_c._tcp.x", found.targets, found.upstream, 1.0)
+        assert len(merge.caches) == len(merge.sources.hosts) == 2000
         nursery.cancel_scope.cancel()
 
 
 def reply(change: Callable[[dns.message.Message], None] | None = None) -> tuple[bytes, object]:
     """An answer to a question, changed."""
-    sent = encode_query(Question("box.branch.test", Kind.A), random.Random(2), edns=True)
+    sent = encode_query(Question("box.branch.test", RecordType.A), random.Random(2), edns=True)
     message = dns.message.make_response(dns.message.from_wire(sent.wire))
     if change:
         change(message)
@@ -283,7 +283,7 @@
 @pytest.mark.parametrize(("ttl", "until"), [(0, 0.5), (10, 10.0), (2**31 - 1, 300.0)])
 def test_lifetimes(ttl: int, until: float) -> None:
     """Lifetimes of nothing and of decades are held between floor and ceiling."""
-    cache, question = AnswerCache(Lifetimes(floor=0.5, ceiling=300.0)), Question("a.test", Kind.A)
+    cache, question = AnswerCache(Lifetimes(floor=0.5, ceiling=300.0)), Question("a.test", RecordType.A)
     found = Reply(ReplyKind.FOUND, addresses=("127.0.0.1",), ttl=float(ttl))
     cache.put(question, found, "u", 100.0)
     assert cache.fresh(question, 100.0 + until - 0.01)
@@ -297,14 +297,14 @@
     """So many answers and no more, the least used out first; a failure is remembered for a moment."""
     cache = AnswerCache(Lifetimes(entries=3))
     for number in range(5):
-        cache.put(Question(f"{number}.test", Kind.A), Reply(ReplyKind.FOUND, ttl=60.0), "u", 1.0)
-        cache.fresh(Question("2.test", Kind.A), 1.0)
+        cache.put(Question(f"{number}.test", RecordType.A), Reply(ReplyKind.FOUND, ttl=60.0), "u", 1.0)
+        cache.fresh(Question("2.test", RecordType.A), 1.0)
     assert len(cache) == 3
-    assert cache.fresh(Question("2.test", Kind.A), 2.0)
-    assert not cache.fresh(Question("0.test", Kind.A), 2.0)
-    cache.fail(Question("f.test", Kind.A), "SERVFAIL", 10.0)
-    assert cache.failure_reason(Question("f.test", Kind.A), 10.9) == "SERVFAIL"
-    assert not cache.failure_reason(Question("f.test", Kind.A), 11.0)
+    assert cache.fresh(Question("2.test", RecordType.A), 2.0)
+    assert not cache.fresh(Question("0.test", RecordType.A), 2.0)
+    cache.fail(Question("f.test", RecordType.A), "SERVFAIL", 10.0)
+    assert cache.failure_reason(Question("f.test", RecordType.A), 10.9) == "SERVFAIL"
+    assert not cache.failure_reason(Question("f.test", RecordType.A), 11.0)
 
 
 def test_patience() -> None:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -64,9 +64,9 @@
         {"parent.branch.example": "192.0.2.8"},
         {"e-1": DRAIN, "p-1": RESTORE},
     ),
-    saved=SAVED,
+    saved_at=SAVED,
     position=StreamPosition(1700000000123, 4),
-    left=True,
+    is_shutdown=True,
     purges=(("clip", -1, 1_700_000_150.5), ("", 7, 1_700_000_160.0)),
 )
 
@@ -180,7 +180,7 @@
             assert await shared.claims.claim("txn-1") is ClaimResult.TAKEN
             assert await shared.claims.claim("txn-2") is ClaimResult.OURS
             nursery.cancel_scope.cancel()
-        memory = merge.memory()
+        memory = merge.to_remember()
         assert set(memory.definitions) == others
         assert not memory.srv_members
         assert memory.orders == {"e-1": DRAIN, "p-1": RESTORE}
