--- a/brackenlane/lifecycle.py
+++ b/brackenlane/lifecycle.py
@@ -1,4 +1,4 @@
-"""What both fronts do alike: open the door to clients, and leave in order on SIGTERM."""
+"""Lifecycle of a serving process: listening sockets, signals, and graceful shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -22,94 +22,106 @@
 
 SO_ATTACH_REUSEPORT_CBPF = 51  # asm-generic/socket.h
 BPF_RETURN = 0x06  # BPF_RET | BPF_K, linux/bpf_common.h
+BACKLOG = 4_096  # connections that wait to be accepted; the kernel may allow fewer (net.core.somaxconn)
+SIGNAL_READ_SIZE = 4_096  # bytes, one for each signal
 
 
 async def listen(endpoint: Endpoint) -> list[trio.SocketListener]:
-    """Listeners on one TCP address."""
+    """Open listeners on all addresses of one TCP endpoint. Raises ConfigError."""
+    host, port = endpoint
     try:
-        return await trio.open_tcp_listeners(endpoint[1], host=endpoint[0])
-    except OSError as fault:
-        raise ConfigError(f"cannot listen on {endpoint[0]}:{endpoint[1]}: {fault.strerror}") from None
+        return await trio.open_tcp_listeners(port, host=host)
+    except OSError as error:
+        raise ConfigError(f"cannot listen on {host}:{port}: {error.strerror}") from error
 
 
 def listen_plain(endpoint: Endpoint, shared: bool = False) -> socket.socket:
-    """A listening socket for the board, on one address; shared: with others of this user."""
+    """Open a listening socket for a poller; shared: other processes of this user may listen there too.
+
+    Raises ConfigError.
+    """
     sock = socket.socket(family_of(endpoint))
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(endpoint)
-        sock.listen(4_096)
-    except OSError as fault:
+        sock.listen(BACKLOG)
+    except OSError as error:
         sock.close()
-        raise ConfigError(f"cannot listen on {endpoint[0]}:{endpoint[1]}: {fault.strerror}") from None
+        host, port = endpoint
+        raise ConfigError(f"cannot listen on {host}:{port}: {error.strerror}") from error
     sock.setblocking(False)
     return sock
 
 
-def steer(listener: socket.socket, place: int) -> None:
-    """Lead all new connections of a shared address to the listener at a place, in the order of their starts.
+def steer(listener: socket.socket, index: int) -> None:
+    """Direct all new connections of a shared address to the listener with this index, by order of start.
 
-    A program of one line, `return place`, for the kernel's choice within the group (socket(7),
-    SO_ATTACH_REUSEPORT_CBPF). Should that listener go, the place is empty and the kernel chooses by its hash.
+    Attaches a BPF program of one instruction, `return index`, which selects within the reuseport group
+    (socket(7), SO_ATTACH_REUSEPORT_CBPF). Once that listener is closed, the kernel selects by hash again.
     """
-    line = array.array("B", struct.pack("=HBBI", BPF_RETURN, 0, 0, place))
+    instruction = array.array("B", struct.pack("=HBBI", BPF_RETURN, 0, 0, index))
+    program = struct.pack("@HP", 1, instruction.buffer_info()[0])
     try:
-        listener.setsockopt(
-            socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, struct.pack("@HP", 1, line.buffer_info()[0])
-        )
-    except OSError as fault:  # then both are chosen by hash, until the earlier one leaves
-        log.warning("new connections are not steered: %s", fault.strerror)
+        listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
+    except OSError as error:  # then the kernel selects by hash until the earlier process ends
+        log.warning("new connections are not steered: %s", error.strerror)
 
 
 class EarlySignal:
-    """A handler for a signal that comes before it can be served: `Signals` serves it then."""
+    """Handler for a signal that comes before a `SignalWatcher` watches it, which then reports it."""
 
-    came = False
+    def __init__(self) -> None:
+        self.has_come = False
 
     def __call__(self, *_: object) -> None:
-        """It came."""
-        self.came = True
+        """Note the signal."""
+        self.has_come = True
 
 
 class SignalWatcher:
-    """Signals by a socket on the board: a board that waits itself does not hear trio's own way of telling."""
+    """Signals reported through a socket of the poller.
+
+    A poller that waits itself would not notice trio's own way of reporting them.
+    """
 
     def __init__(self, poller: Poller, *signals: signal.Signals) -> None:
-        self._poller, self._signals = poller, signals
+        self._poller = poller
+        self._signals = signals
         self._read, self._write = socket.socketpair()
         self._came = trio.Event()
-        self._old: list[Any] = []
+        self._previous_handlers: list[Any] = []
 
     def __enter__(self) -> SignalWatcher:
         self._read.setblocking(False)
         self._write.setblocking(False)
-        self._poller.add(self._read.fileno(), self._ready, urgent=True)
-        self._old = [signal.signal(number, self._tell) for number in self._signals]
-        if any(isinstance(old, EarlySignal) and old.came for old in self._old):
-            self._tell()
+        self._poller.add(self._read.fileno(), self._on_ready, urgent=True)
+        self._previous_handlers = [signal.signal(number, self._on_signal) for number in self._signals]
+        early = [handler for handler in self._previous_handlers if isinstance(handler, EarlySignal)]
+        if any(handler.has_come for handler in early):
+            self._on_signal()
         return self
 
     def __exit__(self, *_: object) -> None:
-        for number, handler in zip(self._signals, self._old, strict=True):
+        for number, handler in zip(self._signals, self._previous_handlers, strict=True):
             signal.signal(number, handler)
         self._poller.remove(self._read.fileno())
         self._read.close()
         self._write.close()
 
     async def next(self) -> None:
-        """Wait for one; those that come before it is waited for count as one."""
+        """Wait for a signal; those that came since the last wait count as one."""
         await self._came.wait()
         self._came = trio.Event()
 
-    def _tell(self, *_: object) -> None:
-        with contextlib.suppress(BlockingIOError):  # full: it is told already
+    def _on_signal(self, *_: object) -> None:
+        with contextlib.suppress(BlockingIOError):  # full: reported already
             self._write.send(b"!")
 
-    def _ready(self, _: int) -> None:
+    def _on_ready(self, _: int) -> None:
         with contextlib.suppress(BlockingIOError):
-            self._read.recv(4_096)
+            self._read.recv(SIGNAL_READ_SIZE)
             self._came.set()
 
 
@@ -120,38 +132,43 @@
     beside: Callable[[], int] | None = None,
     serving: Callable[[], None] = lambda: None,
 ) -> None:
-    """Serve clients; after SIGTERM go on for a moment, then end once all that was taken is answered.
+    """Serve clients; after SIGTERM go on for a moment, then end once all accepted requests are answered.
 
-    A second signal meanwhile does what it does by itself: it ends the program. `beside` tells how many
-    earlier processes of this router serve at the same address (None: none may); `serving` is called once it
-    serves.
+    A second signal meanwhile has its default effect: it ends the program. beside: returns how many earlier
+    processes of this router serve at the same address (None: none may); serving: called once clients are
+    accepted.
     """
-    with SignalWatcher(front.poller, signal.SIGTERM, signal.SIGINT) as leave:
+    with SignalWatcher(front.poller, signal.SIGTERM, signal.SIGINT) as stop:
         if beside is None:
-            front.open([plain(listener) for listener in await listen(endpoint)])
+            front.open([_detach_socket(listener) for listener in await listen(endpoint)])
         else:
             listener = listen_plain(endpoint, shared=True)
             steer(listener, beside())
             front.open([listener])
         serving()
         log.info("%s serves on %s:%d", name, *endpoint)
-        await leave.next()
+        await stop.next()
+    await _shut_down(front, name)
+
+
+async def _shut_down(front: HttpFront, name: str) -> None:
+    """Shut down in steps, each bounded: accept on, answer what was accepted, reject the rest."""
     limits = front.limits
     log.info("%s leaves: it takes what comes for %.1f s more", name, limits.leaving)
-    # New connections and requests keep coming for a moment, and all are owed an answer.
+    # New connections and requests keep coming for a moment, and all are to be answered.
     await trio.sleep(limits.leaving)
     front.shut()
     front.leave()
-    with trio.move_on_after(limits.last_answers) as late:
+    with trio.move_on_after(limits.last_answers) as last_answers:
         await front.emptied()
-    if late.cancelled_caught:  # an answer now is better than none
+    if last_answers.cancelled_caught:  # a rejection now is better than no answer
         front.finish()
         with trio.move_on_after(limits.final_rejections):
             await front.emptied()
 
 
-def plain(listener: trio.SocketListener) -> socket.socket:
-    """The listening socket itself, for the board."""
+def _detach_socket(listener: trio.SocketListener) -> socket.socket:
+    """Take the listening socket out of a trio listener, for a poller."""
     sock = socket.socket(fileno=listener.socket.detach())
     sock.setblocking(False)
     return sock
--- a/brackenlane/net/poller.py
+++ b/brackenlane/net/poller.py
@@ -46,7 +46,7 @@
     """
 
     def __init__(self, batch: int, alone: bool = False) -> None:
-        """Handle at most `batch` events in a row. alone: no task waits on a socket but through this poller."""
+        """Handle at most `batch` events in a row. alone: no task waits on a socket by other means."""
         self._batch = batch
         self._alone = alone
         # Urgent sockets are in both: looked at without the rest by the one, waited for with all by the other.
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -152,8 +152,8 @@
 def _encode_hold_off(hold_off: float, max_hold_off: float) -> Headers:
     """Encode how long a rejected client should stay away.
 
-    In whole seconds for any HTTP client (RFC 9110, 10.2.3), and in milliseconds where the site's clients honour
-    that, for no longer than they do.
+    In whole seconds for any HTTP client (RFC 9110, 10.2.3), and in milliseconds where the site's clients
+    honour that, for no longer than they do.
     """
     headers = {"Retry-After": str(max(1, math.ceil(hold_off)))}
     if max_hold_off and hold_off > 0:
