--- a/brackenlane/routing/__init__.py
+++ b/brackenlane/routing/__init__.py
@@ -1,7 +1,8 @@
-"""The decisions of a request: which server is sent it, when it is retried, and when it is rejected.
+"""Routing decisions: which server gets a request, when it is retried, and when it is rejected.
 
-Owns what one router learns of servers and objects. Never opens a connection, reads a clock, or draws a
-random number without a seed. Entry point: `Router.handle(event, now)`, which returns the actions to perform.
+Holds the state that one router has learned about servers and objects. Performs no I/O, reads no clock, and
+draws random numbers only from a seeded generator. Entry point: `Router.handle(event, now)`, which returns
+the actions to perform.
 """
 
 from brackenlane.routing.router import Router
--- a/brackenlane/routing/members.py
+++ b/brackenlane/routing/members.py
@@ -1,4 +1,4 @@
-"""The servers that discovery lists: their roles, states and weights."""
+"""The servers on the discovery list: their roles, states and weights."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 class Role(Enum):
     """The tier of a server."""
 
-    EDGE = "edge"  # an edge cache: it answers requests
-    PARENT = "parent"  # a parent cache in a hub: a fill source of edge caches
-    ORIGIN = "origin"  # it has all objects
+    EDGE = "edge"  # an edge cache: answers the requests of clients
+    PARENT = "parent"  # a parent cache in a hub: the source of fills of edge caches
+    ORIGIN = "origin"  # the origin server: holds all objects
 
 
 class ServerState(Enum):
-    """What discovery says of a server."""
+    """The state of a server as reported by discovery."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # it takes no new requests
+    DRAINING = "draining"  # the server accepts no new requests
     GONE = "gone"
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """One server on discovery's list."""
+    """One server on the discovery list."""
 
-    server: str  # its identity: the address
-    zone: str  # the location that it is in
+    server: str  # address of the server, which identifies it
+    zone: str  # location of the server
     role: Role = Role.EDGE
-    cell: int = 0  # servers of one cell drop the repeats of each other's requests (settings.Scope)
+    cell: int = 0  # servers of a cell deduplicate each other's requests (settings.Scope)
     state: ServerState = ServerState.SERVING
-    weight: float = 1.0  # transfers at a time, each at the highest pace, that its link carries
-    started_at: float = 0.0  # Unix seconds, by the server's own clock; 0: unknown, or long ago
+    weight: float = 1.0  # concurrent transfers at the highest pace that the link carries
+    started_at: float = 0.0  # Unix seconds by the clock of the server; 0: unknown or long ago
--- a/brackenlane/routing/rendezvous_hash.py
+++ b/brackenlane/routing/rendezvous_hash.py
@@ -1,6 +1,6 @@
-"""Weighted rendezvous hashing: which servers a key prefers, the same at every router.
+"""Weighted rendezvous hashing: every router ranks the servers for a key in the same order.
 
-Pure. Weights are relative: only their ratios matter. Sources: Thaler and Ravishankar, "Using Name-Based
+Pure. Weights are relative: only their ratios matter. References: Thaler and Ravishankar, "Using Name-Based
 Mappings to Increase Hit Rates", 1998; Schindelhauer and Schomaker, "Weighted Distributed Hash Tables", 2005.
 """
 
@@ -14,44 +14,47 @@
 from brackenlane.routing.members import Member
 
 DIGEST_BYTES = 8
-SMALLEST_WEIGHT = 1e-9  # in place of 0, whose score would be 0 for every key
+MIN_WEIGHT = 1e-9  # replaces a weight of 0, with which the score would be 0 for every key
 
 
-class Listed(Protocol):
-    """Anything that has an entry of discovery's list."""
+class HasMember(Protocol):
+    """Any object that carries a member of the discovery list."""
 
     member: Member
 
 
-ListedT = TypeVar("ListedT", bound=Listed)
+HasMemberT = TypeVar("HasMemberT", bound=HasMember)
 
 
 def score(key: str, member: Member) -> float:
-    """Return the score of a server for a key, below 0: the lowest is preferred, by weight more often."""
+    """Return the score of a server for a key, below 0.
+
+    The server with the lowest score is preferred; a server wins keys in proportion to its weight.
+    """
     digest = blake2b(f"{key}/{member.server}".encode(), digest_size=DIGEST_BYTES).digest()
     uniform = (int.from_bytes(digest, "big") + 1) / (2 ** (8 * DIGEST_BYTES) + 1)  # above 0, below 1
-    return max(member.weight, SMALLEST_WEIGHT) / math.log(uniform)
+    return max(member.weight, MIN_WEIGHT) / math.log(uniform)
 
 
 class HashOrders:
-    """Orders of the same servers by key, kept until they change or there are too many."""
+    """Cache of rendezvous orders by key, valid until the list of servers changes."""
 
-    def __init__(self, retained: int) -> None:
-        """retained: orders kept, at most; beyond that all are computed anew."""
-        self._retained = retained
-        self._orders: dict[str, list[Listed]] = {}
+    def __init__(self, max_entries: int) -> None:
+        """max_entries: maximum number of cached orders; when it is reached, the whole cache is cleared."""
+        self._max_entries = max_entries
+        self._orders: dict[str, list[HasMember]] = {}
 
     def __len__(self) -> int:
         return len(self._orders)
 
     def clear(self) -> None:
-        """Forget all orders, since the servers have changed."""
+        """Drop all cached orders; required when the servers have changed."""
         self._orders = {}
 
-    def order(self, key: str, servers: Sequence[ListedT]) -> list[ListedT]:
-        """Return the servers, the most preferred first; for one key they must be the same until `clear`."""
+    def order(self, key: str, servers: Sequence[HasMemberT]) -> list[HasMemberT]:
+        """Return the servers, most preferred first; a key must have the same servers until `clear`."""
         if key not in self._orders:
-            if len(self._orders) >= self._retained:
+            if len(self._orders) >= self._max_entries:
                 self._orders.clear()
             self._orders[key] = sorted(servers, key=lambda s: (score(key, s.member), s.member.server))
         return self._orders[key]  # type: ignore[return-value]
--- a/brackenlane/routing/retry_budget.py
+++ b/brackenlane/routing/retry_budget.py
@@ -7,11 +7,11 @@
 
 EARNED_PER_REQUEST = 0.2  # retries that each request adds to the budget
 INITIAL_RETRIES = 1 / EARNED_PER_REQUEST
-MAX_RETRIES = 4 / EARNED_PER_REQUEST  # kept for a burst of failures
+MAX_RETRIES = 4 / EARNED_PER_REQUEST  # upper bound of the budget, available for a burst of failures
 
 
 class RetryBudget:
-    """Retries that may be sent now."""
+    """The number of retries that may be sent now."""
 
     __slots__ = ("available",)
 
@@ -19,7 +19,7 @@
         self.available = INITIAL_RETRIES
 
     def earn(self) -> None:
-        """Add the share of one request."""
+        """Credit the budget for one request."""
         self.available = min(self.available + EARNED_PER_REQUEST, MAX_RETRIES)
 
     def can_spend(self, cost: float) -> bool:
@@ -27,5 +27,5 @@
         return self.available >= cost
 
     def spend(self, cost: float) -> None:
-        """Take the cost of a retry that is sent."""
+        """Charge the budget for a retry that is sent."""
         self.available -= cost
--- a/brackenlane/routing/retry_policy.py
+++ b/brackenlane/routing/retry_policy.py
@@ -1,6 +1,6 @@
-"""Whether a request may have a further attempt, and whether one in flight is cancelled for it.
+"""Whether a request may have another attempt, and whether an overdue attempt is cancelled for a retry.
 
-Pure. Times are Unix seconds, work is in transfer-seconds.
+Pure. Times are Unix seconds, work is in seconds of transfer time.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 
 class RetryPolicy:
-    """The bounds on attempts: their number, the deadline and the retry budget."""
+    """Limits attempts by their number, the deadline of the request and the retry budget."""
 
     __slots__ = ("_budget", "_max_attempts", "_may_cancel")
 
     def __init__(self, settings: Settings, budget: RetryBudget) -> None:
-        """budget: earned by each request, spent by each retry."""
+        """budget: the caller credits it for each request and charges it for each retry."""
         self._budget = budget
         self._max_attempts = settings.max_attempts
         self._may_cancel = settings.may_cancel
 
     def can_attempt(self, request: Request, now: float) -> bool:
-        """Whether a request may have its first or a further attempt."""
+        """Whether a request may have its first or another attempt."""
         if request.attempts_sent >= self._max_attempts:
             return False
         if not request.is_next_a_retry:
@@ -30,9 +30,10 @@
         return request.deadline - now >= request.work and self._budget.can_spend(request.retry_cost)
 
     def should_cancel(self, request: Request, route: Route, now: float) -> bool:
-        """Whether to cancel an overdue attempt: one of its servers is ejected, and a retry would be in time.
+        """Whether to cancel an overdue attempt, so that its request is retried.
 
-        A long wait alone is no reason.
+        One of its servers must be ejected, and a retry must be able to meet the deadline. A long wait
+        alone is not sufficient.
         """
         source = route.attributed_source
         is_ejected = bool(route.edge.ejected_until or (source and source.ejected_until))
--- a/brackenlane/routing/timers.py
+++ b/brackenlane/routing/timers.py
@@ -1,4 +1,4 @@
-"""The timers of one router: which request or attempt each of them is for.
+"""The timers of one router, each for a request or an attempt.
 
 Pure: the caller performs `SetTimer` and reports `TimerFired`. Times are Unix seconds.
 """
@@ -11,14 +11,14 @@
 
 
 class TimerTarget(NamedTuple):
-    """What a timer is for: the deadline of a request, or one attempt that is overdue then."""
+    """The purpose of a timer: the deadline of a request, or the time at which an attempt is overdue."""
 
     request_id: str
-    attempt: int | None  # None: the request's deadline
+    attempt: int | None  # number of the attempt; None: the deadline of the request
 
 
 class RouterTimers:
-    """The timers that were set and have not fired; each is identified by a token."""
+    """The pending timers of a router, identified by tokens."""
 
     __slots__ = ("_last_token", "_targets")
 
@@ -35,7 +35,7 @@
         return self._set(TimerTarget(request_id, attempt), at)
 
     def pop(self, token: int) -> TimerTarget | None:
-        """Return what a fired timer was for; None for a token that is unknown."""
+        """Remove a fired timer and return its target; None for an unknown token."""
         return self._targets.pop(token, None)
 
     def _set(self, target: TimerTarget, at: float) -> SetTimer:
--- a/brackenlane/routing/topology.py
+++ b/brackenlane/routing/topology.py
@@ -1,6 +1,6 @@
-"""The location of one router: its hub, the distances to the other hubs, and who shares its links.
+"""The hub of one router, its distance to the other hubs, and the routers that share links with it.
 
-Pure; all of it follows from the settings. Hubs form a ring, in the order of their locations in the settings.
+Pure; derived from the settings alone. Hubs form a ring, in the order of their locations in the settings.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
     __slots__ = ("hub_count", "hub_distance", "local_router_count", "peer_locations")
 
     def __init__(self, settings: Settings) -> None:
-        """Derive it from settings, which have checked themselves."""
+        """Derive the topology from validated settings."""
         own = settings.locations.index(settings.location)
         own_hub = int(settings.hub_of[own]) if settings.hub_of else own
         ring = sorted({int(hub) for hub in settings.hub_of}) or [own]
         self.hub_count = len(ring)
-        # By the location of a hub: hops along the ring from this router's hub.
+        # Hops along the ring from the hub of this router, by the location of a hub.
         self.hub_distance = _hub_distances(settings, ring, own_hub)
-        # Routers of this location: they share its edge caches and the link into it.
+        # Number of routers at this location; they share its edge caches and the link into it.
         routers_by_location = settings.routers_by_location
         self.local_router_count = max(
             1.0, routers_by_location[own] if routers_by_location else settings.router_count
         )
-        # Locations of this hub that have routers, which share its parents; the weight is their number.
+        # Locations of this hub that have routers, all of which share its parents. The weight of a location
+        # is its number of routers.
         self.peer_locations = _peer_locations(settings, own_hub)
 
 
@@ -41,8 +42,8 @@
 
 
 def _peer_locations(settings: Settings, own_hub: int) -> list[Member]:
-    """Return locations as members, so that they can be ordered by a hash as servers are."""
-    # Without hubs or counts the lists are empty, and all routers count as this location's.
+    """Return the locations of a hub as members, so that rendezvous hashing can order them like servers."""
+    # If hubs or counts are not configured, these lists are empty and all routers count as local.
     by_location = zip(settings.locations, settings.routers_by_location, settings.hub_of, strict=False)
     locations = [
         Member(location, location, weight=router_count)
