--- a/brackenlane/routing/answer_learning.py
+++ b/brackenlane/routing/answer_learning.py
@@ -12,11 +12,11 @@
 from brackenlane.routing.members import Role
 from brackenlane.routing.membership import ServerTable
 from brackenlane.routing.server_capacity import ServerCapacity
-from brackenlane.routing.servers import UNCONTENDED_STRETCH, Server
+from brackenlane.routing.servers import MAX_UNCONTENDED_SLOWDOWN, Server
 from brackenlane.routing.settings import Settings
 from brackenlane.routing.sizes import Sizes
 
-MIN_SENDING_TICKS = 8  # of an answer that tells of a link's width: in less, its wait is mostly rounding
+MIN_TRANSFER_TICKS = 8  # of an answer that tells of a link's width: in less, its wait is mostly rounding
 
 
 class AnswerLearning:
@@ -38,7 +38,7 @@
         self._sizes = sizes
         self._weights_known = settings.weights_known
         self._pace_kb_per_s = settings.pace_kb_per_s
-        self._min_sending_seconds = MIN_SENDING_TICKS * settings.tick
+        self._min_transfer_seconds = MIN_TRANSFER_TICKS * settings.tick
 
     def observe_wait(self, event: Outcome, request: Request | None) -> None:
         """Learn how long answers take."""
@@ -54,15 +54,15 @@
         self, event: Outcome, attempt: Attempt, request: Request | None, is_fill: bool, now: float
     ) -> None:
         """Learn the limits, paces, widths and sizes that an answer shows; request: None if it is over."""
-        sending_seconds = event.size_kb / self._pace_kb_per_s if self._pace_kb_per_s else 0.0
+        transfer_seconds = event.size_kb / self._pace_kb_per_s if self._pace_kb_per_s else 0.0
         if request:
             self._learn_limit(event, attempt, request, is_fill, now)
             if not request.cls.uncached:
                 self._fills.observe_pace(is_fill, attempt.fill_probability, request.work, event.wait)
-        if sending_seconds > self._min_sending_seconds and not self._weights_known:
-            self._learn_width(event, attempt, is_fill, sending_seconds, now)
+        if transfer_seconds > self._min_transfer_seconds and not self._weights_known:
+            self._learn_width(event, attempt, is_fill, transfer_seconds, now)
         if request and not request.arrival.size_kb:
-            self._sizes.learn(request.cls.name, request.arrival.obj, sending_seconds, event.wait)
+            self._sizes.learn(request.cls.name, request.arrival.obj, transfer_seconds, event.wait)
 
     def _learn_limit(
         self, event: Outcome, attempt: Attempt, request: Request, is_fill: bool, now: float
@@ -81,11 +81,11 @@
         # What is late alone on its link is large or slow, and no sign of contention.
         if not is_late or load.transfers > 1:
             server.concurrency.observe(
-                is_late, load.utilization, server.known_width, now, request.latency_objective
+                is_late, load.utilization, server.link_width, now, request.latency_objective
             )
 
     def _learn_width(
-        self, event: Outcome, attempt: Attempt, is_fill: bool, sending_seconds: float, now: float
+        self, event: Outcome, attempt: Attempt, is_fill: bool, transfer_seconds: float, now: float
     ) -> None:
         """Learn the width of the link that an answer came over; sending_seconds: as it takes alone."""
         edge = attempt.route.edge
@@ -95,10 +95,10 @@
                 attempt.edge_load.transfers,
                 self._capacity.transfers(edge, self._capacity.edge_sharers) + 1,
             )
-            edge.learn_width(transfers, event.wait / sending_seconds)
+            edge.learn_width(transfers, event.wait / transfer_seconds)
             self._update_least_width(now)
             return
-        is_uncontended = event.wait <= UNCONTENDED_STRETCH * sending_seconds
+        is_uncontended = event.wait <= MAX_UNCONTENDED_SLOWDOWN * transfer_seconds
         if is_fill and is_uncontended and source and source.member.role is Role.PARENT:
             transfers = min(
                 attempt.source_load.transfers,
--- a/brackenlane/routing/attempt_table.py
+++ b/brackenlane/routing/attempt_table.py
@@ -93,4 +93,4 @@
             return 0.0
         if request.cache_missed or route.edge is source:
             return 1.0
-        return self._fills.expected(route.edge)
+        return self._fills.fill_probability(route.edge)
--- a/brackenlane/routing/attempts.py
+++ b/brackenlane/routing/attempts.py
@@ -13,7 +13,7 @@
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Idempotency, RequestClass, Scope
 
-HEADROOM = 0.7  # share of the time left that transfers on a link may be planned to take
+PLANNABLE_TIME_SHARE = 0.7  # share of the time left that transfers on a link may be planned to take
 FULL_RETRY_COST = 1.0  # of a retry, in retries of the budget
 BROKEN_RETRY_COST = 0.25  # after a broken connection, which is no sign of an overload
 
@@ -59,7 +59,7 @@
             cls.latency_objective + cls.objective_stretch * self.work, cls.time_limit
         )
         self.objective_at = self.arrived_at + self.latency_objective
-        self.wait_unit = max(self.latency_objective, self.work / HEADROOM)
+        self.wait_unit = max(self.latency_objective, self.work / PLANNABLE_TIME_SHARE)
         self.idempotency = cls.idempotency
         if cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not self.arrival.has_idempotency_key:
             self.idempotency = Idempotency.NON_IDEMPOTENT
@@ -108,15 +108,13 @@
         else:
             self.retry_cost = FULL_RETRY_COST
 
-    def record_lookup(
-        self, result: AttemptResult, is_refused_by_cache: bool, attempt: Attempt | None
-    ) -> None:
+    def record_lookup(self, result: AttemptResult, is_cache_rejection: bool, attempt: Attempt | None) -> None:
         """Take in whether the last attempt was a lookup in vain, and by which servers.
 
         is_refused_by_cache: whether the cache refused it at once, for want of a place.
         """
         # Only after a miss does the cache need a place for a fill.
-        self.is_cache_full = is_refused_by_cache and self.cache_missed
+        self.is_cache_full = is_cache_rejection and self.cache_missed
         self.cache_missed = result is AttemptResult.MISS or self.is_cache_full
         self.parent_missed = self.cache_missed and attempt is not None and attempt.route.is_parent_lookup
 
--- a/brackenlane/routing/concurrency_limit.py
+++ b/brackenlane/routing/concurrency_limit.py
@@ -1,53 +1,55 @@
-"""How many transfers at a time a server is given, learned around its known or assumed width.
+"""Adaptive limit on the concurrent transfers of a server, relative to its known or assumed link width.
 
-Pure. Widths are in transfers at a time, times are Unix seconds.
+Pure. Widths are in concurrent transfers, times are Unix seconds.
 
-A listed weight is rough, and where none is listed a width is assumed. But whether answers come in time is
-seen, and the limit follows it as TCP's congestion window does: slow start until the first late answer, then
-additive increase and multiplicative decrease (Chiu and Jain, 1989; Jacobson, 1988; RFC 5681). A known width
-is its upper bound: servers to which many routers gave more would fail together once one of them is lost.
+Listed weights are approximate, and a default width is assumed for servers without one. The limit therefore
+adapts to whether answers are late, like the congestion window of TCP: slow start until the first late answer,
+then additive increase and multiplicative decrease (Chiu and Jain, 1989; Jacobson, 1988; RFC 5681). A known
+width is the upper bound of the limit: if many routers exceeded it, the loss of one server would overload the
+remaining ones.
 """
 
 from __future__ import annotations
 
 import math
 
-DECREASE_FACTOR = 3 / 4  # of the limit, that a late answer leaves
-LEAST_USED_SHARE = 1 / 2  # of the limit in flight, from which an answer in time is a reason to raise it
+DECREASE_FACTOR = 3 / 4  # multiplies the limit after a late answer
+MIN_UTILIZATION = 1 / 2  # share of the limit that must be in use for a timely answer to raise the limit
 
 
 class ConcurrencyLimit:
-    """The limit of one server, as a factor of its width."""
+    """The limit of one server, as a factor of its link width."""
 
-    __slots__ = ("_decreased_at", "_largest_factor", "factor")
+    __slots__ = ("_decreased_at", "_max_factor", "factor")
 
-    def __init__(self, largest_factor: float = 1.0) -> None:
-        """Start with the width itself."""
+    def __init__(self, max_factor: float = 1.0) -> None:
+        """Start with a limit equal to the width; max_factor: upper bound of the factor."""
         self.factor = 1.0
-        self._largest_factor = largest_factor
+        self._max_factor = max_factor
         self._decreased_at = -math.inf
 
-    def observe(self, late: bool, used: float, width: float, now: float, window: float) -> None:
-        """Learn from one answer.
+    def observe(self, is_late: bool, utilization: float, width: float, now: float, cooldown: float) -> None:
+        """Adjust the limit to one answer.
 
-        used: the share of the limit that was in flight when it was requested; width: as known or assumed;
-        window: seconds after a decrease in which there is no other, since late answers then have one cause.
+        utilization: share of the limit that was in flight when the attempt was sent; width: known or assumed;
+        cooldown: seconds after a decrease without another one, as answers that are late together have one
+        cause.
         """
         if width <= 0:
-            return  # its weight became 0 while answers were still to come; nothing can be learned of it
-        if late:
-            self._decrease(width, now, window)
-        elif used >= LEAST_USED_SHARE:
+            return  # the weight was set to 0 while attempts were in flight
+        if is_late:
+            self._decrease(width, now, cooldown)
+        elif utilization >= MIN_UTILIZATION:
             self._increase(width)
 
     def _increase(self, width: float) -> None:
-        """Add a transfer in slow start; later, one for as many answers as the limit holds."""
+        """Raise the limit by one transfer per answer in slow start, later by one per `limit` answers."""
         is_slow_start = self._decreased_at == -math.inf
         transfers = 1.0 if is_slow_start else 1 / max(1.0, self.factor * width)
-        self.factor = min(self._largest_factor, self.factor + transfers / width)
+        self.factor = min(self._max_factor, self.factor + transfers / width)
 
-    def _decrease(self, width: float, now: float, window: float) -> None:
-        """Multiply the limit, but leave one transfer: its answer shows whether the server bears more."""
-        if now > self._decreased_at + window:
+    def _decrease(self, width: float, now: float, cooldown: float) -> None:
+        """Decrease the limit, but not below one transfer, which detects whether the server has recovered."""
+        if now > self._decreased_at + cooldown:
             self.factor = max(min(1.0, 1 / width), self.factor * DECREASE_FACTOR)
             self._decreased_at = now
--- a/brackenlane/routing/edge_selection.py
+++ b/brackenlane/routing/edge_selection.py
@@ -10,7 +10,7 @@
 from brackenlane.routing.attempts import Request
 from brackenlane.routing.bounded_load import below_bound_first
 from brackenlane.routing.membership import ServerTable
-from brackenlane.routing.overload import OverloadSigns
+from brackenlane.routing.overload import OverloadSignals
 from brackenlane.routing.popularity import Popularity
 from brackenlane.routing.server_capacity import ServerCapacity
 from brackenlane.routing.servers import Server
@@ -29,7 +29,7 @@
         settings: Settings,
         servers: ServerTable,
         capacity: ServerCapacity,
-        overload: OverloadSigns,
+        overload: OverloadSignals,
         rng: random.Random,
         popularity: Popularity,
     ) -> None:
@@ -74,14 +74,14 @@
 
         A cache that a request spills over to fills the object: not while fills are slow.
         """
-        if self._settings.weights_known or self._overload.has_any(now):
+        if self._settings.weights_known or self._overload.is_overloaded(now):
             return candidates
         sharers = self._capacity.edge_sharers
         return below_bound_first(
             candidates,
             self._servers.edges,
             lambda edge: self._capacity.transfers(edge, sharers),
-            lambda edge: edge.limit,
+            lambda edge: edge.transfer_limit,
         )
 
     def _replica_count(self, request: Request, now: float) -> int:
--- a/brackenlane/routing/fetch_actions.py
+++ b/brackenlane/routing/fetch_actions.py
@@ -18,9 +18,9 @@
 from brackenlane.routing.settings import Idempotency, Settings
 
 # How a cache ranks the copy of an answer (`Fetch.keep`).
-KEEP_NOT = 0
-KEEP = 1
-KEEP_REPEATED = 2  # requested more than once: not evicted by what may be requested once
+RETENTION_NONE = 0
+RETENTION_NORMAL = 1
+RETENTION_REPEATED = 2  # requested more than once: not evicted by what may be requested once
 
 
 class FetchActions:
@@ -44,12 +44,12 @@
 
     def overdue_after(self, request: Request, now: float) -> float:
         """Return the seconds until an attempt is overdue: past a usual wait, yet in time for a retry."""
-        usual_spans = self._latency.usual
+        max_units = self._latency.expected_max
         # Only where the size is known does the usual wait end with the objective.
         if request.arrival.size_kb:
-            usual_spans = min(usual_spans, 1)
-        usual = request.wait_unit * usual_spans
-        return max(usual, request.objective_at - now - request.work)
+            max_units = min(max_units, 1)
+        expected_max = request.wait_unit * max_units
+        return max(expected_max, request.objective_at - now - request.work)
 
     def build(self, request: Request, route: Route, is_retry: bool, now: float) -> Fetch:
         """Return the fetch of a route; is_retry: the attempt before it was no lookup."""
@@ -63,7 +63,7 @@
             server=route.edge.member.server,
             timeout=timeout,
             source=self._named_source(route).member.server,
-            keep=self._keep_rank(request),
+            keep=self._retention_rank(request),
             max_age=self._purges.max_age(request.arrival, cls, now, stale=is_retry or is_lookup),
             join=self._settings.may_join_fills,
             revalidate=cls.fresh_for > 0,
@@ -77,19 +77,19 @@
             return self._servers.origin
         return route.fill_source or route.edge
 
-    def _keep_rank(self, request: Request) -> int:
+    def _retention_rank(self, request: Request) -> int:
         """Return how a copy is ranked.
 
         A router that sees a part of its location's requests cannot tell what is repeated, and what it ranked
         high would never be evicted.
         """
         if request.cls.uncached:
-            return KEEP_NOT
+            return RETENTION_NONE
         if self._capacity.edge_sharers < 2 and self._popularity.is_repeated(
             request.arrival.cache_key, request.work
         ):
-            return KEEP_REPEATED
-        return KEEP
+            return RETENTION_REPEATED
+        return RETENTION_NORMAL
 
     @staticmethod
     def _last_write_at(request: Request) -> float:
--- a/brackenlane/routing/fill_source.py
+++ b/brackenlane/routing/fill_source.py
@@ -16,10 +16,10 @@
 from brackenlane.routing.servers import Server
 
 PARENT_RATIO = 2.0  # of the chances of a parent and the next one, up to FEW_PARENTS of them
-STEADY_PARENT_RATIO = 8.0  # the same for copies without a time to live
-FEW_PARENTS = 3  # of a hub; with more of them the ratio grows in proportion
+UNEXPIRING_PARENT_RATIO = 8.0  # the same for copies without a time to live
+BASE_RATIO_PARENTS = 3  # of a hub; with more of them the ratio grows in proportion
 MAX_ORIGIN_SHARE = 1 / 20  # of all draws
-EXPIRING_MEMORY = 256  # draws that the share of expiring copies is a mean over, about
+EXPIRING_SMOOTHING_DRAWS = 256  # draws that the share of expiring copies is a mean over, about
 
 SourceT = TypeVar("SourceT")
 
@@ -96,11 +96,11 @@
 class FillSourceDraw:
     """Draws fill sources; learns which share of its draws the origin may have."""
 
-    __slots__ = ("_expiring", "_random")
+    __slots__ = ("_expiring_share", "_random")
 
     def __init__(self, rng: random.Random) -> None:
         # Share of draws for copies that expire: for these alone the origin is drawn.
-        self._expiring = 1.0
+        self._expiring_share = 1.0
         self._random = rng
 
     def draw(
@@ -114,11 +114,12 @@
         # Each parent that the requests for an object reach fetches it from the origin: the ratio grows with
         # the parents of a hub. Copies without a time to live never expire together: few parents are enough.
         ratio = max(
-            PARENT_RATIO if expires else STEADY_PARENT_RATIO, PARENT_RATIO * most_parents / FEW_PARENTS
+            PARENT_RATIO if expires else UNEXPIRING_PARENT_RATIO,
+            PARENT_RATIO * most_parents / BASE_RATIO_PARENTS,
         )
         chances = [ratio**candidate for candidate in range(1, len(parents) + 1)]
-        self._expiring += (expires - self._expiring) / EXPIRING_MEMORY
-        share = min(MAX_ORIGIN_SHARE / max(self._expiring, MAX_ORIGIN_SHARE), 1 / (1 + sum(chances)))
+        self._expiring_share += (expires - self._expiring_share) / EXPIRING_SMOOTHING_DRAWS
+        share = min(MAX_ORIGIN_SHARE / max(self._expiring_share, MAX_ORIGIN_SHARE), 1 / (1 + sum(chances)))
         if origin and expires and self._random.random() < share:
             return origin
         return self._random.choices(parents, chances)[0]
--- a/brackenlane/routing/latency.py
+++ b/brackenlane/routing/latency.py
@@ -1,41 +1,42 @@
-"""The usual waiting time of answers, as one router sees it, and whether it means overload.
+"""Estimate of the response latency that one router observes, and detection of overload from it.
 
-Pure. Waits are multiples of a request's span: its latency objective, or its own transfer time where that is
-longer. Mean and deviation are estimated as TCP estimates its round-trip time (Jacobson, "Congestion Avoidance
-and Control", 1988; RFC 6298).
+Pure. Latencies are multiples of `Request.wait_unit`: the latency objective of a request, or its own transfer
+time if that is longer. Mean and deviation are smoothed like the round-trip time of TCP (Jacobson, "Congestion
+Avoidance and Control", 1988; RFC 6298).
 """
 
 from __future__ import annotations
 
-MEMORY = 16  # answers over which mean and deviation are averaged, about
-BASELINE_MEMORY = 512  # answers in which the baseline follows a mean that stays higher, about
-DEVIATIONS = 4  # above the mean, within which nearly every answer comes (RFC 6298: K)
-PRIOR_MEAN = 0.5  # spans
-PRIOR_DEVIATION = 0.25  # spans
+SMOOTHING_ANSWERS = 16  # time constant of the moving mean and deviation, in answers
+BASELINE_SMOOTHING_ANSWERS = 512  # time constant with which the baseline follows a higher mean, in answers
+DEVIATIONS = 4  # deviations above the mean that nearly every answer stays below (K in RFC 6298)
+PRIOR_MEAN = 0.5  # wait units
+PRIOR_DEVIATION = 0.25  # wait units
 
 
 class LatencyEstimate:
-    """The mean wait of answers, its deviation, and the mean while there is no overload."""
+    """Moving mean and deviation of latency, and a baseline: the mean latency without overload."""
 
     __slots__ = ("_baseline", "_deviation", "_mean", "overloaded")
 
     def __init__(self) -> None:
         self._mean = PRIOR_MEAN
         self._deviation = PRIOR_DEVIATION
-        self._baseline = PRIOR_MEAN  # the least of the means; it rises slowly
-        self.overloaded = False  # whether waits are above the baseline and beyond the objective
+        self._baseline = PRIOR_MEAN  # follows the mean down at once and up slowly
+        # Whether the mean is above the baseline, and one deviation above the mean exceeds one wait unit.
+        self.overloaded = False
 
     @property
-    def usual(self) -> float:
-        """Spans within which nearly every answer comes."""
+    def expected_max(self) -> float:
+        """The latency that nearly every answer stays below, in wait units."""
         return self._mean + DEVIATIONS * self._deviation
 
     def learn(self, wait: float) -> None:
-        """Learn from the wait of one answer, in spans."""
+        """Update the estimate with the latency of one answer, in wait units."""
         error = wait - self._mean
-        self._mean += error / MEMORY
-        self._deviation += (abs(error) - self._deviation) / MEMORY
-        rate = 1.0 if self._mean < self._baseline else 1 / BASELINE_MEMORY
+        self._mean += error / SMOOTHING_ANSWERS
+        self._deviation += (abs(error) - self._deviation) / SMOOTHING_ANSWERS
+        rate = 1.0 if self._mean < self._baseline else 1 / BASELINE_SMOOTHING_ANSWERS
         self._baseline += (self._mean - self._baseline) * rate
-        # Waits that have always been long are no overload.
+        # A latency that has always been high is the baseline, not an overload.
         self.overloaded = self._mean > self._baseline and self._mean + self._deviation > 1
--- a/brackenlane/routing/lookup_policy.py
+++ b/brackenlane/routing/lookup_policy.py
@@ -10,13 +10,13 @@
 
 from brackenlane.routing.attempts import Request, Route
 from brackenlane.routing.members import Role
-from brackenlane.routing.overload import OverloadSigns
+from brackenlane.routing.overload import OverloadSignals
 from brackenlane.routing.purges import Purges
 from brackenlane.routing.server_capacity import ServerCapacity
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Settings
 
-FILLS_ONLY_SECONDS = 10.0  # for which a parent that was late with a copy it held is sent no lookups
+LOOKUP_PAUSE_SECONDS = 10.0  # for which a parent that was late with a copy it held is sent no lookups
 # Attempts that a request must be allowed, so that a lookup in vain leaves one for the fill.
 MIN_ATTEMPTS_FOR_CACHE_LOOKUP = 2
 MIN_ATTEMPTS_FOR_PARENT_LOOKUP = 3
@@ -29,7 +29,7 @@
         self,
         settings: Settings,
         capacity: ServerCapacity,
-        overload: OverloadSigns,
+        overload: OverloadSignals,
         purges: Purges,
         rng: random.Random,
     ) -> None:
@@ -41,12 +41,12 @@
 
     def apply(self, request: Request, route: Route, now: float) -> Route | None:
         """Return the route that an attempt takes instead of this one; None while the origin is spared."""
-        origin_share = self._overload.origin_throttle.part(now)
+        origin_share = self._overload.origin_throttle.current_share(now)
         is_overloaded = self._overload.latency.overloaded or origin_share < 1
         # What is uncached is nowhere to be looked up.
         if not is_overloaded or request.cls.uncached:
             return route
-        is_group_purged = self._purges.is_group_void(request.arrival.group, now)
+        is_group_purged = self._purges.is_group_purged(request.arrival.group, now)
         if self._needs_origin(request, route, is_group_purged) and self._random.random() > origin_share:
             return None
         if self._can_look_up_at_cache(request, route.edge, now):
@@ -80,5 +80,5 @@
             and source is not None
             and source is not route.edge
             and not (request.parent_missed and route.is_filled_by_origin)
-            and now > source.late_with_held_at + FILLS_ONLY_SECONDS
+            and now > source.lookup_overdue_at + LOOKUP_PAUSE_SECONDS
         )
--- a/brackenlane/routing/origin_throttle.py
+++ b/brackenlane/routing/origin_throttle.py
@@ -1,28 +1,29 @@
-"""Admission of fills that only the origin can serve: fewer as it answers late, more as time passes.
+"""Admission control for fills that only the origin can serve.
 
-Pure. Times are Unix seconds, durations seconds.
+Pure. Times are Unix seconds, durations are in seconds.
 
-An origin that falls behind serves a queue, oldest first. Once that queue is longer than a fill may wait, all
-that it still works off has been abandoned: it works, and no request is served (docs/design/fleet.md, "The
-origin falls behind"). One router of hundreds sees an answer of it every second or two, so it cannot learn by
-counts: the share that it admits is halved by a late or failed answer, once for all that are late together,
-grows with each answer in time, and by itself with time (additive increase, multiplicative decrease; Chiu and
-Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance", 1989).
+An overloaded origin serves its queue in FIFO order. Once the queueing delay exceeds the timeout of a fill,
+the origin completes only fills that have been abandoned, and no request is served (docs/design/fleet.md, "The
+origin falls behind"). One router of hundreds sees an answer of the origin only every second or two, which is
+too few for statistics. The admitted share is therefore halved by a late or failed answer, once for all
+answers that are late together, and grows with each timely answer and with time (additive increase,
+multiplicative decrease; Chiu and Jain, "Analysis of the Increase and Decrease Algorithms for Congestion
+Avoidance", 1989).
 """
 
 from __future__ import annotations
 
 from brackenlane.routing.events import AttemptResult, CacheStatus, Outcome
 
-RECOVERY_SECONDS = 8.0  # in which the share grows from 0 to 1; an ejected source is tried as often
-RECOVERY_PER_ANSWER = (
-    1 / 4
-)  # of what is held back, that an answer in time admits: a rare late one costs little
-LEAST_SHARE = 0.05  # admitted however late answers are: they show when the origin has recovered
+RECOVERY_SECONDS = 8.0  # time in which the share grows from 0 to 1; equals MAX_EJECTION_SECONDS
+# Share of the throttled part that each timely answer admits again, so that occasional late answers cost
+# little.
+RECOVERY_PER_ANSWER = 1 / 4
+MIN_SHARE = 0.05  # always admitted, to detect the recovery of the origin
 
 
 class OriginThrottle:
-    """The share of its fills from the origin that one router may send."""
+    """The share of fills from the origin that one router admits."""
 
     __slots__ = ("_decreased_at", "_share", "_updated_at")
 
@@ -31,39 +32,46 @@
         self._updated_at = 0.0
         self._decreased_at = 0.0
 
-    def part(self, now: float) -> float:
-        """Return the share, above 0 to 1, of requests that need the origin which may be sent now."""
+    def current_share(self, now: float) -> float:
+        """Return the admitted share, above 0 and at most 1, of the requests that need the origin."""
         self._share = min(1.0, self._share + max(0.0, now - self._updated_at) / RECOVERY_SECONDS)
         self._updated_at = now
         return self._share
 
     def learn(
-        self, event: Outcome, now: float, late_after: float, certainty: float, window: float, tick: float
+        self,
+        event: Outcome,
+        now: float,
+        late_after: float,
+        origin_probability: float,
+        cooldown: float,
+        tick: float,
     ) -> None:
-        """Learn from the end of a fill in which the origin may have taken part.
+        """Adjust the share to the outcome of a fill in which the origin may have taken part.
 
-        late_after: seconds from which an answer is late; certainty: 0 to 1, that an error is the origin's
-        where its status does not say so; window: as for `decrease`; tick: seconds up to which a rejection is
-        the cache's own.
+        late_after: seconds after which an answer is late; origin_probability: probability, 0 to 1, that the
+        origin caused an error whose cache status does not say so; cooldown: as for `decrease`; tick: seconds
+        within which a rejection is made by the cache itself.
         """
         is_from_origin = event.cache_status is CacheStatus.FILLED_BY_ORIGIN
         is_rejected = event.result is AttemptResult.FULL and event.wait > tick
         is_late = (event.first_byte or event.wait) >= late_after
-        # A fast failure is no sign of a queue: what waits in one fails when its fill is abandoned.
+        # A fast failure does not indicate a queue: a queued fill fails only at its timeout.
         is_late_failure = is_late and (is_from_origin or event.result is AttemptResult.ERROR)
         if is_rejected or is_late_failure:
-            self.decrease(now, 1.0 if is_from_origin else certainty, window)
+            self.decrease(now, 1.0 if is_from_origin else origin_probability, cooldown)
         elif is_from_origin:
-            # The growth by time since the last call is replaced by this step, not added to it.
+            # This step replaces the growth over time since the last call instead of adding to it.
             share = self._share
-            self._share = share + (1 - self.part(now)) * RECOVERY_PER_ANSWER
+            self._share = share + (1 - self.current_share(now)) * RECOVERY_PER_ANSWER
 
-    def decrease(self, now: float, certainty: float, window: float) -> None:
-        """Halve the share for an answer that came late or not at all.
+    def decrease(self, now: float, origin_probability: float, cooldown: float) -> None:
+        """Halve the share after a late or missing answer.
 
-        certainty: 0 to 1, that the origin caused it: 0 changes nothing; window: seconds after a decrease in
-        which there is no other, since all that is late together has one cause.
+        origin_probability: probability, 0 to 1, that the origin caused it; scales the decrease, and 0 causes
+        none; cooldown: seconds after a decrease without another one, as answers that are late together have
+        one cause.
         """
-        if certainty > 0 and now > self._decreased_at + window:
-            self._share = max(LEAST_SHARE, self.part(now) * (1 - certainty / 2))
+        if origin_probability > 0 and now > self._decreased_at + cooldown:
+            self._share = max(MIN_SHARE, self.current_share(now) * (1 - origin_probability / 2))
             self._decreased_at = now
--- a/brackenlane/routing/outcome_attribution.py
+++ b/brackenlane/routing/outcome_attribution.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from brackenlane.routing.answer_learning import AnswerLearning
-from brackenlane.routing.attempts import HEADROOM, Attempt, Request
+from brackenlane.routing.attempts import PLANNABLE_TIME_SHARE, Attempt, Request
 from brackenlane.routing.events import AttemptResult, Outcome
 from brackenlane.routing.fill_estimate import FillEstimate
 from brackenlane.routing.members import Role
@@ -20,13 +20,15 @@
 from brackenlane.routing.settings import Settings
 
 UNREACHABLE_SCORE = 2 * EJECTION_SCORE  # of a failed connect: it ejects at once
-SOURCELESS_ERROR_SCORE = 0.5  # of an error that was probably its cache's own
+CACHE_ERROR_SCORE = 0.5  # of an error that was probably its cache's own
 # Attempts that the caches' error share is a mean over, about: those without a source, and answers with one.
-ERROR_SHARE_MEMORY_SOURCELESS = 16
-ERROR_SHARE_MEMORY_ANSWERS = 64
-OWN_ERROR_SHARE = 0.1  # of attempts without a source, from which caches are known to make errors alone
-OWN_REFUSAL_TICKS = 2  # within which a cache's own refusal comes; what takes longer failed at the source
-BOTH_SILENT_SOURCE_SHARE = 0.5  # of an overdue attempt, where neither its cache nor its source proved alive
+ERROR_SMOOTHING_WITHOUT_SOURCE = 16
+ERROR_SMOOTHING_WITH_SOURCE = 64
+CACHE_ERROR_SHARE_THRESHOLD = (
+    0.1  # of attempts without a source, from which caches are known to make errors alone
+)
+CACHE_REJECTION_TICKS = 2  # within which a cache's own refusal comes; what takes longer failed at the source
+UNDECIDED_SOURCE_SHARE = 0.5  # of an overdue attempt, where neither its cache nor its source proved alive
 
 
 @dataclass(slots=True, eq=False)
@@ -58,7 +60,7 @@
         self._fills = fills
         self._learning = learning
         self._connect_timeout = settings.connect_timeout
-        self._own_refusal_seconds = OWN_REFUSAL_TICKS * settings.tick
+        self._cache_rejection_seconds = CACHE_REJECTION_TICKS * settings.tick
         self._fill_objective = _fill_objective(settings)
 
     def attribute(self, finished: FinishedAttempt) -> None:
@@ -88,18 +90,18 @@
         is_edge_alive = edge.last_alive_at > attempt.sent_at
         if source and route.is_parent_lookup:
             # Late with a copy that it holds: sent fetches only for a while, so that it is still observed.
-            source.late_with_held_at = now
+            source.lookup_overdue_at = now
         suspect = edge
         if route.fill_source and is_edge_alive:
             route.fill_source.record_overdue_fill()
             if route.fill_source is not source:
                 # What a parent was to fetch from the origin it lost, if both ends of it are alive.
                 suspect = route.fill_source
-        source_share = _source_share(attempt)
-        if source_share < 1:
-            self._record_failure(suspect, 1 - source_share, now)
-        if source and source_share > 0:
-            self._record_failure(source, source_share, now)
+        source_fault_share = _source_fault_share(attempt)
+        if source_fault_share < 1:
+            self._record_failure(suspect, 1 - source_fault_share, now)
+        if source and source_fault_share > 0:
+            self._record_failure(source, source_fault_share, now)
 
     def _observe_cache(self, finished: FinishedAttempt) -> None:
         """Learn the cache's share of misses, and of errors where no source took part."""
@@ -110,7 +112,7 @@
         if not has_source:
             self._fills.observe_lookup(edge, result)
         if not has_source or result is AttemptResult.OK:
-            memory = ERROR_SHARE_MEMORY_ANSWERS if has_source else ERROR_SHARE_MEMORY_SOURCELESS
+            memory = ERROR_SMOOTHING_WITH_SOURCE if has_source else ERROR_SMOOTHING_WITHOUT_SOURCE
             is_error = result is AttemptResult.ERROR
             self.cache_error_share += (is_error - self.cache_error_share) / memory
 
@@ -125,10 +127,10 @@
         self._origin_throttle.learn(
             finished.event,
             finished.at,
-            HEADROOM * objective,
+            PLANNABLE_TIME_SHARE * objective,
             self._origin_failure_probability(source),
             self._fill_objective,
-            self._own_refusal_seconds,
+            self._cache_rejection_seconds,
         )
 
     def _origin_failure_probability(self, source: Server) -> float:
@@ -162,7 +164,7 @@
         self._outlier_detection.record_success(source, finished.at)
         if attempt.route.fill_source and not attempt.is_overdue:
             attempt.route.fill_source.record_timely_fill()
-        if request and finished.event.wait < HEADROOM * request.latency_objective:
+        if request and finished.event.wait < PLANNABLE_TIME_SHARE * request.latency_objective:
             source.grow_window(attempt.fill_probability)
 
     def _attribute_broken_connection(self, edge: Server, now: float) -> None:
@@ -180,18 +182,20 @@
         """Attribute an error or refusal to the source, or to the cache if that makes errors alone."""
         event = finished.event
         route = finished.attempt.route
-        if event.wait <= self._own_refusal_seconds:
+        if event.wait <= self._cache_rejection_seconds:
             return
         is_error = event.result is AttemptResult.ERROR
         # A good source is not ejected for errors that caches make alone, sooner than a fill is given up.
-        is_own_error = (
-            is_error and self.cache_error_share > OWN_ERROR_SHARE and event.wait < self._fill_objective
+        is_cache_error = (
+            is_error
+            and self.cache_error_share > CACHE_ERROR_SHARE_THRESHOLD
+            and event.wait < self._fill_objective
         )
         # Fewer fills in flight would not have helped against a fast failure.
         objective = finished.request.latency_objective if finished.request else self._fill_objective
-        is_overload = not is_error or event.wait >= HEADROOM * objective
-        if is_own_error:
-            self._record_failure(route.edge, SOURCELESS_ERROR_SCORE, finished.at, is_overload)
+        is_overload = not is_error or event.wait >= PLANNABLE_TIME_SHARE * objective
+        if is_cache_error:
+            self._record_failure(route.edge, CACHE_ERROR_SCORE, finished.at, is_overload)
         else:
             self._record_failure(route.attributed_source or route.edge, 1.0, finished.at, is_overload)
 
@@ -211,13 +215,13 @@
             attempt.route.attributed_source.has_trial = False
 
 
-def _source_share(attempt: Attempt) -> float:
+def _source_fault_share(attempt: Attempt) -> float:
     """Return the share, 0 to 1, of an overdue attempt's failure that is its source's."""
     edge = attempt.route.edge
     source = attempt.route.attributed_source
     if source is None or source is edge or source.last_alive_at > attempt.sent_at:
         return 0.0
-    return 1.0 if edge.last_alive_at > attempt.sent_at else BOTH_SILENT_SOURCE_SHARE
+    return 1.0 if edge.last_alive_at > attempt.sent_at else UNDECIDED_SOURCE_SHARE
 
 
 def _fill_objective(settings: Settings) -> float:
--- a/brackenlane/routing/overload.py
+++ b/brackenlane/routing/overload.py
@@ -1,4 +1,4 @@
-"""The signs of an overload that a router sees: late answers of caches, and what the origin answers late.
+"""Overload signals that a router observes: high latency in general, and late fills from the origin.
 
 Pure. Times are Unix seconds.
 """
@@ -12,12 +12,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class OverloadSigns:
-    """The two estimates that tell of an overload."""
+class OverloadSignals:
+    """The two estimates from which an overload is detected."""
 
     latency: LatencyEstimate
     origin_throttle: OriginThrottle
 
-    def has_any(self, now: float) -> bool:
-        """Whether answers are late, or the origin takes less than all of its requests."""
-        return self.latency.overloaded or self.origin_throttle.part(now) < 1
+    def is_overloaded(self, now: float) -> bool:
+        """Whether latency is too high, or the origin throttle admits less than all requests."""
+        return self.latency.overloaded or self.origin_throttle.current_share(now) < 1
--- a/brackenlane/routing/router.py
+++ b/brackenlane/routing/router.py
@@ -40,9 +40,9 @@
 from brackenlane.routing.lookup_policy import LookupPolicy
 from brackenlane.routing.membership import ServerTable
 from brackenlane.routing.origin_throttle import OriginThrottle
-from brackenlane.routing.outcome_attribution import OWN_REFUSAL_TICKS, FinishedAttempt, OutcomeAttribution
+from brackenlane.routing.outcome_attribution import CACHE_REJECTION_TICKS, FinishedAttempt, OutcomeAttribution
 from brackenlane.routing.outlier_detection import OutlierDetection
-from brackenlane.routing.overload import OverloadSigns
+from brackenlane.routing.overload import OverloadSignals
 from brackenlane.routing.popularity import Popularity
 from brackenlane.routing.purges import Purges
 from brackenlane.routing.retry_budget import RetryBudget
@@ -56,11 +56,13 @@
 from brackenlane.routing.timers import RouterTimers
 from brackenlane.routing.topology import Topology
 
-MAX_REMEMBERED = 4000  # objects, in each table; those requested longest ago are forgotten first
-FEW_ROUTERS = 3  # sharing a link: up to these, a fill counts as a whole transfer until its waits are learned
+MAX_TABLE_ENTRIES = 4000  # objects, in each table; those requested longest ago are forgotten first
+MAX_ROUTERS_WITHOUT_MIN_WAITING = (
+    3  # sharing a link: up to these, a fill counts as a whole transfer until its waits are learned
+)
 MIN_WAITING_SHARE = 0.5  # of its time that a fill waits for its source, where more routers share a link
 OVERDUE_WAIT_FACTOR = 2  # an overdue attempt's wait is not over: it is learned as so many times longer
-OVERDUE_RECHECKS = 2  # of an overdue attempt, in each latency objective of its class
+RECHECKS_PER_OBJECTIVE = 2  # of an overdue attempt, in each latency objective of its class
 
 
 class Router:
@@ -72,17 +74,19 @@
         self.settings = settings
         self.pending_requests: dict[str, Request] = {}
         self.purges = Purges(settings.purge_propagation_time, settings.tick)
-        self.popularity = Popularity(MAX_REMEMBERED)
-        self.sizes = Sizes(settings.classes, settings.tick, MAX_REMEMBERED)
+        self.popularity = Popularity(MAX_TABLE_ENTRIES)
+        self.sizes = Sizes(settings.classes, settings.tick, MAX_TABLE_ENTRIES)
         self.latency = LatencyEstimate()
         self.origin_throttle = OriginThrottle()
         self.retry_budget = RetryBudget()
         self._retry_policy = RetryPolicy(settings, self.retry_budget)
         # Counted as whole transfers by many routers, fills that wait would leave the links of caches idle.
-        min_waiting_share = MIN_WAITING_SHARE if topology.local_router_count > FEW_ROUTERS else 0.0
+        min_waiting_share = (
+            MIN_WAITING_SHARE if topology.local_router_count > MAX_ROUTERS_WITHOUT_MIN_WAITING else 0.0
+        )
         self.fills = FillEstimate(settings.status_reporting, rng, min_waiting_share)
-        self.server_table = ServerTable(settings, topology, MAX_REMEMBERED)
-        self.slow_start_budget = SlowStartBudget(settings, topology, self.sizes, MAX_REMEMBERED)
+        self.server_table = ServerTable(settings, topology, MAX_TABLE_ENTRIES)
+        self.slow_start_budget = SlowStartBudget(settings, topology, self.sizes, MAX_TABLE_ENTRIES)
         self.capacity = ServerCapacity(settings, topology, self.sizes, self.slow_start_budget)
         self.attempts = AttemptTable(self.capacity, self.fills)
         self.outcome_attribution = self._create_outcome_attribution(rng)
@@ -107,7 +111,7 @@
         )
 
     def _create_route_selection(self, rng: random.Random) -> RouteSelection:
-        overload = OverloadSigns(self.latency, self.origin_throttle)
+        overload = OverloadSignals(self.latency, self.origin_throttle)
         return RouteSelection(
             self.settings,
             self.server_table,
@@ -196,7 +200,7 @@
         elif self._retry_policy.should_cancel(request, attempt.route, now):
             self._actions.append(Cancel(key.request_id, key.number))
         else:
-            recheck_at = now + request.cls.latency_objective / OVERDUE_RECHECKS
+            recheck_at = now + request.cls.latency_objective / RECHECKS_PER_OBJECTIVE
             self._actions.append(self._timers.set_overdue(key.request_id, key.number, recheck_at))
 
     def _on_outcome(self, event: Outcome, now: float) -> None:
@@ -212,10 +216,10 @@
             self._forget(event.request_id)
             return
         request.record_failure(event.result, event.wait, attempt)
-        is_own_refusal = (
-            event.result is AttemptResult.FULL and event.wait <= OWN_REFUSAL_TICKS * self.settings.tick
+        is_cache_rejection = (
+            event.result is AttemptResult.FULL and event.wait <= CACHE_REJECTION_TICKS * self.settings.tick
         )
-        request.record_lookup(event.result, is_own_refusal, attempt)
+        request.record_lookup(event.result, is_cache_rejection, attempt)
         self._attempt(request, now)
 
     def _attempt(self, request: Request, now: float) -> None:
--- a/brackenlane/routing/servers.py
+++ b/brackenlane/routing/servers.py
@@ -1,6 +1,7 @@
-"""What one router knows of a server: an edge cache, a parent cache or the origin.
+"""The state that one router keeps for a server: an edge cache, a parent cache or the origin.
 
-Pure. Times are Unix seconds; work is in transfer-seconds, widths and weights are in transfers at a time.
+Pure. Times are Unix seconds, work is in seconds of transfer time, widths and weights are in concurrent
+transfers.
 """
 
 from __future__ import annotations
@@ -12,18 +13,18 @@
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.slow_start import TokenBucket
 
-PRIOR_MISS_SHARE = 0.5  # of a cache's requests, until it is learned
-WIDTH_MEMORY = 8  # contended transfers that a learned width is a mean over, about
-UNCONTENDED_STRETCH = 1.3  # times its own sending time, within which a transfer had its link to itself
-LOAD_MEMORY = 16  # arrivals that the mean of transfers in flight is a mean over, about
-MIN_FILL_WINDOW = 1.0  # fills in flight at a source, whatever has failed there
-MIN_TIMELINESS = 0.2  # kept however late a parent's fills are: it may have recovered
-TIMELINESS_KEPT = 0.75  # by a fill that is overdue
-TIMELINESS_MEMORY = 4  # fills in time that bring timeliness back, about
+PRIOR_MISS_SHARE = 0.5  # assumed miss ratio of a cache before any is learned
+WIDTH_SMOOTHING_TRANSFERS = 8  # time constant with which a learned width shrinks, in contended transfers
+MAX_UNCONTENDED_SLOWDOWN = 1.3  # duration over own transfer time up to which a link was uncontended
+LOAD_SMOOTHING_ARRIVALS = 16  # time constant of the mean of transfers in flight, in arrivals
+MIN_FILL_WINDOW = 1.0  # fills that may be in flight at a source after any number of failures
+MIN_TIMELINESS = 0.2  # lower bound, which lets a parent that has recovered show it
+TIMELINESS_DECREASE_FACTOR = 0.75  # multiplies the timeliness after an overdue fill
+TIMELINESS_SMOOTHING_FILLS = 4  # time constant with which timely fills restore it, in fills
 
 
 class Server:
-    """The state that this router keeps of one server."""
+    """The state that this router keeps for one server."""
 
     __slots__ = (
         "born",
@@ -35,7 +36,7 @@
         "has_trial",
         "in_flight",
         "last_alive_at",
-        "late_with_held_at",
+        "lookup_overdue_at",
         "mean_in_flight",
         "member",
         "miss_share",
@@ -53,81 +54,88 @@
         router_started_at: float = 0.0,
         is_width_known: bool = True,
     ) -> None:
-        """initial_window: fills in flight that are allowed at first."""
-        # As listed by discovery.
+        """initial_window: initial limit on fills in flight at a source.
+
+        router_started_at: Unix time before which no slow-start budget accrues; is_width_known: whether
+        discovery lists weights.
+        """
+        # The latest entry on the discovery list.
         self.member = member
-        # When it started, as listed or as its time out of use suggests; slow start counts from then.
+        # Start time, either as listed or reset after a long ejection; slow start is measured from here.
         self.born = member.started_at
-        # What slow start leaves for this router; of the time before it started, nothing.
+        # Slow-start budget of this router; nothing accrues for the time before the router started.
         self.tokens = TokenBucket(max(member.started_at, router_started_at))
-        # Transfers that its link bears at a time, learned from answers; 0 until then.
+        # Link width in concurrent transfers, learned from answers; 0: not learned yet.
         self.width = 0.0
-        # The factor of its width that is used, learned from answers in time and late ones.
+        # Limit on concurrent transfers relative to the width, learned from timely and late answers.
         self.concurrency = ConcurrencyLimit(1.0 if is_width_known else math.inf)
-        # Transfers of this router: attempts at a cache, fills of a source by their likelihood.
+        # Transfers of this router in flight: attempts at a cache, or fills of a source, each weighted by its
+        # probability.
         self.in_flight = 0.0
         self.mean_in_flight = 0.0
-        # Fills that may be in flight at this source: slow start, then additive increase.
+        # Limit on fills in flight at this source: slow start, then additive increase.
         self.window = math.inf if member.role is Role.EDGE else initial_window
         self.window_halved_at = -math.inf
-        # Failures attributed to it, halved by each success.
+        # Sum of the failures attributed to this server, halved by each success.
         self.failure_score = 0.0
-        # 0: in use; else when the next trial is due.
+        # Time at which the next trial is due; 0: not ejected.
         self.ejected_until = 0.0
-        self.ejection_seconds = 0.0  # between the last two trials
+        self.ejection_seconds = 0.0  # duration of the latest ejection without jitter
         self.has_trial = False  # whether a trial is in flight
-        # Share of a cache's requests that are misses, as reported or looked up.
+        # Miss ratio of a cache, learned from load reports and lookups.
         self.miss_share = PRIOR_MISS_SHARE
-        # Share of its latest fills that were not overdue.
+        # Moving share of fills that were not overdue.
         self.timeliness = 1.0
-        self.last_alive_at = -math.inf  # its last success
-        self.late_with_held_at = -math.inf  # when it was last late with a copy that it held
+        self.last_alive_at = -math.inf  # time of the last success
+        self.lookup_overdue_at = -math.inf  # time of the last overdue lookup at this parent
         self.connection_broken_at = -math.inf
 
     @property
-    def known_width(self) -> float:
-        """Transfers at a time that its link bears, as listed or as sizes and times of answers have shown."""
+    def link_width(self) -> float:
+        """Link width in concurrent transfers: the larger of the listed weight and the learned width."""
         return max(self.width, self.member.weight)
 
     @property
-    def limit(self) -> float:
-        """Transfers at a time that it is given."""
-        return self.known_width * self.concurrency.factor
+    def transfer_limit(self) -> float:
+        """Limit on concurrent transfers: the link width times the learned factor."""
+        return self.link_width * self.concurrency.factor
 
-    def learn_width(self, transfers: float, stretch: float) -> None:
-        """Learn the width of a link for which discovery lists none.
+    def learn_width(self, transfers: float, slowdown: float) -> None:
+        """Learn the width of a link for which discovery lists no weight.
 
-        transfers: on the link meanwhile; stretch: how many times longer than alone one of them took.
+        transfers: number of concurrent transfers on the link; slowdown: duration of one of them, as a
+        multiple of its transfer time alone.
         """
-        if stretch <= UNCONTENDED_STRETCH:
+        if slowdown <= MAX_UNCONTENDED_SLOWDOWN:
             self.width = max(self.width, transfers)
         else:
-            self.width += (min(self.width, transfers / stretch) - self.width) / WIDTH_MEMORY
+            self.width += (min(self.width, transfers / slowdown) - self.width) / WIDTH_SMOOTHING_TRANSFERS
 
     def grow_window(self, fill: float) -> None:
-        """Raise the window by a fill in time: slow start until it was first halved, then additive increase.
+        """Raise the window after a timely fill: slow start until the first halving, then additive increase.
 
-        fill: the likelihood, 0 to 1, with which the fill was counted as in flight.
+        fill: the probability, 0 to 1, with which the fill was counted as in flight. A window less than half
+        in use is not raised.
         """
         if 2 * (self.in_flight + fill) > self.window:
             self.window += fill * (1 if self.window_halved_at < 0 else 1 / self.window)
 
-    def halve_window(self, now: float, pause: float) -> None:
-        """Halve the window, once for all that fails within a pause (seconds)."""
-        if now > self.window_halved_at + pause:
+    def halve_window(self, now: float, cooldown: float) -> None:
+        """Halve the window after a failure, at most once in a cooldown (seconds)."""
+        if now > self.window_halved_at + cooldown:
             self.window = max(MIN_FILL_WINDOW, self.window / 2)
             self.window_halved_at = now
 
     def record_overdue_fill(self) -> None:
-        """Lower the timeliness."""
-        self.timeliness = max(MIN_TIMELINESS, TIMELINESS_KEPT * self.timeliness)
+        """Lower the timeliness after an overdue fill."""
+        self.timeliness = max(MIN_TIMELINESS, TIMELINESS_DECREASE_FACTOR * self.timeliness)
 
     def record_timely_fill(self) -> None:
-        """Raise the timeliness."""
-        self.timeliness += (1 - self.timeliness) / TIMELINESS_MEMORY
+        """Raise the timeliness after a fill that was not overdue."""
+        self.timeliness += (1 - self.timeliness) / TIMELINESS_SMOOTHING_FILLS
 
 
 def observe_loads(servers: Iterable[Server]) -> None:
-    """Take the transfers in flight of each server into their mean; called at each arrival."""
+    """Update the mean of transfers in flight of each server; called at each arrival."""
     for server in servers:
-        server.mean_in_flight += (server.in_flight - server.mean_in_flight) / LOAD_MEMORY
+        server.mean_in_flight += (server.in_flight - server.mean_in_flight) / LOAD_SMOOTHING_ARRIVALS
--- a/brackenlane/routing/sizes.py
+++ b/brackenlane/routing/sizes.py
@@ -1,6 +1,6 @@
-"""Transfer times of answers whose sizes are not given: by object, and means by class, learned from answers.
+"""Transfer times of answers of unknown size, learned per object, with a mean per class as a fallback.
 
-Pure. Times are in seconds of one transfer alone at the highest pace.
+Pure. A transfer time is in seconds, for one transfer alone on its link at the highest pace.
 """
 
 from __future__ import annotations
@@ -11,65 +11,70 @@
 
 from brackenlane.routing.settings import RequestClass
 
-PRIOR_ANSWERS = 4.0  # that the prior of a mean counts as
-MEMORY = 50.0  # answers over which a mean is averaged, at most
-# Priors of a mean, as shares of the class's latency objective: objects that have several parts are large.
+PRIOR_ANSWERS = 4.0  # weight of the prior in a mean, in answers
+MAX_MEAN_ANSWERS = 50.0  # maximum time constant of a moving mean, in answers
+# Prior mean of a class as a share of its latency objective. Objects that have several parts are large.
 PRIOR_SHARE = 0.25
 PRIOR_SHARE_IN_PARTS = 0.8
 
 
 class Sizes:
-    """Transfer times that one router has learned; objects that were seen longest ago are forgotten first."""
+    """Transfer times that one router has learned; evicts the least recently answered objects."""
 
-    def __init__(self, classes: Sequence[RequestClass], tick: float, retained: int) -> None:
-        """tick: of the clock, seconds; retained: objects remembered, at most."""
+    def __init__(self, classes: Sequence[RequestClass], tick: float, max_entries: int) -> None:
+        """tick: resolution of the clock in seconds; max_entries: maximum number of objects remembered."""
         self._tick = tick
-        self._retained = retained
-        self.by_object: OrderedDict[str, float] = OrderedDict()  # all parts of an object are of one size
-        self.means = {cls.name: _prior_mean(cls) for cls in classes}  # by class
-        self._longest = {cls.name: cls.time_limit for cls in classes}
-        self._answer_counts = dict.fromkeys(self.means, PRIOR_ANSWERS)  # in each mean, with its prior
-        self._are_sizes_seen = False  # in answers
+        self._max_entries = max_entries
+        self.by_object: OrderedDict[str, float] = (
+            OrderedDict()
+        )  # seconds; one value for all parts of an object
+        self.means = {cls.name: _prior_mean(cls) for cls in classes}  # seconds, by name of the class
+        self._time_limits = {cls.name: cls.time_limit for cls in classes}
+        self._answer_counts = dict.fromkeys(
+            self.means, PRIOR_ANSWERS
+        )  # answers behind each mean, including its prior
+        self._are_sizes_seen = False  # whether any answer has shown its size
 
     @property
-    def largest(self) -> float:
-        """The largest mean of a class."""
+    def largest_mean(self) -> float:
+        """The largest mean of all classes, in seconds."""
         return max(self.means.values())
 
     def work(self, cls: str, obj: str, known: float) -> float:
-        """Return the transfer time of a request; known: as given, 0 if not.
+        """Return the transfer time of a request in seconds.
 
-        Else it is that of its object, or the mean of its class.
+        known: the transfer time if the request gives its size, else 0. In the latter case the learned time of
+        the object is returned, or the mean of the class for an unknown object.
         """
         work = known or self.by_object.get(obj, self.means[cls])
         if known or obj in self.by_object:
             self._update_mean(cls, work)
         return work
 
-    def learn(self, cls: str, obj: str, alone: float, wait: float) -> None:
-        """Learn from an answer of an object.
+    def learn(self, cls: str, obj: str, transfer_seconds: float, wait: float) -> None:
+        """Learn the transfer time of an object from one answer.
 
-        alone: its transfer time by the size that was seen, 0 where none was; wait: seconds that it took.
-        Without sizes the shortest wait counts, which holds the least of anything else.
+        transfer_seconds: computed from the size of the answer, 0 if the size is unknown; wait: seconds that
+        the attempt took. If no sizes are known, the shortest wait is used: it includes the least queueing.
         """
-        self._are_sizes_seen = self._are_sizes_seen or alone > 0
-        if self._are_sizes_seen and not alone:
-            return  # a response without content (304) says nothing of a size
+        self._are_sizes_seen = self._are_sizes_seen or transfer_seconds > 0
+        if self._are_sizes_seen and not transfer_seconds:
+            return  # a response without content, such as 304, does not show the size of the object
         known = self.by_object.get(obj, math.inf)
-        if alone and known == math.inf:
-            self._update_mean(cls, alone)
-        self.by_object[obj] = max(alone, self._tick) if alone else min(wait, known)
+        if transfer_seconds and known == math.inf:
+            self._update_mean(cls, transfer_seconds)
+        self.by_object[obj] = max(transfer_seconds, self._tick) if transfer_seconds else min(wait, known)
         self.by_object.move_to_end(obj)
-        if len(self.by_object) > self._retained:
+        if len(self.by_object) > self._max_entries:
             self.by_object.popitem(last=False)
 
     def _update_mean(self, cls: str, work: float) -> None:
-        """Update the mean of a class, at first mostly by the few answers that there are.
+        """Update the mean of a class; the first few answers have a larger weight.
 
-        What takes longer than anyone waits counts as that long, since a client may state any size.
+        The work is capped at the time limit of the class, because a client may state any size.
         """
-        work = min(work, self._longest[cls])
-        self._answer_counts[cls] = min(self._answer_counts[cls] + 1, MEMORY)
+        work = min(work, self._time_limits[cls])
+        self._answer_counts[cls] = min(self._answer_counts[cls] + 1, MAX_MEAN_ANSWERS)
         self.means[cls] += (work - self.means[cls]) / self._answer_counts[cls]
 
 
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -73,5 +73,5 @@
 def test_requests_do_not_spill_over_while_the_origin_is_throttled() -> None:
     """A request that spills over is filled once more, which a slow origin must be spared."""
     harness = RouterHarness(FLEET, now=100.0, weights_known=False)
-    harness.router.origin_throttle.decrease(harness.now, certainty=1.0, window=0.0)
+    harness.router.origin_throttle.decrease(harness.now, origin_probability=1.0, cooldown=0.0)
     assert open_requests(harness, 8)["edge-0"] == 8
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -11,7 +11,7 @@
 
 from brackenlane.routing import membership
 from brackenlane.routing.actions import Fetch, Reject
-from brackenlane.routing.concurrency_limit import DECREASE_FACTOR, LEAST_USED_SHARE, ConcurrencyLimit
+from brackenlane.routing.concurrency_limit import DECREASE_FACTOR, MIN_UTILIZATION, ConcurrencyLimit
 from brackenlane.routing.events import AttemptResult
 from tests.router_harness import RouterHarness, members, only
 from tests.test_portal_settings import PACE, Branch
@@ -30,8 +30,8 @@
 
 def test_slow_start_adds_a_transfer_for_each_answer_in_time_of_a_limit_in_use() -> None:
     limit = ConcurrencyLimit(math.inf)
-    assert observed(limit, (IN_TIME, LEAST_USED_SHARE, 0.0), (IN_TIME, 1.0, 0.0)) == pytest.approx(WIDTH + 2)
-    assert observed(limit, (IN_TIME, LEAST_USED_SHARE / 2, 0.0)) == pytest.approx(WIDTH + 2)  # proves nothing
+    assert observed(limit, (IN_TIME, MIN_UTILIZATION, 0.0), (IN_TIME, 1.0, 0.0)) == pytest.approx(WIDTH + 2)
+    assert observed(limit, (IN_TIME, MIN_UTILIZATION / 2, 0.0)) == pytest.approx(WIDTH + 2)  # proves nothing
 
 
 def test_late_answers_decrease_the_limit_once_in_a_window() -> None:
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -14,7 +14,7 @@
 from brackenlane.routing.attempts import Request
 from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus, Outcome
 from brackenlane.routing.fill_estimate import FillEstimate
-from brackenlane.routing.latency import BASELINE_MEMORY
+from brackenlane.routing.latency import BASELINE_SMOOTHING_ANSWERS
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import CacheStatusReporting, SlowStart
@@ -79,9 +79,9 @@
     cache = Server(Member("edge-0", "depot", Role.EDGE))
     fills.observe_report(cache, (("x0", 0.8), ("x7", 0.1)))
     fills.observe_report(cache, (("x0", value),))
-    assert fills.expected(cache) == pytest.approx(0.2)
+    assert fills.fill_probability(cache) == pytest.approx(0.2)
     fills.observe_report(cache, ())
-    assert fills.expected(cache) == pytest.approx(0.2)
+    assert fills.fill_probability(cache) == pytest.approx(0.2)
 
 
 def test_miss_share_is_learned_from_lookups_without_reports() -> None:
@@ -89,7 +89,7 @@
     cache = Server(Member("edge-0", "depot", Role.EDGE))
     for n in range(400):
         fills.observe_lookup(cache, AttemptResult.MISS if n % 5 == 0 else AttemptResult.OK)
-    assert fills.expected(cache) == pytest.approx(0.2, abs=0.05)
+    assert fills.fill_probability(cache) == pytest.approx(0.2, abs=0.05)
 
 
 def test_answers_are_attributed_to_fills_with_the_expected_probability() -> None:
@@ -128,10 +128,10 @@
 def test_waiting_share_is_learned_from_certain_fills_only() -> None:
     fills = FillEstimate(CacheStatusReporting.SILENT, random.Random(1))
     for _ in range(100):
-        fills.observe_pace(filled=True, chance=0.5, work=0.1, wait=0.4)
+        fills.observe_pace(is_fill=True, fill_probability=0.5, work=0.1, wait=0.4)
     assert fills.waiting_share == 0.0
     for _ in range(100):
-        fills.observe_pace(filled=True, chance=1.0, work=0.1, wait=0.4)
+        fills.observe_pace(is_fill=True, fill_probability=1.0, work=0.1, wait=0.4)
     assert fills.waiting_share == pytest.approx(0.72, abs=0.05)
 
 
@@ -182,7 +182,7 @@
     assert not harness.router.latency.overloaded
 
 
-BASELINE_ANSWERS = 3 * BASELINE_MEMORY  # until the baseline is learned
+BASELINE_ANSWERS = 3 * BASELINE_SMOOTHING_ANSWERS  # until the baseline is learned
 
 
 def test_rise_of_waits_is_overload_also_above_a_long_baseline() -> None:
--- a/tests/test_fill_source.py
+++ b/tests/test_fill_source.py
@@ -193,7 +193,7 @@
 
 def test_nothing_adds_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """On a long day of new objects and replaced caches, neither is remembered for good."""
-    monkeypatch.setattr("brackenlane.routing.router.MAX_REMEMBERED", 50)
+    monkeypatch.setattr("brackenlane.routing.router.MAX_TABLE_ENTRIES", 50)
     harness = RouterHarness()
     for n in range(200):
         new = [
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -12,7 +12,7 @@
 from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer
 from brackenlane.routing.events import AttemptResult, CacheStatus, Outcome, TimerFired
 from brackenlane.routing.members import Member, Role
-from brackenlane.routing.origin_throttle import LEAST_SHARE, RECOVERY_SECONDS, OriginThrottle
+from brackenlane.routing.origin_throttle import MIN_SHARE, RECOVERY_SECONDS, OriginThrottle
 from tests.router_harness import RouterHarness, only
 
 ROUTERS = 60
@@ -149,7 +149,7 @@
 
 def test_without_the_throttle_few_requests_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """The fault to detect: all is admitted, and the origin works off requests that were abandoned."""
-    monkeypatch.setattr(OriginThrottle, "part", lambda self, now: 1.0)
+    monkeypatch.setattr(OriginThrottle, "current_share", lambda self, now: 1.0)
     world = World(1)
     world.run(105.0)
     world.origin_rate = DEGRADED_RATE
@@ -167,7 +167,7 @@
     fetch = only(harness.ask("lost", "tiles", time_left=2.5, size_kb=0.0), Fetch)
     assert (fetch.server, fetch.source) == ("edge-0", "origin")
     harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=0.015 if is_fast else 1.265)
-    assert (harness.router.origin_throttle.part(harness.now) == 1.0) is is_fast
+    assert (harness.router.origin_throttle.current_share(harness.now) == 1.0) is is_fast
 
 
 @pytest.mark.parametrize(("failing", "part"), [(0, 1.0), (1, 0.875), (2, 0.75), (4, 0.5)])
@@ -183,7 +183,7 @@
     for name in others[:failing]:
         harness.router.servers[name].failure_score = 1.0
     harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=3.0)
-    assert harness.router.origin_throttle.part(harness.now) == pytest.approx(part)
+    assert harness.router.origin_throttle.current_share(harness.now) == pytest.approx(part)
 
 
 @pytest.mark.parametrize(("every", "low", "high"), [(5, 0.6, 1.0), (1, 0.0, 0.2)])
@@ -195,22 +195,22 @@
         now, wait = 100 + 0.2 * n, 0.39 if n % every == 0 else 0.05
         fill = Outcome("x", 0, "edge-0", AttemptResult.OK, wait, True, CacheStatus.FILLED_BY_ORIGIN, wait)
         throttle.learn(fill, now, 0.28, 1.0, 0.4, 0.004)
-        parts.append(throttle.part(now))
+        parts.append(throttle.current_share(now))
     assert low <= sum(parts[20:]) / 40 <= high
 
 
 def test_share_is_halved_once_in_a_window_and_recovers_with_time() -> None:
     """Halved once for all that is late together, down to its least; back to 1 in the recovery time."""
     throttle = OriginThrottle()
-    assert throttle.part(100.0) == 1.0
+    assert throttle.current_share(100.0) == 1.0
     throttle.decrease(100.0, 1.0, 0.5)
     throttle.decrease(100.4, 1.0, 0.5)
-    assert throttle.part(100.4) == pytest.approx(0.55)
+    assert throttle.current_share(100.4) == pytest.approx(0.55)
     throttle.decrease(101.0, 0.5, 0.5)
-    assert throttle.part(101.0) == pytest.approx(0.625 * 0.75)
+    assert throttle.current_share(101.0) == pytest.approx(0.625 * 0.75)
     for n in range(20):
         throttle.decrease(102.0 + n * 0.51, 1.0, 0.5)
-    assert LEAST_SHARE <= throttle.part(112.2) < 0.15
-    assert throttle.part(112.2 + RECOVERY_SECONDS) == 1.0
+    assert MIN_SHARE <= throttle.current_share(112.2) < 0.15
+    assert throttle.current_share(112.2 + RECOVERY_SECONDS) == 1.0
     throttle.decrease(130.0, 0.0, 0.5)
-    assert throttle.part(130.0) == 1.0
+    assert throttle.current_share(130.0) == 1.0
--- a/tests/test_overload_decisions.py
+++ b/tests/test_overload_decisions.py
@@ -220,7 +220,7 @@
     held, timer = only(actions, Fetch), every(actions, SetTimer)[0]
     harness.now = timer.at
     harness.router.handle(TimerFired(timer.token), harness.now)
-    assert harness.router.servers[held.source].late_with_held_at == harness.now
+    assert harness.router.servers[held.source].lookup_overdue_at == harness.now
     for n in range(30):
         fetch = only(
             harness.end(only(harness.ask(f"next{n}"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch
