--- a/brackenlane/routing/answer_learning.py
+++ b/brackenlane/routing/answer_learning.py
@@ -1,6 +1,6 @@
-"""What is learned from a good answer: waits, sizes, widths of links, and how many transfers they bear.
+"""Learning from successful answers: latency, sizes, link widths and concurrency limits.
 
-Pure. Times are Unix seconds, work is in transfer-seconds, widths are in transfers at a time.
+Pure. Times are Unix seconds, work is in seconds of transfer time, widths are in concurrent transfers.
 """
 
 from __future__ import annotations
@@ -16,11 +16,13 @@
 from brackenlane.routing.settings import Settings
 from brackenlane.routing.sizes import Sizes
 
-MIN_TRANSFER_TICKS = 8  # of an answer that tells of a link's width: in less, its wait is mostly rounding
+# Clock ticks of transfer time from which an answer shows the width of a link. The measured duration of a
+# shorter transfer is mostly rounding error.
+MIN_TRANSFER_TICKS = 8
 
 
 class AnswerLearning:
-    """Takes answers into the estimates; has no state of its own."""
+    """Updates the estimates with answers; stateless."""
 
     def __init__(
         self,
@@ -41,19 +43,19 @@
         self._min_transfer_seconds = MIN_TRANSFER_TICKS * settings.tick
 
     def observe_wait(self, event: Outcome, request: Request | None) -> None:
-        """Learn how long answers take."""
+        """Update the latency estimate with an answer; request: None if it is over."""
         if request:
             self._latency.learn(event.wait / request.wait_unit)
 
     def refund_hit(self, event: Outcome, request: Request | None, source: Server) -> None:
-        """Give a source in slow start its work back that a hit did not need."""
+        """Refund the slow-start charge of a source that a cache hit did not need."""
         if request and event.cache_status is CacheStatus.HIT:
             self._capacity.refund_slow_start(source, request)
 
     def learn(
         self, event: Outcome, attempt: Attempt, request: Request | None, is_fill: bool, now: float
     ) -> None:
-        """Learn the limits, paces, widths and sizes that an answer shows; request: None if it is over."""
+        """Learn limits, paces, widths and sizes from an answer; request: None if it is over."""
         transfer_seconds = event.size_kb / self._pace_kb_per_s if self._pace_kb_per_s else 0.0
         if request:
             self._learn_limit(event, attempt, request, is_fill, now)
@@ -67,7 +69,7 @@
     def _learn_limit(
         self, event: Outcome, attempt: Attempt, request: Request, is_fill: bool, now: float
     ) -> None:
-        """Learn how many transfers at a time the server bears that an answer came from."""
+        """Adjust the concurrency limit of the server that served the answer."""
         server = attempt.route.edge
         load = attempt.edge_load
         status = CacheStatus.HIT
@@ -78,7 +80,7 @@
         if event.cache_status not in (status, CacheStatus.UNKNOWN) or server.member.role is Role.ORIGIN:
             return
         is_late = event.wait > request.latency_objective
-        # What is late alone on its link is large or slow, and no sign of contention.
+        # An answer that is late without concurrent transfers is large or slow, and shows no contention.
         if not is_late or load.transfers > 1:
             server.concurrency.observe(
                 is_late, load.utilization, server.link_width, now, request.latency_objective
@@ -87,7 +89,10 @@
     def _learn_width(
         self, event: Outcome, attempt: Attempt, is_fill: bool, transfer_seconds: float, now: float
     ) -> None:
-        """Learn the width of the link that an answer came over; sending_seconds: as it takes alone."""
+        """Learn the width of the link that carried an answer.
+
+        transfer_seconds: transfer time of the answer alone on the link.
+        """
         edge = attempt.route.edge
         source = attempt.route.attributed_source
         if event.cache_status is CacheStatus.HIT and edge.member.role is Role.EDGE:
@@ -107,7 +112,7 @@
             source.learn_width(transfers, 1.0)
 
     def _update_least_width(self, now: float) -> None:
-        """Keep the least width learned of a warm cache: one in slow start is assumed to have as much."""
+        """Store the smallest learned width of a warm cache, which is assumed for caches in slow start."""
         budget = self._capacity.slow_start_budget
         widths = [
             edge.width for edge in self._servers.edges if edge.width and self._capacity.is_warm(edge, now)
--- a/brackenlane/routing/attempt_table.py
+++ b/brackenlane/routing/attempt_table.py
@@ -1,6 +1,6 @@
-"""The attempts in flight of one router, and the transfers that they count as on the links of servers.
+"""The attempts in flight of one router, and the load that they put on the links of servers.
 
-Pure. Times are Unix seconds, loads are in transfers.
+Pure. Times are Unix seconds, loads are in concurrent transfers.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class AttemptTable:
-    """The attempts in flight by key; what `open` counts at the servers, `close` takes back."""
+    """The attempts in flight by key; `open` adds their load to the servers, `close` removes it."""
 
     __slots__ = ("_attempts", "_capacity", "_fills")
 
@@ -34,11 +34,11 @@
         return key in self._attempts
 
     def get(self, key: AttemptKey) -> Attempt | None:
-        """Return an attempt in flight; None for one that has ended or is unknown."""
+        """Return an attempt in flight; None if it has ended or is unknown."""
         return self._attempts.get(key)
 
     def open(self, request: Request, route: Route, now: float) -> AttemptKey:
-        """Count an attempt as in flight and return its key."""
+        """Add an attempt as in flight and return its key."""
         self._charge(request, route, now)
         key = AttemptKey(request.arrival.request_id, request.attempts_sent)
         self._attempts[key] = self._start(request, route, now)
@@ -49,7 +49,7 @@
         return key
 
     def close(self, key: AttemptKey) -> Attempt | None:
-        """Take an attempt out of flight and return it; None for an unknown one."""
+        """Remove an attempt that is no longer in flight and return it; None if it is unknown."""
         attempt = self._attempts.pop(key, None)
         if attempt is None:
             return None
@@ -63,19 +63,19 @@
         return attempt
 
     def _charge(self, request: Request, route: Route, now: float) -> None:
-        """Take what an attempt costs from the trials and slow-start budgets of the servers that it passes."""
+        """Charge an attempt to the slow-start budgets of its servers; it is the trial of ejected ones."""
         for server in route.servers:
             if server.ejected_until:
                 server.has_trial = server in (route.edge, route.attributed_source)
             self._capacity.charge_slow_start(server, request, now)
 
     def _start(self, request: Request, route: Route, now: float) -> Attempt:
-        """Count an attempt's transfers at its cache, its source and the link between; return its record."""
+        """Add the transfers of an attempt to its cache, its source and the local link; return its record."""
         capacity = self._capacity
         edge = route.edge
         source = route.attributed_source
         fill_probability = self._fill_probability(request, route)
-        # A fill waits for its source, and leaves its cache's link to others meanwhile.
+        # While a fill waits for its source, it does not use the link of its cache.
         edge_transfers = 1 - self._fills.waiting_share * fill_probability
         edge.in_flight += edge_transfers
         capacity.local_link.in_flight += fill_probability
@@ -87,7 +87,7 @@
         return Attempt(route, now, fill_probability, edge_transfers, edge_load, source_load)
 
     def _fill_probability(self, request: Request, route: Route) -> float:
-        """Return the probability with which an attempt's source takes part in it."""
+        """Return the probability that the source of an attempt takes part in it."""
         source = route.attributed_source
         if source is None:
             return 0.0
--- a/brackenlane/routing/bounded_load.py
+++ b/brackenlane/routing/bounded_load.py
@@ -1,9 +1,9 @@
-"""Consistent hashing with bounded loads: which caches may take one transfer more.
+"""Consistent hashing with bounded loads: caches that may accept one more transfer come first.
 
-Pure. Where the widths of caches' links are unknown, whether a transfer ends in time cannot be computed, but
-loads can be compared: a cache above a factor times the mean load of its location comes last (Mirrokni, Thorup
-and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2018). A load is transfers in flight for each
-transfer that the link carries at a time.
+Pure. If the link widths of caches are unknown, it cannot be computed whether a transfer completes in time,
+but loads can be compared: a cache whose load exceeds the mean of its location by a factor comes last
+(Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2018). The load of a cache is
+its number of transfers in flight divided by its link width.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Sequence
 from typing import TypeVar
 
-LOAD_FACTOR = 1.25  # of the mean load, that a cache may have; as the paper's authors chose
-SPARE_TRANSFERS = 2.0  # that each cache may have besides: a mean of few transfers says little
+LOAD_FACTOR = 1.25  # maximum load of a cache relative to the mean load, as in the paper
+SPARE_TRANSFERS = 2.0  # additional transfers per cache, as a mean of few transfers is not significant
 
 ServerT = TypeVar("ServerT")
 
@@ -23,10 +23,10 @@
     in_flight: Callable[[ServerT], float],
     width: Callable[[ServerT], float],
 ) -> list[ServerT]:
-    """Return the preferred caches in their order, but last those that one transfer more puts over the bound.
+    """Return the preferred caches in order, with those last that one more transfer puts over the bound.
 
-    peers: all caches of the location, for the mean; in_flight: transfers; width: transfers at a time, above
-    0.
+    peers: all caches of the location, which the mean is taken over; in_flight: returns the transfers in
+    flight of a cache; width: returns its link width in concurrent transfers, above 0.
     """
     mean = sum(in_flight(peer) / width(peer) for peer in peers) / max(1, len(peers))
 
@@ -34,4 +34,4 @@
         bound = LOAD_FACTOR * (mean + SPARE_TRANSFERS / width(server))
         return (in_flight(server) + 1) / width(server) > bound
 
-    return sorted(preferred, key=is_over_bound)  # stable: False, below the bound, comes before True
+    return sorted(preferred, key=is_over_bound)  # stable sort: caches below the bound (False) come first
--- a/brackenlane/routing/edge_selection.py
+++ b/brackenlane/routing/edge_selection.py
@@ -1,6 +1,6 @@
-"""The edge cache of a request: weighted rendezvous hashing, spread for popular objects, with bounded loads.
+"""Selection of the edge cache: weighted rendezvous hashing, replicas of popular objects, bounded loads.
 
-Pure. Times are Unix seconds, loads are in transfers at a time.
+Pure. Times are Unix seconds, loads are in concurrent transfers.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Settings
 
-MAX_REPLICAS = 3  # edge caches that one object is spread over
-REPLICA_LINK_SHARE = 1 / 8  # of a cache's link: so much load of one object spreads it over one cache more
-MIN_LOAD_PER_REPLICA = 1e-9  # transfers at a time; divides nothing by zero where all weights are 0
+MAX_REPLICAS = 3  # maximum number of edge caches that serve one object
+REPLICA_LINK_SHARE = 1 / 8  # load per replica, as a share of the mean link width of the caches
+MIN_LOAD_PER_REPLICA = 1e-9  # concurrent transfers; avoids a division by zero if all weights are 0
 
 
 class EdgeSelection:
-    """Selects edge caches; counts the popularity of objects."""
+    """Selects edge caches, and records the popularity of objects."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         rng: random.Random,
         popularity: Popularity,
     ) -> None:
-        """popularity: in which requests are counted here alone."""
+        """popularity: updated only by this class."""
         self._popularity = popularity
         self._settings = settings
         self._servers = servers
@@ -42,10 +42,10 @@
         self._random = rng
 
     def select(self, request: Request, source: Server | None, now: float) -> Server | None:
-        """Return the server that is sent the request; None if none can answer it in time.
+        """Return the server that is sent the request; None if no server can answer it in time.
 
-        It is the fill source itself if the edge caches have to be bypassed: none is left, or the last one
-        had no place for a fill.
+        The fill source itself is returned if the edge caches have to be bypassed, because none is usable or
+        the last one had no slot for a fill.
         """
         ranked = self._servers.edges_in_order(request.arrival.cache_key)
         usable = [edge for edge in ranked if self._capacity.is_usable(edge, request, now)]
@@ -54,14 +54,15 @@
             return source
         candidates = self._spill_order(self._candidates(request, usable, now), now)
         sharers = self._capacity.edge_sharers
-        # Slow, unresponsive or crowded caches are passed over; if all are, one more would add to an overload.
+        # Caches without room are skipped. If no cache has room, another transfer would only add to the
+        # overload.
         for edge in candidates:
             if self._capacity.has_room(edge, sharers, request, now):
                 return edge
         return None
 
     def _candidates(self, request: Request, usable: list[Server], now: float) -> list[Server]:
-        """Return the caches of the object in random order, then the others; without those already tried."""
+        """Return the replicas of the object in random order, then the other caches, without those tried."""
         replica_count = 1 if request.attempts_sent else self._replica_count(request, now)
         replicas = usable[:replica_count]
         self._random.shuffle(replicas)
@@ -70,9 +71,10 @@
         return untried or replicas
 
     def _spill_order(self, candidates: list[Server], now: float) -> list[Server]:
-        """Return the candidates with those over the bound of loads last, where widths are unknown.
+        """Return the candidates, with those over the load bound last if link widths are unknown.
 
-        A cache that a request spills over to fills the object: not while fills are slow.
+        The order stays unchanged in an overload, because a cache that receives spillover has to fill the
+        object.
         """
         if self._settings.weights_known or self._overload.is_overloaded(now):
             return candidates
@@ -85,7 +87,7 @@
         )
 
     def _replica_count(self, request: Request, now: float) -> int:
-        """Count the request and return how many caches its object is spread over, by its recent load."""
+        """Record the request and return the number of replicas of its object, by its recent load."""
         load = self._popularity.add(request.arrival.cache_key, request.work, now)
         edges = self._servers.edges
         mean_width = sum(edge.member.weight for edge in edges) / max(1, len(edges))
--- a/brackenlane/routing/fetch_actions.py
+++ b/brackenlane/routing/fetch_actions.py
@@ -1,4 +1,4 @@
-"""The `Fetch` of an attempt: its source, time limit, and which copies will do.
+"""Construction of the `Fetch` action of an attempt: its source, timeout and acceptable copies.
 
 Pure. Times are Unix seconds.
 """
@@ -17,14 +17,14 @@
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Idempotency, Settings
 
-# How a cache ranks the copy of an answer (`Fetch.keep`).
+# Retention ranks of a copy in a cache (`Fetch.keep`).
 RETENTION_NONE = 0
 RETENTION_NORMAL = 1
-RETENTION_REPEATED = 2  # requested more than once: not evicted by what may be requested once
+RETENTION_REPEATED = 2  # requested more than once: not evicted in favour of copies of normal rank
 
 
 class FetchActions:
-    """Builds fetches; has no state of its own."""
+    """Builds fetches; stateless."""
 
     def __init__(
         self,
@@ -43,16 +43,20 @@
         self._purges = purges
 
     def overdue_after(self, request: Request, now: float) -> float:
-        """Return the seconds until an attempt is overdue: past a usual wait, yet in time for a retry."""
+        """Return the seconds after which an attempt is overdue.
+
+        This is the usual maximum latency, or the latest time from which a retry still meets the latency
+        objective if that is later.
+        """
         max_units = self._latency.expected_max
-        # Only where the size is known does the usual wait end with the objective.
+        # The usual latency is capped at the objective only if the size is known.
         if request.arrival.size_kb:
             max_units = min(max_units, 1)
         expected_max = request.wait_unit * max_units
         return max(expected_max, request.objective_at - now - request.work)
 
     def build(self, request: Request, route: Route, is_retry: bool, now: float) -> Fetch:
-        """Return the fetch of a route; is_retry: the attempt before it was no lookup."""
+        """Return the fetch for a route; is_retry: whether the attempt is a retry."""
         cls = request.cls
         is_lookup = route.attributed_source is None
         timeout = request.deadline - now
@@ -72,16 +76,16 @@
         )
 
     def _named_source(self, route: Route) -> Server:
-        """Return the source that the server is given: itself for a lookup, the origin for a parent."""
+        """Return the source that the fetch names: the cache itself for a lookup, the origin for a parent."""
         if route.edge is route.fill_source and self._servers.origin:
             return self._servers.origin
         return route.fill_source or route.edge
 
     def _retention_rank(self, request: Request) -> int:
-        """Return how a copy is ranked.
+        """Return the retention rank of the copy.
 
-        A router that sees a part of its location's requests cannot tell what is repeated, and what it ranked
-        high would never be evicted.
+        The high rank is used only by the single router of a location. A router that sees only a part of the
+        requests cannot tell which objects are repeated, and its high-ranked copies would never be evicted.
         """
         if request.cls.uncached:
             return RETENTION_NONE
@@ -93,7 +97,7 @@
 
     @staticmethod
     def _last_write_at(request: Request) -> float:
-        """Return when the first byte may go out last: a repeat's window ends then."""
+        """Return the latest time for the first byte: the end of the window in which repeats are dropped."""
         if request.first_run_by is None or request.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return math.inf
         return request.first_run_at + request.cls.repeat_window
--- a/brackenlane/routing/fill_source.py
+++ b/brackenlane/routing/fill_source.py
@@ -1,7 +1,7 @@
-"""The source of a fill: a capped geometric draw over the origin and the parents of a hub.
+"""Selection of the source of a fill: a geometric distribution over the parents of a hub and the origin.
 
-Pure. Each parent is drawn so many times as often as the next one, and the origin, below them all, as often as
-that leaves, up to a cap. Times are Unix seconds.
+Pure. Each parent is chosen more often than the next one by a constant ratio. The origin comes last, and its
+share is capped. Times are Unix seconds.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from brackenlane.routing.server_capacity import ServerCapacity
 from brackenlane.routing.servers import Server
 
-PARENT_RATIO = 2.0  # of the chances of a parent and the next one, up to FEW_PARENTS of them
-UNEXPIRING_PARENT_RATIO = 8.0  # the same for copies without a time to live
-BASE_RATIO_PARENTS = 3  # of a hub; with more of them the ratio grows in proportion
-MAX_ORIGIN_SHARE = 1 / 20  # of all draws
-EXPIRING_SMOOTHING_DRAWS = 256  # draws that the share of expiring copies is a mean over, about
+PARENT_RATIO = 2.0  # ratio of the chances of two successive parents, with up to BASE_RATIO_PARENTS of them
+UNEXPIRING_PARENT_RATIO = 8.0  # minimum ratio for copies without a time to live
+BASE_RATIO_PARENTS = 3  # number of parents in a hub above which the ratio grows proportionally
+MAX_ORIGIN_SHARE = 1 / 20  # maximum share of all draws that choose the origin
+EXPIRING_SMOOTHING_DRAWS = 256  # time constant of the mean share of expiring copies, in draws
 
 SourceT = TypeVar("SourceT")
 
 
 class FillSourceSelection:
-    """Selects fill sources among the servers that have room."""
+    """Selects fill sources among the servers with free capacity."""
 
     def __init__(self, servers: ServerTable, capacity: ServerCapacity, rng: random.Random) -> None:
         self._servers = servers
@@ -34,7 +34,7 @@
         self._draw = FillSourceDraw(rng)
 
     def select(self, request: Request, now: float) -> Server | None:
-        """Return the server that fills a miss of this request; None if none has room for it."""
+        """Return the server that fills a miss of this request; None if no server has capacity for it."""
         if not self._capacity.has_local_link_room(request, now):
             return None
         candidates = self._nearest_parents(request, now)
@@ -46,15 +46,15 @@
             expires = request.cls.fresh_for > 0
             return self._draw.draw(candidates, origin, expires, most_parents)
         if is_parent_in_use:
-            # Fills for which the parents have no room are not the origin's: it bears a part of them at most,
-            # and every router would send it theirs at once. It stands in for ejected parents alone.
+            # Fills that exceed the capacity of the parents do not go to the origin. It could serve only a
+            # part of them, and all routers would send it theirs at once. It replaces ejected parents only.
             return None
         if origin is None and candidates:
             return candidates[-1]
         return origin
 
     def _nearest_parents(self, request: Request, now: float) -> list[Server]:
-        """Return the parents with room at the least distance at which there is one, in rendezvous order."""
+        """Return the parents with capacity at the smallest possible distance, in rendezvous order."""
         for distance in range(len(self._servers.parents_by_distance)):
             candidates = self._parents_at(distance, request, now)
             if candidates:
@@ -62,10 +62,11 @@
         return []
 
     def _parents_at(self, distance: int, request: Request, now: float) -> list[Server]:
-        """Return the parents with room at a distance of hubs; one whose fills come late only now and then.
+        """Return the parents with capacity at a hub distance; a parent with late fills is often left out.
 
-        Such a parent is never ejected for long, as some of its fills come in time, and one fill in flight of
-        each router are many: it is offered as often as its timeliness deserves, also if all others are full.
+        Such a parent is never ejected for long, as some of its fills are timely, and one fill in flight from
+        each router is a heavy load. It is included with a probability that depends on its timeliness relative
+        to the best parent, even if all other parents are full.
         """
         capacity = self._capacity
         sharers = capacity.far_parent_sharers if distance else capacity.near_parent_sharers
@@ -86,7 +87,7 @@
         return origin
 
     def _is_any_parent_in_use(self, now: float) -> bool:
-        """Whether a parent is neither ejected nor kept empty by its slow start."""
+        """Whether any parent is not ejected and has a slow-start budget."""
         budget = self._capacity.slow_start_budget
         return any(
             not parent.ejected_until and budget.capacity(parent, now) > 0 for parent in self._servers.parents
@@ -94,25 +95,26 @@
 
 
 class FillSourceDraw:
-    """Draws fill sources; learns which share of its draws the origin may have."""
+    """Draws fill sources at random; keeps the share of the origin in all draws below its cap."""
 
     __slots__ = ("_expiring_share", "_random")
 
     def __init__(self, rng: random.Random) -> None:
-        # Share of draws for copies that expire: for these alone the origin is drawn.
+        # Moving share of draws for copies that expire. The origin is drawn only for these.
         self._expiring_share = 1.0
         self._random = rng
 
     def draw(
         self, parents: Sequence[SourceT], origin: SourceT | None, expires: bool, most_parents: int
     ) -> SourceT:
-        """Return one of the parents, or the origin if it is given.
+        """Return one of the parents, or the origin unless that is None.
 
-        parents: at least one, the least preferred first; expires: whether the copy has a time to live;
-        most_parents: the most that one hub has.
+        parents: at least one, in ascending order of probability; expires: whether the copy has a time to
+        live; most_parents: largest number of parents in any hub.
         """
-        # Each parent that the requests for an object reach fetches it from the origin: the ratio grows with
-        # the parents of a hub. Copies without a time to live never expire together: few parents are enough.
+        # Each parent that is requested for an object fetches it from the origin, so the ratio grows with the
+        # number of parents of a hub. Copies without a time to live never expire at the same time, so that few
+        # parents are sufficient for them.
         ratio = max(
             PARENT_RATIO if expires else UNEXPIRING_PARENT_RATIO,
             PARENT_RATIO * most_parents / BASE_RATIO_PARENTS,
--- a/brackenlane/routing/latency.py
+++ b/brackenlane/routing/latency.py
@@ -1,8 +1,8 @@
 """Estimate of the response latency that one router observes, and detection of overload from it.
 
 Pure. Latencies are multiples of `Request.wait_unit`: the latency objective of a request, or its own transfer
-time if that is longer. Mean and deviation are smoothed like the round-trip time of TCP (Jacobson, "Congestion
-Avoidance and Control", 1988; RFC 6298).
+time divided by PLANNABLE_TIME_SHARE if that is longer. Mean and deviation are smoothed like the round-trip
+time of TCP (Jacobson, "Congestion Avoidance and Control", 1988; RFC 6298).
 """
 
 from __future__ import annotations
--- a/brackenlane/routing/lookup_policy.py
+++ b/brackenlane/routing/lookup_policy.py
@@ -1,7 +1,7 @@
-"""When a request only looks up a copy, and when the origin is spared.
+"""Decides when an attempt is a lookup without a fill, and when requests to the origin are rejected.
 
-Pure. Times are Unix seconds. In an overload a request looks up its copy first, at the cache, then at the
-parent, as the origin behind them may be what is slow.
+Pure. Times are Unix seconds. In an overload, a request first looks for an existing copy at the cache and then
+at the parent, because the origin behind them may be the cause of the overload.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Settings
 
-LOOKUP_PAUSE_SECONDS = 10.0  # for which a parent that was late with a copy it held is sent no lookups
-# Attempts that a request must be allowed, so that a lookup in vain leaves one for the fill.
+LOOKUP_PAUSE_SECONDS = 10.0  # time without lookups at a parent after one of its lookups was overdue
+# Attempts that a request must be allowed, so that one remains for the fill after unsuccessful lookups.
 MIN_ATTEMPTS_FOR_CACHE_LOOKUP = 2
 MIN_ATTEMPTS_FOR_PARENT_LOOKUP = 3
 
 
 class LookupPolicy:
-    """Turns the route of a fetch into that of a lookup, or into none, where an overload asks for it."""
+    """Replaces the route of a fetch by that of a lookup, or drops it, if there is an overload."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         self._random = rng
 
     def apply(self, request: Request, route: Route, now: float) -> Route | None:
-        """Return the route that an attempt takes instead of this one; None while the origin is spared."""
+        """Return the route to use instead of this one; None if the origin throttle rejects the request."""
         origin_share = self._overload.origin_throttle.current_share(now)
         is_overloaded = self._overload.latency.overloaded or origin_share < 1
-        # What is uncached is nowhere to be looked up.
+        # There are no copies of uncached answers.
         if not is_overloaded or request.cls.uncached:
             return route
         is_group_purged = self._purges.is_group_purged(request.arrival.group, now)
@@ -57,13 +57,13 @@
 
     @staticmethod
     def _needs_origin(request: Request, route: Route, is_group_purged: bool) -> bool:
-        """Whether the origin surely has to serve a request: nobody else has a copy."""
+        """Whether only the origin can serve a request, because no other server has a copy."""
         if request.parent_missed and route.is_filled_by_origin:
             return True
         return request.cache_missed and is_group_purged
 
     def _can_look_up_at_cache(self, request: Request, edge: Server, now: float) -> bool:
-        """Whether a lookup at the cache comes first: not after a miss, nor at a cache with few copies yet."""
+        """Whether to look up at the cache first; not after a miss, nor at a cache still in slow start."""
         return (
             not request.cache_missed
             and self._max_attempts >= MIN_ATTEMPTS_FOR_CACHE_LOOKUP
@@ -72,7 +72,7 @@
         )
 
     def _can_look_up_at_parent(self, request: Request, route: Route, now: float) -> bool:
-        """Whether a lookup at the parent comes next, after a miss at the cache alone."""
+        """Whether to look up at the parent next, after a miss at the cache but none at the parent."""
         source = route.fill_source
         return (
             request.cache_missed
--- a/brackenlane/routing/membership.py
+++ b/brackenlane/routing/membership.py
@@ -1,6 +1,6 @@
-"""The servers that a router may use: discovery's list by role, location and distance of hubs.
+"""The servers that a router may use, by role, location and hub distance.
 
-Pure. Times are Unix seconds, weights are in transfers at a time.
+Pure. Times are Unix seconds, weights are in concurrent transfers.
 """
 
 from __future__ import annotations
@@ -17,36 +17,36 @@
 from brackenlane.routing.settings import Settings
 from brackenlane.routing.topology import Topology
 
-INITIAL_WINDOW = 8.0  # fills in flight at a source that one router starts with, at most
-INITIAL_WINDOW_OF_ALL = 80.0  # the same for all routers together
-# Transfers at a time, where discovery gives no weights.
+INITIAL_WINDOW = 8.0  # maximum initial limit of one router on its fills in flight at a source
+INITIAL_WINDOW_OF_ALL = 80.0  # maximum sum of the initial limits of all routers, if each is at least 1
+# Assumed link widths in concurrent transfers if discovery gives no weights.
 DEFAULT_WIDTH = {Role.EDGE: 4.0, Role.PARENT: 10.0, Role.ORIGIN: 16.0}
 
 
 class ServerTable:
-    """The servers on discovery's list that are not gone, and those of them that serve here."""
+    """The servers on the discovery list that are not gone, indexed for routing."""
 
     def __init__(self, settings: Settings, topology: Topology, max_orders: int) -> None:
-        """max_orders: rendezvous orders remembered."""
+        """max_orders: maximum number of cached rendezvous orders."""
         self.servers: dict[str, Server] = {}
-        self.edges: list[Server] = []  # serving, of this location
-        self.parents_by_distance: list[list[Server]] = []  # serving, by hubs between theirs and this one
-        self.parents: list[Server] = []  # the same, nearest first
+        self.edges: list[Server] = []  # serving edge caches of this location
+        self.parents_by_distance: list[list[Server]] = []  # serving parents, by hub distance
+        self.parents: list[Server] = []  # serving parents of all hubs, nearest first
         self.origin: Server | None = None
         self.orders = HashOrders(max_orders)
-        # What this router sent to servers in slow start before it started is unknown, and counts as spent.
+        # Slow-start budget from before this time counts as spent, as it is unknown what was sent until then.
         self.router_started_at = -math.inf
         self._settings = settings
         self._topology = topology
         self._initial_window = max(1.0, min(INITIAL_WINDOW, INITIAL_WINDOW_OF_ALL / settings.router_count))
 
     def update(self, event: Membership) -> None:
-        """Take in a list; a server that drains or is gone is not used from now on."""
+        """Apply a list of members; servers that are draining or gone are no longer used."""
         if event.kind in (MembershipKind.FULL, MembershipKind.REMEMBERED):
             self.servers = {m.server: self.servers.get(m.server) or self._new(m) for m in event.members}
         for member in event.members:
             self._update_member(member)
-        # Caches are replaced all day long: those that are gone must not add up.
+        # Caches are replaced continually, so entries of gone servers must not accumulate.
         self.servers = {
             name: server
             for name, server in self.servers.items()
@@ -55,19 +55,19 @@
         self._index()
 
     def edges_in_order(self, cache_key: str) -> list[Server]:
-        """Return this location's edge caches in a copy's rendezvous order."""
+        """Return the edge caches of this location in the rendezvous order of a cache key."""
         return self.orders.order(cache_key, self.edges)
 
     def parents_in_order(self, obj: str, distance: int) -> list[Server]:
-        """Return the parents at a distance of hubs in an object's rendezvous order."""
+        """Return the parents at a hub distance in the rendezvous order of an object."""
         return self.orders.order(f"{obj}|{distance}", self.parents_by_distance[distance])
 
     def peers(self, server: Server) -> Sequence[Server]:
-        """Return the servers that outlier detection compares a server with."""
+        """Return the servers with which outlier detection compares a server."""
         return self.edges if server.member.role is Role.EDGE else self.parents
 
     def _update_member(self, member: Member) -> None:
-        """Take in one entry; a server with a new start time is in slow start, and nothing is known of it."""
+        """Apply one entry; the state of a server with a later start time is reset."""
         server = self.servers.get(member.server)
         if server is None or member.started_at > server.born:
             server = self._new(member)
@@ -78,11 +78,11 @@
             server.member = replace(member, weight=DEFAULT_WIDTH[member.role])
 
     def _new(self, member: Member) -> Server:
-        """Return the state of a server of which nothing is known but its entry."""
+        """Return the initial state of a server."""
         return Server(member, self._initial_window, self.router_started_at, self._settings.weights_known)
 
     def _index(self) -> None:
-        """Sort the serving servers by role and place."""
+        """Index the serving servers by role, location and hub distance."""
         serving = [s for s in self.servers.values() if s.member.state is ServerState.SERVING]
         self.edges = [
             s for s in serving if s.member.role is Role.EDGE and s.member.zone == self._settings.location
--- a/brackenlane/routing/outcome_attribution.py
+++ b/brackenlane/routing/outcome_attribution.py
@@ -1,7 +1,7 @@
-"""Which server an attempt's outcome is attributed to: hits tell of the edge cache, fills of the source.
+"""Attribution of the outcome of an attempt to a server: hits to the edge cache, fills to the source.
 
-Pure. Times are Unix seconds. Failures go to outlier detection, fill windows and the origin's throttle;
-successes take a server back into use.
+Pure. Times are Unix seconds. Failures are passed to outlier detection, fill windows and the origin throttle;
+successes end ejections.
 """
 
 from __future__ import annotations
@@ -19,16 +19,17 @@
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Settings
 
-UNREACHABLE_SCORE = 2 * EJECTION_SCORE  # of a failed connect: it ejects at once
-CACHE_ERROR_SCORE = 0.5  # of an error that was probably its cache's own
-# Attempts that the caches' error share is a mean over, about: those without a source, and answers with one.
-ERROR_SMOOTHING_WITHOUT_SOURCE = 16
-ERROR_SMOOTHING_WITH_SOURCE = 64
-CACHE_ERROR_SHARE_THRESHOLD = (
-    0.1  # of attempts without a source, from which caches are known to make errors alone
-)
-CACHE_REJECTION_TICKS = 2  # within which a cache's own refusal comes; what takes longer failed at the source
-UNDECIDED_SOURCE_SHARE = 0.5  # of an overdue attempt, where neither its cache nor its source proved alive
+UNREACHABLE_SCORE = 2 * EJECTION_SCORE  # score of a failed connect, which ejects the server at once
+CACHE_ERROR_SCORE = 0.5  # score of an error that the cache probably caused itself
+# Time constants of the mean error share of caches, in attempts without a source and in answers with one.
+ERROR_SMOOTHING_ATTEMPTS = 16
+ERROR_SMOOTHING_ANSWERS = 64
+# Error share of attempts without a source above which caches are assumed to cause errors themselves.
+CACHE_ERROR_SHARE_THRESHOLD = 0.1
+# Clock ticks within which a cache rejects an attempt by itself; a later rejection comes from the source.
+CACHE_REJECTION_TICKS = 2
+# Share of an overdue attempt attributed to the source if neither cache nor source has answered since.
+UNDECIDED_SOURCE_SHARE = 0.5
 
 
 @dataclass(slots=True, eq=False)
@@ -37,12 +38,12 @@
 
     event: Outcome
     attempt: Attempt
-    request: Request | None  # None: it was answered or given up before
-    at: float
+    request: Request | None  # None: already finished
+    at: float  # Unix time of the outcome
 
 
 class OutcomeAttribution:
-    """Attributes outcomes; owns the share of errors that caches make without a source."""
+    """Attributes outcomes; owns the share of errors that caches cause without a source."""
 
     def __init__(
         self,
@@ -53,7 +54,7 @@
         fills: FillEstimate,
         learning: AnswerLearning,
     ) -> None:
-        self.cache_error_share = 0.0  # of attempts in which no source took part
+        self.cache_error_share = 0.0  # error share of attempts in which no source took part
         self._servers = servers
         self._outlier_detection = outlier_detection
         self._origin_throttle = origin_throttle
@@ -64,7 +65,7 @@
         self._fill_objective = _fill_objective(settings)
 
     def attribute(self, finished: FinishedAttempt) -> None:
-        """Attribute the outcome of an attempt that is no longer counted as in flight."""
+        """Attribute the outcome of an attempt that has been removed from the table of those in flight."""
         self._observe_cache(finished)
         self._observe_origin(finished)
         match finished.event.result:
@@ -79,23 +80,25 @@
             case AttemptResult.ERROR | AttemptResult.FULL:
                 self._attribute_error(finished)
             case AttemptResult.CANCELLED | AttemptResult.NEVER_SENT | AttemptResult.MISS:
-                pass  # tells of no server's health
+                pass  # not related to the health of any server
         self._end_trials(finished.attempt)
 
     def attribute_overdue(self, attempt: Attempt, now: float) -> None:
-        """Attribute an overdue attempt; a server that proved alive since it was sent is not at fault."""
+        """Attribute an overdue attempt; a server with a success since it was sent is not at fault."""
         route = attempt.route
         edge = route.edge
         source = route.attributed_source
         is_edge_alive = edge.last_alive_at > attempt.sent_at
         if source and route.is_parent_lookup:
-            # Late with a copy that it holds: sent fetches only for a while, so that it is still observed.
+            # The parent is late with a copy that it holds. It is sent fetches instead of lookups for some
+            # time, so that it continues to be observed.
             source.lookup_overdue_at = now
         suspect = edge
         if route.fill_source and is_edge_alive:
             route.fill_source.record_overdue_fill()
             if route.fill_source is not source:
-                # What a parent was to fetch from the origin it lost, if both ends of it are alive.
+                # A fetch by a parent from the origin was lost at the parent if the cache and the origin are
+                # alive.
                 suspect = route.fill_source
         source_fault_share = _source_fault_share(attempt)
         if source_fault_share < 1:
@@ -104,7 +107,7 @@
             self._record_failure(source, source_fault_share, now)
 
     def _observe_cache(self, finished: FinishedAttempt) -> None:
-        """Learn the cache's share of misses, and of errors where no source took part."""
+        """Update the miss ratio of the cache, and the error share of caches without a source."""
         edge = finished.attempt.route.edge
         result = finished.event.result
         has_source = finished.attempt.route.attributed_source is not None
@@ -112,12 +115,12 @@
         if not has_source:
             self._fills.observe_lookup(edge, result)
         if not has_source or result is AttemptResult.OK:
-            memory = ERROR_SMOOTHING_WITH_SOURCE if has_source else ERROR_SMOOTHING_WITHOUT_SOURCE
+            memory = ERROR_SMOOTHING_ANSWERS if has_source else ERROR_SMOOTHING_ATTEMPTS
             is_error = result is AttemptResult.ERROR
             self.cache_error_share += (is_error - self.cache_error_share) / memory
 
     def _observe_origin(self, finished: FinishedAttempt) -> None:
-        """Learn how the origin does from a fill that it may have taken part in."""
+        """Pass a fill that may involve the origin to the origin throttle."""
         route = finished.attempt.route
         source = route.attributed_source
         request = finished.request
@@ -134,9 +137,9 @@
         )
 
     def _origin_failure_probability(self, source: Server) -> float:
-        """Return how surely a failed fill of a source failed at the origin.
+        """Return the probability that a failed fill from a source failed at the origin.
 
-        A parent's error may be its own; what fails at the other parents alike fails behind them.
+        An error of one parent may be its own fault; errors at the other parents too indicate the origin.
         """
         if source is self._servers.origin:
             return 1.0
@@ -144,7 +147,7 @@
         return sum(has_failures) / max(1, len(has_failures))
 
     def _attribute_answer(self, finished: FinishedAttempt) -> None:
-        """Take the servers of a good answer back into use, and learn from it."""
+        """End the ejections of the servers of a successful answer, and learn from it."""
         route = finished.attempt.route
         source = route.attributed_source
         self._outlier_detection.record_success(route.edge, finished.at)
@@ -158,7 +161,7 @@
         self._learning.learn(finished.event, finished.attempt, finished.request, is_fill, finished.at)
 
     def _attribute_fill(self, finished: FinishedAttempt, source: Server) -> None:
-        """Take a source back into use, and widen its window if the fill was in time."""
+        """End the ejection of a source, and raise its window if the fill was timely."""
         attempt = finished.attempt
         request = finished.request
         self._outlier_detection.record_success(source, finished.at)
@@ -168,30 +171,31 @@
             source.grow_window(attempt.fill_probability)
 
     def _attribute_broken_connection(self, edge: Server, now: float) -> None:
-        """Count one failure for all attempts on a broken connection: the next connect tells of the cache."""
+        """Count one failure for all attempts on a broken connection; the next connect tests the cache."""
         if now > edge.connection_broken_at + self._connect_timeout:
             edge.connection_broken_at = now
             self._record_failure(edge, 1.0, now)
 
     def _attribute_timeout(self, finished: FinishedAttempt) -> None:
-        """Count a timeout as overdue, unless its timer has."""
+        """Attribute a timeout like an overdue attempt, unless that has already been done by its timer."""
         if not finished.attempt.is_overdue:
             self.attribute_overdue(finished.attempt, finished.at)
 
     def _attribute_error(self, finished: FinishedAttempt) -> None:
-        """Attribute an error or refusal to the source, or to the cache if that makes errors alone."""
+        """Attribute an error or rejection to the source, or to the cache if caches cause errors alone."""
         event = finished.event
         route = finished.attempt.route
         if event.wait <= self._cache_rejection_seconds:
             return
         is_error = event.result is AttemptResult.ERROR
-        # A good source is not ejected for errors that caches make alone, sooner than a fill is given up.
+        # A healthy source must not be ejected for errors of the caches themselves, which come before the time
+        # at which a fill is given up.
         is_cache_error = (
             is_error
             and self.cache_error_share > CACHE_ERROR_SHARE_THRESHOLD
             and event.wait < self._fill_objective
         )
-        # Fewer fills in flight would not have helped against a fast failure.
+        # A lower limit on fills in flight would not prevent a fast failure.
         objective = finished.request.latency_objective if finished.request else self._fill_objective
         is_overload = not is_error or event.wait >= PLANNABLE_TIME_SHARE * objective
         if is_cache_error:
@@ -200,7 +204,7 @@
             self._record_failure(route.attributed_source or route.edge, 1.0, finished.at, is_overload)
 
     def _record_failure(self, server: Server, score: float, now: float, is_overload: bool = True) -> None:
-        """Add to a server's failure score; an overloaded source may have fewer fills in flight."""
+        """Add to the failure score of a server; halve the fill window of an overloaded source."""
         if is_overload and server.member.role is not Role.EDGE:
             server.halve_window(now, self._fill_objective)
         fallback = self._servers.origin if server.member.role is Role.PARENT else None
@@ -209,14 +213,14 @@
 
     @staticmethod
     def _end_trials(attempt: Attempt) -> None:
-        """End the trials of an attempt's servers; at last, as a failed trial lengthens the ejection."""
+        """End the trials of the servers of an attempt; called last, as a failed trial extends an ejection."""
         attempt.route.edge.has_trial = False
         if attempt.route.attributed_source:
             attempt.route.attributed_source.has_trial = False
 
 
 def _source_fault_share(attempt: Attempt) -> float:
-    """Return the share, 0 to 1, of an overdue attempt's failure that is its source's."""
+    """Return the share, 0 to 1, of an overdue attempt that is attributed to its source."""
     edge = attempt.route.edge
     source = attempt.route.attributed_source
     if source is None or source is edge or source.last_alive_at > attempt.sent_at:
@@ -225,6 +229,6 @@
 
 
 def _fill_objective(settings: Settings) -> float:
-    """Return the seconds that fills may take: the longest objective of a class that is cached."""
+    """Return the seconds that fills may take: the longest latency objective of the cached classes."""
     objectives = [cls.latency_objective for cls in settings.classes if not cls.uncached]
     return max(objectives, default=settings.classes[0].latency_objective)
--- a/brackenlane/routing/route_selection.py
+++ b/brackenlane/routing/route_selection.py
@@ -1,4 +1,4 @@
-"""The route of an attempt: the servers that it passes.
+"""Selection of the route of an attempt: its edge cache and fill source.
 
 Pure. Times are Unix seconds.
 """
@@ -17,7 +17,7 @@
 
 
 class RouteSelection:
-    """Selects routes; has no state of its own."""
+    """Selects routes; stateless."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._lookup_policy = lookup_policy
 
     def select(self, request: Request, now: float) -> Route | None:
-        """Return the route of a request's next attempt; None if none can answer it in time."""
+        """Return the route of the next attempt of a request; None if no server can answer in time."""
         source = self._fill_sources.select(request, now)
         edge = self._edges.select(request, source, now)
         if edge is None or not self._can_send(request, edge.member, now):
@@ -50,11 +50,11 @@
         return self._lookup_policy.apply(request, route, now)
 
     def _origin_behind(self, request: Request, source: Server | None) -> Server | None:
-        """Return the origin if the source has to fetch from it: its window decides, not the parent's."""
+        """Return the origin if the source has to fetch the object from it, so that its window applies."""
         return self._servers.origin if request.parent_missed and source else None
 
     def _can_send(self, request: Request, server: Member, now: float) -> bool:
-        """Whether one more attempt may be in flight, and may run at a server."""
+        """Whether a request may have another attempt in flight, and may run at a server."""
         if request.in_flight:
             can_hedge = self._may_hedge and request.idempotency is not Idempotency.NON_IDEMPOTENT
             if not can_hedge:
--- a/brackenlane/routing/router.py
+++ b/brackenlane/routing/router.py
@@ -1,14 +1,15 @@
-"""The router: one event in, the actions that it asks for out.
+"""The router: maps each event to a list of actions.
 
-Pure: the clock and the seed of random numbers are handed in. Times are Unix seconds. `Router` owns the
-requests without a final answer and leaves each decision to one part:
+Pure: the time and the random seed are arguments. Times are Unix seconds. `Router` owns the requests without a
+final answer and delegates each decision to one module:
 
-    membership            which servers there are
+    membership            the available servers
     route_selection       the servers of an attempt: edge_selection, fill_source, lookup_policy
     attempt_table         attempts in flight and their load
-    outcome_attribution   what an outcome tells of servers: outlier_detection, answer_learning
-    retry_policy          whether a further attempt may be sent: retry_budget
-    fetch_actions         the fetch that is sent; timers: what is waited for
+    outcome_attribution   the server to which an outcome is attributed: outlier_detection, answer_learning
+    retry_policy          whether another attempt may be sent: retry_budget
+    fetch_actions         the fetch that is sent
+    timers                deadlines and overdue attempts
 """
 
 from __future__ import annotations
@@ -56,17 +57,17 @@
 from brackenlane.routing.timers import RouterTimers
 from brackenlane.routing.topology import Topology
 
-MAX_TABLE_ENTRIES = 4000  # objects, in each table; those requested longest ago are forgotten first
-MAX_ROUTERS_WITHOUT_MIN_WAITING = (
-    3  # sharing a link: up to these, a fill counts as a whole transfer until its waits are learned
-)
-MIN_WAITING_SHARE = 0.5  # of its time that a fill waits for its source, where more routers share a link
-OVERDUE_WAIT_FACTOR = 2  # an overdue attempt's wait is not over: it is learned as so many times longer
-RECHECKS_PER_OBJECTIVE = 2  # of an overdue attempt, in each latency objective of its class
+MAX_TABLE_ENTRIES = 4000  # maximum number of objects or cache keys in each table
+# With up to this number of routers on a link, a fill counts as a whole transfer until its waiting share is
+# learned.
+MAX_ROUTERS_WITHOUT_MIN_WAITING = 3
+MIN_WAITING_SHARE = 0.5  # least share of its duration that a fill waits, if more routers share a link
+OVERDUE_WAIT_FACTOR = 2  # the latency of an overdue attempt is learned as this multiple of its wait so far
+RECHECKS_PER_OBJECTIVE = 2  # checks of an overdue attempt per latency objective of its class
 
 
 class Router:
-    """The decisions of one router."""
+    """Makes the routing decisions of one router."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         rng = random.Random(seed)
@@ -80,7 +81,7 @@
         self.origin_throttle = OriginThrottle()
         self.retry_budget = RetryBudget()
         self._retry_policy = RetryPolicy(settings, self.retry_budget)
-        # Counted as whole transfers by many routers, fills that wait would leave the links of caches idle.
+        # If many routers counted waiting fills as whole transfers, the links of caches would stay idle.
         min_waiting_share = (
             MIN_WAITING_SHARE if topology.local_router_count > MAX_ROUTERS_WITHOUT_MIN_WAITING else 0.0
         )
@@ -123,11 +124,11 @@
 
     @property
     def servers(self) -> dict[str, Server]:
-        """The servers on discovery's list that are not gone, by name."""
+        """The servers on the discovery list that are not gone, by name."""
         return self.server_table.servers
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Return what to do about one event."""
+        """Return the actions that one event requires."""
         self._actions = []
         if self.server_table.router_started_at == -math.inf:
             self.server_table.router_started_at = now
@@ -141,7 +142,7 @@
             case ClientDisconnected():
                 self._forget(event.request_id)
             case ResponseStarted():
-                # The response belongs to its client now: no further attempt may be sent.
+                # The response is already streaming to the client, so no other attempt may be sent.
                 self.pending_requests.pop(event.request_id, None)
             case TimerFired():
                 self._on_timer(event.token, now)
@@ -150,14 +151,14 @@
         return self._actions
 
     def _on_membership(self, event: Membership) -> None:
-        """Take in a list of servers; subscribe anew if it is not the latest one."""
+        """Apply a list of servers; subscribe again if the list may be stale."""
         is_outdated = event.kind in (MembershipKind.REMEMBERED, MembershipKind.REJECTED)
         if self.settings.must_subscribe and is_outdated:
             self._actions.append(Subscribe())
         self.server_table.update(event)
 
     def _on_arrival(self, arrival: Arrival, now: float) -> None:
-        """Send a request's first attempt."""
+        """Register a request and send its first attempt."""
         cls = self._classes.get(arrival.cls) or self.settings.classes[0]
         pace = self.settings.pace_kb_per_s
         known_work = arrival.size_kb / pace if arrival.size_kb and pace else 0.0
@@ -172,7 +173,7 @@
         self._attempt(request, now)
 
     def _on_timer(self, token: int, now: float) -> None:
-        """Finish a request at its deadline, or look after an attempt that is overdue."""
+        """Finish a request at its deadline, or handle an overdue attempt."""
         target = self._timers.pop(token)
         if target is None:
             return
@@ -188,14 +189,14 @@
             self._on_overdue(request, key, attempt, now)
 
     def _on_overdue(self, request: Request, key: AttemptKey, attempt: Attempt, now: float) -> None:
-        """Attribute an overdue attempt; give up its request, cancel it for a retry, or wait on."""
+        """Attribute an overdue attempt; then finish its request, cancel it for a retry, or keep waiting."""
         if not attempt.is_overdue:
             attempt.is_overdue = True
             self.latency.learn(OVERDUE_WAIT_FACTOR * (now - attempt.sent_at) / request.wait_unit)
             self.outcome_attribution.attribute_overdue(attempt, now)
         is_late = now >= request.objective_at
         if self.latency.overloaded and is_late and not attempt.fill_probability:
-            # Late work keeps links from others; a late fill at least leaves a copy.
+            # A late transfer takes link capacity from other requests, but a late fill at least leaves a copy.
             self._finish(request, now)
         elif self._retry_policy.should_cancel(request, attempt.route, now):
             self._actions.append(Cancel(key.request_id, key.number))
@@ -204,7 +205,7 @@
             self._actions.append(self._timers.set_overdue(key.request_id, key.number, recheck_at))
 
     def _on_outcome(self, event: Outcome, now: float) -> None:
-        """Attribute an outcome; then end its request or send a further attempt."""
+        """Attribute an outcome; then finish its request or send another attempt."""
         attempt = self.attempts.close(AttemptKey(event.request_id, event.attempt))
         request = self.pending_requests.get(event.request_id)
         if attempt:
@@ -223,7 +224,7 @@
         self._attempt(request, now)
 
     def _attempt(self, request: Request, now: float) -> None:
-        """Send an attempt, or finish the request if none can be in time."""
+        """Send an attempt, or finish the request if no attempt is possible."""
         if not self._retry_policy.can_attempt(request, now):
             self._finish(request, now)
             return
@@ -234,7 +235,7 @@
         self._send(request, route, now)
 
     def _send(self, request: Request, route: Route, now: float) -> None:
-        """Send an attempt by its route; a retry is paid for."""
+        """Send an attempt along a route; a retry is charged to the retry budget."""
         is_retry = request.is_next_a_retry
         if is_retry:
             self.retry_budget.spend(request.retry_cost)
@@ -244,7 +245,7 @@
         self._actions.append(self._fetches.build(request, route, is_retry, now))
 
     def _finish(self, request: Request, now: float) -> None:
-        """Answer a request without a response: rejected if its client may retry it elsewhere, else failed."""
+        """Finish a request without a response: reject it if the client may retry it elsewhere, or fail it."""
         request_id = request.arrival.request_id
         if now < request.deadline and request.can_retry_elsewhere():
             hold_off = min(self.settings.max_hold_off, request.cls.latency_objective)
@@ -254,7 +255,7 @@
         self._forget(request_id)
 
     def _forget(self, request_id: str) -> None:
-        """Drop a request that is over, and cancel its attempts in flight."""
+        """Remove a finished request, and cancel its attempts in flight."""
         request = self.pending_requests.pop(request_id, None)
         if request is None or request.in_flight <= 0 or not self.settings.may_cancel:
             return
--- a/brackenlane/routing/servers.py
+++ b/brackenlane/routing/servers.py
@@ -18,7 +18,7 @@
 MAX_UNCONTENDED_SLOWDOWN = 1.3  # duration over own transfer time up to which a link was uncontended
 LOAD_SMOOTHING_ARRIVALS = 16  # time constant of the mean of transfers in flight, in arrivals
 MIN_FILL_WINDOW = 1.0  # fills that may be in flight at a source after any number of failures
-MIN_TIMELINESS = 0.2  # lower bound, which lets a parent that has recovered show it
+MIN_TIMELINESS = 0.2  # lower bound, so that a parent that has recovered still receives fills
 TIMELINESS_DECREASE_FACTOR = 0.75  # multiplies the timeliness after an overdue fill
 TIMELINESS_SMOOTHING_FILLS = 4  # time constant with which timely fills restore it, in fills
 
--- a/brackenlane/routing/sizes.py
+++ b/brackenlane/routing/sizes.py
@@ -25,14 +25,12 @@
         """tick: resolution of the clock in seconds; max_entries: maximum number of objects remembered."""
         self._tick = tick
         self._max_entries = max_entries
-        self.by_object: OrderedDict[str, float] = (
-            OrderedDict()
-        )  # seconds; one value for all parts of an object
+        # Transfer time in seconds by object, the same for all of its parts.
+        self.by_object: OrderedDict[str, float] = OrderedDict()
         self.means = {cls.name: _prior_mean(cls) for cls in classes}  # seconds, by name of the class
         self._time_limits = {cls.name: cls.time_limit for cls in classes}
-        self._answer_counts = dict.fromkeys(
-            self.means, PRIOR_ANSWERS
-        )  # answers behind each mean, including its prior
+        # Number of answers in the mean of each class, including the prior.
+        self._answer_counts = dict.fromkeys(self.means, PRIOR_ANSWERS)
         self._are_sizes_seen = False  # whether any answer has shown its size
 
     @property
