--- a/brackenlane/routing/concurrency_limit.py
+++ b/brackenlane/routing/concurrency_limit.py
@@ -43,7 +43,7 @@
             self._increase(width)
 
     def _increase(self, width: float) -> None:
-        """Raise the limit by one transfer per answer in slow start, later by one per as many answers as the limit."""
+        """Raise the limit by one transfer per answer in slow start, then by one per `limit` such answers."""
         is_slow_start = self._decreased_at == -math.inf
         transfers = 1.0 if is_slow_start else 1 / max(1.0, self.factor * width)
         self.factor = min(self._max_factor, self.factor + transfers / width)
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -1,4 +1,4 @@
-"""Caches of unknown widths: loads are compared, and the first choice of the hash is not overloaded."""
+"""Caches of unknown link width: requests spill over from caches whose load exceeds the bound."""
 
 from __future__ import annotations
 
@@ -23,29 +23,28 @@
 @pytest.mark.parametrize(
     ("loads", "expected"),
     [
-        ([0.0, 0.0, 0.0], "abc"),  # idle: the hash decides
-        ([1.0, 0.0, 0.0], "abc"),  # a few more than the others have change nothing
+        ([0.0, 0.0, 0.0], "abc"),  # idle: hash order
+        ([1.0, 0.0, 0.0], "abc"),  # below the bound with spare transfers
         ([4.0, 0.0, 0.0], "bca"),
-        ([4.0, 4.0, 4.0], "abc"),  # a load that all share is no reason to go elsewhere
+        ([4.0, 4.0, 4.0], "abc"),  # equal loads do not change the order
         ([14.0, 14.0, 1.0], "cab"),
         ([300.0, 300.0, 299.0], "abc"),
     ],
 )
 def test_cache_over_the_bound_comes_last(loads: list[float], expected: str) -> None:
-    """Order by the hash, among those that may take one more, then among the others."""
+    """The hash order applies to the caches below the bound, and then to the others."""
     load = dict(zip("abc", loads, strict=True))
     assert "".join(below_bound_first("abc", "abc", load.__getitem__, lambda _: 1.0)) == expected
 
 
-def test_wider_link_carries_more() -> None:
-    """Loads are counted by width."""
+def test_load_is_relative_to_link_width() -> None:
     load, width = {"a": 6.0, "b": 6.0}, {"a": 6.0, "b": 1.0}
     order = below_bound_first("ba", "ab", load.__getitem__, width.__getitem__)
     assert order == ["a", "b"]
 
 
 def open_requests(harness: RouterHarness, count: int) -> dict[str, int]:
-    """Return by cache how many requests are sent to it, for objects that prefer the first one, unanswered."""
+    """Send requests for objects that prefer the first cache, without answers; return the count by cache."""
     sent = dict.fromkeys((member.server for member in EDGES), 0)
     requested, names = 0, itertools.count()
     while requested < count:
@@ -61,7 +60,7 @@
 
 @pytest.mark.parametrize("reported", [False, True])
 def test_requests_spill_over_from_a_hot_cache_where_widths_are_unknown(reported: bool) -> None:
-    """Eight of eight went to one cache, whose link carries fewer, while its neighbours were idle."""
+    """Without the bound, all 8 requests went to one cache, whose link carries fewer; the others were idle."""
     harness = RouterHarness(FLEET, weights_known=reported)
     if reported:
         harness.tell([Member(m.server, m.zone, m.role, weight=20.0) for m in FLEET])
@@ -71,7 +70,7 @@
 
 
 def test_requests_do_not_spill_over_while_the_origin_is_throttled() -> None:
-    """A request that spills over is filled once more, which a slow origin must be spared."""
+    """A cache that receives spillover needs another fill, which a slow origin cannot serve."""
     harness = RouterHarness(FLEET, now=100.0, weights_known=False)
     harness.router.origin_throttle.decrease(harness.now, origin_probability=1.0, cooldown=0.0)
     assert open_requests(harness, 8)["edge-0"] == 8
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The transfers that a server is given follow whether its answers come in time, not what was assumed."""
+"""The limit on concurrent transfers adapts to whether answers are late, whatever width is assumed."""
 
 from __future__ import annotations
 
@@ -17,28 +17,30 @@
 from tests.test_portal_settings import PACE, Branch
 
 WIDTH = 4.0
-WINDOW = 1.0
+COOLDOWN = 1.0
 IN_TIME, LATE = False, True
 
 
 def observed(limit: ConcurrencyLimit, *answers: tuple[bool, float, float]) -> float:
-    """The limit in transfers after answers: late or not, the part in use, and when."""
-    for late, used, now in answers:
-        limit.observe(late, used, WIDTH, now, WINDOW)
+    """Return the limit in transfers after some answers, each as (is late, utilization, time)."""
+    for is_late, utilization, now in answers:
+        limit.observe(is_late, utilization, WIDTH, now, COOLDOWN)
     return limit.factor * WIDTH
 
 
-def test_slow_start_adds_a_transfer_for_each_answer_in_time_of_a_limit_in_use() -> None:
+def test_slow_start_adds_a_transfer_for_each_timely_answer_with_the_limit_in_use() -> None:
     limit = ConcurrencyLimit(math.inf)
     assert observed(limit, (IN_TIME, MIN_UTILIZATION, 0.0), (IN_TIME, 1.0, 0.0)) == pytest.approx(WIDTH + 2)
-    assert observed(limit, (IN_TIME, MIN_UTILIZATION / 2, 0.0)) == pytest.approx(WIDTH + 2)  # proves nothing
+    assert observed(limit, (IN_TIME, MIN_UTILIZATION / 2, 0.0)) == pytest.approx(
+        WIDTH + 2
+    )  # too little use to raise the limit
 
 
-def test_late_answers_decrease_the_limit_once_in_a_window() -> None:
+def test_late_answers_decrease_the_limit_once_per_cooldown() -> None:
     limit = ConcurrencyLimit(math.inf)
-    late_answers = [(LATE, 1.0, n * WINDOW / 10) for n in range(10)]
+    late_answers = [(LATE, 1.0, n * COOLDOWN / 10) for n in range(10)]
     assert observed(limit, *late_answers) == pytest.approx(WIDTH * DECREASE_FACTOR)
-    assert observed(limit, (LATE, 1.0, 1.5 * WINDOW)) == pytest.approx(WIDTH * DECREASE_FACTOR**2)
+    assert observed(limit, (LATE, 1.0, 1.5 * COOLDOWN)) == pytest.approx(WIDTH * DECREASE_FACTOR**2)
 
 
 def test_increase_after_a_late_answer_is_additive() -> None:
@@ -54,17 +56,17 @@
 def test_limit_stays_between_one_transfer_and_the_known_width(
     answers: list[tuple[bool, float, float]], width: float
 ) -> None:
-    """Of a link that carries less than one transfer, the limit is all of it."""
+    """If the link carries less than one transfer, the limit is the whole link."""
     limit = ConcurrencyLimit()
-    for late, used, now in sorted(answers, key=lambda answer: answer[2]):
-        limit.observe(late, used, width, now, WINDOW)
+    for is_late, utilization, now in sorted(answers, key=lambda answer: answer[2]):
+        limit.observe(is_late, utilization, width, now, COOLDOWN)
         assert min(1.0, width) <= limit.factor * width * (1 + 1e-9)
         assert limit.factor <= 1.0
 
 
 @pytest.mark.parametrize("wait", [0.1, 9.0])
 def test_weight_that_becomes_zero_with_attempts_in_flight_is_no_error(wait: float) -> None:
-    """A list may say so at any time; the answers to come were a division by zero."""
+    """A new list may set a weight to 0 at any time; outstanding answers then caused a division by zero."""
     harness = RouterHarness()
     fetches = [only(harness.ask(f"o{n}"), Fetch) for n in range(12)]
     harness.tell([replace(member, weight=0.0) for member in members()])
@@ -74,8 +76,8 @@
 
 
 @pytest.mark.parametrize("assumed", [1 / 2, 1.0, 2.0, 4.0])
-def test_wrongly_assumed_width_costs_a_branch_little(monkeypatch: pytest.MonkeyPatch, assumed: float) -> None:
-    """With half of the widths assumed, over half of the requests were rejected for good, with idle links."""
+def test_wrongly_assumed_width_has_little_effect(monkeypatch: pytest.MonkeyPatch, assumed: float) -> None:
+    """With half the real widths assumed, over half of the requests were rejected although links were idle."""
     monkeypatch.setattr(
         membership,
         "DEFAULT_WIDTH",
@@ -97,8 +99,8 @@
 
 
 @pytest.mark.parametrize("wait", [0.45, 2.0])
-def test_late_answer_alone_on_its_link_decreases_nothing(wait: float) -> None:
-    """Objects that take longer than their objective on an idle link would leave no room for any of them."""
+def test_late_answer_alone_on_its_link_does_not_decrease_the_limit(wait: float) -> None:
+    """Objects that miss their objective even on an idle link would lower the limit until none is admitted."""
     branch = Branch()
     branch.end = lambda fetch: (wait, AttemptResult.OK)  # type: ignore[method-assign]
     branch.run(160.0, rate=0.3, cls="page")
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -1,4 +1,4 @@
-"""Sites whose caches report no cache status, and fast failures."""
+"""Estimates at sites whose caches report no cache status; fast failures, waiting fills and overload."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def outcome(
     fetch: Fetch, result: AttemptResult, wait: float, attempt: int = 0, hit_share: float = 0.2
 ) -> Outcome:
-    """Return the end of an attempt at a site whose answers carry a load report and no cache status."""
+    """Return the outcome of an attempt with a load report and without a cache status."""
     final = result is AttemptResult.OK
     report = (("inflight", 2.0), ("x0", hit_share))
     return Outcome(fetch.request_id, attempt, fetch.server, result, wait, final, report=report)
@@ -35,7 +35,7 @@
 def count_attempts_with_a_parent(
     harness: RouterHarness, requests: int, result: AttemptResult, wait: float
 ) -> int:
-    """Request new objects, with one result for all attempts; return how many attempts named a parent."""
+    """Request new objects, with the same result for all attempts; return how many attempts named a parent."""
     named = 0
     for n in range(requests):
         harness.now += 0.25
@@ -51,7 +51,7 @@
 
 
 def test_parents_recover_where_no_answer_reports_a_fill() -> None:
-    """A parent that was late for a while stayed ejected for good: only a reported fill cleared it."""
+    """A parent that was late for some time stayed ejected forever: only a reported fill ended an ejection."""
     harness = RouterHarness(status_reporting=CacheStatusReporting.SILENT)
     count_attempts_with_a_parent(harness, 40, AttemptResult.TIMEOUT, 3.0)
     parents = [harness.router.servers[name] for name in PARENTS]
@@ -64,7 +64,7 @@
 
 
 def test_fast_failure_halves_no_window() -> None:
-    """A cache or parent that fails at once says nothing of a queue at its source."""
+    """A cache or parent that fails at once does not indicate a queue at the source."""
     harness = RouterHarness()
     before = {name: harness.router.servers[name].window for name in PARENTS}
     count_attempts_with_a_parent(harness, 10, AttemptResult.ERROR, 0.01)
@@ -102,14 +102,14 @@
 
 
 def test_load_report_is_read_from_an_answer() -> None:
-    """What is no number is left out, the rest is kept."""
+    """Values that are not numbers are dropped, and the others are kept."""
     line = b"a1 data use=inflight:7;x0:0.61;x1:soon;util:nan;:3,entity=t 1\r\nx\r\n"
     (answer,) = Parser(Limits()).feed(line)
     assert answer.report == (("inflight", 7.0), ("x0", 0.61))
 
 
 def test_waiting_fill_counts_less_at_its_cache() -> None:
-    """Fills held back by a full link took up their caches' places: new ones went to wrong caches."""
+    """Fills that waited for a full link counted as load of their caches, so new requests spilled over."""
     harness = RouterHarness(routers_by_location=(0, 0, 0, 1))
     assert harness.router.fills.waiting_share == 0.0
     for n in range(200):
@@ -119,8 +119,8 @@
         harness.end(fetch, cache_status=CacheStatus.FILLED, wait=0.8)
     assert harness.router.fills.waiting_share == pytest.approx(0.5, abs=0.05)
     (fetch,) = every(harness.ask("last"), Fetch)
-    held = harness.router.servers[fetch.server].in_flight
-    assert held == pytest.approx(1 - 0.5 * 0.5, abs=0.1)
+    in_flight = harness.router.servers[fetch.server].in_flight
+    assert in_flight == pytest.approx(1 - 0.5 * 0.5, abs=0.1)
     harness.end(fetch)
     assert harness.router.servers[fetch.server].in_flight == 0.0
 
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize("fresh", [0.0, 8.0])
 def test_objects_that_never_expire_use_few_parents(fresh: float) -> None:
-    """Each further parent that an object reaches fetches it from the origin once more."""
+    """Every additional parent that is used for an object fetches it from the origin once more."""
     cls = replace(VIDEO, fresh_for=fresh)
     harness = RouterHarness(classes=(cls,))
     sources = Counter(harness.serve("clip").source for _ in range(2000))
@@ -146,7 +146,7 @@
 
 
 def test_hub_distance_follows_the_ring_of_hubs_not_the_list_of_locations() -> None:
-    """Distances went by indexes in the list: parents of another hub counted as those of the own hub."""
+    """Distances were computed from list indexes, so that parents of another hub counted as local."""
     fleet = members(parents=("hub-a", "hub-c"))
     harness = RouterHarness(fleet, hub_of=(0, 0, 2, 0))
     assert [[s.member.zone for s in ring] for ring in harness.router.server_table.parents_by_distance] == [
@@ -163,7 +163,7 @@
 
 
 def test_single_parent_that_times_out_is_replaced_by_the_origin() -> None:
-    """With no peer to compare it with, a parent was never ejected, whatever it failed."""
+    """A parent without peers to compare it with was never ejected, however often it failed."""
     harness = RouterHarness(members(parents=("hub-a",)), status_reporting=CacheStatusReporting.ALL)
     count_attempts_with_a_parent(harness, 12, AttemptResult.TIMEOUT, 3.0)
     assert harness.router.servers["parent-0"].ejected_until
@@ -172,8 +172,8 @@
     assert fetch.source == "origin"
 
 
-def test_waits_that_are_always_long_are_no_overload() -> None:
-    """Objects that take longer than their objective on an idle link kept a site in overload for good."""
+def test_constantly_high_latency_is_no_overload() -> None:
+    """Objects that miss their objective even on an idle link kept a site in overload permanently."""
     slow = replace(VIDEO, latency_objective=0.3, objective_stretch=0.0)
     harness = RouterHarness(classes=(slow,))
     for n in range(100):
@@ -182,13 +182,13 @@
     assert not harness.router.latency.overloaded
 
 
-BASELINE_ANSWERS = 3 * BASELINE_SMOOTHING_ANSWERS  # until the baseline is learned
+BASELINE_ANSWERS = 3 * BASELINE_SMOOTHING_ANSWERS  # answers after which the baseline is learned
 
 
-def test_rise_of_waits_is_overload_also_above_a_long_baseline() -> None:
-    """Waits of six tenths of the objective that grow to nine tenths, many late, did not count as overload."""
+def test_rising_latency_is_overload_above_a_high_baseline_too() -> None:
+    """Mean waits that rose from 0.6 to about 0.9 of the objective, many of them late, were not detected."""
     harness = RouterHarness()
-    objective = VIDEO.latency_objective + VIDEO.objective_stretch * 0.4  # 1,600 KB at 4,000 a second
+    objective = VIDEO.latency_objective + VIDEO.objective_stretch * 0.4  # 1,600 KB at 4,000 KB/s
     waits = [0.6] * BASELINE_ANSWERS + [0.4, 1.3] * 30
     for number, wait in enumerate(waits):
         harness.now += 5.0
--- a/tests/test_fill_source.py
+++ b/tests/test_fill_source.py
@@ -1,4 +1,4 @@
-"""The ordinary path: edge pick by hash, fill source by the capped geometric draw."""
+"""Routing without faults or overload: edge selection by hash, fill source by a capped geometric draw."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def draw(harness: RouterHarness, cls: str, obj: str = "clip", draws: int = DRAWS) -> Counter[str]:
-    """How often each source is drawn for one object."""
+    """Return how often each source is drawn for one object."""
     seen: Counter[str] = Counter()
     for _ in range(draws):
         harness.now += 1.0
@@ -29,15 +29,15 @@
     ("parents", "shares"),
     [(1, [0.95]), (2, [0.95 / 3, 0.95 * 2 / 3]), (3, [0.95 / 7, 0.95 * 2 / 7, 0.95 * 4 / 7])],
 )
-def test_ladder_with_a_fresh_time(parents: int, shares: list[float]) -> None:
+def test_parent_shares_of_expiring_objects_are_geometric(parents: int, shares: list[float]) -> None:
     seen = draw(RouterHarness(members(parents=("hub-a",) * parents)), "tiles")
     assert seen.pop("origin") / DRAWS == pytest.approx(0.05, abs=0.012)
     assert sorted(n / DRAWS for n in seen.values()) == pytest.approx(shares, abs=0.03)
 
 
 @pytest.mark.parametrize(("parents", "reached"), [(3, 3.0), (12, 3.3)])
-def test_parents_that_an_object_reaches_do_not_grow_with_the_hub(parents: int, reached: float) -> None:
-    """Each of them asks the origin for it: a hundred requests reached seven of twelve."""
+def test_parents_used_per_object_do_not_grow_with_the_hub(parents: int, reached: float) -> None:
+    """Each parent used fetches the object from the origin; 100 requests used to reach 7 of 12 parents."""
     harness = RouterHarness(members(parents=("hub-a",) * parents))
     seen = 0
     for n in range(20):
@@ -53,8 +53,8 @@
 
 
 @pytest.mark.parametrize("parents", [1, 2])
-def test_the_cap_counts_all_fills_not_those_of_classes_with_a_fresh_time_alone(parents: int) -> None:
-    """One in twenty of all; where half have no fresh time, it was one in forty."""
+def test_origin_cap_applies_to_the_fills_of_all_classes(parents: int) -> None:
+    """The cap is 1/20 of all fills; it was 1/40 if half of the fills were for unexpiring objects."""
     harness = RouterHarness(members(parents=("hub-a",) * parents))
     seen: Counter[str] = Counter()
     for number in range(DRAWS):
@@ -62,7 +62,7 @@
     assert seen["origin"] / DRAWS == pytest.approx(0.05, abs=0.012)
 
 
-def test_next_hub_then_origin_when_this_hub_has_no_parent() -> None:
+def test_next_hub_then_origin_without_a_parent_in_this_hub() -> None:
     assert set(draw(RouterHarness(members(parents=("hub-b", "hub-b"))), "video", draws=300)) == {
         "parent-0",
         "parent-1",
@@ -104,14 +104,14 @@
     assert len(seen) == 1
 
 
-def test_no_edge_goes_straight_to_a_parent_and_nothing_at_all_is_refused() -> None:
+def test_requests_bypass_missing_edges_and_are_rejected_without_servers() -> None:
     assert only(RouterHarness(members(edges=0)).ask(), Fetch).server.startswith("parent")
     actions = RouterHarness([]).ask()
     assert not every(actions, Fetch)
     assert only(actions, Reject)
 
 
-def test_repeated_object_is_cached_at_a_higher_priority() -> None:
+def test_repeated_object_has_a_higher_retention_rank() -> None:
     harness = RouterHarness()
     assert harness.serve("clip").keep == 1
     harness.now += 1
@@ -119,7 +119,7 @@
     assert harness.serve("clip", part=1).keep == 1
 
 
-def test_pick_in_a_large_fleet_is_that_of_the_plain_way_of_ranking() -> None:
+def test_edge_selection_in_a_large_fleet_matches_a_direct_ranking() -> None:
     fleet = [
         Member(f"10.0.0.{n}:80", "depot" if n % 20 == 0 else f"other-{n % 20}", weight=4.0 + n % 3)
         for n in range(80)
@@ -136,8 +136,8 @@
         assert harness.serve(f"o{n % 100}").server == best.server
 
 
-def test_window_opens_again() -> None:
-    """What sums of parts leave in hand must not shut a source whose window is down to 1 for good."""
+def test_rounding_error_does_not_close_a_window_of_one() -> None:
+    """The rounding error of summed fill probabilities must not close a source with a window of 1 forever."""
     harness = RouterHarness(members(parents=("hub-a",)))
     [parent] = harness.router.server_table.parents_by_distance[0]
     parent.window, parent.in_flight = 1.0, 1e-15
@@ -148,8 +148,10 @@
     ("alone", "wait", "attributed", "halved"),
     [(True, 0.1, False, False), (False, 0.1, True, False), (False, 3.0, True, True), (True, 3.0, True, True)],
 )
-def test_errors_of_caches_alone(alone: bool, wait: float, attributed: bool, halved: bool) -> None:
-    """Quick errors that caches make without a source are not its fault; only late ones halve a window."""
+def test_attribution_of_errors_that_caches_cause_alone(
+    alone: bool, wait: float, attributed: bool, halved: bool
+) -> None:
+    """Fast errors are not attributed to the source if caches fail without one; late ones halve its window."""
     harness = RouterHarness(members(parents=("hub-a",)))
     [parent] = harness.router.server_table.parents_by_distance[0]
     harness.router.outcome_attribution.cache_error_share = 0.3 if alone else 0.0
@@ -160,8 +162,8 @@
     assert (parent.window < 8.0) is halved
 
 
-def test_faults_are_learned() -> None:
-    """The share of errors is learned from attempts in which no source took part."""
+def test_error_share_of_caches_is_learned() -> None:
+    """It is learned from attempts in which no source took part."""
     harness = RouterHarness(members(parents=(), origin=False))
     for n in range(30):
         for fetch in every(harness.ask(f"o{n}"), Fetch):
@@ -169,8 +171,8 @@
     assert harness.router.outcome_attribution.cache_error_share > 0.5
 
 
-def test_cheap_errors_are_repeated() -> None:
-    """An error that came at once leaves the budget for further attempts nearly whole."""
+def test_retry_after_a_fast_error_costs_little() -> None:
+    """A retry after an immediate error is charged only a small part of a retry to the budget."""
     harness = RouterHarness()
     before = harness.router.retry_budget.available
     fetch = only(harness.ask(), Fetch)
@@ -181,8 +183,10 @@
 @pytest.mark.parametrize(
     ("result", "out"), [(AttemptResult.BROKEN, False), (AttemptResult.UNREACHABLE, True)]
 )
-def test_one_connection_breaks(result: AttemptResult, out: bool) -> None:
-    """All that was open on one connection ends at once: that alone must not take its cache out."""
+def test_broken_connection_does_not_eject_a_cache_but_failed_connects_do(
+    result: AttemptResult, out: bool
+) -> None:
+    """All attempts on one connection end together when it breaks, which counts as a single failure."""
     harness = RouterHarness(members(edges=2))
     open_there = [fetch for n in range(12) for fetch in every(harness.ask(f"o{n}"), Fetch)]
     for fetch in open_there:
@@ -191,8 +195,8 @@
     assert bool(harness.router.servers["edge-0"].ejected_until) is out
 
 
-def test_nothing_adds_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a long day of new objects and replaced caches, neither is remembered for good."""
+def test_tables_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With ever new objects and replaced caches, the tables must not grow without bound."""
     monkeypatch.setattr("brackenlane.routing.router.MAX_TABLE_ENTRIES", 50)
     harness = RouterHarness()
     for n in range(200):
@@ -209,8 +213,8 @@
     assert not router.attempts
 
 
-def test_a_parent_whose_fills_mostly_come_late_is_drawn_seldom_and_comes_back() -> None:
-    """Never out for long, since some fills come: of forty routers each left one fill in hand there."""
+def test_parent_with_mostly_late_fills_is_drawn_rarely_until_it_recovers() -> None:
+    """Its timely fills end each ejection, so that each of 40 routers kept one fill in flight there."""
     harness = RouterHarness(members(parents=("hub-a", "hub-a")))
 
     def drawn(rounds: int, late: bool) -> float:
@@ -223,11 +227,11 @@
             if late and fetch.source == "parent-0" and n % 4:
                 harness.now += 0.1
                 for k in range(12):
-                    harness.serve(f"hit{k}", "video")  # the caches are alive
+                    harness.serve(f"hit{k}", "video")  # hits prove that the caches are alive
                 timer = every(actions, SetTimer)[-1]
                 harness.now = max(harness.now, timer.at)
                 harness.router.handle(TimerFired(timer.token), harness.now)
-                harness.router.servers["parent-0"].ejected_until = 0.0  # a fill that came puts it back
+                harness.router.servers["parent-0"].ejected_until = 0.0  # as a timely fill would do
             harness.end(fetch, cache_status=CacheStatus.FILLED)
         return seen / rounds
 
@@ -238,8 +242,8 @@
     assert drawn(200, late=False) > 0.35
 
 
-def test_a_lone_parent_that_was_out_is_tried_as_soon_as_it_is_due_however_late_its_fills_were() -> None:
-    """A trial that had to win a draw for timely fills as well came once in hundreds of requests."""
+def test_trial_of_an_ejected_only_parent_does_not_depend_on_its_timeliness() -> None:
+    """If timeliness also reduced its trials, a trial was sent only once in hundreds of requests."""
     harness = RouterHarness(members(parents=("hub-a",)))
     parent = harness.router.servers["parent-0"]
     parent.timeliness, parent.ejected_until, parent.ejection_seconds = 0.01, 1.0, 1.0
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -1,4 +1,4 @@
-"""An origin that falls behind, in virtual time: many routers, parents that lack all that is asked for."""
+"""Overload of the origin in virtual time, with many routers and parents that hold none of the objects."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from tests.router_harness import RouterHarness, only
 
 ROUTERS = 60
-RATE = 100.0  # requests a second over all
-DEGRADED_RATE = 0.6 * RATE  # what the origin does a second once it falls behind
+RATE = 100.0  # requests per second at all routers together
+DEGRADED_RATE = 0.6 * RATE  # fills per second of the overloaded origin
 FILL_TIMEOUT = 1.265  # seconds that a cache waits for a fill
-LONGEST_QUEUE = 3.0  # seconds of work that the origin queues
+MAX_QUEUE_SECONDS = 3.0  # seconds of work that the origin queues
 
 
-class World:
-    """Routers in front of caches and parents that hold nothing, and an origin that serves in order."""
+class OriginSimulation:
+    """Routers, caches and parents without copies, and an origin with a FIFO queue."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -36,38 +36,38 @@
             )
             for n in range(ROUTERS)
         ]
-        self.heap: list[tuple[float, int, Any]] = []
-        self.order = itertools.count()
+        self.events: list[tuple[float, int, Any]] = []
+        self.sequence = itertools.count()
         self.now = 100.0
         self.origin_idle_at = 0.0
         self.origin_rate = 4 * RATE  # fills a second
-        self.served: list[float] = []  # when each that was answered in time was requested
+        self.served: list[float] = []  # arrival times of the requests that were answered in time
         self.requested: list[float] = []
         self.rejected: set[tuple[Any, str]] = set()
         self.sent: dict[tuple[Any, str], int] = {}
 
     def schedule(self, when: float, call: Any) -> None:
-        """Call a function at a time."""
-        heapq.heappush(self.heap, (when, next(self.order), call))
+        """Schedule a call at a virtual time."""
+        heapq.heappush(self.events, (when, next(self.sequence), call))
 
     def run(self, until: float) -> None:
-        """Send requests until a time, each for another object."""
+        """Send requests until a virtual time, each for a different object."""
         next_request = self.now
         while next_request < until:
             next_request += self.random.expovariate(RATE)
-            while self.heap and self.heap[0][0] < next_request:
-                self.now, _, call = heapq.heappop(self.heap)
+            while self.events and self.events[0][0] < next_request:
+                self.now, _, call = heapq.heappop(self.events)
                 call()
             self.now = next_request
             harness = self.random.choice(self.harnesses)
             harness.now = self.now
             self.requested.append(self.now)
             self.perform(
-                harness, harness.ask(f"o{next(self.order)}", "tiles", time_left=2.5, size_kb=0.0), self.now
+                harness, harness.ask(f"o{next(self.sequence)}", "tiles", time_left=2.5, size_kb=0.0), self.now
             )
 
     def perform(self, harness: RouterHarness, actions: list[Action], requested_at: float) -> None:
-        """Perform what a router decides."""
+        """Perform the actions of a router."""
         for action in actions:
             if isinstance(action, Fetch):
                 self.start_attempt(harness, action, requested_at)
@@ -87,7 +87,7 @@
         self.perform(harness, harness.router.handle(event, self.now), requested_at)
 
     def start_attempt(self, harness: RouterHarness, fetch: Fetch, requested_at: float) -> None:
-        """Start an attempt: a cache lookup is answered at once, a fill waits at the origin."""
+        """Start an attempt: a lookup misses at once, a fill waits in the queue of the origin."""
         key = (harness, fetch.request_id)
         number = self.sent[key] = self.sent.get(key, -1) + 1
         start = self.now
@@ -116,10 +116,10 @@
         if fetch.source == fetch.server or fetch.only_if_cached:
             self.schedule(start + 0.01, lambda: end(AttemptResult.MISS))
             return
-        if self.origin_idle_at - start > LONGEST_QUEUE:
+        if self.origin_idle_at - start > MAX_QUEUE_SECONDS:
             self.schedule(start + 0.05, lambda: end(AttemptResult.FULL))
             return
-        # It works that off even if nobody waits for it.
+        # The origin completes the fill even after it has been abandoned.
         self.origin_idle_at = max(self.origin_idle_at, start) + 1 / self.origin_rate
         done = self.origin_idle_at + 0.05
         if done - start > FILL_TIMEOUT:
@@ -134,32 +134,32 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_origin_at_six_tenths_of_the_demand_serves_a_good_part_of_it(seed: int) -> None:
-    """It falls to 0.6 of what is asked of it: a good part of that is served, and all soon after it mends."""
-    world = World(seed)
-    world.run(105.0)
-    assert world.share(101, 104) > 0.95
-    world.origin_rate = DEGRADED_RATE
-    world.run(121.0)
-    assert world.share(110, 120) > 0.35  # of 0.6
-    world.origin_rate = 4 * RATE
-    world.run(133.0)
-    assert world.share(130, 132) > 0.9
+def test_origin_at_six_tenths_of_the_request_rate_stays_useful(seed: int) -> None:
+    """At 0.6 of the request rate, the origin serves a good part of that; after recovery, nearly all."""
+    simulation = OriginSimulation(seed)
+    simulation.run(105.0)
+    assert simulation.share(101, 104) > 0.95
+    simulation.origin_rate = DEGRADED_RATE
+    simulation.run(121.0)
+    assert simulation.share(110, 120) > 0.35  # at most 0.6 is possible
+    simulation.origin_rate = 4 * RATE
+    simulation.run(133.0)
+    assert simulation.share(130, 132) > 0.9
 
 
 def test_without_the_throttle_few_requests_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The fault to detect: all is admitted, and the origin works off requests that were abandoned."""
+    """The failure that the throttle prevents: the origin completes only fills that were abandoned."""
     monkeypatch.setattr(OriginThrottle, "current_share", lambda self, now: 1.0)
-    world = World(1)
-    world.run(105.0)
-    world.origin_rate = DEGRADED_RATE
-    world.run(121.0)
-    assert world.share(110, 120) < 0.2
+    simulation = OriginSimulation(1)
+    simulation.run(105.0)
+    simulation.origin_rate = DEGRADED_RATE
+    simulation.run(121.0)
+    assert simulation.share(110, 120) < 0.2
 
 
 @pytest.mark.parametrize("is_fast", [True, False])
 def test_late_failures_throttle_the_origin_and_fast_ones_do_not(is_fast: bool) -> None:
-    """Errors that come at once hold nothing back from the origin; the same errors after a long wait do."""
+    """Errors after a long wait reduce the admitted share; the same errors without a wait do not."""
     harness = RouterHarness(
         [Member("edge-0", "depot", weight=8.0), Member("origin", "hub-a", Role.ORIGIN)], now=100.0
     )
@@ -170,11 +170,11 @@
     assert (harness.router.origin_throttle.current_share(harness.now) == 1.0) is is_fast
 
 
-@pytest.mark.parametrize(("failing", "part"), [(0, 1.0), (1, 0.875), (2, 0.75), (4, 0.5)])
+@pytest.mark.parametrize(("failing", "share"), [(0, 1.0), (1, 0.875), (2, 0.75), (4, 0.5)])
 def test_late_errors_of_parents_are_attributed_to_the_origin_by_their_share(
-    failing: int, part: float
+    failing: int, share: float
 ) -> None:
-    """What fails at one parent is its own; what fails at half of the others is held back by half as much."""
+    """An error is attributed to the origin in proportion to the other parents that have failures too."""
     parents = [Member(f"parent-{n}", "hub-a", Role.PARENT, weight=20.0) for n in range(5)]
     origin = Member("origin", "hub-a", Role.ORIGIN)
     harness = RouterHarness([Member("edge-0", "depot", weight=8.0), *parents, origin], now=100.0)
@@ -183,24 +183,27 @@
     for name in others[:failing]:
         harness.router.servers[name].failure_score = 1.0
     harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=3.0)
-    assert harness.router.origin_throttle.current_share(harness.now) == pytest.approx(part)
+    assert harness.router.origin_throttle.current_share(harness.now) == pytest.approx(share)
 
 
 @pytest.mark.parametrize(("every", "low", "high"), [(5, 0.6, 1.0), (1, 0.0, 0.2)])
 def test_origin_that_is_late_at_times_is_throttled_little(every: int, low: float, high: float) -> None:
-    """An origin whose usual wait is near an aim is late for some: little is held back; always late, most."""
+    """An origin with a latency near the objective is late at times.
+
+    With 1 late answer in 5, little is rejected; with only late answers, nearly everything is.
+    """
     throttle = OriginThrottle()
-    parts: list[float] = []
+    shares: list[float] = []
     for n in range(60):
         now, wait = 100 + 0.2 * n, 0.39 if n % every == 0 else 0.05
         fill = Outcome("x", 0, "edge-0", AttemptResult.OK, wait, True, CacheStatus.FILLED_BY_ORIGIN, wait)
         throttle.learn(fill, now, 0.28, 1.0, 0.4, 0.004)
-        parts.append(throttle.current_share(now))
-    assert low <= sum(parts[20:]) / 40 <= high
+        shares.append(throttle.current_share(now))
+    assert low <= sum(shares[20:]) / 40 <= high
 
 
-def test_share_is_halved_once_in_a_window_and_recovers_with_time() -> None:
-    """Halved once for all that is late together, down to its least; back to 1 in the recovery time."""
+def test_share_is_halved_once_per_cooldown_and_recovers_with_time() -> None:
+    """The share is halved once per cooldown, has a lower bound, and returns to 1 within the recovery time."""
     throttle = OriginThrottle()
     assert throttle.current_share(100.0) == 1.0
     throttle.decrease(100.0, 1.0, 0.5)
--- a/tests/test_overload_decisions.py
+++ b/tests/test_overload_decisions.py
@@ -1,4 +1,4 @@
-"""Jams: what cannot be in time is refused before it joins one."""
+"""Decisions in an overload: requests that cannot be answered in time are rejected at once."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
         actions = harness.ask("clip")
         for fetch in every(actions, Fetch):
             seen[fetch.server] = seen.get(fetch.server, 0) + 1
-    refused = only(actions, Reject)
-    assert refused.hold_off > 0
-    # Of an aim of 0.5 + 2 x 0.4 s, 0.7 count; 0.4 s of sending on 8 transfers: 18 attempts each, not more.
+    rejection = only(actions, Reject)
+    assert rejection.hold_off > 0
+    # 0.7 of the objective of 0.5 + 2 x 0.4 s is usable. With 0.4 s per transfer and 8 transfers at a time,
+    # that is 18 attempts at each cache.
     assert seen == {"edge-0": 18, "edge-1": 18}
 
 
 def overloaded_harness(**changes: Any) -> RouterHarness:
-    """A rig whose usual answers come after the aim."""
+    """Return a harness whose router has seen answers that all miss the latency objective."""
     harness = RouterHarness(**changes)
     for n in range(60):
         harness.now += 5
@@ -38,11 +39,11 @@
     return harness
 
 
-def test_overload_makes_a_request_look_up_hits_first() -> None:
+def test_overload_makes_a_request_look_up_a_copy_first() -> None:
     harness = overloaded_harness()
-    look = only(harness.ask("clip"), Fetch)
-    assert look.source == look.server
-    fill = only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch)
+    lookup = only(harness.ask("clip"), Fetch)
+    assert lookup.source == lookup.server
+    fill = only(harness.end(lookup, AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch)
     assert fill.source.startswith("parent")
 
 
@@ -50,17 +51,17 @@
     ("attempts", "requested"),
     [
         (1, ["fill"]),
-        (2, ["look at the cache", "fill"]),
-        (3, ["look at the cache", "look at the parent", "fill"]),
+        (2, ["cache lookup", "fill"]),
+        (3, ["cache lookup", "parent lookup", "fill"]),
     ],
 )
-def test_looks_that_find_nothing_leave_an_attempt_for_the_fill(attempts: int, requested: list[str]) -> None:
-    """Before, a site that allows two attempts had both spent on looks, and refused what it could fill."""
+def test_unsuccessful_lookups_leave_an_attempt_for_the_fill(attempts: int, requested: list[str]) -> None:
+    """With 2 attempts allowed, lookups used up both, and requests that could be filled were rejected."""
     harness = overloaded_harness(max_attempts=attempts, may_bypass_caches=False)
     sent, found = only(harness.ask("clip"), Fetch), list[str]()
     while True:
         own = sent.source == sent.server
-        found.append("look at the cache" if own else "look at the parent" if sent.only_if_cached else "fill")
+        found.append("cache lookup" if own else "parent lookup" if sent.only_if_cached else "fill")
         if found[-1] == "fill":
             break
         sent = only(harness.end(sent, AttemptResult.MISS, CacheStatus.UNKNOWN, attempt=len(found) - 1), Fetch)
@@ -74,19 +75,19 @@
             1.0,
             1.0 if server.member.server.startswith(("parent", "origin")) else 0.0,
         )
-    look = only(harness.ask("clip"), Fetch)
-    assert only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN), Reject)
+    lookup = only(harness.ask("clip"), Fetch)
+    assert only(harness.end(lookup, AttemptResult.MISS, CacheStatus.UNKNOWN), Reject)
 
 
 def test_overload_skips_the_lookup_at_a_cold_cache() -> None:
-    """It has little yet: a look there would come back, and would cost it a part of what it bears."""
+    """It has few copies yet, so a lookup would most likely miss and use up its slow-start budget."""
     harness = overloaded_harness()
     harness.tell([replace(m, started_at=harness.now) for m in members() if m.role is Role.EDGE])
     harness.now += 17.0
     fetch = only(harness.ask("fresh"), Fetch)
     assert fetch.server.startswith("edge")
     assert fetch.source.startswith(("parent", "origin"))
-    harness.now += 2.0  # warm by now
+    harness.now += 2.0  # slow start is over
     fetch = only(harness.ask("other"), Fetch)
     assert fetch.source == fetch.server
 
@@ -119,7 +120,7 @@
     assert only(actions, Reject).request_id == fetch.request_id
 
 
-def test_long_response_runs_on_without_overload() -> None:
+def test_overdue_response_continues_without_overload() -> None:
     harness = RouterHarness()
     for n in range(30):
         harness.now += 5
@@ -131,13 +132,13 @@
     assert only(actions, SetTimer).at > harness.now
 
 
-def test_a_cache_without_a_place_for_a_fill_is_passed_by() -> None:
+def test_cache_without_a_slot_for_a_fill_is_bypassed() -> None:
     harness = overloaded_harness()
-    look = only(harness.ask("clip"), Fetch)
-    fill = only(harness.end(look, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.001), Fetch)
-    straight = only(harness.end(fill, AttemptResult.FULL, CacheStatus.UNKNOWN, attempt=1, wait=0.001), Fetch)
-    assert straight.server.startswith("parent")
-    assert straight.source == "origin"  # a parent that names itself fills nothing
+    lookup = only(harness.ask("clip"), Fetch)
+    fill = only(harness.end(lookup, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.001), Fetch)
+    bypass = only(harness.end(fill, AttemptResult.FULL, CacheStatus.UNKNOWN, attempt=1, wait=0.001), Fetch)
+    assert bypass.server.startswith("parent")
+    assert bypass.source == "origin"  # a parent that is its own source does not fill
 
 
 def test_overdue_source_is_ejected_and_its_edge_cache_is_not() -> None:
@@ -163,8 +164,8 @@
     assert only(harness.ask("next"), Fetch).source == "parent-1"
 
 
-def test_one_more_attempt_does_not_spill_with_many_routers() -> None:
-    """The others are taken to have what this router usually has, not what it has right now."""
+def test_attempts_in_flight_cause_no_spillover_with_many_routers() -> None:
+    """Other routers are assumed to have the mean load of this router, not its current load."""
     harness = RouterHarness(routers_by_location=(0, 0, 0, 10), router_count=10)
     for n in range(50):
         harness.now += 1
@@ -176,11 +177,11 @@
 def test_fills_of_all_routers_fit_the_link_of_the_location() -> None:
     harness = RouterHarness(
         routers_by_location=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 4000.0)
-    )  # one transfer at full pace
+    )  # link of one transfer at full pace
     for n in range(10):
         harness.now += 0.1
         last = only(harness.ask(f"o{n}"), Fetch)
-    assert last.source == last.server  # no source: only a copy on hand will do
+    assert last.source == last.server  # cache lookup without a source
     assert only(harness.end(last, AttemptResult.MISS, CacheStatus.UNKNOWN), Reject)
     harness = RouterHarness(routers_by_location=(0, 0, 0, 4), link_kb_per_s=(0.0, 0.0, 0.0, 160000.0))
     for n in range(10):
@@ -190,7 +191,7 @@
 
 
 def test_overload_looks_up_the_parent_before_the_origin() -> None:
-    """What the parent lacks needs room in the origin's window, and its lateness is the origin's."""
+    """After a miss at the parent, the window of the origin applies, and a late fill is attributed to it."""
     harness = overloaded_harness()
     held = only(harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN), Fetch)
     assert held.only_if_cached
@@ -213,8 +214,8 @@
     assert only(harness.end(held, AttemptResult.MISS, CacheStatus.UNKNOWN, attempt=1), Reject)
 
 
-def test_a_parent_late_with_what_it_holds_is_slow_itself_and_not_excused() -> None:
-    """After a late look at a parent, misses are asked of it in full again and judged as its own."""
+def test_parent_with_an_overdue_lookup_is_sent_fetches_instead() -> None:
+    """After an overdue lookup, a parent is sent fetches again, and their failures are attributed to it."""
     harness = overloaded_harness()
     actions = harness.end(only(harness.ask("clip"), Fetch), AttemptResult.MISS, CacheStatus.UNKNOWN)
     held, timer = only(actions, Fetch), every(actions, SetTimer)[0]
@@ -231,10 +232,12 @@
     assert not fetch.only_if_cached
 
 
-@pytest.mark.parametrize("gateways", [3, 40])
-def test_first_fills_of_all_routers_fit_a_source(gateways: int) -> None:
-    """A start of its own for each router was 8 fills a source; of forty it was 320, and never came back."""
-    harnesses = [RouterHarness(members(edges=12), seed=n, router_count=gateways) for n in range(gateways)]
+@pytest.mark.parametrize("router_count", [3, 40])
+def test_first_fills_of_all_routers_fit_a_source(router_count: int) -> None:
+    """If each router started with 8 fills per source, 40 routers sent 320, and the source never recovered."""
+    harnesses = [
+        RouterHarness(members(edges=12), seed=n, router_count=router_count) for n in range(router_count)
+    ]
     sent = [
         f
         for harness in harnesses
@@ -242,32 +245,34 @@
         for f in every(harness.ask(f"o{n}", size_kb=40.0), Fetch)
     ]
     held = Counter(f.source for f in sent if f.source.startswith("parent"))
-    assert all(count <= 2 * min(8 * gateways, 80) for count in held.values()), held  # half are likely hits
+    assert all(count <= 2 * min(8 * router_count, 80) for count in held.values()), (
+        held
+    )  # half are likely hits
 
 
 def test_origin_gets_no_overflow_of_parents_unless_they_are_ejected() -> None:
     harness = RouterHarness(members(edges=12), router_count=40)
     fetches = [f for n in range(12) for f in every(harness.ask(f"o{n}", size_kb=40.0), Fetch)]
     assert {f.source for f in fetches if f.source != f.server} == {"parent-0", "parent-1"}
-    assert any(f.source == f.server for f in fetches)  # looked for only
+    assert any(f.source == f.server for f in fetches)  # cache lookups
     for server in harness.router.servers.values():
         if server.member.role is Role.PARENT:
             server.ejected_until = math.inf
     assert only(harness.ask("o99", size_kb=40.0), Fetch).source == "origin"
 
 
-@pytest.mark.parametrize(("seats", "counted"), [(1, 12.0), (9, 6.0)])
-def test_fills_that_wait_are_not_taken_for_a_jam_of_all_who_share_a_link(seats: int, counted: float) -> None:
-    """With all copies void the caches' links stood idle, yet a ninth of the crowd, times nine, was a jam."""
-    harness = RouterHarness(members(edges=1), routers_by_location=(0, 0, 0, seats), router_count=3)
+@pytest.mark.parametrize(("sharers", "in_flight"), [(1, 12.0), (9, 6.0)])
+def test_waiting_fills_count_less_where_many_routers_share_a_link(sharers: int, in_flight: float) -> None:
+    """After a purge of all copies, waiting fills of 9 routers counted as a full link although it was idle."""
+    harness = RouterHarness(members(edges=1), routers_by_location=(0, 0, 0, sharers), router_count=3)
     sent = 0
     while sent < 12:
         fetch = only(harness.ask(f"o{sent}", size_kb=40.0), Fetch)
         sent += bool(
             every(harness.end(fetch, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.01), Fetch)
-        )  # a fill for sure
+        )  # certainly a fill
     edge = harness.router.servers["edge-0"]
-    assert edge.in_flight == pytest.approx(counted)
+    assert edge.in_flight == pytest.approx(in_flight)
     for name, number in list(harness.router.attempts):
         harness.router.handle(
             Outcome(name, number, "edge-0", AttemptResult.OK, 0.1, True, CacheStatus.FILLED), harness.now
@@ -276,27 +281,27 @@
 
 
 @pytest.mark.parametrize("purged", [False, True])
-def test_what_was_purged_as_a_group_lately_is_not_looked_for_at_the_parent(purged: bool) -> None:
-    """With all copies void each look at a parent came back with nothing, 265 a second, before any fill."""
+def test_recently_purged_group_is_not_looked_up_at_the_parent(purged: bool) -> None:
+    """After a purge of all copies, each fill was preceded by a useless parent lookup, 265 per second."""
     harness = overloaded_harness()
     if purged:
         harness.router.handle(Purged(group=7, age=0.2), harness.now)
-    looked = only(harness.ask("fresh-one", group=7), Fetch)
-    assert looked.source == looked.server
-    fetch = only(harness.end(looked, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.01), Fetch)
+    lookup = only(harness.ask("fresh-one", group=7), Fetch)
+    assert lookup.source == lookup.server
+    fetch = only(harness.end(lookup, AttemptResult.MISS, CacheStatus.UNKNOWN, wait=0.01), Fetch)
     assert fetch.source.startswith("parent")
     assert fetch.only_if_cached is not purged
 
 
 def test_overload_never_looks_up_a_write() -> None:
-    """It is kept nowhere: looks at a cache and a parent come back; then the origin's window ends it."""
+    """A write has no copies: lookups miss, and a full window of the origin then rejects the request."""
     submit = replace(VIDEO, name="submit", idempotency=Idempotency.NON_IDEMPOTENT, uncached=True)
     harness = overloaded_harness(classes=(VIDEO, submit))
     sent = only(harness.ask("sheet", "submit", is_write=True), Fetch)
     assert sent.source != sent.server
     assert not sent.only_if_cached
     origin = harness.router.servers["origin"]
-    origin.window, origin.in_flight = 1.0, 1.0  # with the origin's window full, a parent takes it there
+    origin.window, origin.in_flight = 1.0, 1.0  # origin window full: a parent forwards the write
     sent = only(harness.ask("sheet", "submit", is_write=True), Fetch)
     assert sent.source.startswith("parent")
     assert not sent.only_if_cached
--- a/tests/test_unresponsive_caches.py
+++ b/tests/test_unresponsive_caches.py
@@ -1,4 +1,4 @@
-"""Silence of many, slow decay and lost answers: judged by what attempts bring, on own traffic alone."""
+"""Detection of unresponsive and slow caches from the results of the attempts of one router alone."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from tests.router_harness import RouterHarness, members, only, settings
 
 
-def test_all_caches_silent_at_once_are_passed_by_and_come_back_cold() -> None:
+def test_edges_are_bypassed_while_unreachable_and_return_in_slow_start() -> None:
     harness = RouterHarness()
     actions = harness.ask("clip")
     for n in range(3):
         fetch = only(actions, Fetch)
         assert fetch.server.startswith("edge")
         actions = harness.end(fetch, AttemptResult.UNREACHABLE, attempt=n, wait=0.4)
-    straight = only(actions, Fetch)
-    assert straight.server.startswith("parent")
-    assert straight.source == "origin"
+    bypass = only(actions, Fetch)
+    assert bypass.server.startswith("parent")
+    assert bypass.source == "origin"
     harness.now = 3.0
     harness.tell([replace(m, started_at=2.0) for m in members() if m.server.startswith("edge")])
     for n in range(20):
         harness.now += 0.5
         harness.serve(f"o{n}")
-    back = [s for s in harness.router.servers.values() if s.member.server.startswith("edge")]
-    assert not any(s.ejected_until for s in back)
-    assert all(s.born == 2.0 for s in back)
+    restarted = [s for s in harness.router.servers.values() if s.member.server.startswith("edge")]
+    assert not any(s.ejected_until for s in restarted)
+    assert all(s.born == 2.0 for s in restarted)
 
 
 def test_restarted_router_with_an_old_list_avoids_unresponsive_caches() -> None:
-    harness = RouterHarness(members(edges=2))  # the remembered list
+    harness = RouterHarness(members(edges=2))  # the list from before the restart
     for n in range(4):
         fetch = only(harness.ask(f"o{n}"), Fetch)
         if fetch.server == "edge-0":
@@ -47,7 +47,7 @@
     assert len({harness.serve(f"q{n}").server for n in range(50)}) == 3
 
 
-def test_a_cache_whose_answers_are_lost_is_out_while_the_others_serve() -> None:
+def test_cache_whose_answers_are_lost_is_ejected_and_the_others_are_not() -> None:
     harness = RouterHarness()
     for n in range(30):
         harness.now += 0.2
@@ -64,7 +64,7 @@
     assert not harness.router.servers["edge-2"].ejected_until
 
 
-def test_a_cache_that_grows_slower_is_passed_over_by_its_crowd() -> None:
+def test_cache_with_many_unanswered_transfers_is_skipped() -> None:
     harness = RouterHarness(members(edges=2))
     seen = set()
     for n in range(60):
@@ -72,19 +72,19 @@
         fetch = only(harness.ask(f"o{n}"), Fetch)
         seen.add(fetch.server)
         if fetch.server == "edge-1":
-            harness.end(fetch)  # edge-0 takes ever longer: nothing comes back yet
+            harness.end(fetch)  # edge-0 has become slow: it has not answered yet
     late = [only(harness.ask(f"p{n}"), Fetch) for n in range(15)]
     assert seen == {"edge-0", "edge-1"}
     assert {f.server for f in late} == {"edge-1"}
 
 
-@pytest.mark.parametrize(("price", "quiet"), [(0.0, 0.2), (0.011, 0.2), (0.05, 0.8), (0.9, 3.0)])
-def test_a_dear_probe_waits_for_what_comes_for_nothing(price: float, quiet: float) -> None:
-    """Each silent connection was asked after one aim: where waits are longer, a probe for every request."""
+@pytest.mark.parametrize(("probe_price", "idle_seconds"), [(0.0, 0.2), (0.011, 0.2), (0.05, 0.8), (0.9, 3.0)])
+def test_expensive_probes_are_sent_later(probe_price: float, idle_seconds: float) -> None:
+    """Idle connections were probed after one latency objective: with longer waits, once for every request."""
     classes = (
         RequestClass("a", latency_objective=0.2, time_limit=6.0),
         RequestClass("b", latency_objective=0.5, time_limit=2.0),
     )
-    reported = Limits().with_settings(settings(classes=classes, may_probe=True, probe_price=price))
-    assert reported.idle_probe_after == pytest.approx(quiet)
+    reported = Limits().with_settings(settings(classes=classes, may_probe=True, probe_price=probe_price))
+    assert reported.idle_probe_after == pytest.approx(idle_seconds)
     assert reported.idle_probe_after <= reported.unresponsive_timeout == 3.0
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -1,4 +1,4 @@
-"""Lists whose weights are all 1 and tell nothing, and requests whose size is not told."""
+"""Lists with unknown weights (all 1), and requests of unknown size."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 ]
 
 
-@pytest.mark.parametrize(("command", "reported"), [("silent", False), ("nominal", True)])
-def test_read(command: str, reported: bool) -> None:
-    """The settings say whether weights mean anything."""
-    assert settings_codec.read_settings({**SETTINGS, "Weights": command}).weights_known is reported
+@pytest.mark.parametrize(("value", "known"), [("silent", False), ("nominal", True)])
+def test_settings_say_whether_weights_are_known(value: str, known: bool) -> None:
+    """The setting `Weights` is read as `weights_known`."""
+    assert settings_codec.read_settings({**SETTINGS, "Weights": value}).weights_known is known
 
 
 @pytest.mark.parametrize(("reported", "sent"), [(False, True), (True, False)])
 @pytest.mark.parametrize("cls", ["submit", "video"])
-def test_unknown_weight(cls: str, reported: bool, sent: bool) -> None:
-    """A weight of 1 that tells nothing must not pass for a cache whose link bears one transfer."""
+def test_weight_of_one_is_a_limit_only_if_weights_are_known(cls: str, reported: bool, sent: bool) -> None:
+    """An unknown weight, listed as 1, must not be taken for a link that carries one transfer."""
     harness = RouterHarness(FLEET, weights_known=reported, classes=(VIDEO, SUBMIT))
     found = [
         action
@@ -48,23 +48,23 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "wait", "wider"),
+    ("size_kb", "wait", "is_wider"),
     [
-        (0.0, 0.2, True),  # no size seen, as on the simulator's wire, but in time
-        (0.0, 2.0, False),  # no size seen, and late
-        (800.0, 0.2, True),  # as long as alone, among many: there is room for more
-        (800.0, 1.5, False),  # a crowd: nothing is widened
+        (0.0, 0.2, True),  # unknown size, as on the simulator's wire; in time
+        (0.0, 2.0, False),  # unknown size; late
+        (800.0, 0.2, True),  # no slowdown with many transfers: the link is wider
+        (800.0, 1.5, False),  # slowdown by contention: the link is not wider
     ],
 )
-def test_learned_width(seen: float, wait: float, wider: bool) -> None:
-    """A link that bears more than is assumed must not be kept for a few: that refuses others for nothing."""
+def test_link_width_is_learned_from_answers(size_kb: float, wait: float, is_wider: bool) -> None:
+    """A link wider than assumed must not keep the assumed limit, which rejects requests needlessly."""
     harness = RouterHarness(FLEET, weights_known=False, classes=(VIDEO, SUBMIT))
-    crowds = []
+    counts = []
     for _ in range(6):
-        crowd = [f for n in range(100) for f in every(harness.ask(f"o{n}", size_kb=0.0), Fetch)]
-        crowds.append(len(crowd))
+        fetches = [f for n in range(100) for f in every(harness.ask(f"o{n}", size_kb=0.0), Fetch)]
+        counts.append(len(fetches))
         harness.now += wait
-        for fetch in crowd:
+        for fetch in fetches:
             harness.router.handle(
                 Outcome(
                     fetch.request_id,
@@ -74,16 +74,16 @@
                     wait,
                     True,
                     CacheStatus.HIT,
-                    size_kb=seen,
+                    size_kb=size_kb,
                 ),
                 harness.now,
             )
-    assert (crowds[-1] > 2 * crowds[0]) is wider, crowds
+    assert (counts[-1] > 2 * counts[0]) is is_wider, counts
 
 
 @pytest.mark.parametrize("learned", [False, True])
-def test_cold_budget_of_learned_width(learned: bool) -> None:
-    """A cache that starts where links have proved wide is not kept idle on the budget of an assumed one."""
+def test_slow_start_budget_follows_the_learned_width(learned: bool) -> None:
+    """If warm caches have wide links, a starting cache must not be budgeted by the assumed width."""
     late = Member("edge-1", "depot", started_at=90.0)
     harness = RouterHarness([*FLEET, late], weights_known=False, classes=(VIDEO, SUBMIT))
     harness.now = 100.0
@@ -108,7 +108,7 @@
 
 
 def test_sizes_are_learned_by_object_and_means_by_the_first_answers() -> None:
-    """A guess of a quarter aim, mended by 2% an arrival, was a third of the truth for 10 s and more."""
+    """A prior of 1/4 objective, corrected by 2% per arrival, was a third of the real mean for over 10 s."""
     harness = RouterHarness(classes=(VIDEO, TILES), weights_known=False)
     for n in range(12):
         fetch = only(harness.ask(f"o{n}", size_kb=0.0, part=0), Fetch)
@@ -125,12 +125,12 @@
             ),
             harness.now,
         )
-    assert harness.router.sizes.means["video"] == pytest.approx(0.4, rel=0.25)  # 1,600 KB at 4,000 a second
-    harness.ask("o0", size_kb=0.0, part=7)  # another part of an object seen
+    assert harness.router.sizes.means["video"] == pytest.approx(0.4, rel=0.25)  # 1,600 KB at 4,000 KB/s
+    harness.ask("o0", size_kb=0.0, part=7)  # another part of a known object
     assert next(reversed(harness.router.pending_requests.values())).work == pytest.approx(0.4)
 
 
-def test_response_without_bytes_teaches_no_size() -> None:
+def test_response_without_content_does_not_change_a_learned_size() -> None:
     harness = RouterHarness(weights_known=False)
     for size, wait in ((1600.0, 0.6), (0.0, 0.01)):
         fetch = only(harness.ask("clip", size_kb=0.0), Fetch)
@@ -143,15 +143,15 @@
     assert harness.router.sizes.by_object["clip"] == pytest.approx(0.4)
 
 
-@pytest.mark.parametrize(("seats", "ranks"), [(1, [1, 2]), (9, [1, 1])])
-def test_priority_of_repeated_objects(seats: int, ranks: list[int]) -> None:
-    """Of nine routers each called known what it saw twice: copies that the others' could not push out."""
-    harness = RouterHarness(routers_by_location=(0, 0, 0, seats))
+@pytest.mark.parametrize(("sharers", "ranks"), [(1, [1, 2]), (9, [1, 1])])
+def test_retention_rank_of_repeated_objects(sharers: int, ranks: list[int]) -> None:
+    """Each of 9 routers ranked an object high that it saw twice, and its copies could not be evicted."""
+    harness = RouterHarness(routers_by_location=(0, 0, 0, sharers))
     assert [harness.serve("clip").keep for _ in ranks] == ranks
 
 
-def test_absurd_client_size_moves_no_mean_far() -> None:
-    """One told size of years made every cold cache too dear for hundreds of requests."""
+def test_huge_size_from_a_client_barely_changes_the_mean() -> None:
+    """One request that stated years of transfer kept hundreds of others from every cache in slow start."""
     harness = RouterHarness()
     before = harness.router.sizes.means["video"]
     harness.ask("huge", size_kb=999_999_999.0)
