--- a/brackenlane/routing/answer_learning.py
+++ b/brackenlane/routing/answer_learning.py
@@ -101,7 +101,7 @@
                 self._capacity.transfers(edge, self._capacity.edge_sharers) + 1,
             )
             edge.learn_width(transfers, event.wait / transfer_seconds)
-            self._update_least_width(now)
+            self._update_min_width(now)
             return
         is_uncontended = event.wait <= MAX_UNCONTENDED_SLOWDOWN * transfer_seconds
         if is_fill and is_uncontended and source and source.member.role is Role.PARENT:
@@ -111,7 +111,7 @@
             )
             source.learn_width(transfers, 1.0)
 
-    def _update_least_width(self, now: float) -> None:
+    def _update_min_width(self, now: float) -> None:
         """Store the smallest learned width of a warm cache, which is assumed for caches in slow start."""
         budget = self._capacity.slow_start_budget
         widths = [
--- a/brackenlane/routing/fill_source.py
+++ b/brackenlane/routing/fill_source.py
@@ -42,9 +42,9 @@
         is_uncached = request.cls.uncached
         is_parent_in_use = not is_uncached and self._is_any_parent_in_use(now)
         if candidates and not is_uncached:
-            most_parents = max(map(len, self._servers.parents_by_distance))
+            max_parents = max(map(len, self._servers.parents_by_distance))
             expires = request.cls.fresh_for > 0
-            return self._draw.draw(candidates, origin, expires, most_parents)
+            return self._draw.draw(candidates, origin, expires, max_parents)
         if is_parent_in_use:
             # Fills that exceed the capacity of the parents do not go to the origin. It could serve only a
             # part of them, and all routers would send it theirs at once. It replaces ejected parents only.
@@ -105,19 +105,19 @@
         self._random = rng
 
     def draw(
-        self, parents: Sequence[SourceT], origin: SourceT | None, expires: bool, most_parents: int
+        self, parents: Sequence[SourceT], origin: SourceT | None, expires: bool, max_parents: int
     ) -> SourceT:
         """Return one of the parents, or the origin unless that is None.
 
         parents: at least one, in ascending order of probability; expires: whether the copy has a time to
-        live; most_parents: largest number of parents in any hub.
+        live; max_parents: largest number of parents in any hub.
         """
         # Each parent that is requested for an object fetches it from the origin, so the ratio grows with the
         # number of parents of a hub. Copies without a time to live never expire at the same time, so that few
         # parents are sufficient for them.
         ratio = max(
             PARENT_RATIO if expires else UNEXPIRING_PARENT_RATIO,
-            PARENT_RATIO * most_parents / BASE_RATIO_PARENTS,
+            PARENT_RATIO * max_parents / BASE_RATIO_PARENTS,
         )
         chances = [ratio**candidate for candidate in range(1, len(parents) + 1)]
         self._expiring_share += (expires - self._expiring_share) / EXPIRING_SMOOTHING_DRAWS
--- a/brackenlane/routing/membership.py
+++ b/brackenlane/routing/membership.py
@@ -43,7 +43,9 @@
     def update(self, event: Membership) -> None:
         """Apply a list of members; servers that are draining or gone are no longer used."""
         if event.kind in (MembershipKind.FULL, MembershipKind.REMEMBERED):
-            self.servers = {m.server: self.servers.get(m.server) or self._new(m) for m in event.members}
+            self.servers = {
+                m.server: self.servers.get(m.server) or self._create_server(m) for m in event.members
+            }
         for member in event.members:
             self._update_member(member)
         # Caches are replaced continually, so entries of gone servers must not accumulate.
@@ -69,15 +71,15 @@
     def _update_member(self, member: Member) -> None:
         """Apply one entry; the state of a server with a later start time is reset."""
         server = self.servers.get(member.server)
-        if server is None or member.started_at > server.born:
-            server = self._new(member)
+        if server is None or member.started_at > server.slow_start_since:
+            server = self._create_server(member)
             self.servers[member.server] = server
         if self._settings.weights_known:
             server.member = member
         else:
             server.member = replace(member, weight=DEFAULT_WIDTH[member.role])
 
-    def _new(self, member: Member) -> Server:
+    def _create_server(self, member: Member) -> Server:
         """Return the initial state of a server."""
         return Server(member, self._initial_window, self.router_started_at, self._settings.weights_known)
 
--- a/brackenlane/routing/origin_throttle.py
+++ b/brackenlane/routing/origin_throttle.py
@@ -45,16 +45,16 @@
         late_after: float,
         origin_probability: float,
         cooldown: float,
-        tick: float,
+        cache_rejection_seconds: float,
     ) -> None:
         """Adjust the share to the outcome of a fill in which the origin may have taken part.
 
         late_after: seconds after which an answer is late; origin_probability: probability, 0 to 1, that the
-        origin caused an error whose cache status does not say so; cooldown: as for `decrease`; tick: seconds
-        within which a rejection is made by the cache itself.
+        origin caused an error whose cache status does not say so; cooldown: as for `decrease`;
+        cache_rejection_seconds: time within which a rejection is made by the cache itself.
         """
         is_from_origin = event.cache_status is CacheStatus.FILLED_BY_ORIGIN
-        is_rejected = event.result is AttemptResult.FULL and event.wait > tick
+        is_rejected = event.result is AttemptResult.FULL and event.wait > cache_rejection_seconds
         is_late = (event.first_byte or event.wait) >= late_after
         # A fast failure does not indicate a queue: a queued fill fails only at its timeout.
         is_late_failure = is_late and (is_from_origin or event.result is AttemptResult.ERROR)
--- a/brackenlane/routing/servers.py
+++ b/brackenlane/routing/servers.py
@@ -27,7 +27,6 @@
     """The state that this router keeps for one server."""
 
     __slots__ = (
-        "born",
         "concurrency",
         "connection_broken_at",
         "ejected_until",
@@ -40,6 +39,7 @@
         "mean_in_flight",
         "member",
         "miss_share",
+        "slow_start_since",
         "timeliness",
         "tokens",
         "width",
@@ -61,8 +61,8 @@
         """
         # The latest entry on the discovery list.
         self.member = member
-        # Start time, either as listed or reset after a long ejection; slow start is measured from here.
-        self.born = member.started_at
+        # Unix time from which slow start is measured: the listed start time, or the end of a long ejection.
+        self.slow_start_since = member.started_at
         # Slow-start budget of this router; nothing accrues for the time before the router started.
         self.tokens = TokenBucket(max(member.started_at, router_started_at))
         # Link width in concurrent transfers, learned from answers; 0: not learned yet.
--- a/brackenlane/routing/slow_start.py
+++ b/brackenlane/routing/slow_start.py
@@ -35,14 +35,14 @@
 
 
 def sharers_by_location(
-    burst_work: float, request_work: float, locations: Iterable[Member], own: str
+    burst_work: float, request_work: float, locations: Iterable[Member], own_location: str
 ) -> float:
     """Return how many routers share a burst now; 0: the routers of the own location are not among them yet.
 
     If a small burst were divided among all routers, no share would suffice for a request. Locations are
     therefore admitted in the given order, which is the same at all routers, once the burst covers one request
     (`request_work`) for each of their routers. locations: each has its name as `zone` and its number of
-    routers as `weight`; own: name of the own location.
+    routers as `weight`; own_location: its name.
     """
     sharers = 0.0
     is_own_included = False
@@ -50,7 +50,7 @@
         if sharers and burst_work < request_work * (sharers + location.weight):
             break
         sharers += location.weight
-        is_own_included = is_own_included or location.zone == own
+        is_own_included = is_own_included or location.zone == own_location
     return sharers if is_own_included else 0.0
 
 
--- a/brackenlane/routing/slow_start_budget.py
+++ b/brackenlane/routing/slow_start_budget.py
@@ -36,10 +36,10 @@
     def capacity(self, server: Server, now: float) -> float:
         """Return the work that may be sent to a server now; infinite if its slow start is over."""
         role = server.member.role
-        if server.born <= 0 or role is Role.ORIGIN:
+        if server.slow_start_since <= 0 or role is Role.ORIGIN:
             return math.inf
         rule = self._rule(role)
-        age = max(0.0, now - server.born)  # the clock of the server may be ahead
+        age = max(0.0, now - server.slow_start_since)  # the clock of the server may be ahead
         if age >= rule.ramp:
             return math.inf
         bearable = capacity_by_age(rule, self._weight(server), age)
--- a/tests/test_unresponsive_caches.py
+++ b/tests/test_unresponsive_caches.py
@@ -31,7 +31,7 @@
         harness.serve(f"o{n}")
     restarted = [s for s in harness.router.servers.values() if s.member.server.startswith("edge")]
     assert not any(s.ejected_until for s in restarted)
-    assert all(s.born == 2.0 for s in restarted)
+    assert all(s.slow_start_since == 2.0 for s in restarted)
 
 
 def test_restarted_router_with_an_old_list_avoids_unresponsive_caches() -> None:
