--- a/brackenlane/routing/fill_source.py
+++ b/brackenlane/routing/fill_source.py
@@ -1,7 +1,7 @@
 """Selection of the source of a fill: a geometric distribution over the parents of a hub and the origin.
 
-Pure. Each parent is chosen more often than the next one by a constant ratio. The origin comes last, and its
-share is capped. Times are Unix seconds.
+Pure. The probabilities of successive parents differ by a constant ratio. The origin has the smallest one,
+which is also capped. Times are Unix seconds.
 """
 
 from __future__ import annotations
