--- a/brackenlane/routing/answer_learning.py
+++ b/brackenlane/routing/answer_learning.py
@@ -1,6 +1,6 @@
-"""What is learned from a good answer: waits, sizes, widths of links, and how many transfers they bear.
+"""Learning from successful answers: latency, sizes, link widths and concurrency limits.
 
-Pure. Times are Unix seconds, work is in transfer-seconds, widths are in transfers at a time.
+Pure. Times are Unix seconds, work is in seconds of transfer time, widths are in concurrent transfers.
 """
 
 from __future__ import annotations
@@ -12,15 +12,17 @@
 from brackenlane.routing.members import Role
 from brackenlane.routing.membership import ServerTable
 from brackenlane.routing.server_capacity import ServerCapacity
-from brackenlane.routing.servers import UNCONTENDED_STRETCH, Server
+from brackenlane.routing.servers import MAX_UNCONTENDED_SLOWDOWN, Server
 from brackenlane.routing.settings import Settings
 from brackenlane.routing.sizes import Sizes
 
-MIN_SENDING_TICKS = 8  # of an answer that tells of a link's width: in less, its wait is mostly rounding
+# Clock ticks of transfer time from which an answer shows the width of a link. The measured duration of a
+# shorter transfer is mostly rounding error.
+MIN_TRANSFER_TICKS = 8
 
 
 class AnswerLearning:
-    """Takes answers into the estimates; has no state of its own."""
+    """Updates the estimates with answers; stateless."""
 
     def __init__(
         self,
@@ -38,36 +40,36 @@
         self._sizes = sizes
         self._weights_known = settings.weights_known
         self._pace_kb_per_s = settings.pace_kb_per_s
-        self._min_sending_seconds = MIN_SENDING_TICKS * settings.tick
+        self._min_transfer_seconds = MIN_TRANSFER_TICKS * settings.tick
 
     def observe_wait(self, event: Outcome, request: Request | None) -> None:
-        """Learn how long answers take."""
+        """Update the latency estimate with an answer; request: None if it is over."""
         if request:
             self._latency.learn(event.wait / request.wait_unit)
 
     def refund_hit(self, event: Outcome, request: Request | None, source: Server) -> None:
-        """Give a source in slow start its work back that a hit did not need."""
+        """Refund the slow-start charge of a source that a cache hit did not need."""
         if request and event.cache_status is CacheStatus.HIT:
             self._capacity.refund_slow_start(source, request)
 
     def learn(
         self, event: Outcome, attempt: Attempt, request: Request | None, is_fill: bool, now: float
     ) -> None:
-        """Learn the limits, paces, widths and sizes that an answer shows; request: None if it is over."""
-        sending_seconds = event.size_kb / self._pace_kb_per_s if self._pace_kb_per_s else 0.0
+        """Learn limits, paces, widths and sizes from an answer; request: None if it is over."""
+        transfer_seconds = event.size_kb / self._pace_kb_per_s if self._pace_kb_per_s else 0.0
         if request:
             self._learn_limit(event, attempt, request, is_fill, now)
             if not request.cls.uncached:
                 self._fills.observe_pace(is_fill, attempt.fill_probability, request.work, event.wait)
-        if sending_seconds > self._min_sending_seconds and not self._weights_known:
-            self._learn_width(event, attempt, is_fill, sending_seconds, now)
+        if transfer_seconds > self._min_transfer_seconds and not self._weights_known:
+            self._learn_width(event, attempt, is_fill, transfer_seconds, now)
         if request and not request.arrival.size_kb:
-            self._sizes.learn(request.cls.name, request.arrival.obj, sending_seconds, event.wait)
+            self._sizes.learn(request.cls.name, request.arrival.obj, transfer_seconds, event.wait)
 
     def _learn_limit(
         self, event: Outcome, attempt: Attempt, request: Request, is_fill: bool, now: float
     ) -> None:
-        """Learn how many transfers at a time the server bears that an answer came from."""
+        """Adjust the concurrency limit of the server that served the answer."""
         server = attempt.route.edge
         load = attempt.edge_load
         status = CacheStatus.HIT
@@ -78,16 +80,19 @@
         if event.cache_status not in (status, CacheStatus.UNKNOWN) or server.member.role is Role.ORIGIN:
             return
         is_late = event.wait > request.latency_objective
-        # What is late alone on its link is large or slow, and no sign of contention.
+        # An answer that is late without concurrent transfers is large or slow, and shows no contention.
         if not is_late or load.transfers > 1:
             server.concurrency.observe(
-                is_late, load.utilization, server.known_width, now, request.latency_objective
+                is_late, load.utilization, server.link_width, now, request.latency_objective
             )
 
     def _learn_width(
-        self, event: Outcome, attempt: Attempt, is_fill: bool, sending_seconds: float, now: float
+        self, event: Outcome, attempt: Attempt, is_fill: bool, transfer_seconds: float, now: float
     ) -> None:
-        """Learn the width of the link that an answer came over; sending_seconds: as it takes alone."""
+        """Learn the width of the link that carried an answer.
+
+        transfer_seconds: transfer time of the answer alone on the link.
+        """
         edge = attempt.route.edge
         source = attempt.route.attributed_source
         if event.cache_status is CacheStatus.HIT and edge.member.role is Role.EDGE:
@@ -95,10 +100,10 @@
                 attempt.edge_load.transfers,
                 self._capacity.transfers(edge, self._capacity.edge_sharers) + 1,
             )
-            edge.learn_width(transfers, event.wait / sending_seconds)
-            self._update_least_width(now)
+            edge.learn_width(transfers, event.wait / transfer_seconds)
+            self._update_min_width(now)
             return
-        is_uncontended = event.wait <= UNCONTENDED_STRETCH * sending_seconds
+        is_uncontended = event.wait <= MAX_UNCONTENDED_SLOWDOWN * transfer_seconds
         if is_fill and is_uncontended and source and source.member.role is Role.PARENT:
             transfers = min(
                 attempt.source_load.transfers,
@@ -106,8 +111,8 @@
             )
             source.learn_width(transfers, 1.0)
 
-    def _update_least_width(self, now: float) -> None:
-        """Keep the least width learned of a warm cache: one in slow start is assumed to have as much."""
+    def _update_min_width(self, now: float) -> None:
+        """Store the smallest learned width of a warm cache, which is assumed for caches in slow start."""
         budget = self._capacity.slow_start_budget
         widths = [
             edge.width for edge in self._servers.edges if edge.width and self._capacity.is_warm(edge, now)
--- a/brackenlane/routing/fetch_actions.py
+++ b/brackenlane/routing/fetch_actions.py
@@ -1,4 +1,4 @@
-"""The `Fetch` of an attempt: its source, time limit, and which copies will do.
+"""Construction of the `Fetch` action of an attempt: its source, timeout and acceptable copies.
 
 Pure. Times are Unix seconds.
 """
@@ -17,14 +17,14 @@
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Idempotency, Settings
 
-# How a cache ranks the copy of an answer (`Fetch.keep`).
-KEEP_NOT = 0
-KEEP = 1
-KEEP_REPEATED = 2  # requested more than once: not evicted by what may be requested once
+# Retention ranks of a copy in a cache (`Fetch.keep`).
+RETENTION_NONE = 0
+RETENTION_NORMAL = 1
+RETENTION_REPEATED = 2  # requested more than once: not evicted in favour of copies of normal rank
 
 
 class FetchActions:
-    """Builds fetches; has no state of its own."""
+    """Builds fetches; stateless."""
 
     def __init__(
         self,
@@ -43,16 +43,20 @@
         self._purges = purges
 
     def overdue_after(self, request: Request, now: float) -> float:
-        """Return the seconds until an attempt is overdue: past a usual wait, yet in time for a retry."""
-        usual_spans = self._latency.usual
-        # Only where the size is known does the usual wait end with the objective.
+        """Return the seconds after which an attempt is overdue.
+
+        This is the usual maximum latency, or the latest time from which a retry still meets the latency
+        objective if that is later.
+        """
+        max_units = self._latency.expected_max
+        # The usual latency is capped at the objective only if the size is known.
         if request.arrival.size_kb:
-            usual_spans = min(usual_spans, 1)
-        usual = request.wait_unit * usual_spans
-        return max(usual, request.objective_at - now - request.work)
+            max_units = min(max_units, 1)
+        expected_max = request.wait_unit * max_units
+        return max(expected_max, request.objective_at - now - request.work)
 
     def build(self, request: Request, route: Route, is_retry: bool, now: float) -> Fetch:
-        """Return the fetch of a route; is_retry: the attempt before it was no lookup."""
+        """Return the fetch for a route; is_retry: whether the attempt is a retry."""
         cls = request.cls
         is_lookup = route.attributed_source is None
         timeout = request.deadline - now
@@ -63,7 +67,7 @@
             server=route.edge.member.server,
             timeout=timeout,
             source=self._named_source(route).member.server,
-            keep=self._keep_rank(request),
+            keep=self._retention_rank(request),
             max_age=self._purges.max_age(request.arrival, cls, now, stale=is_retry or is_lookup),
             join=self._settings.may_join_fills,
             revalidate=cls.fresh_for > 0,
@@ -72,28 +76,28 @@
         )
 
     def _named_source(self, route: Route) -> Server:
-        """Return the source that the server is given: itself for a lookup, the origin for a parent."""
+        """Return the source that the fetch names: the cache itself for a lookup, the origin for a parent."""
         if route.edge is route.fill_source and self._servers.origin:
             return self._servers.origin
         return route.fill_source or route.edge
 
-    def _keep_rank(self, request: Request) -> int:
-        """Return how a copy is ranked.
+    def _retention_rank(self, request: Request) -> int:
+        """Return the retention rank of the copy.
 
-        A router that sees a part of its location's requests cannot tell what is repeated, and what it ranked
-        high would never be evicted.
+        The high rank is used only by the single router of a location. A router that sees only a part of the
+        requests cannot tell which objects are repeated, and its high-ranked copies would never be evicted.
         """
         if request.cls.uncached:
-            return KEEP_NOT
+            return RETENTION_NONE
         if self._capacity.edge_sharers < 2 and self._popularity.is_repeated(
             request.arrival.cache_key, request.work
         ):
-            return KEEP_REPEATED
-        return KEEP
+            return RETENTION_REPEATED
+        return RETENTION_NORMAL
 
     @staticmethod
     def _last_write_at(request: Request) -> float:
-        """Return when the first byte may go out last: a repeat's window ends then."""
+        """Return the latest time for the first byte: the end of the window in which repeats are dropped."""
         if request.first_run_by is None or request.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return math.inf
         return request.first_run_at + request.cls.repeat_window
