--- a/brackenlane/discovery/__init__.py
+++ b/brackenlane/discovery/__init__.py
@@ -1,5 +1,6 @@
-"""Where caches come from: owns the definitions of all sources, their merged list, resolver and snapshot.
+"""Cache discovery: definitions from several sources, their merge into one list, DNS look-ups, the snapshot.
 
-It never picks a server for a request, and no answer of any source undoes an operator's drain. Entry points:
-`registry.Registry` (publishes the list), `merge.MembershipMerge` (pure) and `dns_source.DnsSource` (actor).
+This package does not choose the cache for a request. No answer from a source overrides an operator's drain.
+Entry points: `registry.Registry` (publishes the list), `merge.MembershipMerge` (pure) and
+`dns_source.DnsSource` (actor).
 """
--- a/brackenlane/discovery/address_probe.py
+++ b/brackenlane/discovery/address_probe.py
@@ -1,4 +1,4 @@
-"""Probes whether a cache accepts connections at an address, so that a stale DNS answer is not used."""
+"""Connection probes of cache addresses, so that the address in a stale DNS answer is not used."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AddressProbe:
-    """Opens connections, a bounded number at once, and closes them."""
+    """Opens and closes TCP connections to test addresses, with a limit on concurrent ones."""
 
     def __init__(self, connect_timeout: float, max_connections: int) -> None:
         """`connect_timeout`: seconds."""
@@ -18,11 +18,11 @@
         self._capacity = trio.CapacityLimiter(max_connections)
 
     async def select_reachable(self, addresses: Iterable[str], ports: set[int]) -> list[str]:
-        """Return the addresses that accept a connection at one of these ports."""
+        """Return the addresses that accept a connection on one of the ports."""
         return [address for address in addresses if await self.is_reachable(address, ports)]
 
     async def is_reachable(self, address: str, ports: set[int]) -> bool:
-        """Whether an address accepts a connection at one of these ports."""
+        """Return whether an address accepts a connection on one of the ports."""
         for port in ports:
             async with self._capacity:
                 if await self._can_connect(address, port):
--- a/brackenlane/discovery/dns_cache.py
+++ b/brackenlane/discovery/dns_cache.py
@@ -1,4 +1,4 @@
-"""Cache of DNS answers: by their lifetimes, and past them while no upstream answers (RFC 8767). Pure."""
+"""Cache of DNS answers. While no upstream answers, expired answers are served stale (RFC 8767). Pure."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Lifetimes:
-    """Bounds of lifetimes in seconds, and of the cache in entries."""
+    """Limits of cache lifetimes in seconds, and of the cache size in entries."""
 
-    floor: float = 0.5  # the shortest lifetime, whatever the answer gives
-    ceiling: float = 300.0  # the longest lifetime
-    negative: float = 30.0  # the longest lifetime of "no such name" and "no such record"
-    failure: float = 1.0  # for which a question is not asked again after all upstreams failed
-    stale: float = 3_600.0  # past its lifetime, for which an answer is used while all upstreams fail
-    entries: int = 20_000  # questions; the least recently used one is dropped first
+    floor: float = 0.5  # minimum lifetime; a shorter TTL is raised to it
+    ceiling: float = 300.0  # maximum lifetime of positive answers
+    negative: float = 30.0  # maximum lifetime of negative answers (no such name, no such record)
+    failure: float = 1.0  # how long a question is not sent again after all upstreams failed
+    stale: float = 3_600.0  # how long an expired answer may be used while all upstreams fail
+    entries: int = 20_000  # maximum number of questions; the least recently used one is evicted
 
 
 @dataclass(frozen=True, slots=True)
 class CachedAnswer:
-    """One cached answer; times are Unix seconds."""
+    """One cached answer. Times are Unix seconds."""
 
     reply: Reply
     upstream: str
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CachedFailure:
-    """Why no upstream answered a question, and until when it is not asked again."""
+    """The failure of all upstreams to answer a question, which is not sent again before `expires_at`."""
 
     expires_at: float
     reason: str
 
 
 class AnswerCache:
-    """Bounded caches of answers and of failures; the least recently used entry is dropped first."""
+    """LRU caches of answers and of failures, both limited to `Lifetimes.entries`."""
 
     def __init__(self, lifetimes: Lifetimes) -> None:
         self._lifetimes = lifetimes
@@ -50,8 +50,8 @@
         return len(self._answers)
 
     def put(self, question: Question, reply: Reply, upstream: str, now: float) -> None:
-        """Cache an answer, its lifetime held between floor and ceiling."""
-        is_negative = reply.kind is ReplyKind.NONE
+        """Cache an answer, with its TTL clamped to the configured limits."""
+        is_negative = reply.kind is ReplyKind.NEGATIVE
         ceiling = self._lifetimes.negative if is_negative else self._lifetimes.ceiling
         lifetime = min(ceiling, max(self._lifetimes.floor, reply.ttl))
         self._answers[question] = CachedAnswer(reply, upstream, now, now + lifetime)
@@ -60,37 +60,37 @@
         while len(self._answers) > self._lifetimes.entries:
             self._answers.popitem(last=False)
 
-    def fresh(self, question: Question, now: float) -> CachedAnswer | None:
-        """Return an answer within its lifetime; none from the future, after the clock went back."""
+    def get_fresh(self, question: Question, now: float) -> CachedAnswer | None:
+        """Return an unexpired answer; one received in the future (the clock was set back) does not count."""
         answer = self._answers.get(question)
         if answer is None or not answer.received_at <= now < answer.expires_at:
             return None
         self._answers.move_to_end(question)
         return answer
 
-    def stale(self, question: Question, now: float) -> CachedAnswer | None:
-        """Return an answer that may be used while no upstream gives a newer one; never a negative one."""
+    def get_stale(self, question: Question, now: float) -> CachedAnswer | None:
+        """Return a positive answer that is within its lifetime or at most `Lifetimes.stale` past it."""
         answer = self._answers.get(question)
-        if answer is None or answer.reply.kind is ReplyKind.NONE:
+        if answer is None or answer.reply.kind is ReplyKind.NEGATIVE:
             return None
         if now - answer.expires_at > self._lifetimes.stale:
             return None
         return answer
 
     def expire(self, question: Question, now: float) -> None:
-        """End an answer's lifetime, since it proved wrong; it stays usable as a stale one."""
+        """Expire an answer that turned out to be wrong; it can still be served stale."""
         if answer := self._answers.get(question):
             self._answers[question] = replace(answer, expires_at=min(answer.expires_at, now))
 
-    def fail(self, question: Question, reason: str, now: float) -> None:
-        """Cache that all upstreams failed to answer a question."""
+    def put_failure(self, question: Question, reason: str, now: float) -> None:
+        """Cache the failure of all upstreams to answer a question."""
         self._failures[question] = CachedFailure(now + self._lifetimes.failure, reason)
         self._failures.move_to_end(question)
         while len(self._failures) > self._lifetimes.entries:
             self._failures.popitem(last=False)
 
     def failure_reason(self, question: Question, now: float) -> str:
-        """Return why a question is not asked now; empty if it may be."""
+        """Return the reason of an unexpired failure; an empty string if the question may be sent."""
         failure = self._failures.get(question)
         if failure is None or now >= failure.expires_at:
             return ""
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -1,4 +1,4 @@
-"""The actor that looks up SRV entries and host names repeatedly and applies the answers to the merge."""
+"""The actor that keeps SRV entries and host names looked up and applies the answers to the merge."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 
 log = logging.getLogger(__name__)
 
-TICKS_PER_LOOK_UP = 10  # at most, in the shortest time between two look-ups: changes of one burst are one
+# Limits the rate of merge ticks, so that a burst of changes leads to one tick.
+MAX_TICKS_PER_LOOK_UP_INTERVAL = 10
 
 
 @dataclass(slots=True)
 class HostWatch:
-    """One host name that is looked up; `refresh` is set when its address proved wrong."""
+    """Look-up state of one host name; `refresh` is set when the address in use is unreachable."""
 
     refresh: trio.Event = field(default_factory=trio.Event)
     looked_up_at: float = 0.0  # Unix time
-    failures: int = 0  # in a row
+    failures: int = 0  # consecutive failed look-ups
 
 
 class DnsSource:
-    """Looks up the merge's SRV entries, and each host name for as long as a definition names it."""
+    """Looks up the SRV entries of the merge, and each host name while a definition refers to it."""
 
     def __init__(
         self,
@@ -44,7 +45,7 @@
         name: str = "",
         window: float = 0.0,
     ) -> None:
-        """`name`: of this router; `window`: seconds in which all routers of the site look up one name."""
+        """`name`: this router's name; `window`: seconds over which the site's routers spread one look-up."""
         self._registry = registry
         self._merge = registry.merge
         self._resolver = resolver
@@ -57,19 +58,19 @@
         registry.changed.append(self._on_change)
 
     async def run(self) -> None:
-        """Look up until cancelled."""
+        """Run all look-ups until cancelled."""
         for srv in self._merge.entries:
-            self._nursery.start_soon(self._follow_srv, srv)
+            self._nursery.start_soon(self._watch_srv, srv)
         self._on_change()
         while True:
             with trio.move_on_after(max(0.0, self._merge.next_due() - steady_time())):
                 await self._merge_changed.wait()
             self._merge_changed = trio.Event()
             self._apply_if_any(self._merge.tick(steady_time()))
-            await trio.sleep(self._min_interval / TICKS_PER_LOOK_UP)
+            await trio.sleep(self._min_interval / MAX_TICKS_PER_LOOK_UP_INTERVAL)
 
     def replace_unreachable(self, server: str) -> None:
-        """Move a cache that could not be reached to another address, and look up its host name again."""
+        """Switch an unreachable cache to another known address, and look up its host name again."""
         cache = self._merge.caches.get(server)
         if cache is None or cache.endpoint is None:
             return
@@ -89,14 +90,14 @@
         self._merge_changed.set()
         for host in self._merge.sources.hosts - self._hosts.keys():
             self._hosts[host] = HostWatch()
-            self._nursery.start_soon(self._follow_host, host)
+            self._nursery.start_soon(self._watch_host, host)
 
-    async def _follow_srv(self, srv: str) -> None:
-        """Look up one SRV entry whenever its answer expires."""
+    async def _watch_srv(self, srv: str) -> None:
+        """Look up one SRV entry again each time its answer expires."""
         await self._wait_for_turn(srv)
         failures = 0
         while True:
-            result = await self._fresh(srv, self._resolver.look_up(srv, RecordType.SRV))
+            result = await self._fresh_result(srv, self._resolver.look_up(srv, RecordType.SRV))
             if result is None:
                 failures += 1
                 await trio.sleep(self._schedule.retry_wait(failures))
@@ -107,12 +108,12 @@
             )
             await trio.sleep(self._schedule.refresh_wait(result.expires_at))
 
-    async def _follow_host(self, host: str) -> None:
-        """Look up one host name whenever its answer expires or proves wrong, until nothing names it."""
+    async def _watch_host(self, host: str) -> None:
+        """Look up one host name again on expiry or `refresh`, until no definition refers to it."""
         watch = self._hosts[host]
         await self._wait_for_turn(host)
         while host in self._merge.sources.hosts:
-            wait = await self._locate(host, watch)
+            wait = await self._look_up_host(host, watch)
             watch.looked_up_at = steady_time()
             with trio.move_on_after(wait):
                 await watch.refresh.wait()
@@ -127,8 +128,8 @@
         name_count = len(self._hosts) + len(self._merge.entries)
         await trio.sleep(self._schedule.first_wait(name, name_count))
 
-    async def _fresh(self, name: str, look_up: Awaitable[LookUpResult]) -> LookUpResult | None:
-        """Return the result of a look-up; None if it failed or is stale, which is recorded."""
+    async def _fresh_result(self, name: str, look_up: Awaitable[LookUpResult]) -> LookUpResult | None:
+        """Return the result of a look-up; if it failed or is stale, record the reason and return None."""
         try:
             result = await look_up
         except LookUpFailedError as error:
@@ -141,21 +142,21 @@
         self._merge.sources.record_failure(name, reason)
         return None
 
-    async def _locate(self, host: str, watch: HostWatch) -> float:
-        """Look up a host name once and return the seconds until the next time."""
-        result = await self._fresh(host, self._resolver.addresses(host))
-        is_located = result is not None and await self._apply_addresses(host, result.addresses)
-        if result is None or not is_located:
+    async def _look_up_host(self, host: str, watch: HostWatch) -> float:
+        """Look up a host name once; return the seconds until the next look-up."""
+        result = await self._fresh_result(host, self._resolver.addresses(host))
+        has_address = result is not None and await self._apply_addresses(host, result.addresses)
+        if result is None or not has_address:
             watch.failures += 1
             return self._schedule.retry_wait(watch.failures)
         watch.failures = 0
         return self._schedule.refresh_wait(result.expires_at)
 
     async def _apply_addresses(self, host: str, addresses: tuple[str, ...]) -> bool:
-        """Apply those addresses of an answer at which a cache answers; return whether there are any."""
+        """Apply the reachable addresses of an answer; return whether there are any."""
         known = self._merge.sources.addresses.by_host.get(host)
         if known is not None and known.address is not None and addresses == (known.address,):
-            # The address in use is not probed, or all routers would connect to all caches each lifetime.
+            # An unchanged address is not probed: every router would connect to every cache once per TTL.
             self._registry.apply(self._merge.apply_host_answer(host, addresses, steady_time()))
             return True
         ports = {
@@ -168,9 +169,12 @@
             )
             self._resolver.expire_addresses(host)
             return False
-        # A cache that left its old address moves at once; with two that answer it moves at intervals.
-        is_current_dead = False
+        # If the current address is unreachable, the new one is used immediately. While both are reachable,
+        # the change waits for `Policy.min_move_interval`.
+        is_current_unreachable = False
         if known is not None and known.address is not None and known.address not in reachable:
-            is_current_dead = not await self._probe.is_reachable(known.address, ports)
-        self._registry.apply(self._merge.apply_host_answer(host, reachable, steady_time(), is_current_dead))
+            is_current_unreachable = not await self._probe.is_reachable(known.address, ports)
+        self._registry.apply(
+            self._merge.apply_host_answer(host, reachable, steady_time(), is_current_unreachable)
+        )
         return bool(reachable)
--- a/brackenlane/discovery/dns_transport.py
+++ b/brackenlane/discovery/dns_transport.py
@@ -1,4 +1,4 @@
-"""One query and its reply over UDP or TCP. Each query has a socket of its own, so a random source port."""
+"""Transport of one DNS query over UDP or TCP. A new socket per query gives it a random source port."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 from brackenlane.discovery.query import Reply, ReplyKind, SentQuery, decode_reply
 from brackenlane.net.connector import connect, family_of
 
-MAX_STRAY_DATAGRAMS = 64  # that are no reply; after them a query goes over TCP, where forging is hard
+# Mismatched datagrams that are ignored before the query is repeated over TCP, which is harder to spoof.
+MAX_STRAY_DATAGRAMS = 64
 MAX_DATAGRAM_SIZE = 65_535  # bytes
-LENGTH_SIZE = 2  # bytes before a message over TCP (RFC 1035, 4.2.2)
+LENGTH_SIZE = 2  # bytes of the length prefix of a message over TCP (RFC 1035, 4.2.2)
 READ_SIZE = LENGTH_SIZE + MAX_DATAGRAM_SIZE
 
 
 async def query_udp(endpoint: Endpoint, query: SentQuery) -> Reply:
-    """Send a datagram and return its reply; OSError if the upstream can't be reached.
+    """Send a query over UDP and return its reply, or MISMATCH after too many stray datagrams.
 
-    The socket is connected, so it receives from this upstream alone.
+    The socket is connected, so it receives datagrams from this upstream only. Raises OSError if the upstream
+    can't be reached.
     """
     with trio.socket.socket(family_of(endpoint), trio.socket.SOCK_DGRAM) as sock:
         await sock.connect(endpoint)
@@ -32,16 +34,17 @@
 
 
 async def query_tcp(endpoint: Endpoint, query: SentQuery) -> Reply:
-    """Send a query over a new connection and return its reply; one that does not match counts as lame.
+    """Send a query over a new TCP connection and return its reply; a mismatched reply becomes UNUSABLE.
 
-    OSError or BrokenResourceError if the upstream can't be reached, IncompleteReplyError if it closes early.
+    Raises OSError or BrokenResourceError if the upstream can't be reached, IncompleteReplyError if it closes
+    the connection early.
     """
     async with await connect(endpoint) as stream:
         wire: bytes = query.wire
         await stream.send_all(len(wire).to_bytes(LENGTH_SIZE, "big") + wire)
         reply = decode_reply(await _receive_message(stream), query, is_tcp=True)
     if reply.kind is ReplyKind.MISMATCH:
-        return Reply(ReplyKind.LAME, reason=reply.reason)
+        return Reply(ReplyKind.UNUSABLE, reason=reply.reason)
     return reply
 
 
--- a/brackenlane/discovery/query.py
+++ b/brackenlane/discovery/query.py
@@ -1,6 +1,6 @@
 """Codec of DNS queries and replies (RFC 1035, 2308, 2782, 6891).
 
-Bytes to values and back; the only decision is whether bytes are the reply to a query that was sent.
+The codec also decides whether received bytes are the reply to a given query.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 from brackenlane.discovery.records import SrvRecord
 
-MAX_ALIASES = 8  # followed, in one reply and over several
-MAX_PAYLOAD = 1_232  # bytes of a datagram that fit every usual path (EDNS(0), RFC 6891)
+MAX_ALIASES = 8  # CNAME records followed in one look-up, whether in one reply or several
+MAX_PAYLOAD = 1_232  # bytes; EDNS(0) payload size (RFC 6891) that avoids fragmentation on usual paths
 MAX_TTL = 7 * 86_400.0  # seconds
-TTL_LIMIT = 2**31  # a lifetime with its highest bit set counts as 0 (RFC 2181, 8)
-HEADER_SIZE = 12  # bytes
+TTL_LIMIT = 2**31  # a TTL with its highest bit set counts as 0 (RFC 2181, 8)
+HEADER_SIZE = 12  # bytes of a DNS header
 
 
 class RecordType(Enum):
-    """The type of record that is asked for."""
+    """The record type of a question."""
 
     SRV = dns.rdatatype.SRV
     A = dns.rdatatype.A
@@ -38,17 +38,17 @@
 class ReplyKind(Enum):
     """What a reply means for its query."""
 
-    FOUND = "found"  # records, or an alias to ask for next
-    NONE = "none"  # no such name, or no record of this type: an answer, which is cached
-    TRUNCATED = "truncated"  # ask over TCP
-    FORMERR = "FORMERR"  # ask again without EDNS
-    LAME = "lame"  # another upstream may know
-    MISMATCH = "not an answer to this"  # ignored; the reply may still come
+    FOUND = "found"  # records, or an alias to look up next
+    NEGATIVE = "none"  # no such name, or no record of this type; cached like any answer
+    TRUNCATED = "truncated"  # the query is to be repeated over TCP
+    FORMERR = "FORMERR"  # the query is to be repeated without EDNS
+    UNUSABLE = "lame"  # an error or referral; another upstream may have the answer
+    MISMATCH = "not an answer to this"  # to be ignored, since the real reply may still arrive
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """One question; the name in lower case, without its last dot."""
+    """One question; the name is in lower case, without the trailing dot."""
 
     name: str
     kind: RecordType
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentQuery:
-    """A query as it was sent: only its reply has the same id and the same case of letters (0x20)."""
+    """A query as sent. Its reply has to repeat the id, and the name in the same letter case (0x20)."""
 
     question: Question
     id: int
@@ -70,21 +70,21 @@
     """The content of one reply."""
 
     kind: ReplyKind
-    targets: tuple[SrvRecord, ...] = ()  # of SRV
-    addresses: tuple[str, ...] = ()  # of A and AAAA
-    ttl: float = 0.0  # seconds for which it may be cached
-    alias: str = ""  # the name to ask for instead
-    additional: dict[str, tuple[str, ...]] = field(default_factory=dict)  # addresses of targets, in bailiwick
-    reason: str = ""  # why it is no answer
+    targets: tuple[SrvRecord, ...] = ()  # answer to an SRV question
+    addresses: tuple[str, ...] = ()  # answer to an A or AAAA question
+    ttl: float = 0.0  # seconds
+    alias: str = ""  # CNAME target to look up instead; empty if none
+    additional: dict[str, tuple[str, ...]] = field(default_factory=dict)  # in-bailiwick addresses by target
+    reason: str = ""  # why the reply has no records
 
 
 def text_of(name: dns.name.Name) -> str:
-    """Return a name in lower case, without its last dot."""
+    """Return a name in lower case, without the trailing dot."""
     return name.to_text(omit_final_dot=True).lower()
 
 
 def encode_query(question: Question, rng: random.Random, edns: bool) -> SentQuery:
-    """Return a query with random id and random case of letters, which a forger would have to guess."""
+    """Return a query whose id and letter case are random, so that a spoofed reply has to guess both."""
     letters = [letter.upper() if rng.random() < 0.5 else letter for letter in question.name]
     name = dns.name.from_text("".join(letters) + ".")
     message = dns.message.make_query(
@@ -94,7 +94,7 @@
 
 
 def decode_reply(wire: bytes, query: SentQuery, is_tcp: bool) -> Reply:
-    """Return what bytes mean for a query; it never raises."""
+    """Decode bytes received after a query was sent. Never raises; malformed input is a reply kind."""
     try:
         message = dns.message.from_wire(wire, raise_on_truncation=False)
     except (dns.exception.DNSException, ValueError, IndexError) as error:
@@ -102,14 +102,15 @@
     if message.id != query.id or not message.flags & dns.flags.QR:
         return Reply(ReplyKind.MISMATCH, reason="another id")
     if message.rcode() == dns.rcode.FORMERR and query.edns:
-        return Reply(ReplyKind.FORMERR)  # some servers without EDNS don't repeat the question either
+        # Some servers without EDNS support omit the question from the reply.
+        return Reply(ReplyKind.FORMERR)
     if not _has_question(message, query):
         return Reply(ReplyKind.MISMATCH, reason="another question, or case")
     return _read_reply(message, query.question, is_tcp)
 
 
 def _classify_malformed(wire: bytes, query: SentQuery, error: Exception) -> Reply:
-    """Tell a faulty upstream, whose bytes begin like the reply, from the noise of others."""
+    """Return FORMERR if the header of bytes that don't parse identifies this reply, else MISMATCH."""
     is_reply = len(wire) >= 3 and int.from_bytes(wire[:2], "big") == query.id and wire[2] & 0x80
     if not is_reply:
         return Reply(ReplyKind.MISMATCH, reason="not DNS")
@@ -128,15 +129,15 @@
 def _read_reply(message: dns.message.Message, question: Question, is_tcp: bool) -> Reply:
     if message.flags & dns.flags.TC:
         if is_tcp:
-            return Reply(ReplyKind.LAME, reason="truncated over TCP")
+            return Reply(ReplyKind.UNUSABLE, reason="truncated over TCP")
         return Reply(ReplyKind.TRUNCATED)
     if message.rcode() not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
-        return Reply(ReplyKind.LAME, reason=dns.rcode.to_text(message.rcode()))
+        return Reply(ReplyKind.UNUSABLE, reason=dns.rcode.to_text(message.rcode()))
     return _read_records(message, question)
 
 
 def _read_records(message: dns.message.Message, question: Question) -> Reply:
-    """Follow the aliases of one reply to its records."""
+    """Return the records of one reply, with its aliases (CNAME) followed."""
     name = dns.name.from_text(question.name)
     ttl = MAX_TTL
     seen = {name}
@@ -149,7 +150,7 @@
         ttl = min(ttl, _ttl(alias))
         name = alias[0].target
         if name in seen or len(seen) > MAX_ALIASES:
-            return Reply(ReplyKind.LAME, reason="a loop of aliases")
+            return Reply(ReplyKind.UNUSABLE, reason="a loop of aliases")
         seen.add(name)
     if message.rcode() == dns.rcode.NXDOMAIN or len(seen) == 1:
         return _read_absence(message, ttl)
@@ -170,23 +171,23 @@
 
 
 def _read_absence(message: dns.message.Message, ttl: float) -> Reply:
-    """Return that there is no such name or record, with the lifetime of that (RFC 2308, 5)."""
+    """Return the negative answer of a reply with its TTL (RFC 2308, 5), or UNUSABLE for a referral."""
     rcode = message.rcode()
     types = {rrset.rdtype for rrset in message.authority}
     if rcode == dns.rcode.NOERROR and dns.rdatatype.NS in types and dns.rdatatype.SOA not in types:
-        return Reply(ReplyKind.LAME, reason="a referral")
-    # The lesser of the SOA's own lifetime and its minimum; without an SOA it is not cached.
+        return Reply(ReplyKind.UNUSABLE, reason="a referral")
+    # The negative TTL is the lesser of the SOA's TTL and its minimum field; without an SOA it is 0.
     negative_ttl = 0.0
     soa = next((rrset for rrset in message.authority if rrset.rdtype == dns.rdatatype.SOA), None)
     if soa:
         negative_ttl = min(ttl, _ttl(soa), float(soa[0].minimum))
-    return Reply(ReplyKind.NONE, ttl=negative_ttl, reason=dns.rcode.to_text(rcode))
+    return Reply(ReplyKind.NEGATIVE, ttl=negative_ttl, reason=dns.rcode.to_text(rcode))
 
 
 def _find(section: list[dns.rrset.RRset], name: dns.name.Name, kind: int) -> dns.rrset.RRset | None:
     for rrset in section:
-        is_wanted = rrset.name == name and rrset.rdtype == kind and rrset.rdclass == dns.rdataclass.IN
-        if is_wanted and len(rrset):
+        is_match = rrset.name == name and rrset.rdtype == kind and rrset.rdclass == dns.rdataclass.IN
+        if is_match and len(rrset):
             return rrset
     return None
 
@@ -198,7 +199,7 @@
 def _additional(
     message: dns.message.Message, targets: tuple[SrvRecord, ...], question: Question
 ) -> dict[str, tuple[str, ...]]:
-    """Return the addresses in the additional section: of these targets only, and of the question's domain."""
+    """Return the addresses of the additional section, only for these targets within the question's domain."""
     domain = dns.name.from_text(question.name)
     while len(domain.labels) > 1 and domain.labels[0].startswith(b"_"):
         domain = domain.parent()
--- a/brackenlane/discovery/resolver.py
+++ b/brackenlane/discovery/resolver.py
@@ -1,6 +1,6 @@
-"""The resolver: asks the site's upstreams, each question once at a time and within a budget of seconds.
+"""The stub resolver: sends queries to the site's upstream resolvers and caches their answers.
 
-An actor: one look-up in flight for each question, which all callers that need its answer join.
+An actor. Concurrent callers with the same question share one look-up, whose total time is limited.
 """
 
 from __future__ import annotations
@@ -28,25 +28,25 @@
 from brackenlane.discovery.records import SrvRecord
 from brackenlane.discovery.upstreams import Upstream, Upstreams, UpstreamTimeouts
 
-ROUNDS = 2  # over all upstreams, for one look-up
-ATTEMPTS_PER_UPSTREAM = 3  # FORMERR and truncation lead to one more each
-TCP_TIMEOUT_FACTOR = 2  # a connection takes one more round trip
+QUERY_ROUNDS = 2  # passes over all upstreams in one look-up
+MAX_QUERIES_PER_UPSTREAM = 3  # in one round: the first, one without EDNS, one over TCP
+TCP_TIMEOUT_FACTOR = 2  # opening the connection takes one more round trip
 
 
 class LookUpFailedError(DiscoveryError):
-    """A look-up that no upstream answered and no cached answer serves."""
+    """A look-up without an answer from an upstream or a usable one in the cache."""
 
 
 @dataclass(frozen=True, slots=True)
 class LookUpResult:
-    """The answer to a question; with neither targets nor addresses there are none."""
+    """The answer to a question; neither targets nor addresses: the name has no such records."""
 
     targets: tuple[SrvRecord, ...] = ()
     addresses: tuple[str, ...] = ()
-    additional: tuple[tuple[str, tuple[str, ...]], ...] = ()  # addresses of targets, in bailiwick
-    expires_at: float = 0.0  # Unix time until which it may be used
+    additional: tuple[tuple[str, tuple[str, ...]], ...] = ()  # in-bailiwick addresses by target
+    expires_at: float = 0.0  # Unix time
     upstream: str = ""
-    is_stale: bool = False  # past its lifetime: no upstream answers now
+    is_stale: bool = False  # served from the cache although expired, since no upstream answers
     stale_reason: str = ""  # why no upstream answers
 
 
@@ -55,11 +55,11 @@
     """One look-up in flight."""
 
     done: trio.Event
-    error: str = ""  # why it failed
+    error: str = ""  # why the look-up failed; empty on success
 
 
 class Resolver:
-    """Asks upstreams and caches their answers, which it goes on using while no upstream answers."""
+    """Resolves names through upstream resolvers; serves stale answers while none of them responds."""
 
     def __init__(
         self,
@@ -72,17 +72,17 @@
         most: int = 256,
         rng: random.Random | None = None,
     ) -> None:
-        """`budget`: seconds of one look-up; `most`: look-ups at once, each with one socket."""
+        """`budget`: seconds for one look-up; `most`: maximum of concurrent look-ups, each with one socket."""
         self.upstreams = Upstreams(upstreams, timeouts or UpstreamTimeouts())
         self.cache = AnswerCache(lifetimes or Lifetimes())
         self._nursery = nursery
         self._budget = budget
-        self._capacity = trio.CapacityLimiter(most)
+        self._look_up_limiter = trio.CapacityLimiter(most)
         self._random = rng or random.SystemRandom()
         self._pending: dict[Question, PendingLookUp] = {}
 
     async def look_up(self, name: str, kind: RecordType) -> LookUpResult:
-        """Return the records of a name, aliases followed; LookUpFailedError if no answer can be had."""
+        """Return the records of a name, with aliases followed. Raises LookUpFailedError without an answer."""
         question = Question(name.rstrip(".").lower(), kind)
         for _ in range(MAX_ALIASES):
             answer, error = await self._answer(question)
@@ -92,63 +92,63 @@
         raise LookUpFailedError(f"{name}: a loop of aliases, or too many")
 
     async def addresses(self, name: str) -> LookUpResult:
-        """Return the IPv4 addresses of a name, or its IPv6 addresses if it has no others."""
+        """Return the IPv4 addresses of a name, or its IPv6 addresses if it has no IPv4 ones."""
         ipv4 = await self.look_up(name, RecordType.A)
         return ipv4 if ipv4.addresses else await self.look_up(name, RecordType.AAAA)
 
     def expire_addresses(self, name: str) -> None:
-        """Let the next look-up of a name's addresses ask the upstreams: the cached ones proved wrong."""
+        """Expire the cached addresses of a name, which turned out to be wrong; they are queried again."""
         for kind in (RecordType.A, RecordType.AAAA):
             self.cache.expire(Question(name.rstrip(".").lower(), kind), steady_time())
 
     async def _answer(self, question: Question) -> tuple[CachedAnswer, str]:
-        """Return the answer to one question, and why it is a stale one if it is; aliases are not followed."""
+        """Return the answer to one question, and the error if it is a stale one. Does not follow aliases."""
         now = steady_time()
-        if answer := self.cache.fresh(question, now):
+        if answer := self.cache.get_fresh(question, now):
             return answer, ""
         if error := self.cache.failure_reason(question, now):
             return self._stale_answer(question, error, now), error
         pending = self._pending.get(question)
         if pending is None:
             pending = self._pending[question] = PendingLookUp(trio.Event())
-            # A task of its own: the caller that started it may be cancelled while others wait for it.
-            self._nursery.start_soon(self._run_look_up, question, pending)
+            # The look-up runs in the resolver's nursery: a cancelled caller does not end it for the others.
+            self._nursery.start_soon(self._run_pending, question, pending)
         await pending.done.wait()
         now = steady_time()
-        if answer := self.cache.fresh(question, now):
+        if answer := self.cache.get_fresh(question, now):
             return answer, ""
         error = pending.error or "no answer"
         return self._stale_answer(question, error, now), error
 
     def _stale_answer(self, question: Question, error: str, now: float) -> CachedAnswer:
-        if answer := self.cache.stale(question, now):
+        if answer := self.cache.get_stale(question, now):
             return answer
         raise LookUpFailedError(f"{question.name} {question.kind.name}: {error}")
 
-    async def _run_look_up(self, question: Question, pending: PendingLookUp) -> None:
+    async def _run_pending(self, question: Question, pending: PendingLookUp) -> None:
         try:
-            async with self._capacity:
-                pending.error = await self._ask_all(question)
+            async with self._look_up_limiter:
+                pending.error = await self._query_upstreams(question)
         finally:
             del self._pending[question]
             if pending.error:
-                self.cache.fail(question, pending.error, steady_time())
+                self.cache.put_failure(question, pending.error, steady_time())
             pending.done.set()
 
-    async def _ask_all(self, question: Question) -> str:
-        """Ask one upstream after another; return why all failed, or nothing if one answered."""
+    async def _query_upstreams(self, question: Question) -> str:
+        """Query the upstreams in turn; return the errors if all fail, an empty string if one answers."""
         errors: dict[str, str] = {}
         with trio.move_on_after(self._budget):
-            for _ in range(ROUNDS):
+            for _ in range(QUERY_ROUNDS):
                 for upstream in self.upstreams.order(steady_time()):
-                    reply = await self._ask(upstream, question, errors)
-                    if reply and reply.kind in (ReplyKind.FOUND, ReplyKind.NONE):
-                        self._store(question, reply, upstream.name)
+                    reply = await self._query_upstream(upstream, question, errors)
+                    if reply and reply.kind in (ReplyKind.FOUND, ReplyKind.NEGATIVE):
+                        self._cache_reply(question, reply, upstream.name)
                         return ""
         return "; ".join(f"{name}: {error}" for name, error in errors.items()) or "no upstream in time"
 
-    def _store(self, question: Question, reply: Reply, upstream: str) -> None:
-        """Cache a reply and the addresses that came with it, which spares a query for each target."""
+    def _cache_reply(self, question: Question, reply: Reply, upstream: str) -> None:
+        """Cache a reply and its additional IPv4 addresses, which saves one query per target."""
         now = steady_time()
         self.cache.put(question, reply, upstream, now)
         for host, addresses in reply.additional.items():
@@ -157,16 +157,18 @@
                 found = Reply(ReplyKind.FOUND, addresses=ipv4, ttl=reply.ttl)
                 self.cache.put(Question(host, RecordType.A), found, upstream, now)
 
-    async def _ask(self, upstream: Upstream, question: Question, errors: dict[str, str]) -> Reply | None:
-        """Return one upstream's reply, asked without EDNS or over TCP if need be; None without a usable one.
+    async def _query_upstream(
+        self, upstream: Upstream, question: Question, errors: dict[str, str]
+    ) -> Reply | None:
+        """Query one upstream, with fallbacks to no EDNS and to TCP; return None without a usable reply.
 
-        The error so far is in `errors` at every instant, since the look-up's budget may end this anywhere.
+        `errors` always holds the latest error, since the look-up's time limit may cancel this at any await.
         """
         edns = upstream.edns
         is_tcp = False
-        for _ in range(ATTEMPTS_PER_UPSTREAM):
+        for _ in range(MAX_QUERIES_PER_UPSTREAM):
             query = encode_query(question, self._random, edns)
-            reply = await self._send(upstream, query, is_tcp, errors)
+            reply = await self._send_query(upstream, query, is_tcp, errors)
             if reply is None:
                 return None
             if reply.kind is ReplyKind.FORMERR and edns:
@@ -178,15 +180,15 @@
                 return reply
         return None
 
-    async def _send(
+    async def _send_query(
         self, upstream: Upstream, query: SentQuery, is_tcp: bool, errors: dict[str, str]
     ) -> Reply | None:
-        """Send one query and record the upstream's response time; None if it does not reply in time."""
+        """Send one query and record the upstream's response time; return None if there is no timely reply."""
         timeout = self.upstreams.timeout(upstream)
         started = trio.current_time()
         prefix = "truncated, and TCP: " if is_tcp else ""
         errors[upstream.name] = f"{prefix}no answer within {timeout:.2f} s"
-        upstream.asked += 1
+        upstream.query_count += 1
         reply: Reply | None = None
         with trio.move_on_after(timeout * TCP_TIMEOUT_FACTOR if is_tcp else timeout):
             try:
--- a/brackenlane/discovery/upstreams.py
+++ b/brackenlane/discovery/upstreams.py
@@ -1,4 +1,4 @@
-"""The order in which upstream resolvers are asked, and the timeout of each. Pure: the clock is handed in."""
+"""Selection order and timeouts of the upstream resolvers. Pure: the time is an argument."""
 
 from __future__ import annotations
 
@@ -17,42 +17,42 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamTimeouts:
-    """Seconds."""
+    """Limits of timeouts and backoff in seconds."""
 
     initial: float = 0.4  # timeout of an upstream whose response time is unknown
     shortest: float = 0.05
     longest: float = 1.0
-    backoff: float = 0.5  # for which an upstream that failed is asked last; doubled with each failure
+    backoff: float = 0.5  # how long an upstream is queried last after a failure; doubles with each one
     max_backoff: float = 8.0
 
 
 @dataclass(slots=True)
 class Upstream:
-    """What is known of one resolver; its response time is smoothed as in RFC 6298."""
+    """State of one upstream resolver, with its response time smoothed as in RFC 6298."""
 
     endpoint: Endpoint
-    mean: float = 0.0  # seconds; 0: unknown
-    deviation: float = 0.0
-    failures: int = 0  # in a row
-    backoff_until: float = 0.0  # Unix time until which it is asked last
-    edns: bool = True  # whether it understands EDNS
-    asked: int = 0
+    mean: float = 0.0  # seconds; 0: not measured yet
+    deviation: float = 0.0  # seconds
+    failures: int = 0  # consecutive failures
+    backoff_until: float = 0.0  # Unix time until which it is queried last
+    edns: bool = True  # whether it supports EDNS
+    query_count: int = 0
 
     @property
     def name(self) -> str:
-        """The name in the log and on the console."""
+        """The address and port, as shown in logs and on the console."""
         return f"{self.endpoint[0]}:{self.endpoint[1]}"
 
 
 class Upstreams:
-    """All upstream resolvers."""
+    """The upstream resolvers of a site."""
 
     def __init__(self, endpoints: Iterable[Endpoint], timeouts: UpstreamTimeouts) -> None:
         self.all = [Upstream(endpoint) for endpoint in endpoints]
         self._timeouts = timeouts
 
     def order(self, now: float) -> list[Upstream]:
-        """Return those that answer, the fastest first, then the failed ones, the earliest back first."""
+        """Return the upstreams: responsive ones by response time, then failed ones by the end of backoff."""
 
         def rank(upstream: Upstream) -> tuple[bool, float]:
             is_backing_off = now < upstream.backoff_until
@@ -61,7 +61,7 @@
         return sorted(self.all, key=rank)
 
     def timeout(self, upstream: Upstream) -> float:
-        """Return the seconds to wait for an answer: the mean and four deviations, doubled by each failure."""
+        """Return the timeout in seconds: mean plus four deviations, doubled for each consecutive failure."""
         limits = self._timeouts
         expected = limits.initial
         if upstream.mean:
@@ -70,7 +70,7 @@
         return float(min(limits.longest, max(limits.shortest, expected) * 2**doublings))
 
     def record_answer(self, upstream: Upstream, seconds: float) -> None:
-        """Record the response time of an answer, whatever it says of the question."""
+        """Record the response time of a reply of any kind, and end the backoff."""
         if upstream.mean:
             upstream.deviation += (abs(seconds - upstream.mean) - upstream.deviation) * DEVIATION_GAIN
             upstream.mean += (seconds - upstream.mean) * MEAN_GAIN
@@ -81,7 +81,7 @@
         upstream.backoff_until = 0.0
 
     def record_failure(self, upstream: Upstream, now: float) -> None:
-        """Record that an upstream did not answer in time, or could not be reached."""
+        """Record that an upstream timed out or was unreachable, and start or extend its backoff."""
         upstream.failures += 1
         doublings = min(upstream.failures - 1, MAX_BACKOFF_DOUBLINGS)
         backoff = self._timeouts.backoff * 2**doublings
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -286,11 +286,11 @@
     cache, question = AnswerCache(Lifetimes(floor=0.5, ceiling=300.0)), Question("a.test", RecordType.A)
     found = Reply(ReplyKind.FOUND, addresses=("127.0.0.1",), ttl=float(ttl))
     cache.put(question, found, "u", 100.0)
-    assert cache.fresh(question, 100.0 + until - 0.01)
-    assert not cache.fresh(question, 100.0 + until)
-    assert cache.stale(question, 100.0 + until + 3599)
-    assert not cache.stale(question, 100.0 + until + 3601)
-    assert not cache.fresh(question, 99.0)  # the clock has gone back: asked anew
+    assert cache.get_fresh(question, 100.0 + until - 0.01)
+    assert not cache.get_fresh(question, 100.0 + until)
+    assert cache.get_stale(question, 100.0 + until + 3599)
+    assert not cache.get_stale(question, 100.0 + until + 3601)
+    assert not cache.get_fresh(question, 99.0)  # the clock has gone back: asked anew
 
 
 def test_cache_bounds() -> None:
@@ -298,11 +298,11 @@
     cache = AnswerCache(Lifetimes(entries=3))
     for number in range(5):
         cache.put(Question(f"{number}.test", RecordType.A), Reply(ReplyKind.FOUND, ttl=60.0), "u", 1.0)
-        cache.fresh(Question("2.test", RecordType.A), 1.0)
+        cache.get_fresh(Question("2.test", RecordType.A), 1.0)
     assert len(cache) == 3
-    assert cache.fresh(Question("2.test", RecordType.A), 2.0)
-    assert not cache.fresh(Question("0.test", RecordType.A), 2.0)
-    cache.fail(Question("f.test", RecordType.A), "SERVFAIL", 10.0)
+    assert cache.get_fresh(Question("2.test", RecordType.A), 2.0)
+    assert not cache.get_fresh(Question("0.test", RecordType.A), 2.0)
+    cache.put_failure(Question("f.test", RecordType.A), "SERVFAIL", 10.0)
     assert cache.failure_reason(Question("f.test", RecordType.A), 10.9) == "SERVFAIL"
     assert not cache.failure_reason(Question("f.test", RecordType.A), 11.0)
 
