--- a/brackenlane/discovery/cache_identity.py
+++ b/brackenlane/discovery/cache_identity.py
@@ -1,4 +1,4 @@
-"""Which definitions describe the same cache: those with the same id, host and port, or endpoint. Pure."""
+"""Groups definitions of the same cache: those with the same id, host and port, or endpoint. Pure."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from brackenlane.config import Endpoint
 from brackenlane.discovery.records import CacheDefinition, DefinitionSource, MergedCache, MergedState
 
-StartedAt = Callable[[DefinitionSource, CacheDefinition], float]
+ColdSince = Callable[[DefinitionSource, CacheDefinition], float]
 FindEndpoint = Callable[[CacheDefinition], Endpoint | None]
 
 
 class CacheGrouping:
-    """Joins definitions into caches; they are added in the order of precedence, so the first one holds."""
+    """Groups definitions by cache. They are added in order of precedence; the first one of a cache holds."""
 
-    def __init__(self, find_endpoint: FindEndpoint, started_at: StartedAt) -> None:
-        self.caches: dict[str, MergedCache] = {}  # by id; their states are not decided yet
-        self.aliases: dict[str, str] = {}  # ids that name a cache under another id
+    def __init__(self, find_endpoint: FindEndpoint, cold_since: ColdSince) -> None:
+        self.caches: dict[str, MergedCache] = {}  # by id, with a preliminary state
+        self.aliases: dict[str, str] = {}  # other ids of a cache -> its id in `caches`
         self._find_endpoint = find_endpoint
-        self._started_at = started_at
+        self._cold_since = cold_since
         self._by_host: dict[tuple[str, int], str] = {}
         self._by_endpoint: dict[Endpoint, str] = {}
 
     def add(self, source: DefinitionSource, definition: CacheDefinition) -> None:
-        """Add a definition to the cache it describes, which is a new one if nothing else describes it."""
+        """Add a definition to the cache it describes, or add a new cache if there is none."""
         endpoint = self._find_endpoint(definition)
         cache_id = self._identify(definition, endpoint)
         self._by_host.setdefault((definition.host, definition.port), cache_id)
@@ -32,12 +32,12 @@
             self._by_endpoint.setdefault(endpoint, cache_id)
         if cache_id != definition.id:
             self.aliases[definition.id] = cache_id
-        known = self.caches.get(cache_id)
-        if known is not None:
-            self.caches[cache_id] = _with_source(known, source, definition.id)
+        existing = self.caches.get(cache_id)
+        if existing is not None:
+            self.caches[cache_id] = _add_source(existing, source, definition.id)
             return
-        started_at = self._started_at(source, definition)
-        self.caches[cache_id] = MergedCache(definition, MergedState.LOST, endpoint, started_at, (source,))
+        cold_since = self._cold_since(source, definition)
+        self.caches[cache_id] = MergedCache(definition, MergedState.LOST, endpoint, cold_since, (source,))
 
     def _identify(self, definition: CacheDefinition, endpoint: Endpoint | None) -> str:
         if definition.id in self.caches:
@@ -49,8 +49,8 @@
         return same_endpoint or definition.id
 
 
-def _with_source(cache: MergedCache, source: DefinitionSource, cache_id: str) -> MergedCache:
-    """Return a cache that one more definition describes, by the id of that definition."""
+def _add_source(cache: MergedCache, source: DefinitionSource, cache_id: str) -> MergedCache:
+    """Return a cache with one more source, and with the id that source uses as an alias if it differs."""
     aliases = cache.aliases
     if cache_id not in (cache.definition.id, *aliases):
         aliases = (*aliases, cache_id)
--- a/brackenlane/discovery/definition_codec.py
+++ b/brackenlane/discovery/definition_codec.py
@@ -1,4 +1,4 @@
-"""Codec of cache definitions as the store and the snapshot keep them. The field names are stored data."""
+"""Codec of cache definitions in the store and the snapshot. The field names are a storage format."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from brackenlane.routing.members import Role
 
 CACHE_ID = re.compile(r"[0-9a-z-]{1,63}")
-WEIGHT_LIMIT = 1e9
+WEIGHT_LIMIT = 1e9  # exclusive, in concurrent transfers
 
 
 def encode_definition(definition: CacheDefinition) -> dict[str, Any]:
@@ -27,7 +27,7 @@
 
 
 def read_definition(raw: Any) -> CacheDefinition:
-    """Return the definition of a stored form; InvalidDefinitionError if it is none."""
+    """Decode a stored definition. Raises InvalidDefinitionError."""
     try:
         definition = CacheDefinition(
             str(raw["id"]).lower(),
--- a/brackenlane/discovery/definitions.py
+++ b/brackenlane/discovery/definitions.py
@@ -1,6 +1,6 @@
-"""Definitions of caches by the sources that name each cache by its id: console, store, file and snapshot.
+"""Cache definitions from the sources that give each cache an id: console, store, file and snapshot.
 
-Pure. Members of SRV entries, whose ids follow from host and port, are in srv_entries.py.
+Pure. Members of SRV entries, whose ids are derived from host and port, are in srv_entries.py.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class DefinitionTable:
-    """What each source but SRV defines; a later definition by the same source replaces its earlier one."""
+    """The definitions of every source except SRV; a later definition replaces the source's earlier one."""
 
     def __init__(self) -> None:
         self._by_source: dict[DefinitionSource, dict[str, CacheDefinition]] = {
@@ -22,7 +22,7 @@
         return sum(len(definitions) for definitions in self._by_source.values())
 
     def get(self, source: DefinitionSource, cache_id: str) -> CacheDefinition | None:
-        """Return a source's definition of a cache."""
+        """Return a source's definition of a cache, if there is one."""
         return self._by_source[source].get(cache_id)
 
     def put(self, source: DefinitionSource, definition: CacheDefinition) -> None:
@@ -42,7 +42,7 @@
         yield from self._by_source[source].values()
 
     def move_snapshot_to_store(self) -> bool:
-        """Make the snapshot's definitions the store's, which keeps its own; False if there are none."""
+        """Move the snapshot's definitions to the store's, which has precedence; False if there are none."""
         remembered = self._by_source[DefinitionSource.MEMORY]
         if not remembered:
             return False
@@ -54,7 +54,7 @@
         return True
 
     def to_remember(self) -> tuple[CacheDefinition, ...]:
-        """Return the definitions that a snapshot keeps; the file's are read again at each start."""
+        """Return the definitions for a snapshot; those of the file are read again at each start."""
         remembered = {
             definition.id: definition
             for source in (DefinitionSource.MEMORY, DefinitionSource.STORE, DefinitionSource.CONSOLE)
--- a/brackenlane/discovery/errors.py
+++ b/brackenlane/discovery/errors.py
@@ -1,4 +1,4 @@
-"""Errors of discovery. Those of stored forms are ValueErrors too, for callers that read several forms."""
+"""Errors of cache discovery. Errors of stored data are also ValueErrors, for callers that decode any kind."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class StoredFormError(DiscoveryError, ValueError):
-    """Something stored that can't be used."""
+    """Stored data that can't be decoded."""
 
 
 class InvalidDefinitionError(StoredFormError):
-    """A stored cache with a missing, malformed or out-of-range field."""
+    """A stored cache definition with a missing, malformed or out-of-range field."""
 
 
 class InvalidOrderError(StoredFormError):
@@ -24,16 +24,16 @@
 
 
 class SnapshotTooLargeError(SnapshotError):
-    """A snapshot file of more bytes than any that was written."""
+    """A snapshot file that exceeds the maximum size."""
 
 
 class SnapshotVersionError(SnapshotError):
-    """A snapshot of a version that is unknown here."""
+    """A snapshot in an unsupported format version."""
 
 
 class SnapshotCorruptError(SnapshotError):
-    """A snapshot that is damaged."""
+    """A snapshot with a wrong checksum or malformed content."""
 
 
 class IncompleteReplyError(DiscoveryError):
-    """A connection that an upstream closed before its reply was complete."""
+    """A TCP connection that an upstream closed before its reply was complete."""
--- a/brackenlane/discovery/explanation.py
+++ b/brackenlane/discovery/explanation.py
@@ -1,4 +1,4 @@
-"""The explanation that an operator reads: the state of a cache, its reason, and each source's words. Pure."""
+"""Explanation of a cache for operators: its state, the reason, and what each source reports. Pure."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def explain(
     merged_list: MergedList, sources: Sources, orders: OperatorOrders, cache_id: str, now: float
 ) -> list[str]:
-    """Return the lines of an explanation; none if nothing is known of that id."""
+    """Return the lines of an explanation; an empty list if the id is unknown."""
     cache = merged_list.find(cache_id)
     if cache:
         cache_id = cache.definition.id
--- a/brackenlane/discovery/host_addresses.py
+++ b/brackenlane/discovery/host_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of host names: which one is in use, how seldom it changes, and when it is given up.
+"""Addresses of host names: which one is in use, when it may change and when it is dropped.
 
 Pure. Times are Unix seconds.
 """
@@ -13,33 +13,33 @@
 
 @dataclass(slots=True)
 class HostAddresses:
-    """What is known of one host name."""
+    """Address state of one host name."""
 
-    addresses: tuple[str, ...] = ()  # of the last complete answer
-    address: str | None = None  # the one in use
+    addresses: tuple[str, ...] = ()  # addresses in the last complete answer
+    address: str | None = None  # address in use
     received_at: float = NEVER
-    moved_at: float = NEVER  # when the address in use replaced another one
-    had_address: bool = False
-    missing_since: float | None = None  # since when complete answers have no address
-    error: str = ""  # reason why the last look-up failed
+    moved_at: float = NEVER  # when the address in use last changed; NEVER: it may change at once
+    had_address: bool = False  # whether any address was ever in use
+    missing_since: float | None = None  # when complete answers began to have no address
+    error: str = ""  # why the last look-up failed or its addresses were unreachable
 
 
 class HostAddressTable:
-    """The addresses of all host names; methods that return bool tell if an address in use has changed."""
+    """The addresses of all host names. Methods that return bool tell whether the address in use changed."""
 
     def __init__(self, policy: Policy) -> None:
         self.by_host: dict[str, HostAddresses] = {}
         self._policy = policy
 
     def apply_answer(
-        self, host: str, addresses: Iterable[str], now: float, is_current_dead: bool = False
+        self, host: str, addresses: Iterable[str], now: float, is_current_unreachable: bool = False
     ) -> bool:
-        """Apply a complete answer; with no address at all the one in use ends after the grace period.
+        """Apply a complete answer. If it has no address, the one in use is kept for the grace period.
 
-        `is_current_dead`: nobody answers at the address in use, so that it is replaced without delay.
+        `is_current_unreachable`: the address in use accepts no connection, so it is replaced without delay.
         """
         known = self.by_host.setdefault(host, HostAddresses())
-        if is_current_dead:
+        if is_current_unreachable:
             known.moved_at = NEVER
         known.addresses = tuple(addresses)
         known.received_at = now
@@ -48,45 +48,45 @@
             known.missing_since = None
         elif known.missing_since is None:
             known.missing_since = now
-        return self.settle(host, now)
+        return self.choose_address(host, now)
 
-    def settle(self, host: str, now: float) -> bool:
-        """Choose the address in use: the present one while it is in the answer, a new one not too often."""
+    def choose_address(self, host: str, now: float) -> bool:
+        """Choose the address to use: the current one while answers contain it, else a new one, not too often."""
         known = self.by_host[host]
         if known.address in known.addresses:
             return False
         if not known.addresses:
             return self._drop_expired(known, now)
-        # Hysteresis: with answers that alternate, a cache moves once an interval, not with each answer.
+        # With alternating answers the address changes at most once per interval, not with each answer.
         if known.address and now - known.moved_at < self._policy.min_move_interval:
             return False
-        _use(known, known.addresses[0], now)
+        _set_address(known, known.addresses[0], now)
         return True
 
     def replace_unreachable(self, host: str, address: str, now: float) -> bool:
-        """Use another address of the last answer at once, since nobody answers at this one."""
+        """Replace an unreachable address in use by another one of the last answer, without delay."""
         known = self.by_host.get(host)
         if known is None or known.address != address:
             return False
         others = [other for other in known.addresses if other != address]
-        same = [other for other in known.addresses if other == address]
+        rest = [other for other in known.addresses if other == address]
         known.moved_at = NEVER
-        known.addresses = (*others, *same)
+        known.addresses = (*others, *rest)
         if not others:
             return False
-        _use(known, others[0], now)
+        _set_address(known, others[0], now)
         return True
 
     def record_unreachable(self, host: str, error: str) -> None:
-        """Record that nobody answers at any address of an answer; the address in use stays."""
+        """Record that no address of an answer accepts a connection; the address in use is kept."""
         self.by_host.setdefault(host, HostAddresses()).error = error
 
     def discard(self, host: str) -> None:
-        """Discard what is known of a host name that no definition names any more."""
+        """Discard the state of a host name that no definition refers to any more."""
         self.by_host.pop(host, None)
 
     def restore(self, addresses: Mapping[str, str], saved_at: float, moved_at: float) -> None:
-        """Use the addresses of a snapshot that was written at `saved_at` for host names without any."""
+        """Add the addresses of a snapshot that was written at `saved_at`, for hosts without state."""
         for host, address in addresses.items():
             if host not in self.by_host:
                 self.by_host[host] = HostAddresses((), address, saved_at, moved_at, True)
@@ -96,19 +96,19 @@
         return {host: known.address for host, known in self.by_host.items() if known.address}
 
     def resolve(self, host: str) -> str | None:
-        """Return the address of a host: itself if it is an address, else the one in use; None if unknown."""
+        """Return the host itself if it is an IP address, else its address in use; None if there is none."""
         address = ip_address_of(host)
         if address is None and host in self.by_host:
             return self.by_host[host].address
         return address
 
     def cold_since(self, host: str) -> float:
-        """Return when a host's address changed, so that its cache may be another machine; 0 if never."""
+        """Return when a host's address changed, since when its cache may be another machine; 0 if never."""
         known = self.by_host.get(host)
         return known.moved_at if known and known.moved_at > 0 else 0.0
 
     def next_due(self) -> float:
-        """Return when `settle` changes an address without a new answer; infinity for never."""
+        """Return when `choose_address` is next due without a new answer; infinity if never."""
         due = float("inf")
         for known in self.by_host.values():
             if not known.address:
@@ -128,8 +128,8 @@
         return True
 
 
-def _use(known: HostAddresses, address: str, now: float) -> None:
-    # Found again, or at another address, it may be another machine: it counts as cold.
+def _set_address(known: HostAddresses, address: str, now: float) -> None:
+    # A cache at a changed or restored address may be another machine, so it counts as cold.
     known.moved_at = now if known.had_address else NEVER
     known.address = address
     known.had_address = True
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -1,7 +1,7 @@
-"""One list of caches out of what all sources define, by one stated rule (docs/design/discovery.md).
+"""Merges the definitions of all sources into one list of caches (rules: docs/design/discovery.md).
 
-A decision module: no I/O, no clock of its own. `sources` holds what was reported, `operator_orders` the
-drains, `merged_list` what follows; each event changes the first or second and rebuilds the third.
+Pure: no I/O, no clock. `sources` holds what the sources reported, `operator_orders` the drains and restores;
+`merged_list` is rebuilt from both after each event.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 class MembershipMerge:
-    """The merge of all sources. Methods that change the list return the changes to publish, in order."""
+    """Merges all sources. Methods that change the list return the changes to publish, in order."""
 
     def __init__(self, policy: Policy, watches: Iterable[SrvWatch] = ()) -> None:
         self.sources = Sources(policy, watches)
         self.entries = self.sources.entries
         self.orders = OperatorOrders(policy.max_orders)
-        self.omitted_count = 0  # definitions that exceeded `Policy.max_caches`
+        self.omitted_count = 0  # definitions rejected because of `Policy.max_caches`
         self._list = MergedList(self.sources, self.orders)
         self.caches = self._list.caches
 
-    # Reports of the sources
+    # Updates from sources and operators
 
     def define(self, source: DefinitionSource, definition: CacheDefinition) -> list[Change]:
         """Add a source's definition of a cache, or replace its earlier one."""
@@ -57,7 +57,7 @@
         return self._list.rebuild()
 
     def order(self, cache_id: str, order: OperatorOrder) -> list[Change]:
-        """Apply an operator's drain or restore; it holds over any answer, also while the cache is unknown."""
+        """Apply an operator's drain or restore. It overrides all answers and is kept for unknown caches."""
         if not self.orders.add(cache_id, order):
             return []
         cache = self._list.find(cache_id)
@@ -66,21 +66,21 @@
     def apply_srv_answer(
         self, srv: str, records: Iterable[SrvRecord], upstream: str, now: float
     ) -> list[Change]:
-        """Apply a complete answer of an SRV entry."""
+        """Apply a complete answer to the look-up of an SRV entry."""
         capacity = self.sources.remaining_capacity()
         self.entries[srv].apply_answer(records, upstream, now, capacity)
         return self._list.rebuild()
 
     def apply_host_answer(
-        self, host: str, addresses: Iterable[str], now: float, dead: bool = False
+        self, host: str, addresses: Iterable[str], now: float, is_current_unreachable: bool = False
     ) -> list[Change]:
-        """Apply a complete answer for a host name; `dead`: nobody answers at its address in use."""
-        if not self.sources.addresses.apply_answer(host, addresses, now, dead):
+        """Apply a complete answer for a host name; see `HostAddressTable.apply_answer`."""
+        if not self.sources.addresses.apply_answer(host, addresses, now, is_current_unreachable):
             return []
         return self._list.rebuild()
 
     def replace_unreachable(self, host: str, address: str, now: float) -> list[Change]:
-        """Move a host's caches to another of its addresses at once: nobody answers at this one."""
+        """Switch a host's caches from an unreachable address to another one of the last answer."""
         if not self.sources.addresses.replace_unreachable(host, address, now):
             return []
         return self._list.rebuild()
@@ -88,56 +88,56 @@
     # Restart and the shared store
 
     def to_remember(self) -> RememberedMembers:
-        """Return what a later start has to know while no source answers."""
+        """Return the state that a restarted router needs while no source responds."""
         return self.sources.remember(dict(self.orders))
 
     def restore_snapshot(self, memory: RememberedMembers, saved: float, now: float) -> list[Change]:
-        """Restore a snapshot; if it is older than `Policy.max_snapshot_age`, its orders alone."""
+        """Restore a snapshot; only its orders if it is older than `Policy.max_snapshot_age`."""
         self.orders.restore(memory.orders)
         self.sources.restore(memory, saved, now)
         return self._list.rebuild()
 
     def count_all_as_cold(self, now: float) -> list[Change]:
-        """Count all caches as cold from now: it is unknown whether they were running before."""
+        """Count all caches as cold from now, since it is unknown how long they have been running."""
         self.sources.warm_up.all_cold_since = now
         return self._list.rebuild()
 
     def drop_snapshot(self) -> list[Change]:
-        """Drop the definitions of the snapshot: the store has been read completely."""
+        """Drop the snapshot's definitions, after the store has been read completely."""
         self.sources.definitions.replace_all(DefinitionSource.MEMORY, ())
         return self._list.rebuild()
 
     def confirm_snapshot(self) -> list[Change]:
-        """Count the definitions of the snapshot as the store's: it has confirmed them."""
+        """Convert the snapshot's definitions to definitions of the store, which has confirmed them."""
         if not self.sources.definitions.move_snapshot_to_store():
             return []
         return self._list.rebuild()
 
-    # Time
+    # Timers
 
     def tick(self, now: float) -> list[Change]:
-        """Apply what time alone changes: ended grace periods, delayed moves, standby after an order."""
+        """Apply what is due: ended grace periods, delayed address changes, standby after an order."""
         is_due = self._list.is_standby_due
         if self.sources.remove_expired_members(now):
             is_due = True
         changes: list[Change] = []
         for host in self.sources.addresses.by_host:
-            if self.sources.addresses.settle(host, now):
+            if self.sources.addresses.choose_address(host, now):
                 changes += self._list.rebuild()
         if is_due:
             changes += self._list.rebuild()
         return changes
 
     def next_due(self) -> float:
-        """Return when `tick` has something to do; infinity for never."""
+        """Return when `tick` is next due; infinity if never."""
         return NEVER if self._list.is_standby_due else self.sources.next_due()
 
-    # Reading
+    # Queries
 
     def is_known(self, cache_id: str) -> bool:
-        """Whether a cache or an order of that id is known."""
+        """Return whether a cache or an order with this id is known."""
         return self._list.find(cache_id) is not None or cache_id in self.orders
 
     def explain(self, cache_id: str, now: float) -> list[str]:
-        """Return the lines that tell an operator why a cache is in its state; none if the id is unknown."""
+        """Return lines that explain the state of a cache to an operator; an empty list for an unknown id."""
         return explanation.explain(self._list, self.sources, self.orders, cache_id, now)
--- a/brackenlane/discovery/merged_list.py
+++ b/brackenlane/discovery/merged_list.py
@@ -1,6 +1,6 @@
-"""The merged list: each cache once, with its state, built from the sources and the operators' orders.
+"""The merged list of caches with their states, built from the sources and the operators' orders.
 
-Pure. cache_identity tells which definitions are one cache, state_rules the state of a cache.
+Pure. `cache_identity` groups the definitions of one cache; `state_rules` decides its state.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 
 class MergedList:
-    """The list and what was published of it. Methods return the changes to publish, in order."""
+    """The list and its last published version. Methods return the changes to publish, in order."""
 
     def __init__(self, sources: Sources, orders: OperatorOrders) -> None:
         self.caches: dict[str, MergedCache] = {}
-        self.aliases: dict[str, str] = {}  # ids that name a cache under another id
-        self.is_standby_due = False  # an order may have changed which caches are on standby
+        self.aliases: dict[str, str] = {}  # other ids of a cache -> its id in `caches`
+        self.is_standby_due = False  # whether an order may have changed which caches are on standby
         self._sources = sources
         self._orders = orders
         self._publication = Publication()
 
     def find(self, cache_id: str) -> MergedCache | None:
-        """Return the cache of an id, which may be one of its aliases."""
+        """Return the cache with this id or alias, if there is one."""
         return self.caches.get(self.aliases.get(cache_id, cache_id))
 
     def rebuild(self) -> list[Change]:
-        """Build the whole list anew."""
+        """Rebuild the whole list from the sources and orders."""
         self.is_standby_due = False
-        grouping = CacheGrouping(self._sources.endpoint_of, self._sources.started_at)
+        grouping = CacheGrouping(self._sources.endpoint_of, self._sources.cold_since)
         for source, definition in self._sources.all_definitions():
             grouping.add(source, definition)
         self.aliases = grouping.aliases
@@ -47,16 +47,16 @@
     def update_ordered(self, cache: MergedCache) -> list[Change]:
         """Update the state of one cache after an order.
 
-        One cache changes by it, however many are on the list: a drain waits for no merge of thousands.
+        This does not rebuild the list, so that a drain takes effect at once even with thousands of caches.
         """
-        # Caches on standby behind it may be needed now: the next tick, which is due at once, decides that.
+        # Caches on standby may be needed now: the next tick, which is due immediately, decides that.
         for entry in self._sources.entries.values():
             if is_governed_by(cache, entry):
                 self.is_standby_due = True
         return self._publication.publish([self._decide(cache)])
 
     def _decide(self, cache: MergedCache) -> MergedCache:
-        """Set a cache's state, standby not considered, and return it."""
+        """Set the state of a cache, without regard to standby, and return the cache."""
         drain = self._orders.drain_of((cache.definition.id, *cache.aliases))
         known = self._sources.addresses.by_host.get(cache.definition.host)
         decided = decide_state(cache, drain, known.error if known else "")
--- a/brackenlane/discovery/operator_orders.py
+++ b/brackenlane/discovery/operator_orders.py
@@ -1,4 +1,4 @@
-"""The operators' drains and restores, each kept until a later one replaces it. Pure."""
+"""Operators' drain and restore orders, each kept until a later one replaces it. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class OperatorOrders(Mapping[str, OperatorOrder]):
-    """The last order for each cache id, whether a cache of that id is known or not."""
+    """The latest order for each cache id, including ids of unknown caches."""
 
     def __init__(self, max_orders: int) -> None:
         self._by_id: dict[str, OperatorOrder] = {}
@@ -24,10 +24,10 @@
         return len(self._by_id)
 
     def add(self, cache_id: str, order: OperatorOrder) -> bool:
-        """Keep an order if it holds against the one that is there; return whether it is kept.
+        """Keep an order unless the present one takes precedence; return whether it is kept.
 
-        At the bound the oldest restore is discarded. A drain never is: if there are only drains, the new
-        order is refused.
+        At `max_orders` the oldest restore is discarded. Drains are never discarded: if there are only drains,
+        the new order is rejected.
         """
         if not order.beats(self._by_id.get(cache_id)):
             return False
@@ -40,13 +40,13 @@
         return True
 
     def restore(self, orders: Mapping[str, OperatorOrder]) -> None:
-        """Keep the orders of a snapshot that hold against those that are there."""
+        """Add the orders of a snapshot, except where the present one takes precedence."""
         for cache_id, order in orders.items():
             if order.beats(self._by_id.get(cache_id)):
                 self._by_id[cache_id] = order
 
     def drain_of(self, cache_ids: Iterable[str]) -> OperatorOrder | None:
-        """Return the first drain that holds for any of a cache's ids."""
+        """Return the first drain among the orders for these ids of one cache."""
         for cache_id in cache_ids:
             order = self._by_id.get(cache_id)
             if order and order.drained:
--- a/brackenlane/discovery/order_codec.py
+++ b/brackenlane/discovery/order_codec.py
@@ -1,4 +1,4 @@
-"""Codec of operators' orders as the store and the snapshot keep them. The field names are stored data."""
+"""Codec of operators' orders in the store and the snapshot. The field names are a storage format."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from brackenlane.discovery.errors import InvalidOrderError
 from brackenlane.discovery.records import OperatorOrder
 
-MAX_CLOCK_AHEAD = 60.0  # seconds by which the clock of the router that gave an order may be ahead of ours
+MAX_CLOCK_AHEAD = 60.0  # seconds by which the issuing router's clock may be ahead of the local one
 MAX_ISSUER_LENGTH = 64  # characters
 
 
@@ -19,13 +19,13 @@
 
 
 def read_order(raw: Any) -> tuple[str, OperatorOrder]:
-    """Return the cache id and the order of a stored form; InvalidOrderError if it is none."""
+    """Decode a stored order; return its cache id and the order. Raises InvalidOrderError."""
     try:
         cache_id = str(raw["id"])
         order = OperatorOrder(bool(raw["drained"]), float(raw["at"]), str(raw["by"])[:MAX_ISSUER_LENGTH])
     except (KeyError, TypeError, ValueError) as error:
         raise InvalidOrderError(f"order {raw!r}: {type(error).__name__}: {error}") from error
-    # An order from a clock far ahead could never be taken back.
+    # An order from a clock far ahead would override every later order until that time.
     if not CACHE_ID.fullmatch(cache_id) or not 0 <= order.at <= steady_time() + MAX_CLOCK_AHEAD:
         raise InvalidOrderError(f"order {raw!r}: an id and a time that has been are needed")
     return cache_id, order
--- a/brackenlane/discovery/publication.py
+++ b/brackenlane/discovery/publication.py
@@ -1,4 +1,4 @@
-"""Publication of the merged list: only what differs from what was published last. Pure."""
+"""Publishes the merged list as differences from its last published version. Pure."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class Publication:
-    """The last published change of each cache that is on the list."""
+    """The last published change of each cache that is currently published."""
 
     def __init__(self) -> None:
         self._published: dict[str, Change] = {}
 
     def publish(self, caches: Iterable[MergedCache]) -> list[Change]:
-        """Return the changes of these caches since their last publication, and count them as published."""
+        """Return the changes of these caches since they were last published, and record them as published."""
         changes: list[Change] = []
         for cache in caches:
             cache_id = cache.definition.id
@@ -35,7 +35,7 @@
         return changes
 
     def withdraw_missing(self, present: Container[str]) -> list[Change]:
-        """Return the removals of published caches that are not among the present ones."""
+        """Return the removals of published caches that are not in `present`, and record them as removed."""
         missing = [cache_id for cache_id in self._published if cache_id not in present]
         removed = [self._published.pop(cache_id).member for cache_id in missing]
         return [Change(replace(member, state=ServerState.GONE), None) for member in removed]
--- a/brackenlane/discovery/sources.py
+++ b/brackenlane/discovery/sources.py
@@ -64,9 +64,9 @@
         address = self.addresses.resolve(definition.host)
         return (address, definition.port) if address else None
 
-    def started_at(self, source: DefinitionSource, definition: CacheDefinition) -> float:
+    def cold_since(self, source: DefinitionSource, definition: CacheDefinition) -> float:
         """Return since when a defined cache counts as cold; 0 if it is warm."""
-        return self.warm_up.started_at(source, definition, self.entries.values(), self.addresses)
+        return self.warm_up.cold_since(source, definition, self.entries.values(), self.addresses)
 
     def record_failure(self, name: str, error: str) -> None:
         """Record that a look-up failed or its answer was unusable: nothing is added or removed by it."""
@@ -82,11 +82,11 @@
 
     def remove_expired_members(self, now: float) -> bool:
         """Remove SRV members whose grace period has ended; return whether there were any."""
-        is_changed = False
+        has_removed = False
         for entry in self.entries.values():
             if entry.remove_expired(now):
-                is_changed = True
-        return is_changed
+                has_removed = True
+        return has_removed
 
     def next_due(self) -> float:
         """Return when time alone changes something; infinity for never."""
--- a/brackenlane/discovery/srv_entries.py
+++ b/brackenlane/discovery/srv_entries.py
@@ -56,7 +56,7 @@
     def apply_answer(
         self, records: Iterable[SrvRecord], upstream: str, now: float, remaining_capacity: int
     ) -> None:
-        """Apply a complete answer; at most `remaining_capacity` members are added."""
+        """Apply a complete answer; at limit `remaining_capacity` members are added."""
         # Without an earlier answer or a snapshot it is unknown which caches are new: all count as warm.
         is_first = self.answered_at == NEVER and not self.members
         reported = definitions_of(records, self.watch)
@@ -109,8 +109,8 @@
 
     def _record_missing(self, missing: frozenset[str], upstream: str, now: float) -> None:
         """Start the grace period of members that an answer lacks, unless they are too many to be believed."""
-        most = max(1.0, self.policy.max_unconfirmed_share * len(self.members))
-        if len(missing) > most:
+        limit = max(1.0, self.policy.max_unconfirmed_share * len(self.members))
+        if len(missing) > limit:
             missing = self._confirm_removal(missing, upstream, now)
             if not missing:
                 return
--- a/brackenlane/discovery/warm_up.py
+++ b/brackenlane/discovery/warm_up.py
@@ -16,7 +16,7 @@
         self.all_cold_since = 0.0  # it is unknown whether any cache was running before
         self.snapshot_cold_since = 0.0  # of caches that the snapshot alone names, if it was old
 
-    def started_at(
+    def cold_since(
         self,
         source: DefinitionSource,
         definition: CacheDefinition,
