--- a/brackenlane/discovery/host_addresses.py
+++ b/brackenlane/discovery/host_addresses.py
@@ -51,7 +51,7 @@
         return self.choose_address(host, now)
 
     def choose_address(self, host: str, now: float) -> bool:
-        """Choose the address to use: the current one while answers contain it, else a new one, not too often."""
+        """Choose the address to use: the current one while answers have it, else a new one, not too often."""
         known = self.by_host[host]
         if known.address in known.addresses:
             return False
--- a/brackenlane/discovery/query.py
+++ b/brackenlane/discovery/query.py
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentQuery:
-    """A query as sent. Its reply has to repeat the id, and the name in the same letter case (0x20 encoding)."""
+    """A query as sent. Its reply has to repeat the id and the letter case of the name (0x20 encoding)."""
 
     question: Question
     id: int
--- a/brackenlane/discovery/registry.py
+++ b/brackenlane/discovery/registry.py
@@ -1,4 +1,4 @@
-"""The router's list of caches: applies what sources define to the merge and publishes the changes."""
+"""The router's list of caches: passes definitions and orders to the merge and publishes the changes."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribers:
-    """Where changes are published, each once and in order."""
+    """The receivers of changes; each gets every change once, in order."""
 
     core: Callable[[Event], None]
-    pools: UpdatePools  # endpoints that are added, ids that are removed, whether the whole list is replaced
+    pools: UpdatePools  # arguments: endpoints to add, ids to remove, whether to replace the whole list
 
 
 class Registry:
-    """Publishes the merge's changes, all before a call returns: a drain is never queued behind other work."""
+    """Publishes the changes of the merge synchronously, so that a drain never waits behind other work."""
 
     def __init__(self, merge: MembershipMerge, core: Callable[[Event], None], pools: UpdatePools) -> None:
         self.merge = merge
-        self.endpoints: dict[str, Endpoint] = {}  # of the caches on the list
-        self.changed: list[Callable[[], None]] = []  # called after every change of the merge
+        self.endpoints: dict[str, Endpoint] = {}  # endpoints of the published caches, by id
+        self.changed: list[Callable[[], None]] = []  # callbacks after each update of the merge
         self._subscribers = Subscribers(core, pools)
 
     def apply(self, changes: list[Change]) -> None:
@@ -52,11 +52,11 @@
         self.apply(self.merge.define(source, definition))
 
     def order(self, cache_id: str, order: OperatorOrder) -> None:
-        """Apply a drain or a restore, whichever router it was given at."""
+        """Apply a drain or restore that was issued at this router or at another one."""
         self.apply(self.merge.order(cache_id, order))
 
     def drain(self, cache_id: str, drained: bool, by: str) -> OperatorOrder | None:
-        """Drain or restore a cache now and return the order; None if nothing is known of such a cache."""
+        """Drain or restore a cache now; return the order, or None if the id is unknown."""
         if not self.merge.is_known(cache_id):
             return None
         order = OperatorOrder(drained, steady_time(), by)
@@ -64,5 +64,5 @@
         return order
 
     def purge(self, obj: str, group: int, at: float) -> None:
-        """Notify the core that an object or a group was purged at a Unix time."""
+        """Notify the core of a purge of an object or a group; `at` is the Unix time of the purge."""
         self._subscribers.core(Purged(obj, group, max(0.0, steady_time() - at)))
--- a/brackenlane/discovery/snapshot.py
+++ b/brackenlane/discovery/snapshot.py
@@ -1,6 +1,6 @@
-"""The snapshot on disk: replaced atomically, set aside when it is damaged, never believed in part.
+"""The snapshot on disk: replaced atomically, used as a whole or not at all, renamed if it is damaged.
 
-A new file is written, synced and renamed over the old one, so a crash at any point leaves either of them.
+A new file is written, synced and renamed over the old one, so that a crash at any point leaves one of them.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 
 
 class StreamProgress(Protocol):
-    """What a snapshot keeps of the shared store's stream."""
+    """The state of the shared store's event stream that a snapshot contains."""
 
     @property
     def position(self) -> StreamPosition:
-        """The position in the event stream up to which everything has been applied."""
+        """The position in the event stream up to which all events have been applied."""
 
     @property
     def purges(self) -> dict[tuple[str, int], float]:
-        """The recent purges: Unix seconds by object and group."""
+        """The times of recent purges in Unix seconds, by object and group."""
 
 
 def load(path: Path) -> Snapshot | None:
-    """Return the snapshot of a file; None if there is none, or a damaged one, which is set aside."""
+    """Load a snapshot. Return None without a file or if it is unusable, in which case it is renamed."""
     try:
         return parse(_read_file(path))
     except FileNotFoundError:
@@ -49,7 +49,7 @@
 
 def _read_file(path: Path) -> bytes:
     if path.stat().st_size > MAX_FILE_SIZE:
-        raise SnapshotTooLargeError("too large")
+        raise SnapshotTooLargeError("the file exceeds the maximum size")
     return path.read_bytes()
 
 
@@ -59,11 +59,11 @@
     try:
         os.replace(path, aside)
     except OSError as error:
-        log.warning("snapshot %s not set aside: %s", path, error)
+        log.warning("snapshot %s cannot be renamed: %s", path, error)
 
 
 def save(path: Path, data: bytes) -> None:
-    """Replace a snapshot file, so that a crash leaves the old one or the new one."""
+    """Replace a snapshot file atomically and durably."""
     new = path.with_name(path.name + ".new")
     with open(new, "wb") as file:
         file.write(data)
@@ -78,23 +78,23 @@
 
 
 class SnapshotWriter:
-    """Writes the snapshot after changes, at most once per interval; a failed write is logged and repeated."""
+    """Writes the snapshot after changes, at most once per interval. A failed write is logged and retried."""
 
     def __init__(self, registry: Registry, path: Path, interval: float, store: StreamProgress | None) -> None:
-        """`store`: the view of the shared store whose entries the registry has applied, if there is one."""
+        """`interval`: seconds; `store`: progress in the shared store's event stream, if a store is used."""
         self._registry = registry
         self._path = path
         self._interval = interval
         self._store = store
         self._changed = trio.Event()
-        self._written = b""  # the document written last, with 0 as its time
+        self._written = b""  # last written document, encoded with `saved_at` 0 for comparison
         registry.changed.append(self._notify_changed)
 
     def _notify_changed(self) -> None:
         self._changed.set()
 
     async def run(self) -> None:
-        """Write after changes until cancelled."""
+        """Write the snapshot after changes, until cancelled."""
         while True:
             await self._changed.wait()
             self._changed = trio.Event()
@@ -102,13 +102,13 @@
                 await self.write()
             except OSError as error:
                 log.warning(
-                    "snapshot %s not written: %s; retried in %.1f s", self._path, error, self._interval
+                    "snapshot %s not written: %s; next attempt in %.1f s", self._path, error, self._interval
                 )
                 self._changed.set()
             await trio.sleep(self._interval)
 
     async def write(self, is_shutdown: bool = False) -> None:
-        """Write the present state if it differs from the file's; `is_shutdown`: at a graceful shutdown."""
+        """Write the state if it changed since the last write; `is_shutdown`: at a graceful shutdown."""
         snapshot = Snapshot(self._registry.merge.to_remember(), 0.0, is_shutdown=is_shutdown)
         if self._store:
             purges = tuple((obj, group, at) for (obj, group), at in self._store.purges.items())
--- a/brackenlane/discovery/snapshot_codec.py
+++ b/brackenlane/discovery/snapshot_codec.py
@@ -1,4 +1,7 @@
-"""Codec of the snapshot, one JSON document under its version and checksum. Field names are stored data."""
+"""Codec of the snapshot: a JSON document in an envelope with version and checksum.
+
+The field names are a storage format.
+"""
 
 from __future__ import annotations
 
@@ -15,22 +18,25 @@
 from brackenlane.discovery.records import RememberedMembers
 
 VERSION = 2
-READABLE_VERSIONS = (1, VERSION)  # version 1 had neither stream position nor purges nor mark of a shutdown
+# Version 1 has no stream position, purges or shutdown flag.
+READABLE_VERSIONS = (1, VERSION)
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What a router knew when it was written."""
+    """The state of a router at the time of writing."""
 
     memory: RememberedMembers
     saved_at: float  # Unix time
-    position: StreamPosition = STREAM_START  # in the store's stream: all entries up to it are included
-    is_shutdown: bool = False  # written at a graceful shutdown; otherwise the process or its power was lost
-    purges: tuple[tuple[str, int, float], ...] = ()  # recent ones: object, group, Unix time
+    position: StreamPosition = (
+        STREAM_START  # position in the store's event stream up to which events are included
+    )
+    is_shutdown: bool = False  # True: written at a graceful shutdown; False when read: crash or power loss
+    purges: tuple[tuple[str, int, float], ...] = ()  # recent purges: object, group, Unix time
 
 
 def dump(snapshot: Snapshot) -> bytes:
-    """Return the bytes of a snapshot file."""
+    """Encode a snapshot file."""
     memory = snapshot.memory
     body = orjson.dumps(
         {
@@ -51,13 +57,13 @@
 
 
 def sign(body: bytes) -> bytes:
-    """Return a document with the version and checksum under which a snapshot is stored."""
+    """Return a document in its envelope with version and checksum."""
     digest = hashlib.sha256(body).hexdigest()
     return orjson.dumps({"version": VERSION, "sha256": digest, "body": body.decode()})
 
 
 def parse(data: bytes) -> Snapshot:
-    """Return the snapshot of a file's bytes; SnapshotVersionError or SnapshotCorruptError if it is none."""
+    """Decode a snapshot file. Raises SnapshotVersionError or SnapshotCorruptError."""
     try:
         return _read_snapshot(_read_body(data))
     except SnapshotError:
@@ -69,14 +75,14 @@
 
 
 def _read_body(data: bytes) -> dict[str, Any]:
-    """Check version and checksum and return the document under them."""
+    """Check version and checksum of the envelope; return the document in it."""
     outer: dict[str, Any] = orjson.loads(data)
     version = outer["version"]
     body = str(outer["body"]).encode()
     if version not in READABLE_VERSIONS:
-        raise SnapshotVersionError(f"version {version!r}, not {VERSION}")
+        raise SnapshotVersionError(f"unsupported version {version!r}; the current version is {VERSION}")
     if hashlib.sha256(body).hexdigest() != outer["sha256"]:
-        raise SnapshotCorruptError("the checksum does not fit")
+        raise SnapshotCorruptError("checksum mismatch")
     document: dict[str, Any] = orjson.loads(body)
     return document
 
--- a/brackenlane/discovery/sources.py
+++ b/brackenlane/discovery/sources.py
@@ -1,4 +1,4 @@
-"""What the sources have reported: definitions, SRV entries, addresses, and when caches began to warm up.
+"""State reported by all sources: definitions, SRV entries, addresses, and when caches became cold.
 
 Pure. Times are Unix seconds.
 """
@@ -25,7 +25,7 @@
 
 
 class Sources:
-    """The state of all sources; it knows no merged list."""
+    """The state of all sources; independent of the merged list."""
 
     def __init__(self, policy: Policy, watches: Iterable[SrvWatch]) -> None:
         self.definitions = DefinitionTable()
@@ -36,7 +36,7 @@
 
     @property
     def hosts(self) -> set[str]:
-        """The host names whose addresses are needed."""
+        """The host names that definitions refer to and whose addresses have to be looked up."""
         return {
             definition.host
             for _, definition in self.all_definitions()
@@ -49,7 +49,7 @@
         return self._policy.max_caches - len(self.definitions) - members
 
     def all_definitions(self) -> Iterator[tuple[DefinitionSource, CacheDefinition]]:
-        """Yield all definitions, those of the first source in precedence first."""
+        """Yield all definitions with their sources, in order of precedence."""
         for source in DefinitionSource:
             if source is DefinitionSource.SRV:
                 for entry in self.entries.values():
@@ -60,23 +60,23 @@
                     yield source, definition
 
     def endpoint_of(self, definition: CacheDefinition) -> Endpoint | None:
-        """Return the address and port of a defined cache; None while its host name has no address."""
+        """Return the address and port of a cache; None while its host name has no address."""
         address = self.addresses.resolve(definition.host)
         return (address, definition.port) if address else None
 
     def cold_since(self, source: DefinitionSource, definition: CacheDefinition) -> float:
-        """Return since when a defined cache counts as cold; 0 if it is warm."""
+        """Return since when a cache counts as cold; 0 if it is warm."""
         return self.warm_up.cold_since(source, definition, self.entries.values(), self.addresses)
 
     def record_failure(self, name: str, error: str) -> None:
-        """Record that a look-up failed or its answer was unusable: nothing is added or removed by it."""
+        """Record that a look-up failed or its answer was unusable, which adds and removes no caches."""
         if name in self.entries:
             self.entries[name].last_error = error
         elif name in self.addresses.by_host:
             self.addresses.by_host[name].error = error
 
     def discard_unnamed_host(self, host: str) -> None:
-        """Discard the addresses of a host that no definition names any more, so that they do not add up."""
+        """Discard the addresses of a host that no definition refers to, so that the table does not grow."""
         if host not in self.hosts:
             self.addresses.discard(host)
 
@@ -89,14 +89,14 @@
         return has_removed
 
     def next_due(self) -> float:
-        """Return when time alone changes something; infinity for never."""
+        """Return when the next timer is due; infinity if none is running."""
         due = [self.addresses.next_due()]
         for entry in self.entries.values():
             due += entry.removal_times()
         return min(due)
 
     def remember(self, orders: dict[str, OperatorOrder]) -> RememberedMembers:
-        """Return what a later start has to know while no source answers, with the operators' orders."""
+        """Return the state for a snapshot, with the operators' orders."""
         srv_members = {
             srv: tuple(member.definition for member in entry.members.values())
             for srv, entry in self.entries.items()
@@ -104,7 +104,7 @@
         return RememberedMembers(self.definitions.to_remember(), srv_members, self.addresses.in_use(), orders)
 
     def restore(self, memory: RememberedMembers, saved: float, now: float) -> None:
-        """Restore what was remembered at `saved`, unless that is older than `Policy.max_snapshot_age`."""
+        """Restore a snapshot written at `saved`, unless it is older than `Policy.max_snapshot_age`."""
         age = now - saved
         if not 0 <= age <= self._policy.max_snapshot_age:
             return
--- a/brackenlane/discovery/srv_entries.py
+++ b/brackenlane/discovery/srv_entries.py
@@ -1,4 +1,4 @@
-"""SRV entries: the members that complete answers named, and the removals that wait to be confirmed.
+"""SRV entries: their members from complete answers, and mass removals that await confirmation.
 
 Pure. Times are Unix seconds. The rules: RFC 2782 and docs/design/discovery.md.
 """
@@ -18,7 +18,8 @@
     srv_cache_id,
 )
 
-MIN_SRV_WEIGHT = 0.1  # weight 0 means "nearly never" (RFC 2782), but a cache's weight must be above 0
+# SRV weight 0 means a very small chance of selection (RFC 2782), but a cache's weight must be above 0.
+MIN_SRV_WEIGHT = 0.1
 
 
 @dataclass(slots=True)
@@ -28,13 +29,13 @@
     definition: CacheDefinition
     first_seen_at: float
     last_seen_at: float
-    missing_since: float | None = None  # since when complete answers lack it
+    missing_since: float | None = None  # when complete answers began to omit it
     is_cold: bool = True  # added after the entry's first answer
 
 
 @dataclass(slots=True)
 class PendingRemoval:
-    """A mass disappearance that is reported but not applied until a second answer confirms it."""
+    """The mass removal of members, which is not applied until a second answer confirms it."""
 
     cache_ids: frozenset[str]
     upstream: str
@@ -43,21 +44,21 @@
 
 @dataclass(slots=True)
 class SrvEntry:
-    """The state of one watched SRV entry; it alone adds and removes its members."""
+    """The state of one watched SRV entry. Only this class adds and removes its members."""
 
     watch: SrvWatch
     policy: Policy
     members: dict[str, SrvMember] = field(default_factory=dict)
     pending_removal: PendingRemoval | None = None
     answered_at: float = NEVER  # time of the last complete answer
-    last_error: str = ""  # reason why the last look-up failed
-    omitted_count: int = 0  # targets of the last answer that exceeded the capacity
+    last_error: str = ""  # why the last look-up failed
+    omitted_count: int = 0  # targets of the last answer that were left out for lack of capacity
 
     def apply_answer(
         self, records: Iterable[SrvRecord], upstream: str, now: float, remaining_capacity: int
     ) -> None:
-        """Apply a complete answer; at limit `remaining_capacity` members are added."""
-        # Without an earlier answer or a snapshot it is unknown which caches are new: all count as warm.
+        """Apply a complete answer, which adds at most `remaining_capacity` members."""
+        # Without an earlier answer or a snapshot it is unknown which caches are new, so all count as warm.
         is_first = self.answered_at == NEVER and not self.members
         reported = definitions_of(records, self.watch)
         self.omitted_count = 0
@@ -84,7 +85,7 @@
             self.members.setdefault(definition.id, SrvMember(definition, now, saved_at, is_cold=is_cold))
 
     def remove_expired(self, now: float) -> bool:
-        """Remove members that were missing for the whole grace period; return whether there were any."""
+        """Remove members whose grace period has ended; return whether there were any."""
         expired = [
             cache_id
             for cache_id, member in self.members.items()
@@ -101,14 +102,14 @@
                 yield member.missing_since + self.policy.removal_grace
 
     def cold_since(self, cache_id: str) -> float | None:
-        """Return when a member was added; None if it is no member, or was there from the first answer."""
+        """Return when a cold member was added; None for a warm one or if there is no such member."""
         member = self.members.get(cache_id)
         if member is None or not member.is_cold:
             return None
         return member.first_seen_at
 
     def _record_missing(self, missing: frozenset[str], upstream: str, now: float) -> None:
-        """Start the grace period of members that an answer lacks, unless they are too many to be believed."""
+        """Start the grace period of missing members; too many of them at once need a second answer first."""
         limit = max(1.0, self.policy.max_unconfirmed_share * len(self.members))
         if len(missing) > limit:
             missing = self._confirm_removal(missing, upstream, now)
@@ -121,9 +122,10 @@
                 member.missing_since = now
 
     def _confirm_removal(self, missing: frozenset[str], upstream: str, now: float) -> frozenset[str]:
-        """Return the members whose mass disappearance is confirmed now; none if it stays pending.
+        """Return the missing members whose removal this answer confirms; an empty set while it is pending.
 
-        Another upstream confirms at once, the same one after `Policy.confirmation_delay`.
+        An answer of another upstream confirms it at once, one of the same upstream only after
+        `Policy.confirmation_delay`.
         """
         pending = self.pending_removal
         confirmed = pending.cache_ids & missing if pending else frozenset()
@@ -137,9 +139,9 @@
 
 
 def definitions_of(records: Iterable[SrvRecord], watch: SrvWatch) -> dict[str, CacheDefinition]:
-    """Return the caches that an answer names, by id; of two records for one cache the better priority holds.
+    """Return the caches of an answer by id; of two records for one cache, the better priority is used.
 
-    The target "." means that there is no service (RFC 2782) and defines no cache.
+    The target "." means that the service is not available (RFC 2782), so it defines no cache.
     """
     reported: dict[str, CacheDefinition] = {}
     for record in records:
--- a/brackenlane/discovery/state_rules.py
+++ b/brackenlane/discovery/state_rules.py
@@ -1,6 +1,6 @@
-"""Rules for the state of a cache: drained by an operator, not found, on standby by SRV priority, serving.
+"""Decides the state of a cache: draining, not found, on standby or serving.
 
-Pure. Standby: RFC 2782, priority.
+Pure. Standby follows from SRV priorities (RFC 2782).
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 def decide_state(cache: MergedCache, drain: OperatorOrder | None, address_error: str) -> MergedCache:
-    """Return a cache with its state and the reason, other caches not considered.
+    """Return a cache with its state and the reason for it, without regard to other caches.
 
-    `address_error`: why its host name could not be looked up, if that is so.
+    `address_error`: why its host name could not be looked up; empty if it could.
     """
     if drain:
-        # Drained and without an address it is off the list; the order stays.
+        # Without an address the cache is not published; the order is kept.
         state = MergedState.DRAINING if cache.endpoint else MergedState.LOST
         return replace(cache, state=state, reason=f"drained by {drain.by}")
     if cache.endpoint is None:
@@ -29,12 +29,12 @@
 
 
 def is_governed_by(cache: MergedCache, entry: SrvEntry) -> bool:
-    """Whether an SRV entry's priorities apply to a cache: a member that no source before SRV defines."""
+    """Return whether an entry's priorities apply: to members without a definition of higher precedence."""
     return cache.sources[0] is DefinitionSource.SRV and cache.definition.id in entry.members
 
 
 def find_standby(entry: SrvEntry, caches: Mapping[str, MergedCache]) -> list[MergedCache]:
-    """Return the caches that go on standby, in that state: enough members of a better priority serve."""
+    """Return the caches that go on standby because enough members of better priority are serving."""
     members = [caches[cache_id] for cache_id in entry.members if cache_id in caches]
     governed = [cache for cache in members if is_governed_by(cache, entry)]
     governed.sort(key=lambda cache: (cache.definition.priority, cache.definition.id))
--- a/brackenlane/discovery/warm_up.py
+++ b/brackenlane/discovery/warm_up.py
@@ -1,4 +1,4 @@
-"""Since when a cache counts as cold, by what added it to the list. Pure. Times: Unix seconds, 0 for warm."""
+"""Determines since when a cache counts as cold. Pure. Times are Unix seconds; 0 means warm."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class WarmUpTimes:
-    """The start of each cache's warm-up."""
+    """The times since when caches count as cold, by the source that added them."""
 
     def __init__(self) -> None:
-        self.all_cold_since = 0.0  # it is unknown whether any cache was running before
-        self.snapshot_cold_since = 0.0  # of caches that the snapshot alone names, if it was old
+        self.all_cold_since = 0.0  # set when it is unknown how long the caches have been running
+        self.snapshot_cold_since = 0.0  # for caches defined by an old snapshot only
 
     def cold_since(
         self,
