--- a/brackenlane/dns/__init__.py
+++ b/brackenlane/dns/__init__.py
@@ -1,5 +1,5 @@
-"""The DNS front: routes clients of small sites by answering names under the operator's zone.
+"""Authoritative DNS server for the operator's zone, which routes the clients of small sites.
 
-It owns its sockets and open queries; it never picks a server itself. Entry points: `server.Server` (sockets)
-and `responder.Responder` (queries to responses); `names` reads a name under the zone.
+It owns its sockets and open queries; the request engine chooses the caches. Entry points: `server.Server`
+(sockets) and `responder.Responder` (queries to responses); `names` parses names under the zone.
 """
--- a/brackenlane/dns/responder.py
+++ b/brackenlane/dns/responder.py
@@ -1,6 +1,6 @@
 """Answers DNS queries for the operator's zone through the request engine (RFC 1035, RFC 2782, RFC 6891).
 
-No record may be cached: every time-to-live is 0, since the cache that is picked may drain at any moment.
+Every TTL is 0, so that no record is cached: the chosen cache may start to drain at any time.
 """
 
 from __future__ import annotations
@@ -35,27 +35,28 @@
 SRV = dns.rdatatype.SRV
 ANY = dns.rdatatype.ANY
 
-HEADER_BYTES = 12
-LARGEST_TCP_MESSAGE = 65_535  # bytes
-SMALLEST_UDP_PAYLOAD = 512  # bytes that every client takes (RFC 1035, 4.2.1)
+HEADER_BYTES = 12  # size of a DNS header
+MAX_TCP_MESSAGE = 65_535  # bytes
+MIN_UDP_PAYLOAD = 512  # bytes that every client accepts (RFC 1035, 4.2.1)
 RESPONSE_BIT = 0x80  # QR, in the third byte of a message
 OPCODE_BITS = 0x78
 RECURSION_DESIRED_BIT = 0x01
-USUAL_TRANSFER = 1 / 4  # of the latency objective, for which a transfer that we do not see counts
+# Assumed duration of a transfer, which the router does not observe, as a share of the latency objective.
+ASSUMED_TRANSFER_SHARE = 1 / 4
 
 
 class CacheAddresses(Protocol):
-    """Where the listed caches are, by id."""
+    """The endpoints of the listed caches, by id."""
 
     endpoints: dict[str, Endpoint]
 
 
 class NoCacheError(Exception):
-    """No cache can be named before the query's time is up."""
+    """No cache could be chosen within the time limit of the query."""
 
 
 class Responder:
-    """Answers queries for one zone; the request engine picks the cache of an object."""
+    """Answers queries for one zone; the request engine chooses the cache for an object."""
 
     def __init__(
         self,
@@ -75,37 +76,38 @@
         self._classes = {cls.name.lower(): cls for cls in core.settings.classes}
 
     async def respond(self, wire: bytes, udp: bool) -> bytes | None:
-        """Return the response to one query; None if it must not be answered."""
+        """Return the response to one message; None if it must not be answered."""
         try:
             query = dns.message.from_wire(wire)
         except dns.exception.DNSException:
-            return self._malformed(wire)
-        except Exception:  # hostile bytes may raise anything in the parser
-            log.warning("query rejected: the parser failed", exc_info=True)
-            return self._malformed(wire)
+            return self._respond_to_malformed(wire)
+        except Exception:  # malicious input may raise any exception in the parser
+            log.warning("DNS query rejected: unexpected error in the parser", exc_info=True)
+            return self._respond_to_malformed(wire)
         if query.flags & dns.flags.QR:
-            return None  # else two servers could answer each other's responses for ever
+            # Responses are not answered, or two servers could answer each other in an endless loop.
+            return None
         response = dns.message.make_response(query, our_payload=self._limits.max_dns_payload)
         response.flags &= ~dns.flags.RA
-        await self._fill(query, response)
-        return encode_response(response, self._largest_response(query, udp))
+        await self._complete_response(query, response)
+        return encode_response(response, self._max_response_size(query, udp))
 
-    def _largest_response(self, query: dns.message.Message, udp: bool) -> int:
-        """Return how many bytes the client takes."""
+    def _max_response_size(self, query: dns.message.Message, udp: bool) -> int:
+        """Return the maximum response size that the client accepts, in bytes."""
         if not udp:
-            return LARGEST_TCP_MESSAGE
-        return min(max(query.payload, SMALLEST_UDP_PAYLOAD), self._limits.max_dns_payload)
+            return MAX_TCP_MESSAGE
+        return min(max(query.payload, MIN_UDP_PAYLOAD), self._limits.max_dns_payload)
 
-    def _malformed(self, wire: bytes) -> bytes | None:
-        """Return an error response under the query's id, if its header can be read."""
+    def _respond_to_malformed(self, wire: bytes) -> bytes | None:
+        """Return an error response with the id of the query; None if its header is incomplete."""
         if len(wire) < HEADER_BYTES or wire[2] & RESPONSE_BIT:
             return None
         opcode = wire[2] & OPCODE_BITS
         code = dns.rcode.FORMERR if opcode == 0 else dns.rcode.NOTIMP
         return error_response(wire, code)
 
-    async def _fill(self, query: dns.message.Message, response: dns.message.Message) -> None:
-        """Fill the response to a well-formed query."""
+    async def _complete_response(self, query: dns.message.Message, response: dns.message.Message) -> None:
+        """Add records or an error code to the response to a well-formed query."""
         code = self._rejection_code(query)
         if code is not None:
             response.set_rcode(code)
@@ -121,7 +123,7 @@
             response.flags &= ~dns.flags.AA
 
     def _rejection_code(self, query: dns.message.Message) -> dns.rcode.Rcode | None:
-        """Return the code under which a query is rejected; None if it is to be answered."""
+        """Return the response code for a query that is rejected; None if it is accepted."""
         if query.opcode() != dns.opcode.QUERY:
             return dns.rcode.NOTIMP
         if query.edns > 0:
@@ -129,15 +131,15 @@
         if len(query.question) != 1:
             return dns.rcode.FORMERR
         question = query.question[0]
-        is_foreign = question.rdclass != dns.rdataclass.IN or not question.name.is_subdomain(self._zone)
+        is_out_of_zone = question.rdclass != dns.rdataclass.IN or not question.name.is_subdomain(self._zone)
         is_meta_type = dns.rdatatype.is_metatype(question.rdtype) and question.rdtype != ANY
-        return dns.rcode.REFUSED if is_foreign or is_meta_type else None
+        return dns.rcode.REFUSED if is_out_of_zone or is_meta_type else None
 
     async def _answer(self, query: dns.rrset.RRset, response: dns.message.Message) -> None:
-        """Answer one question for a name under the zone."""
+        """Answer the question for a name under the zone."""
         found = names.read_name(query.name, self._zone, frozenset(self._classes))
         if found is None:
-            self._deny(response, dns.rcode.NXDOMAIN)
+            self._answer_negative(response, dns.rcode.NXDOMAIN)
             return
         question, is_service = found
         record_type = _record_type(query.rdtype, is_service)
@@ -145,10 +147,10 @@
             self._answer_apex(response, record_type)
             return
         if isinstance(question, names.CacheQuestion) and question.server not in self._addresses.endpoints:
-            self._deny(response, dns.rcode.NXDOMAIN)
+            self._answer_negative(response, dns.rcode.NXDOMAIN)
             return
         if is_service != (record_type == SRV) or record_type not in (A, AAAA, SRV):
-            self._deny(response, dns.rcode.NOERROR)
+            self._answer_negative(response, dns.rcode.NOERROR)
             return
         match question:
             case names.CacheQuestion():
@@ -159,14 +161,14 @@
                 await self._answer_object(question, response, query.name, record_type)
 
     def _answer_apex(self, response: dns.message.Message, record_type: dns.rdatatype.RdataType) -> None:
-        """Answer a question for the zone's own name."""
+        """Answer a question for the name of the zone."""
         if record_type == dns.rdatatype.SOA:
             response.answer.append(self._soa())
         elif record_type == dns.rdatatype.NS:
             text = f"{names.ROUTER_LABEL}.{self._zone}"
             response.answer.append(self._rrset(self._zone, record_type, text))
         else:
-            self._deny(response, dns.rcode.NOERROR)
+            self._answer_negative(response, dns.rcode.NOERROR)
 
     def _answer_cache(
         self,
@@ -175,11 +177,11 @@
         record_type: dns.rdatatype.RdataType,
         server: str,
     ) -> None:
-        """Answer a question for one cache by its id; while it drains, its name has no address."""
+        """Answer a question for one cache by its id; a draining cache has no address records."""
         if self._engine.membership.is_serving(server):
             self._add_records(response, name, record_type, server)
         else:
-            self._deny(response, dns.rcode.NOERROR)
+            self._answer_negative(response, dns.rcode.NOERROR)
 
     async def _answer_object(
         self,
@@ -189,37 +191,45 @@
         record_type: dns.rdatatype.RdataType,
     ) -> None:
         """Answer a question for an object: a cache for a read, this router for a write."""
-        # A write comes to us by HTTP, so that it runs once.
+        # Writes are sent to this router over HTTP, so that each is executed once.
         if self._classes[question.cls].uncached:
             self._add_records(response, name, record_type, None)
             return
-        families = {_address_type(endpoint) for endpoint in self._addresses.endpoints.values()}
-        if record_type != SRV and record_type not in families:
-            self._deny(response, dns.rcode.NOERROR)
+        address_types = {_address_type(endpoint) for endpoint in self._addresses.endpoints.values()}
+        if record_type != SRV and record_type not in address_types:
+            self._answer_negative(response, dns.rcode.NOERROR)
             return
-        await self._name_picked_cache(question, response, name, record_type)
+        await self._answer_with_chosen_cache(question, response, name, record_type)
 
-    async def _name_picked_cache(
+    async def _answer_with_chosen_cache(
         self,
         question: names.ObjectQuestion,
         response: dns.message.Message,
         name: dns.name.Name,
         record_type: dns.rdatatype.RdataType,
     ) -> None:
-        """Name the cache that the router picks, if it still takes new work as the answer is written."""
+        """Answer with the cache that the engine chooses, unless it has stopped serving in the meantime."""
         deadline = self._clock() + self._limits.dns_query_timeout
         cls = self._classes[question.cls]
-        # The transfer goes from cache to client, unseen by us: it counts as a usual one. Without a size, the
-        # router would learn the time that a connect takes as the time to send the object.
-        size_kb = max(self._engine.settings.pace_kb_per_s, 1.0) * cls.latency_objective * USUAL_TRANSFER
-        while (left := deadline - self._clock()) > 0:
+        # The cache sends the object directly to the client, so the transfer is not observed, and a typical
+        # size is assumed. Without one, the connect time would be recorded as the transfer time of the object.
+        size_kb = (
+            max(self._engine.settings.pace_kb_per_s, 1.0) * cls.latency_objective * ASSUMED_TRANSFER_SHARE
+        )
+        while (remaining := deadline - self._clock()) > 0:
             arrival = Arrival(
-                self._engine.new_id(), left, cls.name, question.obj, question.part, question.group, size_kb
+                self._engine.new_id(),
+                remaining,
+                cls.name,
+                question.obj,
+                question.part,
+                question.group,
+                size_kb,
             )
             answer = await self._engine.request(PendingRequest(arrival, deadline, connect_only=True))
             if answer.disposition is not Disposition.SERVED:
                 raise NoCacheError(question.obj)
-            # The cache may have begun to drain between the connection to it and this answer.
+            # The cache may have started to drain since the connection to it was opened.
             if (
                 self._engine.membership.is_serving(answer.server)
                 and answer.server in self._addresses.endpoints
@@ -235,7 +245,7 @@
         record_type: dns.rdatatype.RdataType,
         server: str | None,
     ) -> None:
-        """Add the records that name a server; None: this router itself."""
+        """Add the records of a cache; `server` None: of this router."""
         endpoint = self._addresses.endpoints[server] if server else self._own_endpoint
         address_type = _address_type(endpoint)
         if record_type == SRV:
@@ -247,10 +257,10 @@
         elif record_type == address_type:
             response.answer.append(self._rrset(name, record_type, endpoint[0]))
         else:
-            self._deny(response, dns.rcode.NOERROR)
+            self._answer_negative(response, dns.rcode.NOERROR)
 
-    def _deny(self, response: dns.message.Message, code: dns.rcode.Rcode) -> None:
-        """Say that there is no such name, or no such record of it."""
+    def _answer_negative(self, response: dns.message.Message, code: dns.rcode.Rcode) -> None:
+        """Answer that the name or the record type does not exist, with the SOA record."""
         response.set_rcode(code)
         response.authority.append(self._soa())
 
@@ -266,24 +276,24 @@
 
 
 def error_response(wire: bytes, code: dns.rcode.Rcode) -> bytes:
-    """Return a response without records to a query whose header is complete."""
+    """Return a response without records to a query with a complete header."""
     flags = RESPONSE_BIT | (wire[2] & (OPCODE_BITS | RECURSION_DESIRED_BIT))
     return wire[:2] + bytes([flags, code]) + bytes(HEADER_BYTES - 4)
 
 
-def encode_response(response: dns.message.Message, largest: int) -> bytes:
-    """Return the bytes of a response; one that is too large asks the client to use TCP (TC bit)."""
+def encode_response(response: dns.message.Message, max_size: int) -> bytes:
+    """Encode a response; one that is too large is sent empty, with the TC bit set to request TCP."""
     try:
-        return response.to_wire(max_size=largest)
+        return response.to_wire(max_size=max_size)
     except dns.exception.TooBig:
         response.flags |= dns.flags.TC
         for section in (response.answer, response.authority, response.additional):
             section.clear()
-        return response.to_wire(max_size=largest)
+        return response.to_wire(max_size=max_size)
 
 
 def _record_type(requested: dns.rdatatype.RdataType, is_service: bool) -> dns.rdatatype.RdataType:
-    """Return the type to answer with; ANY stands for the one that fits the name."""
+    """Return the record type to answer with; ANY is replaced by SRV or A, depending on the name."""
     if requested != ANY:
         return requested
     return SRV if is_service else A
