--- a/brackenlane/discovery/cache_identity.py
+++ b/brackenlane/discovery/cache_identity.py
@@ -13,7 +13,7 @@
 
 
 class CacheGrouping:
-    """Groups definitions by cache. They are added in order of precedence; the first one of a cache holds."""
+    """Groups definitions by cache. They are added in order of precedence: the first one of each is used."""
 
     def __init__(self, find_endpoint: FindEndpoint, cold_since: ColdSince) -> None:
         self.caches: dict[str, MergedCache] = {}  # by id, with a preliminary state
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -118,8 +118,8 @@
             with trio.move_on_after(wait):
                 await watch.refresh.wait()
                 self._resolver.expire_addresses(host)
-                earliest = watch.looked_up_at + self._min_interval
-                await trio.sleep(max(0.0, earliest - steady_time()))
+                not_before = watch.looked_up_at + self._min_interval
+                await trio.sleep(max(0.0, not_before - steady_time()))
             watch.refresh = trio.Event()
         del self._hosts[host]
         self._merge.sources.discard_unnamed_host(host)
@@ -154,9 +154,9 @@
 
     async def _apply_addresses(self, host: str, addresses: tuple[str, ...]) -> bool:
         """Apply the reachable addresses of an answer; return whether there are any."""
-        known = self._merge.sources.addresses.by_host.get(host)
-        if known is not None and known.address is not None and addresses == (known.address,):
-            # An unchanged address is not probed: every router would connect to every cache once per TTL.
+        state = self._merge.sources.addresses.by_host.get(host)
+        if state is not None and state.address is not None and addresses == (state.address,):
+            # An unchanged address is not probed, or every router would connect to every cache once per TTL.
             self._registry.apply(self._merge.apply_host_answer(host, addresses, steady_time()))
             return True
         ports = {
@@ -172,8 +172,8 @@
         # If the current address is unreachable, the new one is used immediately. While both are reachable,
         # the change waits for `Policy.min_move_interval`.
         is_current_unreachable = False
-        if known is not None and known.address is not None and known.address not in reachable:
-            is_current_unreachable = not await self._probe.is_reachable(known.address, ports)
+        if state is not None and state.address is not None and state.address not in reachable:
+            is_current_unreachable = not await self._probe.is_reachable(state.address, ports)
         self._registry.apply(
             self._merge.apply_host_answer(host, reachable, steady_time(), is_current_unreachable)
         )
--- a/brackenlane/discovery/explanation.py
+++ b/brackenlane/discovery/explanation.py
@@ -44,8 +44,8 @@
 
 
 def _explain_state(cache: MergedCache, now: float) -> Iterator[str]:
-    place = f" at {cache.endpoint[0]}, port {cache.endpoint[1]}" if cache.endpoint else ""
-    yield f"{cache.definition.id} is {cache.state.value}{place}: {cache.reason}"
+    endpoint_text = f" at {cache.endpoint[0]}, port {cache.endpoint[1]}" if cache.endpoint else ""
+    yield f"{cache.definition.id} is {cache.state.value}{endpoint_text}: {cache.reason}"
     if cache.cold_since:
         yield f"  cold since {_seconds_since(cache.cold_since, now)}"
     for alias in cache.aliases:
@@ -64,21 +64,21 @@
 def _explain_member(entry: SrvEntry, cache_id: str, now: float) -> Iterator[str]:
     name = entry.watch.srv
     member = entry.members[cache_id]
-    seen = f"  {name}: told {_seconds_since(member.last_seen_at, now)} ago"
+    line = f"  {name}: told {_seconds_since(member.last_seen_at, now)} ago"
     if member.missing_since is not None:
-        seen += f", missing since {now - member.missing_since:.0f} s"
-    yield seen
+        line += f", missing since {now - member.missing_since:.0f} s"
+    yield line
     if entry.pending_removal and cache_id in entry.pending_removal.cache_ids:
-        others = len(entry.pending_removal.cache_ids) - 1
-        yield f"  {name}: missing with {others} others, not believed until it is confirmed"
+        other_count = len(entry.pending_removal.cache_ids) - 1
+        yield f"  {name}: missing with {other_count} others, not believed until it is confirmed"
     if entry.last_error:
         yield f"  {name}: the last look-up failed: {entry.last_error}"
 
 
 def _explain_addresses(addresses: HostAddressTable, host: str, now: float) -> Iterator[str]:
-    known = addresses.by_host.get(host)
-    if known is None:
+    state = addresses.by_host.get(host)
+    if state is None:
         return
-    places = ", ".join(known.addresses) or "nowhere"
-    error = f", {known.error}" if known.error else ""
-    yield f"  {host}: {places}, told {_seconds_since(known.received_at, now)} ago{error}"
+    addresses_text = ", ".join(state.addresses) or "nowhere"
+    error = f", {state.error}" if state.error else ""
+    yield f"  {host}: {addresses_text}, told {_seconds_since(state.received_at, now)} ago{error}"
--- a/brackenlane/discovery/host_addresses.py
+++ b/brackenlane/discovery/host_addresses.py
@@ -38,43 +38,43 @@
 
         `is_current_unreachable`: the address in use accepts no connection, so it is replaced without delay.
         """
-        known = self.by_host.setdefault(host, HostAddresses())
+        state = self.by_host.setdefault(host, HostAddresses())
         if is_current_unreachable:
-            known.moved_at = NEVER
-        known.addresses = tuple(addresses)
-        known.received_at = now
-        known.error = ""
-        if known.addresses:
-            known.missing_since = None
-        elif known.missing_since is None:
-            known.missing_since = now
+            state.moved_at = NEVER
+        state.addresses = tuple(addresses)
+        state.received_at = now
+        state.error = ""
+        if state.addresses:
+            state.missing_since = None
+        elif state.missing_since is None:
+            state.missing_since = now
         return self.choose_address(host, now)
 
     def choose_address(self, host: str, now: float) -> bool:
         """Choose the address to use: the current one while answers have it, else a new one, not too often."""
-        known = self.by_host[host]
-        if known.address in known.addresses:
+        state = self.by_host[host]
+        if state.address in state.addresses:
             return False
-        if not known.addresses:
-            return self._drop_expired(known, now)
+        if not state.addresses:
+            return self._drop_expired(state, now)
         # With alternating answers the address changes at most once per interval, not with each answer.
-        if known.address and now - known.moved_at < self._policy.min_move_interval:
+        if state.address and now - state.moved_at < self._policy.min_move_interval:
             return False
-        _set_address(known, known.addresses[0], now)
+        _set_address(state, state.addresses[0], now)
         return True
 
     def replace_unreachable(self, host: str, address: str, now: float) -> bool:
         """Replace an unreachable address in use by another one of the last answer, without delay."""
-        known = self.by_host.get(host)
-        if known is None or known.address != address:
+        state = self.by_host.get(host)
+        if state is None or state.address != address:
             return False
-        others = [other for other in known.addresses if other != address]
-        rest = [other for other in known.addresses if other == address]
-        known.moved_at = NEVER
-        known.addresses = (*others, *rest)
+        others = [other for other in state.addresses if other != address]
+        rest = [other for other in state.addresses if other == address]
+        state.moved_at = NEVER
+        state.addresses = (*others, *rest)
         if not others:
             return False
-        _set_address(known, others[0], now)
+        _set_address(state, others[0], now)
         return True
 
     def record_unreachable(self, host: str, error: str) -> None:
@@ -93,7 +93,7 @@
 
     def in_use(self) -> dict[str, str]:
         """Return the address in use of each host name that has one."""
-        return {host: known.address for host, known in self.by_host.items() if known.address}
+        return {host: state.address for host, state in self.by_host.items() if state.address}
 
     def resolve(self, host: str) -> str | None:
         """Return the host itself if it is an IP address, else its address in use; None if there is none."""
@@ -104,32 +104,32 @@
 
     def cold_since(self, host: str) -> float:
         """Return when a host's address changed, since when its cache may be another machine; 0 if never."""
-        known = self.by_host.get(host)
-        return known.moved_at if known and known.moved_at > 0 else 0.0
+        state = self.by_host.get(host)
+        return state.moved_at if state and state.moved_at > 0 else 0.0
 
     def next_due(self) -> float:
         """Return when `choose_address` is next due without a new answer; infinity if never."""
-        due = float("inf")
-        for known in self.by_host.values():
-            if not known.address:
+        earliest = float("inf")
+        for state in self.by_host.values():
+            if not state.address:
                 continue
-            if known.missing_since is not None:
-                due = min(due, known.missing_since + self._policy.removal_grace)
-            elif known.addresses and known.address not in known.addresses:
-                due = min(due, known.moved_at + self._policy.min_move_interval)
-        return due
-
-    def _drop_expired(self, known: HostAddresses, now: float) -> bool:
-        if not known.address or known.missing_since is None:
+            if state.missing_since is not None:
+                earliest = min(earliest, state.missing_since + self._policy.removal_grace)
+            elif state.addresses and state.address not in state.addresses:
+                earliest = min(earliest, state.moved_at + self._policy.min_move_interval)
+        return earliest
+
+    def _drop_expired(self, state: HostAddresses, now: float) -> bool:
+        if not state.address or state.missing_since is None:
             return False
-        if now - known.missing_since < self._policy.removal_grace:
+        if now - state.missing_since < self._policy.removal_grace:
             return False
-        known.address = None
+        state.address = None
         return True
 
 
-def _set_address(known: HostAddresses, address: str, now: float) -> None:
+def _set_address(state: HostAddresses, address: str, now: float) -> None:
     # A cache at a changed or restored address may be another machine, so it counts as cold.
-    known.moved_at = now if known.had_address else NEVER
-    known.address = address
-    known.had_address = True
+    state.moved_at = now if state.had_address else NEVER
+    state.address = address
+    state.had_address = True
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -1,7 +1,7 @@
 """Merges the definitions of all sources into one list of caches (rules: docs/design/discovery.md).
 
 Pure: no I/O, no clock. `sources` holds what the sources reported, `operator_orders` the drains and restores;
-`merged_list` is rebuilt from both after each event.
+`merged_list` is updated from both after each event.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
     def define(self, source: DefinitionSource, definition: CacheDefinition) -> list[Change]:
         """Add a source's definition of a cache, or replace its earlier one."""
         definitions = self.sources.definitions
-        known = definitions.get(source, definition.id)
-        if known == definition:
+        existing = definitions.get(source, definition.id)
+        if existing == definition:
             return []
-        if known is None and self.sources.remaining_capacity() <= 0:
+        if existing is None and self.sources.remaining_capacity() <= 0:
             self.omitted_count += 1
             return []
         definitions.put(source, definition)
@@ -91,10 +91,10 @@
         """Return the state that a restarted router needs while no source responds."""
         return self.sources.remember(dict(self.orders))
 
-    def restore_snapshot(self, memory: RememberedMembers, saved: float, now: float) -> list[Change]:
+    def restore_snapshot(self, remembered: RememberedMembers, saved: float, now: float) -> list[Change]:
         """Restore a snapshot; only its orders if it is older than `Policy.max_snapshot_age`."""
-        self.orders.restore(memory.orders)
-        self.sources.restore(memory, saved, now)
+        self.orders.restore(remembered.orders)
+        self.sources.restore(remembered, saved, now)
         return self._list.rebuild()
 
     def count_all_as_cold(self, now: float) -> list[Change]:
--- a/brackenlane/discovery/merged_list.py
+++ b/brackenlane/discovery/merged_list.py
@@ -58,7 +58,7 @@
     def _decide(self, cache: MergedCache) -> MergedCache:
         """Set the state of a cache, without regard to standby, and return the cache."""
         drain = self._orders.drain_of((cache.definition.id, *cache.aliases))
-        known = self._sources.addresses.by_host.get(cache.definition.host)
-        decided = decide_state(cache, drain, known.error if known else "")
+        address_state = self._sources.addresses.by_host.get(cache.definition.host)
+        decided = decide_state(cache, drain, address_state.error if address_state else "")
         self.caches[cache.definition.id] = decided
         return decided
--- a/brackenlane/discovery/records.py
+++ b/brackenlane/discovery/records.py
@@ -140,12 +140,10 @@
 class RememberedMembers:
     """The state of the merge that a snapshot keeps across restarts."""
 
-    definitions: tuple[CacheDefinition, ...] = ()  # from store and consoles
-    srv_members: dict[str, tuple[CacheDefinition, ...]] = field(
-        default_factory=dict
-    )  # keyed by SRV owner name
+    definitions: tuple[CacheDefinition, ...] = ()  # definitions by store and consoles
+    srv_members: dict[str, tuple[CacheDefinition, ...]] = field(default_factory=dict)  # by SRV owner name
     addresses: dict[str, str] = field(default_factory=dict)  # address in use, keyed by host name
-    orders: dict[str, OperatorOrder] = field(default_factory=dict)  # keyed by cache id
+    orders: dict[str, OperatorOrder] = field(default_factory=dict)  # orders, keyed by cache id
 
 
 def srv_cache_id(host: str, port: int) -> str:
--- a/brackenlane/discovery/sources.py
+++ b/brackenlane/discovery/sources.py
@@ -103,15 +103,15 @@
         }
         return RememberedMembers(self.definitions.to_remember(), srv_members, self.addresses.in_use(), orders)
 
-    def restore(self, memory: RememberedMembers, saved: float, now: float) -> None:
+    def restore(self, remembered: RememberedMembers, saved: float, now: float) -> None:
         """Restore a snapshot written at `saved`, unless it is older than `Policy.max_snapshot_age`."""
         age = now - saved
         if not 0 <= age <= self._policy.max_snapshot_age:
             return
         is_cold = age > self._policy.max_warm_age
         self.warm_up.snapshot_cold_since = now if is_cold else 0.0
-        self.definitions.replace_all(DefinitionSource.MEMORY, memory.definitions)
-        for srv, definitions in memory.srv_members.items():
+        self.definitions.replace_all(DefinitionSource.MEMORY, remembered.definitions)
+        for srv, definitions in remembered.srv_members.items():
             if entry := self.entries.get(srv):
                 entry.restore(definitions, saved, now, is_cold)
-        self.addresses.restore(memory.addresses, saved, now if is_cold else NEVER)
+        self.addresses.restore(remembered.addresses, saved, now if is_cold else NEVER)
--- a/brackenlane/discovery/srv_entries.py
+++ b/brackenlane/discovery/srv_entries.py
@@ -30,7 +30,7 @@
     first_seen_at: float
     last_seen_at: float
     missing_since: float | None = None  # when complete answers began to omit it
-    is_cold: bool = True  # added after the entry's first answer
+    is_cold: bool = True  # added after the entry's first answer, or restored from an old snapshot
 
 
 @dataclass(slots=True)
--- a/brackenlane/dns/names.py
+++ b/brackenlane/dns/names.py
@@ -75,8 +75,8 @@
         case [server, label] if label == CACHES_LABEL:
             return CacheQuestion(server), is_service
         case [*prefix_labels, obj, cls] if cls in classes and OBJECT.fullmatch(obj):
-            found = _read_prefix_labels(prefix_labels)
-            return (ObjectQuestion(cls, obj, *found), is_service) if found else None
+            part_and_group = _read_prefix_labels(prefix_labels)
+            return (ObjectQuestion(cls, obj, *part_and_group), is_service) if part_and_group else None
     return None
 
 
@@ -84,11 +84,11 @@
     """Return part and group from the labels before the object; None if they are malformed."""
     if len(prefix_labels) > len(PREFIX_ORDER):
         return None
-    found = [PREFIX_LABEL.fullmatch(label) for label in prefix_labels]
-    kinds = "".join(match["kind"] for match in found if match)
+    matches = [PREFIX_LABEL.fullmatch(label) for label in prefix_labels]
+    kinds = "".join(match["kind"] for match in matches if match)
     if len(kinds) != len(prefix_labels) or (len(prefix_labels) > 1 and kinds != PREFIX_ORDER):
         return None
-    numbers = {match["kind"]: int(match["number"]) for match in found if match}
+    numbers = {match["kind"]: int(match["number"]) for match in matches if match}
     group = numbers.get("g", NO_GROUP)
     if group > MAX_GROUP:
         return None
--- a/brackenlane/dns/responder.py
+++ b/brackenlane/dns/responder.py
@@ -99,7 +99,7 @@
         return min(max(query.payload, MIN_UDP_PAYLOAD), self._limits.max_dns_payload)
 
     def _respond_to_malformed(self, wire: bytes) -> bytes | None:
-        """Return an error response with the id of the query; None if its header is incomplete."""
+        """Return an error response to a query; None for a response or if the header is incomplete."""
         if len(wire) < HEADER_BYTES or wire[2] & RESPONSE_BIT:
             return None
         opcode = wire[2] & OPCODE_BITS
@@ -137,11 +137,11 @@
 
     async def _answer(self, query: dns.rrset.RRset, response: dns.message.Message) -> None:
         """Answer the question for a name under the zone."""
-        found = names.read_name(query.name, self._zone, frozenset(self._classes))
-        if found is None:
+        parsed = names.read_name(query.name, self._zone, frozenset(self._classes))
+        if parsed is None:
             self._answer_negative(response, dns.rcode.NXDOMAIN)
             return
-        question, is_service = found
+        question, is_service = parsed
         record_type = _record_type(query.rdtype, is_service)
         if isinstance(question, names.RouterQuestion) and question.apex:
             self._answer_apex(response, record_type)
@@ -208,7 +208,7 @@
         name: dns.name.Name,
         record_type: dns.rdatatype.RdataType,
     ) -> None:
-        """Answer with the cache that the engine chooses, unless it has stopped serving in the meantime."""
+        """Answer with the cache that the engine chooses; choose again if it has stopped serving meanwhile."""
         deadline = self._clock() + self._limits.dns_query_timeout
         cls = self._classes[question.cls]
         # The cache sends the object directly to the client, so the transfer is not observed, and a typical
