--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""SRV records in the real appliance: drains under churn, restarts without a resolver, submits in flight."""
+"""Discovery in the real appliance: drains while SRV answers change, restarts without a resolver, the CLI."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from tests.test_appliance import OBJECT, console, query, texts
 
 SRV = "_cache._tcp.branch.test"
-EXTRA = f"""
+DISCOVERY_SETTINGS = f"""
 [[discover]]
 srv = "{SRV}."
 zone = "branch"
@@ -44,7 +44,7 @@
 
 
 class Site:
-    """Boxes that a scripted DNS server names."""
+    """Caches that a scripted DNS server returns as SRV targets."""
 
     def __init__(self, server: DnsServer, caches: list[CacheStandIn], origin: CacheStandIn) -> None:
         self.server, self.caches, self.origin = server, caches, origin
@@ -52,32 +52,32 @@
 
     @classmethod
     async def open(cls, nursery: trio.Nursery, count: int = 3) -> Site:
-        """A site with all its caches up and named."""
+        """Return a site with `count` running caches, all of them SRV targets."""
         server = await DnsServer().open(nursery)
         caches = [await CacheStandIn(f"b{n}").open(nursery) for n in range(count)]
         site = cls(server, caches, await CacheStandIn("origin", "origin").open(nursery))
         for number in range(count):
             server.put(f"box-{number}.branch.test", "A", "127.0.0.1")
-        site.name(*range(count))
+        site.set_srv_targets(*range(count))
         return site
 
-    def name(self, *numbers: int, priority: int = 0) -> None:
-        """Which caches SRV names."""
+    def set_srv_targets(self, *numbers: int, priority: int = 0) -> None:
+        """Set the caches that the SRV answer contains."""
         self.server.put(
             SRV, "SRV", *(f"{priority} 8 {self.caches[n].port} box-{n}.branch.test." for n in numbers), ttl=0
         )
 
 
-OBJECT_COUNT = 400  # distinct objects asked for, again and again, to find those that a cache serves
-SEARCH_LIMIT = 60.0  # seconds: over three times the ramp (18 s) after which no cold budget holds a cache back
+OBJECT_COUNT = 400  # distinct objects that are requested to find those of a cache
+SEARCH_LIMIT = 60.0  # seconds; over three times the ramp (18 s) that limits the load of a cold cache
 
 
-async def objects_at(router_process: Program, cache: CacheStandIn, count: int) -> list[str]:
-    """Objects of which a cache is asked first: which ones those are follows from ports drawn anew each time.
+async def find_objects_of(router_process: Program, cache: CacheStandIn, count: int) -> list[str]:
+    """Return `count` objects that the router requests from a cache; they depend on ports, so on the run.
 
-    A cache whose connect failed is ejected for a while, then cold: its budget fills with time, not with
-    requests, and meanwhile the origin answers. So a quick pass over all objects may reach it too seldom; they
-    are asked for again until the cache was asked for `count` of them. AssertionError at SEARCH_LIMIT.
+    A cache whose connect failed is ejected for a while, then cold: its budget grows with time, not with
+    requests, and the origin answers in the meantime. One quick pass over all objects may therefore not find
+    enough of them, so the passes are repeated. Raises AssertionError after SEARCH_LIMIT.
     """
     found: list[str] = []
     with trio.move_on_after(SEARCH_LIMIT):
@@ -89,21 +89,21 @@
             if len(found) == count:
                 return found
     raise AssertionError(
-        f"{cache.id} was asked for {len(found)} of {OBJECT_COUNT} objects in {SEARCH_LIMIT} s"
+        f"{cache.id} received requests for {len(found)} of {OBJECT_COUNT} objects in {SEARCH_LIMIT} s"
     )
 
 
-async def listed(path: Path, *arguments: str) -> str:
-    """Wait until the console's list has all of these words."""
+async def wait_for_list(path: Path, *words: str) -> str:
+    """Wait until the console's list of caches contains all of these words; return the list."""
     while True:
         text = await console(path, "boxes", "-v")
-        if all(command in text for command in arguments):
+        if all(word in text for word in words):
             return text
         await trio.sleep(0.05)
 
 
-async def explained(path: Path, cache_id: str, state: str) -> str:
-    """Wait until the console's explanation of a cache begins with this state."""
+async def wait_for_explanation(path: Path, cache_id: str, state: str) -> str:
+    """Wait until the console's explanation of a cache begins with `state`; return the explanation."""
     while True:
         text = await console(path, "why", cache_id)
         if text.startswith(state):
@@ -113,23 +113,23 @@
 
 @with_trio
 async def test_drain_under_churn(tmp_path: Path) -> None:
-    """A drained cache is named by no answer and asked by no request, whatever SRV and the resolver do."""
+    """A drained cache is in no DNS answer and gets no request while SRV answers change and look-ups fail."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
+        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
             router_process,
             port,
             path,
         ):
-            await listed(path, *site.ids)
-            first = site.caches[0]
-            objects = await objects_at(router_process, first, 4)
+            await wait_for_list(path, *site.ids)
+            drained_cache = site.caches[0]
+            objects = await find_objects_of(router_process, drained_cache, 4)
             assert await console(path, "drain", site.ids[0]) == f"{site.ids[0]} drained\n"
-            reported, before = time.monotonic(), len(first.received)
+            drained_at, before = time.monotonic(), len(drained_cache.received)
 
             async def churn() -> None:
                 for number in range(10_000):
-                    site.name(*[n for n in range(3) if n != number % 4], priority=number % 3)
+                    site.set_srv_targets(*[n for n in range(3) if n != number % 4], priority=number % 3)
                     site.server.fail(
                         *(
                             [Fault.SERVFAIL, Fault.LOST, Fault.CUT][number % 3 : number % 3 + 1]
@@ -147,78 +147,82 @@
 
             nursery.start_soon(churn_until_cancelled)
             named: set[str] = set()
-            while time.monotonic() < reported + 2.5:
+            while time.monotonic() < drained_at + 2.5:
                 for obj in objects:
                     answer = await query(port, f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
                     named |= {text.split()[3].split(".")[0] for text in texts(answer)}
                     await router_process.ask(obj=obj)
             assert site.ids[0] not in named
             assert named
-            assert len(first.received) == before
+            assert len(drained_cache.received) == before
             assert "drained by the console of a1" in await console(path, "why", site.ids[0])
-            # The churn may have kept the cache off SRV for longer than the grace period, or its address
-            # unknown: that it is drained and not merely absent shows once all answers name it again.
+            # The cache may have been missing from SRV for longer than the grace period, or its address may be
+            # unknown. Once all answers contain it again, it has to be drained, not only absent.
             churn_scope.cancel()
             site.server.fail()
-            site.name(*range(3))
-            why = await explained(path, site.ids[0], f"{site.ids[0]} is draining at 127.0.0.1")
+            site.set_srv_targets(*range(3))
+            why = await wait_for_explanation(path, site.ids[0], f"{site.ids[0]} is draining at 127.0.0.1")
             assert "drained by the console of a1" in why.splitlines()[0]
             for obj in objects:
                 await router_process.ask(obj=obj)
-            assert len(first.received) == before
+            assert len(drained_cache.received) == before
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_restart_without_resolver(tmp_path: Path) -> None:
-    """A start with the resolver away goes on with the last list; the drained cache stays drained."""
+    """A start without a resolver uses the snapshot, and the drained cache stays drained."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (_, _port, path):
-            await listed(path, *site.ids)
+        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+            _,
+            _port,
+            path,
+        ):
+            await wait_for_list(path, *site.ids)
             await console(path, "drain", site.ids[1])
             while b'drained\\":true' not in (path.parent / "last.json").read_bytes():
-                await trio.sleep(0.05)  # killed, not ended: what is on disk is all there is
+                await trio.sleep(0.05)  # the process is killed, so only what is on disk remains
         await site.server.close()
-        careful = EXTRA.replace("confirm = 0.2", "confirm = 600")
-        async with appliance(tmp_path, [site.origin], site.server, extra=careful) as (
+        long_confirmation = DISCOVERY_SETTINGS.replace("confirm = 0.2", "confirm = 600")
+        async with appliance(tmp_path, [site.origin], site.server, extra=long_confirmation) as (
             router_process,
             _port,
             path,
         ):
-            text = await listed(path, *site.ids)
+            text = await wait_for_list(path, *site.ids)
             assert "draining" in next(line for line in text.splitlines() if line.startswith(site.ids[1]))
             for number in range(8):
                 assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
             assert site.caches[0].received
             assert not site.caches[1].received
-            # The resolver is back, and has lost all but one: not believed at once.
-            site.name(0)
+            # The resolver is back with one of three caches: the removal needs confirmation.
+            site.set_srv_targets(0)
             await site.server.open(nursery)
-            assert "not believed" in await listed(path, "not believed")
+            assert "not believed" in await wait_for_list(path, "not believed")
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_deploy_without_resolver(tmp_path: Path) -> None:
-    """A deploy replaces every cache while the resolver times out: reads go on, at the end by the new ones."""
+    """A deploy replaces all caches while look-ups time out: reads succeed, finally through the new caches."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery, 4)
-        site.name(0, 1)
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
+        site.set_srv_targets(0, 1)
+        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
             router_process,
             _port,
             path,
         ):
-            await listed(path, *site.ids[:2])
+            await wait_for_list(path, *site.ids[:2])
             site.server.fail(Fault.LOST)
             for cache in site.caches[:2]:
                 await cache.close()
             for number in range(8):
                 assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
-            site.name(2, 3)
+            site.set_srv_targets(2, 3)
             site.server.fail()
-            await listed(path, *site.ids[2:])
+            await wait_for_list(path, *site.ids[2:])
             while (text := await console(path, "boxes")) and (site.ids[0] in text or site.ids[1] in text):
                 assert (await router_process.ask())[0] == 200
             for number in range(8):
@@ -228,64 +232,65 @@
 
 
 @with_trio
-async def test_damaged_list(tmp_path: Path) -> None:
-    """A damaged last list is set aside with a line in the log; the router starts by what it is told."""
+async def test_damaged_snapshot(tmp_path: Path) -> None:
+    """A damaged snapshot is renamed and logged; the router starts with what the sources report."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
         (tmp_path / "last.json").write_bytes(b'{"version":1,"sha256":"00","body":"{}"}')
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
+        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
             router_process,
             _port,
             path,
         ):
             await router_process.says(b"checksum mismatch")
-            await listed(path, *site.ids)
+            await wait_for_list(path, *site.ids)
             assert (tmp_path / "last.json.damaged").exists()
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_submit_in_flight(tmp_path: Path) -> None:
-    """A submit that is out at a cache that SRV drops is not sent again; its answer still counts."""
+    """A submit in flight to a cache that SRV removes is not sent again, to this cache or another one."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery, 2)
-        held: list[ReceivedRequest] = []
+        received: list[ReceivedRequest] = []
 
-        def hold(requested: ReceivedRequest) -> ScriptedReply:
-            held.append(requested)
+        def hold(request: ReceivedRequest) -> ScriptedReply:
+            received.append(request)
             return None
 
         for cache in (*site.caches, site.origin):
             cache.answer = hold
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (
+        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
             router_process,
             _port,
             path,
         ):
-            await listed(path, *site.ids)
-            found: list[int] = []
+            await wait_for_list(path, *site.ids)
+            statuses: list[int] = []
 
             async def submit() -> None:
-                found.append((await router_process.ask("sheet-submit", OBJECT, b"signed", ttl=2500))[0])
+                statuses.append((await router_process.ask("sheet-submit", OBJECT, b"signed", ttl=2500))[0])
 
             async with trio.open_nursery() as client:
                 client.start_soon(submit)
-                while not held:
+                while not received:
                     await trio.sleep(0.01)
                 for cache in (*site.caches, site.origin):
                     cache.answer = data
-                site.name()  # all gone, twice said
+                # Two answers without targets: the second one confirms the removal of all.
+                site.set_srv_targets()
                 site.server.put(SRV, "SRV", "0 0 0 .", ttl=0)
                 while site.ids[0] in await console(path, "boxes"):
                     await trio.sleep(0.05)
-            assert found[0] in (502, 504)
-            assert len(held) == 1
+            assert statuses[0] in (502, 504)
+            assert len(received) == 1
             assert sum(len(cache.received) for cache in (*site.caches, site.origin)) == 1
         nursery.cancel_scope.cancel()
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """One command line of the program."""
+    """Run the program with these arguments."""
     return subprocess.run(
         [sys.executable, "-m", "brackenlane", *arguments],
         cwd=ROOT,
@@ -298,17 +303,21 @@
 
 
 @with_trio
-async def test_discover(tmp_path: Path) -> None:
-    """From the shell: each answer, the list and its reasons; 1 if a look-up failed."""
+async def test_discover_command(tmp_path: Path) -> None:
+    """`discover` shows each answer and the list with its reasons; it exits with 1 if a look-up failed."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
-        site.server.additional = False  # each address is asked for
-        async with appliance(tmp_path, [site.origin], site.server, extra=EXTRA) as (_, _port, path):
+        site.server.additional = False  # each address needs its own query
+        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+            _,
+            _port,
+            path,
+        ):
             for fails in (False, True):
                 site.server.fail(*[Fault.SERVFAIL] * fails, name="box-1.branch.test")
-                done = await trio.to_thread.run_sync(run, "discover", str(path), "--json")
-                view = orjson.loads(done.stdout)
-                assert done.returncode == int(fails)
+                completed = await trio.to_thread.run_sync(run, "discover", str(path), "--json")
+                view = orjson.loads(completed.stdout)
+                assert completed.returncode == int(fails)
                 assert bool(view["failed"]) is fails
                 assert {cache["id"] for cache in view["boxes"]} == {*site.ids, "origin"}
             table = await trio.to_thread.run_sync(run, "discover", str(path))
@@ -317,8 +326,8 @@
         nursery.cancel_scope.cancel()
 
 
-def test_all_faults(tmp_path: Path) -> None:
-    """A file with five mistakes: all are told at once, each with file, path, value and what is allowed."""
+def test_configuration_errors_are_all_reported(tmp_path: Path) -> None:
+    """All five errors of a file are reported at once, with file, path, value and the allowed values."""
     text = (ROOT / "deploy" / "appliance.toml").read_text()
     for old, new in (
         ("give_up = 6.0", 'give_up = "6"'),
@@ -332,9 +341,9 @@
     path = tmp_path / "a.toml"
     path.write_text(text)
     for command in ("check", "appliance"):
-        done = run(command, str(path))
-        assert done.returncode == 2, done
-        for said in (
+        completed = run(command, str(path))
+        assert completed.returncode == 2, completed
+        for expected in (
             "class[0].give_up: '6': Input should be a valid number",
             "settings.max_attempts: 99: Input should be less than or equal to 16",
             "box[0].port: missing",
@@ -342,12 +351,12 @@
             "box[2].role: 'orign'",
             "settings.direct: 'yes'",
         ):
-            assert f"{path}: {said}" in done.stderr, (said, done.stderr)
+            assert f"{path}: {expected}" in completed.stderr, (expected, completed.stderr)
     assert run("check", str(ROOT / "deploy" / "appliance.toml")).returncode == 0
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "said"),
+    ("arguments", "code", "expected"),
     [
         (["--help"], 0, "discover"),
         (["console", "--help"], 0, "COMMAND"),
@@ -358,27 +367,29 @@
         (["check", "no-such-file"], 2, ""),
     ],
 )
-def test_command_line(arguments: list[str], code: int, said: str) -> None:
-    """Help and version are no faults; wrong words are, with 2."""
-    done = run(*arguments)
-    assert done.returncode == code
-    assert said in done.stdout
-    assert "Traceback" not in done.stderr
-    assert bool(done.stderr) is bool(code)
+def test_command_line(arguments: list[str], code: int, expected: str) -> None:
+    """Help and version exit with 0, wrong arguments with 2 and a message on stderr."""
+    completed = run(*arguments)
+    assert completed.returncode == code
+    assert expected in completed.stdout
+    assert "Traceback" not in completed.stderr
+    assert bool(completed.stderr) is bool(code)
 
 
-def test_bare_call_is_light() -> None:
-    """The platform's call loads none of the appliance's libraries."""
+def test_platform_start_imports_no_appliance_libraries() -> None:
+    """A start as a platform router imports none of the appliance's libraries."""
     code = (
         "import sys, brackenlane.__main__ as m; "
         "print(sorted({n.split('.')[0] for n in sys.modules} & "
         "{'pydantic', 'click', 'dns', 'hiredis', 'h11', 'hypothesis'}))"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert completed.stdout.strip() == "[]"
 
 
-MEMORY = RememberedMembers(
+REMEMBERED = RememberedMembers(
     (CacheDefinition("s1", "127.0.0.1", 80, "z"),),
     {SRV: (CacheDefinition("b-1", "b.test", 80, "z"),)},
     {"b.test": "127.0.0.2"},
@@ -386,22 +397,22 @@
 )
 
 
-def test_last_list_cut(tmp_path: Path) -> None:
-    """A last list reads back as it was; cut or changed at any byte it is refused, never half believed."""
-    retained = snapshot_codec.Snapshot(MEMORY, 7.0, StreamPosition(17, 3), True, (("clip", -1, 5.0),))
-    complete = snapshot_codec.dump(retained)
-    assert snapshot_codec.parse(complete) == retained
-    for place in range(len(complete)):
+def test_truncated_or_changed_snapshot(tmp_path: Path) -> None:
+    """A snapshot is read back unchanged; truncated or changed at any byte, it is rejected as a whole."""
+    saved = snapshot_codec.Snapshot(REMEMBERED, 7.0, StreamPosition(17, 3), True, (("clip", -1, 5.0),))
+    complete = snapshot_codec.dump(saved)
+    assert snapshot_codec.parse(complete) == saved
+    for position in range(len(complete)):
         for damaged in (
-            complete[:place],
-            complete[:place] + bytes([complete[place] ^ 1]) + complete[place + 1 :],
+            complete[:position],
+            complete[:position] + bytes([complete[position] ^ 1]) + complete[position + 1 :],
         ):
             try:
                 found = snapshot_codec.parse(damaged)
             except ValueError:
                 continue
-            assert found == retained, (place, damaged)
+            assert found == saved, (position, damaged)
     path = tmp_path / "last.json"
     snapshot.save(path, complete)
-    assert snapshot.load(path) == retained
+    assert snapshot.load(path) == saved
     assert snapshot.load(tmp_path / "none.json") is None
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -1,4 +1,4 @@
-"""The appliance's own resolver against a scripted server: lies, cuts, silence, floods, and what it keeps."""
+"""The stub resolver against a scripted server: mismatched, truncated and missing replies, and its cache."""
 
 from __future__ import annotations
 
@@ -24,36 +24,38 @@
 
 SRV = "_cache._tcp.branch.test"
 SEEDS = itertools.count(1)
-QUICK = UpstreamTimeouts(initial=0.15, shortest=0.1, longest=0.3, backoff=0.2)
+SHORT_TIMEOUTS = UpstreamTimeouts(initial=0.15, shortest=0.1, longest=0.3, backoff=0.2)
 TARGETS = tuple(SrvRecord(f"box-{n}.branch.test", 7100 + n, 0, 8) for n in range(4))
 
 
-def script(server: DnsServer, count: int = 4, ttl: int = 1) -> None:
-    """A site of so many caches."""
+def add_records(server: DnsServer, count: int = 4, ttl: int = 1) -> None:
+    """Add the SRV and address records of a site with `count` caches."""
     server.put(SRV, "SRV", *(f"0 8 {7100 + n} box-{n}.branch.test." for n in range(count)), ttl=ttl)
     for number in range(count):
         server.put(f"box-{number}.branch.test", "A", f"127.0.1.{number % 250 + 1}", ttl=ttl)
 
 
-def made(nursery: trio.Nursery, *servers: DnsServer, budget: float = 2.0, **lifetimes: float) -> Resolver:
-    """A resolver of these upstreams."""
+def create_resolver(
+    nursery: trio.Nursery, *servers: DnsServer, budget: float = 2.0, **lifetimes: float
+) -> Resolver:
+    """Return a resolver with these upstreams."""
     return Resolver(
         [("127.0.0.1", server.port) for server in servers],
         nursery,
         budget=budget,
         lifetimes=Lifetimes(**lifetimes),  # type: ignore[arg-type]
-        timeouts=QUICK,
+        timeouts=SHORT_TIMEOUTS,
         rng=random.Random(next(SEEDS)),
     )
 
 
 @with_trio
-async def test_srv() -> None:
-    """Targets with the addresses sent along; a second look-up asks nobody; ids, ports and case change."""
+async def test_srv_look_up() -> None:
+    """Targets and additional addresses are cached; each query has its own id, port and letter case."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
-        script(server, ttl=60)
-        resolver = made(nursery, server)
+        add_records(server, ttl=60)
+        resolver = create_resolver(nursery, server)
         found = await resolver.look_up(SRV + ".", RecordType.SRV)
         assert set(found.targets) == set(TARGETS)
         assert not found.is_stale
@@ -62,18 +64,18 @@
         for number in range(4):
             one = await resolver.addresses(f"box-{number}.branch.test")
             assert one.addresses == (f"127.0.1.{number + 1}",)
-        assert len(server.asked) == 1  # the addresses were sent along
+        assert len(server.asked) == 1  # the addresses came in the additional section
         server.additional = False
-        another = made(nursery, server)
+        another = create_resolver(nursery, server)
         assert not (await another.look_up(SRV, RecordType.SRV)).additional
         for number in range(3):
             await another.addresses(f"box-{number}.branch.test")
         assert len(server.asked) == 5
-        assert all(requested.edns for requested in server.asked)
-        assert len({requested.id for requested in server.asked}) == 5
-        # The kernel draws ports among 28,000: two of five are the same once in 3,000 runs, three never.
-        assert len({requested.port for requested in server.asked}) >= 4
-        assert any(a.name != a.name.lower() for a in server.asked)
+        assert all(query.edns for query in server.asked)
+        assert len({query.id for query in server.asked}) == 5
+        # The kernel chooses among 28,000 ports: two of five are equal once in 3,000 runs, three never.
+        assert len({query.port for query in server.asked}) >= 4
+        assert any(query.name != query.name.lower() for query in server.asked)
         nursery.cancel_scope.cancel()
 
 
@@ -90,19 +92,19 @@
     ],
 )
 @with_trio
-async def test_lies(fault: Fault, tcp: bool) -> None:
-    """What is no answer to this very question is passed over; what is cut or forged is asked over TCP."""
+async def test_mismatched_and_truncated_replies(fault: Fault, tcp: bool) -> None:
+    """Replies that don't match the query are ignored; truncated or spoofed ones lead to a query over TCP."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
-        script(server)
+        add_records(server)
         server.fail(fault)
-        resolver = made(nursery, server)
+        resolver = create_resolver(nursery, server)
         try:
             found = await resolver.look_up(SRV, RecordType.SRV)
             assert set(found.targets) == set(TARGETS)
-            assert any(requested.tcp for requested in server.asked) is tcp or fault is Fault.SPOOFED
+            assert any(query.tcp for query in server.asked) is tcp or fault is Fault.SPOOFED
         except LookUpFailedError:
-            # One that lies over TCP too is not believed there either; one bad datagram is waited out first.
+            # After mismatched datagrams the query goes over TCP; a mismatched reply is not used there either.
             assert fault in (Fault.WRONG_ID, Fault.WRONG_NAME, Fault.WRONG_CASE, Fault.NOISE)
         assert (fault is Fault.FORMERR) is (not resolver.upstreams.all[0].edns)
         nursery.cancel_scope.cancel()
@@ -114,13 +116,13 @@
 )
 @with_trio
 async def test_second_upstream(fault: Fault) -> None:
-    """One upstream that fails costs time, no answer; it is asked last from then on, and found again."""
+    """If one upstream fails, another one answers; an upstream that timed out is queried last."""
     async with trio.open_nursery() as nursery:
         bad, good = await DnsServer().open(nursery), await DnsServer().open(nursery)
-        script(bad)
-        script(good)
+        add_records(bad)
+        add_records(good)
         bad.fail(fault)
-        resolver = made(nursery, bad, good, floor=0.0)
+        resolver = create_resolver(nursery, bad, good, floor=0.0)
         assert set((await resolver.look_up(SRV, RecordType.SRV)).targets) == set(TARGETS)
         if fault in (Fault.LOST, Fault.LATE, Fault.WRONG_PORT):
             assert resolver.upstreams.order(0.0)[0].endpoint[1] == good.port
@@ -129,12 +131,12 @@
 
 @pytest.mark.parametrize("fault", [Fault.TCP_STALL, Fault.TCP_CUT, Fault.TCP_ENDLESS])
 @with_trio
-async def test_cut_and_no_tcp(fault: Fault) -> None:
-    """A truncated answer missing half the caches, and no TCP: not used; the earlier one is, marked."""
+async def test_truncated_reply_without_tcp(fault: Fault) -> None:
+    """A truncated reply is not used if TCP fails; the earlier answer is returned, marked as stale."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
-        script(server, ttl=0)
-        resolver = made(nursery, server, budget=1.0, floor=0.05)
+        add_records(server, ttl=0)
+        resolver = create_resolver(nursery, server, budget=1.0, floor=0.05)
         first = await resolver.look_up(SRV, RecordType.SRV)
         server.fail(Fault.CUT, fault)
         await trio.sleep(0.06)
@@ -143,59 +145,59 @@
         assert found.targets == first.targets
         assert "TCP" in found.stale_reason
         server.fail()
-        await trio.sleep(1.05)  # past the moment for which nobody is asked again
+        await trio.sleep(1.05)  # longer than `Lifetimes.failure`, for which no query is sent
         assert not (await resolver.look_up(SRV, RecordType.SRV)).is_stale
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_all_away() -> None:
-    """Nobody answers: within the budget it is said so; a lost name of which nothing is known is a failure."""
+async def test_no_upstream_answers() -> None:
+    """If no upstream answers, an uncached name fails within the budget, and is not queried again at once."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
         server.fail(Fault.LOST)
-        resolver = made(nursery, server, budget=0.4)
-        begun = trio.current_time()
+        resolver = create_resolver(nursery, server, budget=0.4)
+        started = trio.current_time()
         with pytest.raises(LookUpFailedError, match=r"no answer|no upstream"):
             await resolver.look_up(SRV, RecordType.SRV)
-        assert trio.current_time() - begun >= 0.1
-        requested = len(server.asked)
-        with pytest.raises(LookUpFailedError):  # and is not put again for a moment
+        assert trio.current_time() - started >= 0.1
+        query_count = len(server.asked)
+        with pytest.raises(LookUpFailedError):  # from the cache of failures, without a query
             await resolver.look_up(SRV, RecordType.SRV)
-        assert len(server.asked) == requested
+        assert len(server.asked) == query_count
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_refused_connection() -> None:
-    """A port where nobody listens fails at once, over UDP as over TCP."""
+    """A refused connection fails the look-up with that reason."""
     async with trio.open_nursery() as nursery:
-        resolver = Resolver([("127.0.0.1", free_port())], nursery, timeouts=QUICK)
+        resolver = Resolver([("127.0.0.1", free_port())], nursery, timeouts=SHORT_TIMEOUTS)
         with pytest.raises(LookUpFailedError, match="refused"):
             await resolver.look_up(SRV, RecordType.SRV)
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_joined() -> None:
-    """Fifty who ask at once are one query; one of them leaving takes it from nobody."""
+async def test_concurrent_look_ups_share_a_query() -> None:
+    """Fifty concurrent look-ups share one query, which the cancellation of the first caller does not end."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
-        script(server)
-        resolver = made(nursery, server)
+        add_records(server)
+        resolver = create_resolver(nursery, server)
         found: list[object] = []
 
-        async def request() -> None:
+        async def look_up() -> None:
             found.append(await resolver.look_up(SRV, RecordType.SRV))
 
-        async with trio.open_nursery() as askers:
-            with trio.CancelScope() as leaving:
+        async with trio.open_nursery() as callers:
+            with trio.CancelScope() as cancelled_scope:
                 async with trio.open_nursery() as first:
-                    first.start_soon(request)
+                    first.start_soon(look_up)
                     await trio.lowlevel.checkpoint()
-                    leaving.cancel()
+                    cancelled_scope.cancel()
             for _ in range(50):
-                askers.start_soon(request)
+                callers.start_soon(look_up)
         assert len(found) >= 50
         assert len(server.asked) == 1
         nursery.cancel_scope.cancel()
@@ -203,7 +205,7 @@
 
 @with_trio
 async def test_aliases() -> None:
-    """Aliases are followed, over several answers too; a loop of them is found."""
+    """Aliases are followed over several replies; a loop of aliases is an error."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
         server.put("a.test", "CNAME", "b.test.")
@@ -211,7 +213,7 @@
         server.put("c.test", "A", "127.0.1.7")
         server.put("x.test", "CNAME", "y.test.")
         server.put("y.test", "CNAME", "x.test.")
-        resolver = made(nursery, server)
+        resolver = create_resolver(nursery, server)
         assert (await resolver.addresses("a.test")).addresses == ("127.0.1.7",)
         with pytest.raises(LookUpFailedError, match="loop"):
             await resolver.look_up("x.test", RecordType.A)
@@ -220,13 +222,13 @@
 
 
 @with_trio
-async def test_none() -> None:
-    """No such name, and none of this kind, are answers: kept by the SOA's minimum, and never stale."""
+async def test_negative_answers() -> None:
+    """No such name and no such record are answers, cached for the SOA minimum and never served stale."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
         server.minimum = 60
         server.put("only-a.test", "A", "127.0.1.1")
-        resolver = made(nursery, server)
+        resolver = create_resolver(nursery, server)
         for name in ("no-such.test", "only-a.test"):
             for _ in range(2):
                 found = await resolver.look_up(name, RecordType.SRV)
@@ -238,13 +240,13 @@
 
 
 @with_trio
-async def test_two_thousand() -> None:
-    """2,000 targets don't fit a datagram: they come over TCP, whole, and make 2,000 caches."""
+async def test_answer_of_2000_targets_over_tcp() -> None:
+    """2,000 targets don't fit in a datagram: they are received over TCP and define 2,000 caches."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
         server.put("_c._tcp.x", "SRV", *(f"0 8 80 b{n}.x." for n in range(2000)))
         server.additional = False
-        # Neither wording nor reading them is what is tested here: a slow machine may take its time.
+        # Long timeouts: encoding and decoding so many records takes seconds on a slow machine.
         resolver = Resolver(
             [("127.0.0.1", server.port)],
             nursery,
@@ -260,8 +262,8 @@
         nursery.cancel_scope.cancel()
 
 
-def reply(change: Callable[[dns.message.Message], None] | None = None) -> tuple[bytes, object]:
-    """An answer to a question, changed."""
+def encode_reply(change: Callable[[dns.message.Message], None] | None = None) -> tuple[bytes, object]:
+    """Return an encoded reply, modified by `change`, and the query it belongs to."""
     sent = encode_query(Question("box.branch.test", RecordType.A), random.Random(2), edns=True)
     message = dns.message.make_response(dns.message.from_wire(sent.wire))
     if change:
@@ -271,30 +273,30 @@
 
 @given(st.binary(max_size=80), st.integers(0, 60))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_read_noise(noise: bytes, cut: int) -> None:
-    """Noise, and an answer cut at any byte, never raise and never give records."""
-    wire, sent = reply()
+def test_malformed_replies(noise: bytes, cut: int) -> None:
+    """Random bytes and replies cut at any byte neither raise nor yield records."""
+    wire, sent = encode_reply()
     for data in (noise, wire[:2] + noise, wire[:cut], wire[:12] + noise):
         found = decode_reply(data, sent, is_tcp=False)  # type: ignore[arg-type]
         assert not found.addresses
         assert not found.targets
 
 
-@pytest.mark.parametrize(("ttl", "until"), [(0, 0.5), (10, 10.0), (2**31 - 1, 300.0)])
-def test_lifetimes(ttl: int, until: float) -> None:
-    """Lifetimes of nothing and of decades are held between floor and ceiling."""
+@pytest.mark.parametrize(("ttl", "lifetime"), [(0, 0.5), (10, 10.0), (2**31 - 1, 300.0)])
+def test_lifetimes(ttl: int, lifetime: float) -> None:
+    """TTLs of zero and of decades are clamped to the limits."""
     cache, question = AnswerCache(Lifetimes(floor=0.5, ceiling=300.0)), Question("a.test", RecordType.A)
     found = Reply(ReplyKind.FOUND, addresses=("127.0.0.1",), ttl=float(ttl))
     cache.put(question, found, "u", 100.0)
-    assert cache.get_fresh(question, 100.0 + until - 0.01)
-    assert not cache.get_fresh(question, 100.0 + until)
-    assert cache.get_stale(question, 100.0 + until + 3599)
-    assert not cache.get_stale(question, 100.0 + until + 3601)
-    assert not cache.get_fresh(question, 99.0)  # the clock has gone back: asked anew
+    assert cache.get_fresh(question, 100.0 + lifetime - 0.01)
+    assert not cache.get_fresh(question, 100.0 + lifetime)
+    assert cache.get_stale(question, 100.0 + lifetime + 3599)
+    assert not cache.get_stale(question, 100.0 + lifetime + 3601)
+    assert not cache.get_fresh(question, 99.0)  # the clock was set back
 
 
 def test_cache_bounds() -> None:
-    """So many answers and no more, the least used out first; a failure is remembered for a moment."""
+    """The least recently used answer is evicted at the limit; a failure is cached for `Lifetimes.failure`."""
     cache = AnswerCache(Lifetimes(entries=3))
     for number in range(5):
         cache.put(Question(f"{number}.test", RecordType.A), Reply(ReplyKind.FOUND, ttl=60.0), "u", 1.0)
@@ -307,22 +309,22 @@
     assert not cache.failure_reason(Question("f.test", RecordType.A), 11.0)
 
 
-def test_patience() -> None:
-    """Time-outs are learned by upstream, doubled by silence; who is silent is asked last, then again."""
-    ends: list[Endpoint] = [("127.0.0.1", 1), ("127.0.0.2", 2)]
-    both = Upstreams(ends, UpstreamTimeouts())
-    one, two = both.all
-    assert both.timeout(one) == 0.4
+def test_upstream_timeouts() -> None:
+    """Timeouts follow each upstream's response time and double on failure; a failed upstream goes last."""
+    endpoints: list[Endpoint] = [("127.0.0.1", 1), ("127.0.0.2", 2)]
+    upstreams = Upstreams(endpoints, UpstreamTimeouts())
+    one, two = upstreams.all
+    assert upstreams.timeout(one) == 0.4
     for _ in range(30):
-        both.record_answer(one, 0.02)
-    assert 0.05 <= both.timeout(one) < 0.1
-    both.record_answer(two, 0.3)
-    assert both.order(5.0) == [one, two]
-    both.record_failure(one, 5.0)
-    assert both.timeout(one) >= 0.1
-    assert both.order(5.1) == [two, one]
-    assert both.order(5.6) == [one, two]
+        upstreams.record_answer(one, 0.02)
+    assert 0.05 <= upstreams.timeout(one) < 0.1
+    upstreams.record_answer(two, 0.3)
+    assert upstreams.order(5.0) == [one, two]
+    upstreams.record_failure(one, 5.0)
+    assert upstreams.timeout(one) >= 0.1
+    assert upstreams.order(5.1) == [two, one]
+    assert upstreams.order(5.6) == [one, two]
     for _ in range(20):
-        both.record_failure(one, 5.0)
-    assert both.timeout(one) == 1.0
+        upstreams.record_failure(one, 5.0)
+    assert upstreams.timeout(one) == 1.0
     assert one.backoff_until <= 13.0
