--- a/brackenlane/routing/load_report.py
+++ b/brackenlane/routing/load_report.py
@@ -1,7 +1,7 @@
-"""Codec of servers' load reports: `name:value` entries in one text; an entry that cannot be used is skipped.
+"""Parser of servers' load reports: `name:value` entries in one string; an unusable entry is skipped.
 
-Pure. A report is a hint that comes late and noisy: a fault in one must cost neither the answer that carries
-it nor the process that reads it. So nothing here raises.
+The functions have no side effects. A report is only a hint, delayed and noisy: a malformed one must neither
+discard the answer that carries it nor crash the process that reads it, so nothing here raises.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 def read_load_report(text: str, separator: str) -> tuple[tuple[str, float], ...]:
-    """Return name and value of each usable entry, in the report's order.
+    """Return the name and value of each usable entry, in the report's order.
 
-    Usable: a known name, and a number from 0 to `checked_json.LARGEST_NUMBER`.
+    An entry is usable if its name is known and its value a number from 0 to `checked_json.LARGEST_NUMBER`.
     """
     usable: list[tuple[str, float]] = []
     for entry in text.split(separator):
--- a/brackenlane/routing/settings.py
+++ b/brackenlane/routing/settings.py
@@ -1,7 +1,7 @@
-"""The settings of one router and of its request classes, as records that check themselves.
+"""The settings of one router and of its request classes, as records that validate their fields.
 
 Durations are in seconds, rates in KB per second. A field out of its range raises
-InvalidSettingError. How they are read: settings_codec.
+InvalidSettingError. settings_codec reads the records from JSON.
 """
 
 from __future__ import annotations
@@ -24,49 +24,48 @@
 
 
 class Scope(Enum):
-    """Which caches drop the repeats of a request with an idempotency key."""
+    """The set of caches that together drop the repeats of a request with an idempotency key."""
 
-    ALL = "all"
-    ZONE = "zone"  # those of one zone
-    CELL = "cell"  # those of one cell
+    ALL = "all"  # all caches
+    ZONE = "zone"  # the caches of one zone
+    CELL = "cell"  # the caches of one cell
 
 
 class CacheStatusReporting(Enum):
     """Which answers of caches carry a cache status."""
 
-    ALL = "all"
-    HIT = "hit"  # good answers only; a fill is reported without saying whether the origin was asked
-    SILENT = "silent"  # none
+    ALL = "all"  # every answer
+    HIT = "hit"  # successful answers only; the status of a fill does not show whether it used the origin
+    SILENT = "silent"  # no answer
 
 
 class SiblingSources(Enum):
     """Which other edge caches may be a fill source."""
 
     NONE = "none"
-    LOCATION = "location"  # those of the cache's own location
-    ANY = "any"
+    LOCATION = "location"  # edge caches of the cache's own location
+    ANY = "any"  # edge caches of all locations
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests: the value of its answers by time, and how its copies age."""
+    """One class of requests: how the value of an answer depends on its time, and how its copies age."""
 
-    name: str  # as requests give it
+    name: str  # the name by which requests select the class
     latency_objective: float  # seconds within which an answer has its full value
     time_limit: float  # seconds that a client waits, over all attempts
-    objective_stretch: float = 0.0  # times a request's own transfer time: added to the objective
-    value_weight: float = 1.0  # value of an answer in time
+    objective_stretch: float = 0.0  # the objective grows by this factor times the request's transfer time
+    value_weight: float = 1.0  # value of an answer within the objective
     late_value: float = 0.0  # share of the value, 0 to 1, that an answer after the objective has
-    idempotency: Idempotency = Idempotency.IDEMPOTENT  # whether repeats may run
-    scope: Scope = Scope.ALL  # of dropped repeats, where requests have idempotency keys
-    repeat_window: float = (
-        0.0  # seconds from the first attempt that may have run, in which repeats are dropped
-    )
-    fresh_for: float = 0.0  # seconds for which a copy is fresh; 0: without end
-    grace: float = 0.0  # seconds after these in which a stale copy may be served
+    idempotency: Idempotency = Idempotency.IDEMPOTENT  # whether a request may run more than once
+    scope: Scope = Scope.ALL  # the caches that drop repeats, where requests have idempotency keys
+    # Seconds for which repeats are dropped, from the first attempt that may have run.
+    repeat_window: float = 0.0
+    fresh_for: float = 0.0  # freshness lifetime of a copy in seconds; 0: unlimited
+    grace: float = 0.0  # seconds past the freshness lifetime for which a stale copy may be served
     stale_value: float = 0.0  # share of the value, 0 to 1, that an answer from a stale copy has
     in_parts: bool = False  # whether its objects have several parts
-    uncached: bool = False  # whether answers are never kept, but always come from the origin
+    uncached: bool = False  # whether answers are never cached and always come from the origin
 
     def __post_init__(self) -> None:
         """Raise InvalidSettingError where a field is out of its range."""
@@ -86,11 +85,11 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowStart:
-    """The rule for servers that started lately: what they bear, and which overload makes them fail."""
+    """Capacity of servers that started recently, and the overload that makes them fail."""
 
-    share: float = 1.0  # of its capacity, above 0 to 1, that a server bears at its start, at least
-    ramp: float = 0.0  # seconds after which it bears all of it; 0: nothing ever warms up
-    factor: float = 1.0  # times what it bears: more than that, for `span`, makes it fail
+    share: float = 1.0  # lowest share of its capacity, above 0 to 1, that a server has at its start
+    ramp: float = 0.0  # seconds from the start to full capacity; 0: full capacity at once
+    factor: float = 1.0  # a load above this multiple of its present capacity for `span` makes a server fail
     span: float = 1.0  # seconds
 
     def __post_init__(self) -> None:
@@ -105,29 +104,32 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that is configured of one router at its start."""
-
-    location: str  # the router's own
-    locations: tuple[str, ...]  # of the whole site; what is given by location is in their order
-    classes: tuple[RequestClass, ...]  # the first is that of requests that name no known class
-    router_index: int = 0  # of this router among all, from 0
-    router_count: int = 1  # routers of the whole site
-    hub_of: tuple[int, ...] = ()  # by location: the index of its hub's location; empty: no hubs
-    routers_by_location: tuple[int, ...] = ()  # empty: unknown
-    peer_index: int = UNKNOWN_PEER_INDEX  # of this router among those of its location, from 0
-    link_kb_per_s: tuple[float, ...] = ()  # by location: the link into it; 0 or empty: unknown
-    pace_kb_per_s: float = 0.0  # highest pace of one answer, the unit of weights; 0: unknown
-    edge_cold: SlowStart = field(default_factory=SlowStart)  # of edge caches
-    parent_cold: SlowStart = field(default_factory=SlowStart)  # of parents
-    tick: float = 0.001  # seconds: the resolution of measured times
-    answer_slack: float = 0.0  # seconds after a request's deadline in which its final answer still counts
+    """The configuration of one router at its start.
+
+    Fields with one value for each location have them in the order of `locations`.
+    """
+
+    location: str  # location of this router
+    locations: tuple[str, ...]  # all locations of the site
+    classes: tuple[RequestClass, ...]  # the first also applies to requests that name no known class
+    router_index: int = 0  # index of this router among all routers of the site, from 0
+    router_count: int = 1  # number of routers of the whole site
+    hub_of: tuple[int, ...] = ()  # for each location the index of its hub's location; empty: no hubs
+    routers_by_location: tuple[int, ...] = ()  # number of routers at each location; empty: unknown
+    peer_index: int = UNKNOWN_PEER_INDEX  # index of this router among those of its location, from 0
+    link_kb_per_s: tuple[float, ...] = ()  # rate of the link into each location; 0 or empty: unknown
+    pace_kb_per_s: float = 0.0  # highest transfer rate of one answer, the unit of weights; 0: unknown
+    edge_cold: SlowStart = field(default_factory=SlowStart)  # slow start of edge caches
+    parent_cold: SlowStart = field(default_factory=SlowStart)  # slow start of parents
+    tick: float = 0.001  # resolution of measured times, in seconds
+    answer_slack: float = 0.0  # seconds past its deadline in which a final answer still counts as in time
     connect_timeout: float = 1.0  # seconds
     keepalive: float = 0.0  # seconds after which a server closes an idle connection; 0: unknown
-    streams: int = 100  # attempts that one connection carries at a time
-    purge_propagation_time: float = 0.0  # seconds in which caches drop purged copies by themselves
-    max_attempts: int = 1  # of one request
-    max_hold_off: float = 0.0  # seconds: the longest Retry-After that clients heed; 0: they receive none
-    weights_known: bool = True  # else every server's weight is 1 and says nothing of its link
+    streams: int = 100  # number of attempts that one connection carries concurrently
+    purge_propagation_time: float = 0.0  # seconds within which caches drop purged copies on their own
+    max_attempts: int = 1  # attempts of one request
+    max_hold_off: float = 0.0  # longest Retry-After that clients obey, in seconds; 0: none is sent
+    weights_known: bool = True  # if not, every server's weight is 1 and unrelated to its link rate
     must_subscribe: bool = False  # whether discovery sends changes only on request
     may_cancel: bool = False  # whether attempts can be cancelled
     may_probe: bool = False  # whether load reports may be requested from servers
@@ -147,7 +149,7 @@
             raise InvalidSettingError("location", f"{self.location!r} is not among the locations")
         names = {cls.name for cls in self.classes}
         if len(names) < len(self.classes):
-            raise InvalidSettingError("classes", "two classes bear one name")
+            raise InvalidSettingError("classes", "two classes have the same name")
         self._check_values_by_location()
         _check_at_least("router_count", self.router_count, 1)
         _check_at_least("router_index", self.router_index)
@@ -175,7 +177,9 @@
                 _check_at_least(name, value)
         for hub in self.hub_of:
             if int(hub) >= len(self.locations):
-                raise InvalidSettingError("hub_of", "a hub is no place among the locations")
+                raise InvalidSettingError(
+                    "hub_of", "the index of a hub must be below the number of locations"
+                )
 
     def _check_peer_index(self) -> None:
         if self.peer_index < 0:
@@ -185,7 +189,7 @@
             peer_count = self.routers_by_location[self.locations.index(self.location)]
         if self.peer_index >= peer_count:
             raise InvalidSettingError(
-                "peer_index", f"{self.peer_index} is no place among the routers of its location"
+                "peer_index", f"{self.peer_index} must be below the number of routers at its location"
             )
 
 
--- a/brackenlane/routing/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -1,8 +1,8 @@
-"""Codec of the settings object that the simulator and the platform give: parsed JSON to `Settings`.
+"""Reader of the settings object that the simulator and the platform provide: parsed JSON to `Settings`.
 
-Pure. The keys and words of the object stand here and nowhere else in the package. Every value that is used is
-checked for its type and range; SettingsError reports the first that cannot be used. Unknown keys and names of
-load report fields are ignored: newer sites may send them.
+The functions have no side effects. No other module of this package contains the keys and words of the object.
+The type and range of every value that is used are checked; SettingsError reports the first invalid one.
+Unknown keys and unknown names of load report fields are ignored, since newer sites may send them.
 Source: the simulator's page WIRE-brackenlane, field `Config` of `LAUNCH`.
 """
 
@@ -53,11 +53,11 @@
 WEIGHTS_KNOWN_WORDS = {"silent": False, "nominal": True, "rough": True, "live": True}
 MUST_SUBSCRIBE_WORDS = {"push": False, "ask": True}
 
-ROOT = "settings"  # the first part of every path
-SHORTEST_TIME = 1e-6  # seconds: the clock counts microseconds
+ROOT = "settings"  # first part of every path
+SHORTEST_TIME = 1e-6  # seconds; the clock counts microseconds
 LONGEST_TIMER = 1e6  # seconds; epoll_wait takes at most 2**31 ms
 SLOWEST_PACE = 1e-3  # KB per second
-ABSENT_INDEX = -1  # in place of an index: there is no such machine kind, or no hub
+ABSENT_INDEX = -1  # index that means that there is no such machine kind, or no hub
 
 TIMEOUT_BOUNDS = Bounds(maximum=LONGEST_TIMER)  # seconds
 TIMER_BOUNDS = Bounds(SHORTEST_TIME, LONGEST_TIMER)  # seconds
@@ -68,7 +68,7 @@
 
 
 class _Sections(NamedTuple):
-    """The objects in a settings object from which most values come."""
+    """The settings object and the objects in it that contain most of the values."""
 
     root: Section
     family: Section
@@ -77,22 +77,22 @@
 
 
 def read_settings(raw: object) -> Settings:
-    """Return the settings of one router from parsed JSON; SettingsError where a value cannot be used."""
+    """Return the settings of one router from parsed JSON; SettingsError if a value is invalid."""
     root = Section(raw, ROOT)
     sections = _Sections(root, root.section("FamilyInfo"), root.section("Limits"), root.section("Guarantees"))
     locations = read_names(root.required("Dcs"), root.path_of("Dcs"))
     _check_load_reporting(root.section("Report"))
-    kind_roles(raw)  # checked here, so that no caller can miss a fault in them
+    kind_roles(raw)  # called for its checks only, so that every caller gets them
     return _build_settings(sections, locations)
 
 
 def kind_names(raw: object) -> tuple[str, ...]:
-    """Return the names of the machine kinds, in the order in which other settings count them."""
+    """Return the names of the machine kinds, in the order that the indexes in other settings refer to."""
     return Section(raw, ROOT).names("Skus")
 
 
 def kind_roles(raw: object) -> dict[str, Role]:
-    """Return the role of the machine kinds that are parents or the origin; all others are edge caches."""
+    """Return the roles of the machine kinds of parents and of the origin; all other kinds are edge caches."""
     kinds = kind_names(raw)
     family = Section(raw, ROOT).section("FamilyInfo")
     parent = _read_kind(family, "SecondTierKind", len(kinds))
@@ -144,7 +144,7 @@
 
 
 def _read_kind(family: Section, key: str, count: int) -> int:
-    """Return the index of a machine kind among `count`; ABSENT_INDEX where there is none."""
+    """Return the index of one of `count` machine kinds; ABSENT_INDEX if there is no such kind."""
     index = family.integer(key, ABSENT_INDEX, OPTIONAL_INDEX_BOUNDS)
     if index >= count:
         raise SettingsError(family.path_of(key), "no place in Skus", index)
@@ -170,7 +170,7 @@
 
 
 def _read_hubs(family: Section, location_count: int) -> tuple[int, ...]:
-    """Return the index of each location's hub; none where there are no parents, which are what hubs hold."""
+    """Return the index of each location's hub; empty if there are no parents to be located at hubs."""
     has_parents = _has_parents(family)
 
     def read_hub(value: object, path: str) -> int:
@@ -184,7 +184,7 @@
 
 
 def _read_pace(family: Section) -> float:
-    """Return the highest pace of one answer, in KB per second; 0 where it is unknown."""
+    """Return the highest transfer rate of one answer, in KB per second; 0 if it is unknown."""
     pace = family.number("PaceKbPerS", 0.0)
     if 0 < pace < SLOWEST_PACE:
         raise SettingsError(family.path_of("PaceKbPerS"), f"must be 0 or at least {SLOWEST_PACE:g}", pace)
@@ -192,7 +192,7 @@
 
 
 def _read_max_hold_off(limits: Section) -> float:
-    """Return the longest Retry-After that clients heed, in seconds; 0 where they receive none."""
+    """Return the longest Retry-After that clients obey, in seconds; 0 if none is sent."""
     longest = limits.number("MaxRetryAfterS", 0.0, TIMEOUT_BOUNDS)
     return longest if limits.flag("RetryAfter") else 0.0
 
@@ -205,32 +205,32 @@
 
 
 def _read_slow_starts(guarantees: Section, family: Section) -> _SlowStarts:
-    """Read the rules of edge caches and of parents; a figure that parents lack is that of the edge caches."""
+    """Read the slow-start rules; a value absent for parents defaults to that of the edge caches."""
     edge_ramp = guarantees.number("RampTimeS", 0.0)
     parent_ramp = family.number("UpperColdS", edge_ramp)
     if not _has_parents(family):
         parent_ramp = 0.0
     longest_ramp = max(edge_ramp, parent_ramp)
-    span = _read_slow_start_figure(guarantees, "OverloadForS", 1.0, longest_ramp, ABOVE_ZERO)
+    span = _read_slow_start_value(guarantees, "OverloadForS", 1.0, longest_ramp, ABOVE_ZERO)
     edge = SlowStart(
-        share=_read_slow_start_figure(guarantees, "ColdFrom", 1.0, edge_ramp, SHARE_BOUNDS),
+        share=_read_slow_start_value(guarantees, "ColdFrom", 1.0, edge_ramp, SHARE_BOUNDS),
         ramp=edge_ramp,
-        factor=_read_slow_start_figure(guarantees, "OverloadFactor", 1.0, edge_ramp, ABOVE_ZERO),
+        factor=_read_slow_start_value(guarantees, "OverloadFactor", 1.0, edge_ramp, ABOVE_ZERO),
         span=span,
     )
     parent = SlowStart(
-        share=_read_slow_start_figure(family, "ParentStartsAt", edge.share, parent_ramp, SHARE_BOUNDS),
+        share=_read_slow_start_value(family, "ParentStartsAt", edge.share, parent_ramp, SHARE_BOUNDS),
         ramp=parent_ramp,
-        factor=_read_slow_start_figure(family, "ParentFallMultiple", edge.factor, parent_ramp, ABOVE_ZERO),
+        factor=_read_slow_start_value(family, "ParentFallMultiple", edge.factor, parent_ramp, ABOVE_ZERO),
         span=span,
     )
     return _SlowStarts(edge, parent)
 
 
-def _read_slow_start_figure(section: Section, key: str, default: float, ramp: float, bounds: Bounds) -> float:
-    """Return a figure of a rule with this ramp (seconds).
+def _read_slow_start_value(section: Section, key: str, default: float, ramp: float, bounds: Bounds) -> float:
+    """Return a value of a slow-start rule with this ramp (seconds).
 
-    With a ramp of 0 nothing ever warms up: a figure of 0 is then allowed, and replaced by 1.
+    With a ramp of 0 there is no slow start: a value of 0 is then allowed, and replaced by 1.
     """
     if not ramp:
         bounds = replace(bounds, excludes_minimum=False)
@@ -238,13 +238,13 @@
 
 
 def _check_load_reporting(report: Section) -> None:
-    """Check how load reports are sent; which values come is seen in the reports themselves."""
+    """Check the settings of load reports; they are not stored, since each report names its own values."""
     report.word("How", LOAD_REPORTING_WORDS, default="silent")
     report.items("Fields", read_text)
 
 
 class _ClassTables:
-    """Lists of the family's section that have one value for each request class, by the class's index."""
+    """Lists in `FamilyInfo` that have one value for each request class, in the order of the classes."""
 
     def __init__(self, family: Section, class_count: int) -> None:
         owner = "Classes"
@@ -255,11 +255,11 @@
         self._uncached = family.items_for_each("Uncached", read_flag, class_count, owner)
 
     def read_class(self, raw: Section, index: int) -> RequestClass:
-        """Return the class of an index from its own section and from these lists."""
+        """Return the class with an index, from its own section and from these lists."""
         time_limit = raw.number("GiveUpS", bounds=TIMER_BOUNDS)
         return RequestClass(
             name=raw.text("Name"),
-            # An answer after the time limit reaches nobody, so an objective beyond it is the limit.
+            # The client has gone after the time limit, so an objective beyond it is lowered to the limit.
             latency_objective=min(raw.number("TargetS", bounds=OBJECTIVE_BOUNDS), time_limit),
             time_limit=time_limit,
             objective_stretch=raw.number("AimStretch", 0.0),
@@ -277,12 +277,12 @@
 
 
 def _item_or(items: tuple[T, ...], index: int, default: T) -> T:
-    """Return an item; the default where the list is absent."""
+    """Return an item; the default if the list is absent."""
     return items[index] if items else default
 
 
 def _read_classes(root: Section, family: Section) -> tuple[RequestClass, ...]:
-    """Return the request classes, one at least, with names that differ."""
+    """Return the request classes: at least one, with distinct names."""
     path = root.path_of("Classes")
     root.required("Classes")
     sections = root.items("Classes", Section)
--- a/brackenlane/routing/simulator.py
+++ b/brackenlane/routing/simulator.py
@@ -1,7 +1,7 @@
-"""The program that the simulator runs: one Router for each live instance, over standard input and output.
+"""Program that the simulator runs: one Router per running instance, over standard input and output.
 
 `python -m brackenlane.routing.simulator` reads batches of lines and answers each with the actions of its
-routers. The wire itself: simulator_codec.
+routers. simulator_codec implements the line protocol.
 """
 
 from __future__ import annotations
@@ -35,31 +35,31 @@
 
 @dataclass(slots=True)
 class Instance:
-    """One live instance: its router, and the role of each machine kind that is not an edge cache's."""
+    """One running instance: its router, and the roles of the machine kinds that are not edge caches."""
 
     router: Router
     roles: dict[str, Role]
 
 
 class SimulatorHost:
-    """The live instances behind one pair of pipes."""
+    """The running instances that share one pair of pipes."""
 
     def __init__(self) -> None:
-        self.instances: dict[str, Instance] = {}  # by name on the wire
+        self.instances: dict[str, Instance] = {}  # keyed by the instance's name on the wire
 
     def answer(self, batch: Batch) -> list[str]:
-        """Return the lines that answer a batch; WireError where one of its messages cannot be read."""
+        """Return the lines that answer a batch; WireError if one of its messages is malformed."""
         lines: list[str] = []
         for message in batch.messages:
-            event = self._read(message)
+            event = self._read_message(message)
             if event is not None:
                 lines.extend(self.decide(message.fields["I"], event, batch.now))
         return lines
 
     def apply(self, message: Message) -> Event | None:
-        """Start or stop an instance, or return the event for its router; None where no decision is needed.
+        """Start or stop an instance, or return the event for its router; None if no decision is needed.
 
-        KeyError where a field is missing or its word unknown, ValueError where a value cannot be used.
+        KeyError if a field is missing or its word unknown, ValueError if a value is invalid.
         """
         name = message.fields["I"]
         if message.name == "LAUNCH":
@@ -76,16 +76,16 @@
         return read_event(message)
 
     def decide(self, name: str, event: Event, now: float) -> list[str]:
-        """Return the lines for the actions on one event; an error in a decision is reported on the wire."""
+        """Return the lines for the actions on one event; an exception becomes one line that reports it."""
         try:
             actions = self.instances[name].router.handle(event, now)
             return [write_action(name, action) for action in actions]
         except Exception as fault:
-            # The other instances of this process go on.
+            # One instance's failure must not stop the other instances of this process.
             log.exception("instance %s: decision failed", name)
             return [write_exception(name, fault)]
 
-    def _read(self, message: Message) -> Event | None:
+    def _read_message(self, message: Message) -> Event | None:
         try:
             return self.apply(message)
         except KeyError as fault:
@@ -103,7 +103,7 @@
 
 
 def run(source: Iterable[str], sink: TextIO) -> None:
-    """Answer every batch of a stream of lines until it ends; WireError where a line cannot be read."""
+    """Answer every batch of a stream of lines until it ends; WireError if a line is malformed."""
     host = SimulatorHost()
     for batch in read_batches(source):
         sink.write(write_reply(batch, host.answer(batch)))
@@ -111,7 +111,7 @@
 
 
 def main() -> int:
-    """Serve standard input until it ends; return the exit status, 1 where a line cannot be read."""
+    """Answer standard input until it ends; return the exit status: 1 if a line is malformed, else 0."""
     try:
         run(sys.stdin, sys.stdout)
     except WireError as fault:
--- a/brackenlane/routing/simulator_codec.py
+++ b/brackenlane/routing/simulator_codec.py
@@ -1,8 +1,8 @@
-"""Codec of the simulator's wire: lines of text to a router's events, a router's actions to lines.
+"""Codec of the simulator's line protocol: parses lines into events and writes a router's actions as lines.
 
-Pure. The words of the wire stand here and nowhere else in the package. A line is a name and `key=value`
-fields, separated by single spaces; lines between `MARK` and `COMMIT` are one batch. Times and durations are
-in seconds. Source: the simulator's page WIRE-brackenlane.
+The functions have no side effects. No other module of this package contains the protocol's words. A line is a
+name and `key=value` fields, separated by single spaces; the lines between `MARK` and `COMMIT` are one batch.
+Times and durations are in seconds. Source: the simulator's page WIRE-brackenlane.
 """
 
 from __future__ import annotations
@@ -52,11 +52,11 @@
     "remembered": MembershipKind.REMEMBERED,
     "refused": MembershipKind.REJECTED,
 }
-WHOLE_GROUP = "0"  # in place of the object's name where a purge is of its group
+WHOLE_GROUP = "0"  # object name in a purge of a whole group
 LOAD_REPORT_SEPARATOR = ","
-# Fields that reach to the end of their line, spaces and all, by the text that introduces them.
+# Fields whose value extends to the end of the line and may contain spaces, by the text that precedes it.
 TEXT_FIELDS = {" Config=": "Config", " What=": "What"}
-LONGEST_EXCERPT = 60  # characters of a line that an error shows
+LONGEST_EXCERPT = 60  # longest part of a line that an error shows, in characters
 
 # Bits of the field `Mode` of a fetch.
 MODE_JOIN_FILL = 1
@@ -68,27 +68,27 @@
 
 @dataclass(slots=True)
 class Message:
-    """One line of the wire, with the lines of its list of servers."""
+    """One parsed line; a MEMBERSHIP includes the CACHE lines that list its servers."""
 
-    line_number: int  # from 1
+    line_number: int  # number of the line in the input, from 1
     name: str
     fields: Fields
-    entries: list[Fields] = field(default_factory=list)  # of a MEMBERSHIP: the CACHE lines after it
+    entries: list[Fields] = field(default_factory=list)  # fields of the CACHE lines after a MEMBERSHIP
 
 
 @dataclass(slots=True)
 class Batch:
-    """Messages that come at one moment and are answered together."""
+    """Messages that occur at the same time and are answered together."""
 
-    number: str  # as on the wire: it is only sent back
-    now: float  # Unix seconds
+    number: str  # not parsed, since it is only sent back in the reply
+    now: float  # time of the messages, in Unix seconds
     messages: list[Message] = field(default_factory=list)
 
 
 def read_line(text: str, line_number: int) -> Message:
-    """Parse one line without its end; WireError where a field is not `key=value`."""
-    for mark, key in TEXT_FIELDS.items():
-        head, found, tail = text.partition(mark)
+    """Parse one line without its line break; WireError if a field is not `key=value`."""
+    for prefix, key in TEXT_FIELDS.items():
+        head, found, tail = text.partition(prefix)
         if found:
             message = read_line(head, line_number)
             message.fields[key] = tail
@@ -104,13 +104,13 @@
 
 
 class _BatchAssembler:
-    """Collects lines into batches; holds the one that is open."""
+    """Collects messages into batches; holds the batch that is not complete yet."""
 
     def __init__(self) -> None:
         self._batch: Batch | None = None
 
     def add(self, message: Message) -> Batch | None:
-        """Take in one line; return the batch that it completes, if any. WireError: it is out of place."""
+        """Add one message; return the batch that it completes, if any; WireError if it is out of order."""
         name = message.name
         if name == "MARK":
             self._batch = self._open(message)
@@ -130,7 +130,7 @@
         return None
 
     def finish(self, line_number: int) -> None:
-        """Check that no batch is open at the end of the input, after its last line."""
+        """Check that the input did not end within a batch; line_number: the last line."""
         if self._batch is not None:
             raise WireError(line_number, "the input ends inside a batch")
 
@@ -150,7 +150,7 @@
 
 
 def read_batches(lines: Iterable[str]) -> Iterator[Batch]:
-    """Yield the batches of a stream of lines as each is complete; WireError where a line cannot be read."""
+    """Yield each batch of a stream of lines when it is complete; WireError if a line is malformed."""
     assembler = _BatchAssembler()
     line_number = 0
     for line_number, line in enumerate(lines, 1):
@@ -164,7 +164,7 @@
 
 
 def read_json(text: str) -> object:
-    """Parse a field that is JSON text; ValueError where it is none or nested too deeply."""
+    """Parse a field that contains JSON; ValueError if it is invalid or nested too deeply."""
     try:
         return json.loads(text)
     except RecursionError as fault:
@@ -172,9 +172,10 @@
 
 
 def read_membership(message: Message, roles: dict[str, Role]) -> Membership:
-    """Read a list of servers; roles: by machine kind, edge caches not among them.
+    """Convert a list of servers.
 
-    KeyError where a field is missing or its word unknown, ValueError where a number or the count is wrong.
+    roles: roles by machine kind; kinds that are not listed are edge caches. KeyError if a field is missing or
+    its word unknown, ValueError if a number or the count of servers is wrong.
     """
     announced = message.fields.get("Members")
     if announced is not None and int(announced) != len(message.entries):
@@ -217,7 +218,7 @@
         result=ATTEMPT_RESULTS[fields["Verdict"]],
         wait=float(fields.get("WaitTimeS", 0.0)),
         final=fields.get("Terminal") == "1",
-        # A newer simulator may send codes that are not known here.
+        # A newer simulator may send status codes that this version does not know.
         cache_status=CACHE_STATUSES.get(int(fields.get("Note", 0)), CacheStatus.UNKNOWN),
         first_byte=float(fields.get("TtfbS", 0.0)),
         report=read_load_report(fields.get("Usage", ""), LOAD_REPORT_SEPARATOR),
@@ -261,22 +262,22 @@
 
 
 def read_event(message: Message) -> Event | None:
-    """Read an event of one request, timer or purge; None where the name is not known (a newer simulator).
+    """Convert a message about a request, timer or purge; None if its name is unknown (a newer simulator).
 
-    KeyError where a field is missing or its word unknown, ValueError where a number is none.
+    KeyError if a field is missing or its word unknown, ValueError if a number is malformed.
     """
     read = EVENT_READERS.get(message.name)
     return None if read is None else read(message.fields)
 
 
 def write_action(instance: str, action: Action) -> str:
-    """Return the line, without its end, that carries out one action of an instance's router."""
+    """Return the line, without its line break, that requests one action of an instance's router."""
     match action:
         case Fetch():
             return (
                 f"FETCH_THROUGH I={instance} MsgId={action.request_id} Cache={action.server} "
                 f"PatienceS={action.timeout:.6f} Supplier={action.source} TierRank={action.keep} "
-                f"OldnessS={action.max_age:.6f} Mode={_mode(action)}"
+                f"OldnessS={action.max_age:.6f} Mode={_mode_bits(action)}"
             )
         case Reject():
             return f"BUSY I={instance} MsgId={action.request_id} HoldOffS={action.hold_off:.6f}"
@@ -292,17 +293,17 @@
 
 
 def write_exception(instance: str, fault: Exception) -> str:
-    """Return the line that reports an error in a decision, all its text in one line."""
+    """Return the line that reports an exception in a decision, with line breaks in its text replaced."""
     cause = " ".join(f"{type(fault).__name__}: {fault}".split())
     return f"EXCEPTION I={instance} What={cause}"
 
 
 def write_reply(batch: Batch, lines: list[str]) -> str:
-    """Return the reply to a batch: its lines and the line that ends it."""
+    """Return the reply to a batch: its lines and the line that ends the reply."""
     return "\n".join([*lines, f"EOR n={batch.number}\n"])
 
 
-def _mode(fetch: Fetch) -> int:
+def _mode_bits(fetch: Fetch) -> int:
     mode = 0
     if fetch.join:
         mode |= MODE_JOIN_FILL
