--- a/brackenlane/budgets/__init__.py
+++ b/brackenlane/budgets/__init__.py
@@ -1,5 +1,5 @@
-"""Owns the decisions of fleet-wide budgets: shares by demand, and leases on them that expire.
+"""Calculations for fleet-wide budgets: dividing a budget by demand, and leases on the shares.
 
-Never talks to a store and never enforces anything: pure functions, not used by the running program yet.
-Entry points: `division.divide`, `leases.renew`, `leases.accept_grant`.
+The functions have no side effects: they neither access a store nor enforce a budget. The router does not use
+them yet. Entry points: `division.divide`, `leases.renew`, `leases.accept_grant`.
 """
--- a/brackenlane/budgets/division.py
+++ b/brackenlane/budgets/division.py
@@ -1,6 +1,7 @@
-"""Max-min fair shares with floors: the same result from the same input, whoever computes it.
+"""Max-min fair shares with floors.
 
-Pure. Amounts are in the budget's own unit (requests in flight, or per second).
+The functions have no side effects and are deterministic, so all routers compute the same shares from the same
+input. Amounts are in the budget's own unit (requests in flight, or requests per second).
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareRequest:
-    """What one member could use, and how much it counts."""
+    """The demand of one member and its priority over others."""
 
     demand: float
-    weight: float = 1.0
+    weight: float = 1.0  # shares above the floors are in proportion to the weights
     floor: float = 0.0  # granted, up to the demand, before any member gets more than its floor
 
 
 def divide(total: float, requests: Mapping[str, ShareRequest], reserve: float = 0.0) -> dict[str, float]:
-    """Return the shares of the total less the reserve (kept for new members); O(n log n).
+    """Return the shares of the total minus the reserve, which remains for new members; O(n log n).
 
-    No member gets more than its demand, and none could get more unless another with less, by weight, got less
-    still (max-min fairness; Bertsekas and Gallager, Data Networks, 1992, 6.5.2). Floors that sum to more than
-    what is available shrink in proportion.
+    No member gets more than its demand, and no share can grow without reducing one that is, divided by its
+    weight, not larger (max-min fairness; Bertsekas and Gallager, Data Networks, 1992, 6.5.2). Floors that sum
+    to more than the available amount are reduced in proportion.
     """
     available = max(0.0, total - reserve)
     floors = {name: max(0.0, min(request.floor, request.demand)) for name, request in requests.items()}
@@ -36,9 +37,9 @@
 def _fill(
     requests: Mapping[str, ShareRequest], floors: Mapping[str, float], available: float
 ) -> dict[str, float]:
-    """Return the floors, raised together in proportion to the weights (water-filling) until nothing is left.
+    """Return the floors plus the available amount, divided in proportion to the weights (water-filling).
 
-    A member's height is the level at which its demand is met: from there on it takes no more.
+    A member's height is the level at which its demand is met; its share does not grow beyond that.
     """
     heights = sorted(
         ((request.demand - floors[name]) / request.weight, name)
@@ -55,9 +56,9 @@
 def _water_level(
     heights: list[tuple[float, str]], requests: Mapping[str, ShareRequest], available: float
 ) -> float:
-    """Return the level to which the available amount fills members of these heights, lowest first."""
+    """Return the level that the available amount reaches; heights: heights and names, lowest first."""
     level = 0.0
-    weight = sum(requests[name].weight for _, name in heights)  # of the members not yet filled
+    weight = sum(requests[name].weight for _, name in heights)  # sum over members whose demand is not met yet
     for height, name in heights:
         needed = (height - level) * weight
         if needed >= available:
@@ -71,10 +72,10 @@
 def damp_changes(
     old: Mapping[str, float], new: Mapping[str, float], total: float, min_change: float = 0.02
 ) -> dict[str, float]:
-    """Return the new shares, but with the old one wherever the change is small.
+    """Return the new shares, but the old share for each member whose share would change only slightly.
 
-    min_change: a part of the mean share. A member keeps more than its new share only as far as there is room:
-    nobody else's share shrinks for it.
+    min_change: smallest change that is made, as a fraction of the mean share. An old share above the
+    new one is kept only if the sum stays within the total; no other share is reduced for it.
     """
     threshold = min_change * total / max(1, len(new))
     shares = {
--- a/brackenlane/budgets/leases.py
+++ b/brackenlane/budgets/leases.py
@@ -1,7 +1,7 @@
-"""Leases on parts of a budget: what a holder may spend, and what the store may grant.
+"""Leases on parts of a budget: the amounts that the store may grant and a holder may spend.
 
-Pure. Times of the store are by the store's clock, times of a holder by its own monotonic clock, both in
-seconds. docs/design/budgets.md shows why the sum never exceeds the budget.
+The functions have no side effects. Times of the store are by its clock, times of a holder by the holder's
+monotonic clock, both in seconds. docs/design/budgets.md shows why the sum never exceeds the budget.
 """
 
 from __future__ import annotations
@@ -12,42 +12,42 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasePolicy:
-    """The figures that both sides go by."""
+    """The parameters that the store and all holders share."""
 
-    total: int
-    duration: float  # seconds for which a grant holds
-    drift: float = 0.001  # bound on how far the rates of a monotonic clock and the store's may differ
+    total: int  # the budget
+    duration: float  # seconds for which a grant is valid
+    drift: float = 0.001  # largest relative difference between the rates of a holder's and the store's clock
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """An amount until a store time. The version rises with each change of the amount (fencing)."""
+    """An amount granted until a time; each change of the amount increases the version (fencing token)."""
 
     amount: int
     version: int
-    expires_at: float
+    expires_at: float  # by the store's clock
 
 
 @dataclass(frozen=True, slots=True)
 class MemberEntry:
-    """What the store keeps of one member (one incarnation of a router)."""
+    """The store's record of one member, that is, of one incarnation of a router."""
 
     current: Grant
-    previous: Grant | None = None  # a larger one, not confirmed to be given up
-    confirmed_version: int = 0  # the highest version that the holder has confirmed to go by
+    previous: Grant | None = None  # a larger grant that the holder has not confirmed to have given up
+    confirmed_version: int = 0  # highest version that the holder has confirmed to apply
 
 
 @dataclass(frozen=True, slots=True)
 class HeldLease:
-    """What a holder goes by; the expiry is by its own clock."""
+    """The lease that a holder applies."""
 
     amount: int = 0
     version: int = 0
-    expires_at: float = 0.0
+    expires_at: float = 0.0  # by the holder's clock
 
 
 def committed_amount(entry: MemberEntry, now: float) -> int:
-    """Return the most that this member may be spending at a store time."""
+    """Return the largest amount that this member may be spending at a time by the store's clock."""
     amounts = []
     if entry.current.expires_at > now:
         amounts.append(entry.current.amount)
@@ -58,7 +58,7 @@
 
 
 def available_amount(policy: LeasePolicy, entries: Mapping[str, MemberEntry], name: str, now: float) -> int:
-    """Return what is committed to no other member than the named one at a store time."""
+    """Return the part of the total that is not committed to members other than the named one."""
     others = (committed_amount(entry, now) for other, entry in entries.items() if other != name)
     return policy.total - sum(others)
 
@@ -71,10 +71,10 @@
     now: float,
     uptime: float,
 ) -> MemberEntry | None:
-    """Return a member's entry from a store time on, as near to the wanted amount as is available.
+    """Return a member's entry with a grant of the wanted amount, or of what is available if that is less.
 
-    uptime: seconds for which the store has been running without a break. While it is shorter than a lease
-    nothing is granted: grants in writes that were lost may still be held. None: nothing to write.
+    now: time by the store's clock. uptime: seconds for which the store has been running without a break. None
+    if these are fewer than a lease lasts: the store may have lost writes whose grants are still held.
     """
     if uptime <= policy.duration * (1 + policy.drift):
         return None
@@ -90,7 +90,7 @@
         return MemberEntry(next_grant, None, entry.confirmed_version)
     if amount == current.amount and current.expires_at > now:
         return replace(entry, current=replace(current, expires_at=expires_at))
-    # The larger amount that may still be held counts as committed until it is confirmed or has expired.
+    # A larger amount that may still be held counts as committed until the new one is confirmed or it expires.
     previous = Grant(held, current.version, _latest_expiry(entry)) if held > amount else None
     return MemberEntry(next_grant, previous, entry.confirmed_version)
 
@@ -102,7 +102,7 @@
 
 
 def confirm(entry: MemberEntry, version: int) -> MemberEntry:
-    """Record that the holder goes by a version; late and repeated confirmations change nothing."""
+    """Record that the holder applies a version; delayed and repeated confirmations have no effect."""
     confirmed = min(version, entry.current.version)
     return replace(entry, confirmed_version=max(entry.confirmed_version, confirmed))
 
@@ -110,10 +110,11 @@
 def accept_grant(
     policy: LeasePolicy, held: HeldLease, grant: Grant, remaining: float, requested_at: float
 ) -> HeldLease:
-    """Return what the holder goes by after an answer; one older than an answer already taken changes nothing.
+    """Return the holder's lease after an answer; an answer older than one already applied has no effect.
 
-    remaining: seconds that the grant had left by the store's clock. requested_at: when the request was sent,
-    by the holder's clock; counting from then errs on the safe side.
+    remaining: seconds that the grant had left by the store's clock when the store answered. requested_at:
+    time by the holder's clock at which the request was sent. The lease is counted from then,
+    which is before the answer, so that it ends no later than the grant.
     """
     expires_at = requested_at + remaining * (1 - policy.drift)
     is_same_version = grant.version == held.version
@@ -123,8 +124,8 @@
 
 
 def spendable_amount(held: HeldLease, now: float) -> int:
-    """Return what may be spent now; 0 once the lease has expired.
+    """Return the amount that may be spent now; 0 once the lease has expired.
 
-    To be called at each spend, not once for a series: the process may be stopped between two of them.
+    Must be called before each spend, not once for a series: the process may be suspended between two of them.
     """
     return held.amount if now < held.expires_at else 0
--- a/brackenlane/coldstart/__init__.py
+++ b/brackenlane/coldstart/__init__.py
@@ -1,5 +1,6 @@
-"""Owns the decisions of a starting router: when it contacts the shared store, what it reads, its phase.
+"""Decisions of a router that starts: when it contacts the shared store, what it reads, and its phase.
 
-Never opens a socket and never picks a server: pure functions of the time and random numbers handed in.
+This package opens no sockets and selects no servers. The time and random numbers are passed in, so that
+results are reproducible.
 Entry points: `pacing.StorePacing`, `stream_position.is_log_continuous`, `phases.StartupPhases`.
 """
--- a/brackenlane/coldstart/pacing.py
+++ b/brackenlane/coldstart/pacing.py
@@ -1,7 +1,7 @@
-"""When one router of many contacts the shared store, so that all together stay within what it can serve.
+"""Times at which one router contacts the shared store, so that all routers together stay within its capacity.
 
-Pure: times are Unix seconds handed in, random numbers come from a `random.Random` handed in. Nothing is known
-of the other routers but how many there are.
+Times are Unix seconds passed in, and random numbers come from a `random.Random` passed in. The routers do not
+communicate: each one knows only how many there are.
 """
 
 from __future__ import annotations
@@ -10,24 +10,28 @@
 from dataclasses import dataclass, replace
 from hashlib import blake2b
 
-FIRST_BACKOFF = 0.3  # seconds: the bound of the jitter after a first failure, for a router alone
-MAX_BACKOFF = 5.0  # seconds: the largest bound of the jitter, unless the fleet needs longer windows
-MIN_BACKOFF_WINDOWS = 2.0  # windows that a fully grown bound spans: the fleet retries at half of its rate
-WINDOW_GROWTH = 2.0  # factor of the window after a refusal or a slow answer
-WINDOW_DECAY = 2 / 3  # factor of the window after an answer in time
-MAX_WINDOW_FACTOR = 4.0  # windows never grow further: all routers are to be back soon once the store recovers
-MIN_RATE = 0.01  # per second, of a capacity hint
-MAX_RATE = 1e6  # per second, of a capacity hint
-MAX_DOUBLINGS = 30  # of a backoff bound, so that it stays a finite float
+FIRST_BACKOFF = 0.3  # bound of the jitter after a first failure, in seconds, unless the window is longer
+MAX_BACKOFF = 5.0  # largest bound of the jitter, in seconds, unless MIN_BACKOFF_WINDOWS is longer
+# Smallest value of the largest bound, in windows: at 2 the fleet retries at half of the store's request rate.
+MIN_BACKOFF_WINDOWS = 2.0
+WINDOW_GROWTH = 2.0  # factor applied to the window after a refusal or a slow answer
+WINDOW_DECAY = 2 / 3  # factor applied to the window after an answer in time
+MAX_WINDOW_FACTOR = 4.0  # limits the window, so that all routers reconnect soon after the store has recovered
+MIN_RATE = 0.01  # smallest rate in a capacity hint, per second
+MAX_RATE = 1e6  # largest rate in a capacity hint, per second
+MAX_DOUBLINGS = 30  # largest number of times that a backoff bound is doubled, so that it remains finite
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """What the store can serve to all routers together, both kinds at once, as the operator states it."""
+    """The load that the store can serve to all routers together, as configured by the operator.
+
+    The store can serve both rates at the same time.
+    """
 
     router_count: int = 1
-    request_rate: float = 500.0  # per second: small requests (updates since a position) and connections
-    load_rate: float = 20.0  # per second: full loads
+    request_rate: float = 500.0  # small requests (updates since a position) and connections per second
+    load_rate: float = 20.0  # full loads per second
 
     @property
     def window(self) -> float:
@@ -36,45 +40,46 @@
 
     @property
     def ticket_window(self) -> float:
-        """Seconds for which load tickets are numbered from 1; at least one full load fits in."""
+        """Seconds after which the numbers of load tickets restart at 1; long enough for one full load."""
         return max(1.0, 1 / self.load_rate)
 
     @property
     def loads_per_ticket_window(self) -> int:
-        """Full loads in each ticket window."""
+        """Number of full loads that each ticket window allows."""
         return max(1, int(self.load_rate * self.ticket_window))
 
     def with_rates(self, request_rate: float, load_rate: float) -> Capacity:
-        """Return the capacity with the store's own rates; ValueError for rates out of range."""
+        """Return the capacity with the rates that the store publishes; ValueError for rates out of range."""
         if not (MIN_RATE <= request_rate <= MAX_RATE and MIN_RATE <= load_rate <= MAX_RATE):
             raise ValueError(
-                f"asks {request_rate!r} and loads {load_rate!r} a second: from 0.01 to 1000000 are needed"
+                f"asks {request_rate!r} and loads {load_rate!r} must be rates per second from 0.01 to 1000000"
             )
         return replace(self, request_rate=request_rate, load_rate=load_rate)
 
 
 def hashed_offset(name: str, purpose: str) -> float:
-    """Return the fixed offset of a name in a window, from 0 to 1.
+    """Return the offset of a name within a window, as a fraction from 0 to 1, derived from a hash.
 
-    It is the same at each start, and unrelated to that of another name or purpose.
+    It is the same after each restart, and independent of the offsets of other names and purposes.
     """
     digest = blake2b(f"{purpose}/{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2**64
 
 
 def jittered_lifetime(lifetime: float, rng: random.Random) -> float:
-    """Return the seconds after which something with a lifetime (seconds) is refreshed: in its last tenth.
+    """Return the seconds after which an item is refreshed: a random time in the last tenth of its lifetime.
 
-    A DNS cache counts down to the same instant for all its clients: without jitter they would all refresh
-    together from then on.
+    lifetime: seconds. A DNS cache reports the same expiry time to all its clients, so without jitter they
+    would all refresh at the same time from then on.
     """
     return lifetime * rng.uniform(0.9, 1.0)
 
 
 def jittered_backoff(failures: int, first: float, most: float, rng: random.Random) -> float:
-    """Return the seconds to wait after this many failures in a row: full jitter up to a bound that doubles.
+    """Return the seconds to wait after consecutive failures: full jitter up to a bound that doubles.
 
-    first, most: the bound after one failure and the largest one, in seconds. Source: Brooker, "Exponential
+    failures: number of consecutive failures. first, most: the bound after one failure and the largest bound,
+    in seconds. Source: Brooker, "Exponential
     Backoff and Jitter", AWS Architecture Blog 2015.
     """
     doublings = min(failures - 1, MAX_DOUBLINGS)
@@ -82,39 +87,39 @@
 
 
 class StorePacing:
-    """When one router may send its requests to the store, retry, and load everything."""
+    """Computes the times at which one router sends requests to the store, retries, and loads its contents."""
 
     def __init__(self, name: str, capacity: Capacity, rng: random.Random) -> None:
         self.capacity = capacity
-        self.window_factor = 1.0  # of the window, learned from refusals and slow answers
-        self.failures = 0  # in a row
+        self.window_factor = 1.0  # multiplier of the window, increased by refusals and slow answers
+        self.failures = 0  # number of consecutive failures
         self._name = name
         self._rng = rng
 
     @property
     def window(self) -> float:
-        """Seconds over which the fleet's requests are to be spread now, as far as this router knows."""
+        """Seconds over which the fleet's requests are spread at present, by this router's estimate."""
         return self.capacity.window * self.window_factor
 
     def initial_delay(self) -> float:
-        """Return the seconds from the start to the first request: the offset of this name in the window."""
+        """Return the seconds from the start to the first request: the hashed offset of this router's name."""
         return hashed_offset(self._name, "ask") * self.window
 
     def record_failure(self, is_overloaded: bool) -> float:
-        """Return the seconds until the next attempt.
+        """Return the seconds until the next attempt after a failure.
 
-        is_overloaded: the store refused or answered too late; otherwise nobody listens there.
+        is_overloaded: whether the store refused the request or answered too late; if not, it is unreachable.
         """
         self.failures += 1
         if is_overloaded:
             self._grow_window()
-        # After one window: a retry must not compete with routers whose first request is still to come.
+        # The retry is delayed by one window, so as not to compete with the first requests of other routers.
         first = max(FIRST_BACKOFF, self.window)
         most = max(MAX_BACKOFF, MIN_BACKOFF_WINDOWS * self.window)
         return self.window + jittered_backoff(self.failures, first, most, self._rng)
 
     def record_answer(self, duration: float, slow_after: float) -> None:
-        """Adapt the window to an answer that took `duration` seconds; the store is slow past `slow_after`."""
+        """Adjust the window to an answer that took `duration` seconds; it was slow above `slow_after`."""
         self.failures = 0
         if duration > slow_after:
             self._grow_window()
@@ -125,18 +130,19 @@
         self.window_factor = min(MAX_WINDOW_FACTOR, self.window_factor * WINDOW_GROWTH)
 
     def ticket_window(self, now: float) -> int:
-        """Return the number of the ticket window in which a load ticket is drawn first."""
+        """Return the number of the current ticket window, from which the first load ticket is drawn."""
         return int(now / self.capacity.ticket_window)
 
     def windows_ahead(self, ticket: int) -> int:
-        """Return how many ticket windows later the next ticket is to be drawn; 0 if this ticket is valid.
+        """Return how many ticket windows later the next ticket must be drawn; 0 if this ticket is valid.
 
-        A window's first ticket is 1. Routers that come too late in a window draw again where those before
-        them will have loaded, and so on: each gets a time of its own in a few draws, and none is used twice.
+        The first ticket of a window is 1. A ticket above the window's number of loads is not valid: the
+        router draws again from a later window, by which time routers with smaller tickets will have loaded.
+        A few draws give each router a valid ticket, and no ticket is drawn twice.
         """
         return (ticket - 1) // self.capacity.loads_per_ticket_window
 
     def ticket_delay(self, window: int, ticket: int, now: float) -> float:
-        """Return the seconds until the load that a valid ticket allows."""
+        """Return the seconds until the time that a valid ticket assigns to the full load."""
         windows = window + (ticket - 1) / self.capacity.loads_per_ticket_window
         return max(0.0, windows * self.capacity.ticket_window - now)
--- a/brackenlane/coldstart/phases.py
+++ b/brackenlane/coldstart/phases.py
@@ -1,4 +1,4 @@
-"""The phases of a router's start and their transitions, in one table."""
+"""State machine of a router's start: its phases, and the events that change them."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class StartupPhase(Enum):
-    """What the router serves from. The values are the words of the console."""
+    """The data that the router serves from; the console shows the values."""
 
-    EMPTY = "empty"  # the operator's file alone: no snapshot, or one that is not trusted yet
+    EMPTY = "empty"  # the operator's file only: there is no snapshot, or it was not accepted yet
     RECALLED = "recalled"  # the snapshot; drains and purges since it are unknown
-    LOADING = "loading"  # as in the phase before; the store answers, its full contents are being read
-    CURRENT = "current"  # everything that the store has
-    BEHIND = "behind"  # everything that the store had until the connection was lost
+    LOADING = "loading"  # the data of the previous phase, while the store's full contents are being read
+    CURRENT = "current"  # the store's present contents
+    BEHIND = "behind"  # the store's contents as of the loss of its connection
 
 
 class StartupEvent(Enum):
-    """What moves a router from one phase to another."""
+    """Events that change the phase."""
 
     SNAPSHOT_RESTORED = "the snapshot was restored"
     LOAD_STARTED = "the store answered, and its full contents are needed"
@@ -24,8 +24,8 @@
     STORE_LOST = "the store is unavailable"
 
 
-# A pair that is not listed leaves the phase as it is, but for one whose result is not fixed: a load that
-# breaks off (LOADING, STORE_LOST) returns to the phase that it began from.
+# A pair that is not listed does not change the phase, except (LOADING, STORE_LOST): an interrupted load
+# returns to the phase in which it began, see StartupPhases._phase_after.
 TRANSITIONS: dict[tuple[StartupPhase, StartupEvent], StartupPhase] = {
     (StartupPhase.EMPTY, StartupEvent.SNAPSHOT_RESTORED): StartupPhase.RECALLED,
     (StartupPhase.EMPTY, StartupEvent.LOAD_STARTED): StartupPhase.LOADING,
@@ -40,7 +40,7 @@
 
 
 class StartupPhases:
-    """The phase of one router, and since when (Unix seconds)."""
+    """The current phase of one router and the time at which it began (Unix seconds)."""
 
     def __init__(self, now: float) -> None:
         self.phase = StartupPhase.EMPTY
@@ -49,10 +49,10 @@
         self._phase_before_load = StartupPhase.EMPTY
 
     def step(self, event: StartupEvent, now: float) -> StartupPhase:
-        """Apply one event; return the phase after it."""
+        """Apply one event and return the resulting phase."""
         phase = self._phase_after(event)
         if phase is self.phase:
-            # A snapshot restored during a load is what the router serves from if the load breaks off.
+            # If the load is interrupted, the router serves from the snapshot restored in the meantime.
             if phase is StartupPhase.LOADING and event is StartupEvent.SNAPSHOT_RESTORED:
                 self._phase_before_load = StartupPhase.RECALLED
             return phase
