--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of the fleet: the division by its properties, the grants by every state of a small fleet."""
+"""Fleet-wide budgets: properties of the division, and leases in all reachable states of a small fleet."""
 
 from __future__ import annotations
 
@@ -23,72 +23,83 @@
 from brackenlane.lab.budget_model import Model
 from brackenlane.lab.model import explore
 
-WANTS = st.dictionaries(
+REQUESTS = st.dictionaries(
     st.text("abcdef", min_size=1, max_size=3),
     st.builds(ShareRequest, st.floats(0, 100), st.floats(0.1, 10), st.floats(0, 20)),
     max_size=12,
 )
 
 
-@given(st.floats(0, 300), WANTS, st.floats(0, 50))
-def test_division(complete: float, wants: dict[str, ShareRequest], reserve: float) -> None:
-    """Never over the whole, nobody over its demand, nothing left while one wants it, floors first, fair."""
-    shares = divide(complete, wants, reserve)
-    left = max(0.0, complete - reserve)
-    eps = 1e-6 * (1 + complete)
-    assert shares.keys() == wants.keys()
-    assert sum(shares.values()) <= left + eps
-    assert all(-eps <= shares[n] <= w.demand + eps for n, w in wants.items())
-    hungry = [n for n, w in wants.items() if shares[n] < w.demand - eps]
-    assert not hungry or sum(shares.values()) >= left - eps
-    floors = {n: min(w.floor, w.demand) for n, w in wants.items()}
-    if sum(floors.values()) <= left:
-        assert all(shares[n] >= floors[n] - eps for n in wants)
-        for n in hungry:  # who is left hungry is, beyond floors and by weight, behind nobody
-            level = (shares[n] - floors[n]) / wants[n].weight
-            assert all((shares[m] - floors[m]) / wants[m].weight <= level + eps for m in wants)
-    names = list(wants)
+@given(st.floats(0, 300), REQUESTS, st.floats(0, 50))
+def test_division_is_fair_and_uses_the_whole_budget(
+    total: float, requests: dict[str, ShareRequest], reserve: float
+) -> None:
+    """Shares exceed neither the budget nor demand, respect floors and do not depend on the members' order.
+
+    If a member gets less than its demand, the budget is used up and no member gets more by weight.
+    """
+    shares = divide(total, requests, reserve)
+    available = max(0.0, total - reserve)
+    eps = 1e-6 * (1 + total)
+    assert shares.keys() == requests.keys()
+    assert sum(shares.values()) <= available + eps
+    assert all(-eps <= shares[name] <= request.demand + eps for name, request in requests.items())
+    unsatisfied = [name for name, request in requests.items() if shares[name] < request.demand - eps]
+    assert not unsatisfied or sum(shares.values()) >= available - eps
+    floors = {name: min(request.floor, request.demand) for name, request in requests.items()}
+    if sum(floors.values()) <= available:
+        assert all(shares[name] >= floors[name] - eps for name in requests)
+        for name in unsatisfied:  # its share above the floor, divided by its weight, is the largest
+            level = (shares[name] - floors[name]) / requests[name].weight
+            assert all(
+                (shares[other] - floors[other]) / requests[other].weight <= level + eps for other in requests
+            )
+    names = list(requests)
     random.Random(1).shuffle(names)
-    assert divide(complete, {n: wants[n] for n in names}, reserve) == pytest.approx(shares, abs=eps)
+    shuffled = {name: requests[name] for name in names}
+    assert divide(total, shuffled, reserve) == pytest.approx(shares, abs=eps)
 
 
-@given(st.floats(1, 300), WANTS, WANTS)
-def test_small_changes_are_not_made(
-    complete: float, before: dict[str, ShareRequest], after: dict[str, ShareRequest]
+@given(st.floats(1, 300), REQUESTS, REQUESTS)
+def test_damped_shares_never_exceed_the_budget(
+    total: float, before: dict[str, ShareRequest], after: dict[str, ShareRequest]
 ) -> None:
-    """Kept shares never sum to more than the whole."""
-    found = damp_changes(divide(complete, before), new := divide(complete, after), complete)
-    assert found.keys() == new.keys()
-    assert sum(found.values()) <= complete * (1 + 1e-6)
+    """Old shares that are kept because their change is small must not make the sum exceed the total."""
+    damped = damp_changes(divide(total, before), new := divide(total, after), total)
+    assert damped.keys() == new.keys()
+    assert sum(damped.values()) <= total * (1 + 1e-6)
+
 
+def test_member_with_high_demand_gets_unused_shares() -> None:
+    """One member demands eight times the mean: it gets what equal shares would leave unused.
 
-def test_uneven_demand() -> None:
-    """One with eight times the mean: max-min gives what equal shares leave unused."""
-    wants = {f"m{n}": ShareRequest(8.0 if n == 0 else 0.9) for n in range(100)}
-    shares = divide(100.0, wants)
+    A later change of 0.005 in another member's demand is below the damping threshold.
+    """
+    requests = {f"m{n}": ShareRequest(8.0 if n == 0 else 0.9) for n in range(100)}
+    shares = divide(100.0, requests)
     assert shares["m0"] == pytest.approx(8.0)
     assert sum(shares.values()) == pytest.approx(8 + 99 * 0.9)
-    assert sum(min(1.0, w.demand) for w in wants.values()) < sum(shares.values())
-    wants["m1"] = ShareRequest(0.905)
-    assert damp_changes(shares, divide(100.0, wants), 100.0) == shares
+    assert sum(min(1.0, request.demand) for request in requests.values()) < sum(shares.values())
+    requests["m1"] = ShareRequest(0.905)
+    assert damp_changes(shares, divide(100.0, requests), 100.0) == shares
 
 
 @pytest.mark.parametrize(("members", "depth"), [(2, 8), (3, 6)])
 def test_leases_never_exceed_the_budget(members: int, depth: int) -> None:
-    """Answers late and lost, lives that go on unseen, a store set back: every state to this depth."""
+    """All states up to this depth, including lost answers, surviving old incarnations and lost writes."""
     model = Model(LeasePolicy(2, 3.0, 0.0), members)
-    found = explore(model.first(), model.steps, model.holds, depth)
-    assert found.complete
-    assert not found.fault
-    assert found.depth == depth
+    result = explore(model.first(), model.steps, model.holds, depth)
+    assert result.complete
+    assert not result.fault
+    assert result.depth == depth
 
 
-def test_clocks_off() -> None:
-    """Clocks a tenth fast and slow, with that bound told: the same."""
+def test_leases_never_exceed_the_budget_with_clock_drift() -> None:
+    """Clocks that run a tenth slow and fast are safe if the policy's drift is a tenth."""
     model = Model(LeasePolicy(2, 3.0, 0.1), 2, rates=(0.9, 1.1))
-    found = explore(model.first(), model.steps, model.holds, 7)
-    assert found.complete
-    assert not found.fault
+    result = explore(model.first(), model.steps, model.holds, 7)
+    assert result.complete
+    assert not result.fault
 
 
 @pytest.mark.parametrize(
@@ -100,43 +111,43 @@
         "no wait after a loss",
     ],
 )
-def test_planted_faults(fault: str) -> None:
-    """Each way to do it wrong is found, by the shortest steps that lead to it."""
+def test_model_detects_injected_faults(fault: str) -> None:
+    """With each fault injected into the protocol, the exploration finds a state that exceeds the budget."""
     model = Model(LeasePolicy(2, 3.0, 0.0), 2, fault=fault)
-    found = explore(model.first(), model.steps, model.holds, 9)
-    assert found.fault, found
+    result = explore(model.first(), model.steps, model.holds, 9)
+    assert result.fault, result
 
 
 def test_clock_slower_than_assumed_is_found() -> None:
-    """A holder whose clock is slower than the bound spends for too long: the model sees it."""
+    """If a holder's clock is slower than the policy's drift allows, the model finds overspending."""
     model = Model(LeasePolicy(2, 3.0, 0.0), 2, until=4, rates=(0.7, 1.0), crashes=0, losses=0)
     assert explore(model.first(), model.steps, model.holds, 9).fault
 
 
-def test_shares_move() -> None:
-    """What one gives up is the other's once confirmed, or once it has run out."""
-    rule = LeasePolicy(10, 3.0)
-    a = renew(rule, {}, "a", 10, 0.0, 100.0)
+def test_reduced_grant_is_available_to_others_once_confirmed() -> None:
+    """The amount that one member gives up is granted to another only after confirmation or expiry."""
+    policy = LeasePolicy(10, 3.0)
+    a = renew(policy, {}, "a", 10, 0.0, 100.0)
     assert a == MemberEntry(Grant(10, 1, 3.0))
-    a = renew(rule, {"a": a}, "a", 4, 1.0, 100.0)
+    a = renew(policy, {"a": a}, "a", 4, 1.0, 100.0)
     assert a
     assert committed_amount(a, 1.0) == 10
     assert committed_amount(a, 3.0) == 4
-    b = renew(rule, {"a": a}, "b", 10, 1.0, 100.0)
+    b = renew(policy, {"a": a}, "b", 10, 1.0, 100.0)
     assert b
     assert b.current.amount == 0
-    b = renew(rule, {"a": confirm(a, 2), "b": b}, "b", 10, 1.1, 100.0)
+    b = renew(policy, {"a": confirm(a, 2), "b": b}, "b", 10, 1.1, 100.0)
     assert b
     assert b.current.amount == 6
-    assert renew(rule, {}, "c", 1, 1.0, uptime=2.9) is None  # a store that has run for less than a lease
+    assert renew(policy, {}, "c", 1, 1.0, uptime=2.9) is None  # the store has run for less than a lease
 
 
-def test_a_holder() -> None:
-    """Counted from the question; an older answer changes nothing; at its end nothing may be spent."""
-    rule = LeasePolicy(10, 3.0, 0.01)
-    held = accept_grant(rule, HeldLease(), Grant(5, 2, 103.0), remaining=2.0, requested_at=50.0)
+def test_held_lease_is_counted_from_the_request() -> None:
+    """Leases are counted from the request, older answers have no effect, and an expired lease is void."""
+    policy = LeasePolicy(10, 3.0, 0.01)
+    held = accept_grant(policy, HeldLease(), Grant(5, 2, 103.0), remaining=2.0, requested_at=50.0)
     assert held.expires_at == pytest.approx(51.98)
     assert spendable_amount(held, 51.97) == 5
     assert spendable_amount(held, 51.98) == 0
-    assert accept_grant(rule, held, Grant(9, 1, 200.0), 100.0, 60.0) == held
-    assert accept_grant(rule, held, Grant(5, 2, 104.0), 2.0, 51.0).expires_at == pytest.approx(52.98)
+    assert accept_grant(policy, held, Grant(9, 1, 200.0), 100.0, 60.0) == held
+    assert accept_grant(policy, held, Grant(5, 2, 104.0), 2.0, 51.0).expires_at == pytest.approx(52.98)
