--- a/brackenlane/budgets/leases.py
+++ b/brackenlane/budgets/leases.py
@@ -25,7 +25,7 @@
 
     amount: int
     version: int
-    expires_at: float  # by the store's clock
+    expires_at: float  # seconds, by the store's clock
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
     amount: int = 0
     version: int = 0
-    expires_at: float = 0.0  # by the holder's clock
+    expires_at: float = 0.0  # seconds, by the holder's clock
 
 
 def committed_amount(entry: MemberEntry, now: float) -> int:
@@ -90,7 +90,7 @@
         return MemberEntry(next_grant, None, entry.confirmed_version)
     if amount == current.amount and current.expires_at > now:
         return replace(entry, current=replace(current, expires_at=expires_at))
-    # A larger amount that may still be held counts as committed until the new one is confirmed or it expires.
+    # A larger amount that may still be held remains committed until the new grant is confirmed or it expires.
     previous = Grant(held, current.version, _latest_expiry(entry)) if held > amount else None
     return MemberEntry(next_grant, previous, entry.confirmed_version)
 
--- a/brackenlane/placement/model.py
+++ b/brackenlane/placement/model.py
@@ -97,7 +97,7 @@
 class Plan:
     """The result of a placement, to be verified before its shares are applied."""
 
-    shares: dict[tuple[str, str, str], float]  # by zone, class and cache
+    shares: dict[tuple[str, str, str], float]  # share of the demand, by zone, class and cache
     unplaced: dict[tuple[str, str], float]  # share of the demand that no cache can serve, by zone and class
     relaxed: tuple[RelaxedConstraint, ...]
     value_per_s: float  # value of the requests that are placed
--- a/brackenlane/placement/solve.py
+++ b/brackenlane/placement/solve.py
@@ -16,7 +16,7 @@
 
 from brackenlane.placement.model import Plan, Problem, RelaxedConstraint, ShareBound
 
-TOLERANCE = 1e-7  # of shares, and relative to limits and to the optimum of a goal
+TOLERANCE = 1e-7  # numerical error allowed in a share and in the optimum of a goal (relative above 1)
 PEAK_FACTOR = 1.1  # factor by which the peak may exceed its optimum, so that less demand has to move
 SHARE_UNITS = 10**6  # shares are rounded to multiples of 1 / SHARE_UNITS that sum to one
 
@@ -26,7 +26,7 @@
     """A linear constraint: low <= sum of coefficient * variable <= high."""
 
     name: str
-    coefficients: dict[int, float]  # by index of the variable
+    coefficients: dict[int, float]  # keyed by the index of the variable
     low: float
     high: float
 
@@ -35,7 +35,7 @@
 class LinearProgram:
     """Variables with a lower bound of 0, and rows; a goal that was optimized becomes a row."""
 
-    upper_bounds: list[float] = field(default_factory=list)  # by index of the variable
+    upper_bounds: list[float] = field(default_factory=list)  # indexed like the variables
     rows: list[Row] = field(default_factory=list)
 
     def add_variable(self, upper_bound: float = math.inf) -> int:
@@ -294,6 +294,6 @@
     excluded: frozenset[str] = frozenset()
     for candidate in candidates:
         if candidate != required and strict.minimize({}, excluded | {candidate}) is None:
-            excluded |= {candidate}  # still infeasible without it, so it is not part of the conflict
+            excluded |= {candidate}  # the rest is infeasible without it, so it is redundant
     conflict = [candidate for candidate in candidates if candidate not in excluded]
     return tuple(candidate.removeprefix("wish: ") for candidate in conflict)
--- a/brackenlane/placement/verify.py
+++ b/brackenlane/placement/verify.py
@@ -4,7 +4,7 @@
 
 from brackenlane.placement.model import Plan, Problem, ShareBound
 
-ROUNDING_TOLERANCE = 1e-5  # of shares, and relative to limits
+ROUNDING_TOLERANCE = 1e-5  # rounding error allowed in a share, and relative to a limit
 
 
 def verify(problem: Problem, plan: Plan) -> list[str]:
--- a/brackenlane/routing/settings.py
+++ b/brackenlane/routing/settings.py
@@ -114,7 +114,7 @@
     classes: tuple[RequestClass, ...]  # the first also applies to requests that name no known class
     router_index: int = 0  # index of this router among all routers of the site, from 0
     router_count: int = 1  # number of routers of the whole site
-    hub_of: tuple[int, ...] = ()  # for each location the index of its hub's location; empty: no hubs
+    hub_of: tuple[int, ...] = ()  # index of the hub's location for each location; empty: no hubs
     routers_by_location: tuple[int, ...] = ()  # number of routers at each location; empty: unknown
     peer_index: int = UNKNOWN_PEER_INDEX  # index of this router among those of its location, from 0
     link_kb_per_s: tuple[float, ...] = ()  # rate of the link into each location; 0 or empty: unknown
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: an entry that cannot be used is skipped, and nothing else."""
+"""Load reports: only the entries that cannot be used are skipped."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from brackenlane.routing.load_report import NAMES, read_load_report
 from brackenlane.routing.simulator_codec import Message, read_event
 
-Values = tuple[tuple[str, float], ...]
+ReportEntries = tuple[tuple[str, float], ...]
 
 
 @pytest.mark.parametrize(
@@ -28,11 +28,11 @@
         ("util,x0:0.5", (("x0", 0.5),)),  # no value
         (":0.3,x0:0.5,,", (("x0", 0.5),)),  # no name
         ("util:0.3:0.4,x0:0.5", (("x0", 0.5),)),
-        ("util:0.3;x0:0.5", ()),  # another wire's separator
+        ("util:0.3;x0:0.5", ()),  # the separator of another protocol
     ],
 )
-def test_unusable_entries_are_skipped(text: str, values: Values) -> None:
-    """The rest of the report, and the outcome that carries it, are read all the same."""
+def test_unusable_entries_are_skipped(text: str, values: ReportEntries) -> None:
+    """An unusable entry does not discard the rest of the report or the outcome that carries it."""
     assert read_load_report(text, ",") == values
     fields = {"MsgId": "q", "SeqNo": "0", "Verdict": "0", "Usage": text}
     outcome = read_event(Message(1, "RESULT", fields))
@@ -44,7 +44,7 @@
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.text() | st.lists(st.sampled_from([*NAMES, ":", ",", "1", "nan", "-"])).map("".join))
 def test_any_text_is_accepted(text: str) -> None:
-    """No report raises, and what it gives is a known name with a number that is not negative."""
+    """Any text is parsed without an exception into known names and finite numbers that are not negative."""
     for name, value in read_load_report(text, ","):
         assert name in NAMES
         assert 0 <= value < float("inf")
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -1,4 +1,4 @@
-"""Settings of any shape: a fault is reported by path and value, and all else makes a Router that works."""
+"""Settings objects of any shape: a fault is reported with its path and value, else a Router works."""
 
 from __future__ import annotations
 
@@ -138,21 +138,21 @@
 
 
 def changed(raw: Json, *edits: tuple[Path, object]) -> Json:
-    """A copy with values replaced, added or deleted at paths."""
-    new = copy.deepcopy(raw)
+    """Return a copy with values replaced, added or deleted at paths."""
+    copied = copy.deepcopy(raw)
     for path, value in edits:
-        place: Any = new
+        parent: Any = copied
         for step in path[:-1]:
-            place = place[step]
+            parent = parent[step]
         if value is DELETED:
-            del place[path[-1]]
+            del parent[path[-1]]
         else:
-            place[path[-1]] = value
-    return new
+            parent[path[-1]] = value
+    return copied
 
 
 def info(name: str) -> Path:
-    """The path of a property of the service kind."""
+    """Return the path of a value in FamilyInfo."""
     return ("FamilyInfo", name)
 
 
@@ -265,7 +265,7 @@
 
 @pytest.mark.parametrize(("path", "value", "reported"), FAULTS, ids=FAULT_NAMES)
 def test_fault_names_path_and_value(path: Path, value: object, reported: str) -> None:
-    """A value that cannot be used is reported with its path, itself, and what is allowed."""
+    """An invalid value is reported with its path, the value and the allowed range."""
     with pytest.raises(SettingsError) as fault:
         read_settings(changed(WITH_HUBS, (path, value)))
     assert str(fault.value).startswith(reported)
@@ -274,14 +274,14 @@
 
 @pytest.mark.parametrize("raw", [None, [], "settings", 3])
 def test_settings_that_are_no_object_are_rejected(raw: object) -> None:
-    """What is no object at all is rejected like any value."""
+    """Settings that are not a JSON object are rejected with the same kind of error."""
     with pytest.raises(SettingsError, match=r"^settings: .*: must be an object$"):
         read_settings(raw)
 
 
 @pytest.mark.parametrize("value", ["word " * 10_000, [list(range(10_000))], "two\nlines\x00", "\ud800"])
 def test_error_text_is_one_bounded_line(value: object) -> None:
-    """However large or odd a value is, its fault is one short line that any terminal can print."""
+    """The error for a very large or unprintable value is one short line of printable ASCII."""
     with pytest.raises(SettingsError) as fault:
         read_settings(changed(WITH_HUBS, (("Weights",), value)))
     assert len(str(fault.value)) < 2 * LONGEST_EXCERPT + 20
@@ -297,7 +297,7 @@
     ],
 )
 def test_platform_configuration_reports_the_same_error(path: Path, value: object, reported: str) -> None:
-    """The platform's configuration fails with the same line."""
+    """Reading the platform's configuration fails with the same error text."""
     raw = {"name": "n", "listen": "127.0.0.1:1", "settings": changed(WITHOUT_HUBS, (path, value))}
     with pytest.raises(ConfigError) as fault:
         parse(orjson.dumps(raw))
@@ -305,7 +305,7 @@
 
 
 def test_each_value_is_read_into_its_field() -> None:
-    """Each value of the object is found in its own field."""
+    """Each value of the object is stored in the field that belongs to its key."""
     found = read_settings(WITH_HUBS)
     assert found.classes[0].late_value == 0.25
     assert found.classes[0].in_parts
@@ -337,30 +337,30 @@
     assert kind_roles(WITH_HUBS) == {"relay": Role.PARENT, "vault": Role.ORIGIN}
 
 
-def fleet(reported: Settings, hubs: tuple[str, ...]) -> list[Member]:
-    """Caches of the own location, two parents in each named hub, and the origin."""
-    found = [Member(f"edge-{n}", reported.location, weight=6.0) for n in range(3)]
-    found += [Member(f"parent-{hub}-{n}", hub, Role.PARENT, weight=15.0) for hub in hubs for n in range(2)]
-    return [*found, Member("origin", reported.locations[0], Role.ORIGIN, weight=30.0)]
+def fleet(router_settings: Settings, hubs: tuple[str, ...]) -> list[Member]:
+    """Return edge caches of the router's location, two parents in each named hub, and the origin."""
+    members = [Member(f"edge-{n}", router_settings.location, weight=6.0) for n in range(3)]
+    members += [Member(f"parent-{hub}-{n}", hub, Role.PARENT, weight=15.0) for hub in hubs for n in range(2)]
+    return [*members, Member("origin", router_settings.locations[0], Role.ORIGIN, weight=30.0)]
 
 
-def started(raw: Json, hubs: tuple[str, ...] = ()) -> Router:
-    """Return a Router with the settings of an object, notified of its servers."""
-    reported = read_settings(raw)
-    router = Router(reported, 5)
-    router.handle(Membership(MembershipKind.REMEMBERED, tuple(fleet(reported, hubs))), 1.0)
+def started_router(raw: Json, hubs: tuple[str, ...] = ()) -> Router:
+    """Return a Router with the settings of an object and a list of servers."""
+    router_settings = read_settings(raw)
+    router = Router(router_settings, 5)
+    router.handle(Membership(MembershipKind.REMEMBERED, tuple(fleet(router_settings, hubs))), 1.0)
     return router
 
 
 def request_once(router: Router, cls: str, size_kb: float = 300.0) -> Fetch:
-    """Return the one attempt of a new request."""
+    """Send a new request and return its only attempt."""
     request = Arrival(f"q-{cls}", 1.5, cls, "thing", size_kb=size_kb)
     return only(router.handle(request, 1.0), Fetch)
 
 
 def test_site_without_parents_fills_from_the_origin() -> None:
-    """Fills come from the origin; figures of parents may be zeros, since there are none."""
-    router = started(WITHOUT_HUBS)
+    """Fills come from the origin; the values for parents may be 0, since there are none."""
+    router = started_router(WITHOUT_HUBS)
     fetch = request_once(router, "pages")
     assert fetch.server.startswith("edge-")
     assert fetch.source == "origin"
@@ -369,7 +369,7 @@
 
 @pytest.mark.parametrize("hubs", [[], [-1, -1], [0, 0]])
 def test_hubs_without_parents_are_ignored(hubs: list[int]) -> None:
-    """Hubs are the locations of parents; without these each must be a location or -1, and is not used."""
+    """Without parents a hub must still be the index of a location, or -1, but is not used."""
     raw = changed(WITHOUT_HUBS, (info("HubByZone"), hubs))
     assert read_settings(raw) == read_settings(WITHOUT_HUBS)
     with pytest.raises(SettingsError, match=r"HubByZone\[1\]: 2: no place in Dcs"):
@@ -377,7 +377,7 @@
 
 
 def test_site_without_an_origin_fills_nothing() -> None:
-    """A site that names no kind for it has no origin; a miss is then not filled."""
+    """A site without a machine kind for the origin has none, and misses are not filled."""
     raw = changed(WITHOUT_HUBS, (info("StoreKind"), DELETED))
     assert kind_roles(raw) == {}
     router = Router(read_settings(raw), 5)
@@ -390,12 +390,12 @@
     ("hubs", "source"), [(("north", "south"), "parent-north"), (("south",), "parent-south"), ((), "origin")]
 )
 def test_hub_without_parents_uses_the_next_hub(hubs: tuple[str, ...], source: str) -> None:
-    """Fills come from the next hub that has parents, and from the origin where none has."""
-    assert request_once(started(WITH_HUBS, hubs), "films").source.startswith(source)
+    """Fills come from the next hub that has parents, or from the origin if no hub has any."""
+    assert request_once(started_router(WITH_HUBS, hubs), "films").source.startswith(source)
 
 
 def test_site_of_one_location() -> None:
-    """All is at one location: caches, the hub with its parents, and the origin."""
+    """Caches, the hub with its parents, and the origin are at the same location."""
     raw = changed(
         WITH_HUBS,
         (("Dcs",), ["isle"]),
@@ -403,7 +403,7 @@
         (info("SeatsByZone"), [5]),
         (info("PipeKbPerS"), [52000.0]),
     )
-    fetch = request_once(started(raw, ("isle",)), "films")
+    fetch = request_once(started_router(raw, ("isle",)), "films")
     assert fetch.server.startswith("edge-")
     assert fetch.source.startswith("parent-isle")
 
@@ -417,27 +417,27 @@
     ],
 )
 def test_site_without_probes(edits: list[tuple[Path, object]]) -> None:
-    """Probes may be forbidden, without a price, or not mentioned at all."""
+    """Probes may be forbidden, have no price, or be absent from the settings."""
     raw = changed(WITH_HUBS, *edits)
-    reported = read_settings(raw)
-    assert reported.may_probe is (("Limits", "MayProbe") not in [path for path, _ in edits])
-    assert Limits().with_settings(reported).idle_probe_after > 0
-    assert request_once(started(raw, ("north",)), "films").server.startswith("edge-")
+    router_settings = read_settings(raw)
+    assert router_settings.may_probe is (("Limits", "MayProbe") not in [path for path, _ in edits])
+    assert Limits().with_settings(router_settings).idle_probe_after > 0
+    assert request_once(started_router(raw, ("north",)), "films").server.startswith("edge-")
 
 
 def test_latency_objective_beyond_the_time_limit_is_the_limit() -> None:
-    """No answer comes after the time limit, so an objective beyond it is in effect the limit."""
+    """No answer is of use after the time limit, so a later objective is lowered to the limit."""
     raw = changed(WITH_HUBS, (("Classes", 1, "TargetS"), 3600))
     assert read_settings(raw).classes[1].latency_objective == 2.0
     assert Limits().with_settings(read_settings(raw)).max_client_wait >= 2.0
-    assert request_once(started(raw, ("north",)), "maps").timeout <= 1.5
+    assert request_once(started_router(raw, ("north",)), "maps").timeout <= 1.5
 
 
 def test_class_without_objective_stretch() -> None:
-    """The key may be absent: the objective does not grow with the request."""
+    """If the key is absent, the objective does not depend on the request's transfer time."""
     assert read_settings(WITHOUT_HUBS).classes[0].objective_stretch == 0.0
     raw = changed(WITH_HUBS, (("Classes", 0, "AimStretch"), DELETED))
-    assert request_once(started(raw, ("north",)), "films").server.startswith("edge-")
+    assert request_once(started_router(raw, ("north",)), "films").server.startswith("edge-")
 
 
 @pytest.mark.parametrize(
@@ -455,12 +455,12 @@
     ],
 )
 def test_unknown_keys_and_report_names_are_ignored(path: Path, value: object) -> None:
-    """Newer sites may send more than is known: it changes nothing of what is."""
+    """Newer sites may send unknown keys and report names, which do not change the settings."""
     assert read_settings(changed(WITH_HUBS, (path, value))) == read_settings(WITH_HUBS)
 
 
 def test_absent_lists_equal_empty_ones() -> None:
-    """A list that is absent or empty says nothing of any class or location."""
+    """If a list by class or location is absent or empty, the defaults apply to all of them."""
     names = (
         "FreshForS",
         "GraceForS",
@@ -477,7 +477,7 @@
 
 
 def test_integers_may_be_written_as_fractions() -> None:
-    """JSON has one kind of number: 2.0 and 2 are the same."""
+    """JSON has only one type of number: 2.0 and 2 are equal."""
     raw = changed(
         WITH_HUBS, (info("HubByZone"), [0.0, 1.0, 0.0, 1.0]), (("Limits", "MaxAttempts"), 6.0), (("Me",), 1.0)
     )
@@ -486,18 +486,18 @@
 
 
 def paths(value: object, at: Path = ()) -> Iterator[Path]:
-    """The path of every value below the root."""
-    steps: list[tuple[str | int, object]] = []
+    """Yield the path of every value below the root."""
+    items: list[tuple[str | int, object]] = []
     if isinstance(value, dict):
-        steps = list(value.items())
+        items = list(value.items())
     elif isinstance(value, list):
-        steps = list(enumerate(value))
-    for step, below in steps:
+        items = list(enumerate(value))
+    for step, child in items:
         yield (*at, step)
-        yield from paths(below, (*at, step))
+        yield from paths(child, (*at, step))
 
 
-SPOTS = [(raw, path) for raw in SHAPES for path in paths(raw)]
+ALL_PATHS = [(raw, path) for raw in SHAPES for path in paths(raw)]
 SCALARS = (
     st.none()
     | st.booleans()
@@ -515,23 +515,23 @@
 )
 
 
-def run_all_events(reported: Settings, roles: dict[str, Role]) -> int:
-    """Handle every kind of event and end each attempt, with all results in turn; return the attempts."""
-    router = Router(reported, 3)
+def run_all_events(router_settings: Settings, roles: dict[str, Role]) -> int:
+    """Let a Router handle every kind of event and every result of attempts; return the number of attempts."""
+    router = Router(router_settings, 3)
     members = [
-        *fleet(reported, reported.locations),
-        Member("young", reported.location, weight=6.0, started_at=10.0),
-        Member("ahead", reported.location, weight=6.0, started_at=10.5),
-        Member("young-parent", reported.locations[0], Role.PARENT, weight=9.0, started_at=10.0),
+        *fleet(router_settings, router_settings.locations),
+        Member("young", router_settings.location, weight=6.0, started_at=10.0),
+        Member("ahead", router_settings.location, weight=6.0, started_at=10.5),  # its clock is ahead
+        Member("young-parent", router_settings.locations[0], Role.PARENT, weight=9.0, started_at=10.0),
         Member("other", "elsewhere", next(iter(roles.values()), Role.EDGE), weight=0.0),
     ]
     router.handle(Membership(MembershipKind.REMEMBERED, tuple(members)), 10.1)
-    results, dice = itertools.cycle(AttemptResult), random.Random(7)
+    results, rng = itertools.cycle(AttemptResult), random.Random(7)
     pending: list[Action] = []
     count, now = 0, 10.1
     for number in range(24):
         now += 0.05
-        cls = [*reported.classes][number % len(reported.classes)].name
+        cls = [*router_settings.classes][number % len(router_settings.classes)].name
         size = 250.0 if number % 3 else 0.0
         pending += router.handle(
             Arrival(f"q{number}", 0.9, cls, f"o{number % 4}", number % 2, number % 3, size), now
@@ -545,7 +545,7 @@
                 attempt = attempts.get(fetch.request_id, -1) + 1
                 attempts[fetch.request_id] = attempt
                 result = next(results)
-                wait = dice.choice((0.001, 0.2, 0.8))
+                wait = rng.choice((0.001, 0.2, 0.8))
                 ended = Outcome(
                     fetch.request_id,
                     attempt,
@@ -553,7 +553,7 @@
                     result,
                     wait,
                     result is AttemptResult.OK,
-                    dice.choice(list(CacheStatus)),
+                    rng.choice(list(CacheStatus)),
                     size_kb=size,
                 )
                 pending += router.handle(ended, now + wait)
@@ -561,7 +561,7 @@
                 pending += router.handle(TimerFired(timer.token), max(now, min(timer.at, now + 1.0)))
         router.handle(Purged("o1", -1, 0.1) if number % 2 else Purged("", 1, 0.1), now)
         router.handle(ClientDisconnected(f"q{number}"), now)
-    drained = Member("edge-0", reported.location, state=ServerState.DRAINING)
+    drained = Member("edge-0", router_settings.location, state=ServerState.DRAINING)
     router.handle(Membership(MembershipKind.CHANGES, (drained,)), now)
     router.handle(Membership(MembershipKind.REJECTED), now)
     router.handle(Arrival("last", 0.9, "unknown class", "o9"), now)
@@ -570,31 +570,32 @@
 
 @pytest.mark.parametrize("raw", SHAPES, ids=["hubs", "no hubs"])
 def test_valid_settings_make_a_router_that_handles_all_events(raw: Json) -> None:
-    """Both valid objects give a Router that lives through the stream of events."""
-    assert run_all_events(read_settings(raw), kind_roles(raw)) > 24  # there are second attempts among them
+    """A Router with either of the valid objects handles the whole sequence of events."""
+    # More attempts than the 24 requests: some have a second attempt.
+    assert run_all_events(read_settings(raw), kind_roles(raw)) > 24
 
 
 @settings(
     max_examples=400, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.data_too_large]
 )
-@given(spot=st.sampled_from(SPOTS), value=st.just(DELETED) | VALUES)
-def test_any_change_is_rejected_or_works(spot: tuple[Json, Path], value: object) -> None:
-    """A value deleted or replaced is reported by its path, or the Router and its limits work."""
-    raw, path = spot
+@given(position=st.sampled_from(ALL_PATHS), value=st.just(DELETED) | VALUES)
+def test_any_change_is_rejected_or_works(position: tuple[Json, Path], value: object) -> None:
+    """If a value is deleted or replaced, an error names its path, or the Router and its limits work."""
+    raw, path = position
     mutated = changed(raw, (path, value))
     try:
-        reported, roles = read_settings(mutated), kind_roles(mutated)
+        router_settings, roles = read_settings(mutated), kind_roles(mutated)
     except SettingsError as fault:
         assert str(fault).startswith(fault.path)
         assert fault.path.startswith("settings")
         assert len(str(fault)) < 300
         assert str(fault).isprintable()
         return
-    Limits().with_settings(reported).with_kill_deadline(reported)
-    run_all_events(reported, roles)
+    Limits().with_settings(router_settings).with_kill_deadline(router_settings)
+    run_all_events(router_settings, roles)
 
 
 def test_settings_parsed_from_json_text_are_the_same() -> None:
-    """The objects above are JSON: nothing depends on types of Python that JSON lacks."""
+    """The objects above do not depend on Python types that JSON does not have."""
     for raw in SHAPES:
         assert read_settings(json.loads(json.dumps(raw))) == read_settings(raw)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The wire adapter, on wire text written for these tests."""
+"""The simulator's program as a subprocess, with input written for these tests."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         "GoneEverywhereS": 6.0,
     },
 }
-LISTING = """MEMBERSHIP I=1 Kind=remembered Index=1 Members=3
+MEMBERSHIP_LINES = """MEMBERSHIP I=1 Kind=remembered Index=1 Members=3
 CACHE Cache=1.1.1.1:1 Campus=rim GenerationHw=box Availability=SERVING CapacityHint=4
 CACHE Cache=2.2.2.2:2 Campus=mid GenerationHw=up Availability=SERVING CapacityHint=9
 CACHE Cache=3.3.3.3:3 Campus=mid GenerationHw=store Availability=SERVING CapacityHint=1
@@ -39,14 +39,17 @@
 
 
 def launch(**changes: Any) -> str:
-    return f"LAUNCH I=1 InitSeed=7 Config={json.dumps({**CONFIG, **changes})}\n{LISTING}"
+    """Return the lines that start an instance and list its servers; changes: of the configuration."""
+    return f"LAUNCH I=1 InitSeed=7 Config={json.dumps({**CONFIG, **changes})}\n{MEMBERSHIP_LINES}"
 
 
 def batch(number: int, events: str, at: float = 1.0) -> str:
+    """Return the lines of a batch of events."""
     return f"MARK TimeS={at} n={number}\n{events}COMMIT\n\n"
 
 
-def talk(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_simulator(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+    """Run the program on an input until it exits."""
     return subprocess.run(
         [sys.executable, "-m", "brackenlane.routing.simulator"],
         input=text,
@@ -61,7 +64,7 @@
 REQUEST = "INCOMING I=1 MsgId=q{n} TimeLeftS=2.5 File=h:a{n} Segment=0 Group=1 Band=clip SizeKb=200 Extra=9\n"
 
 
-def test_session_on_the_wire() -> None:
+def test_batches_are_answered_in_order() -> None:
     text = batch(0, "") + batch(1, launch()) + batch(2, REQUEST.format(n=1) + "STRANGE I=1 What=a b=c\n")
     text += batch(
         3,
@@ -70,10 +73,10 @@
         1.5,
     )
     text += batch(4, REQUEST.format(n=2), 2.0) + batch(5, "STOP I=1\n") + batch(6, REQUEST.format(n=3))
-    done = talk(text)
-    assert done.returncode == 0
-    assert done.stderr == ""
-    replies = re.split(r"EOR n=\d+\n", done.stdout)
+    completed = run_simulator(text)
+    assert completed.returncode == 0
+    assert completed.stderr == ""
+    replies = re.split(r"EOR n=\d+\n", completed.stdout)
     assert replies[0] == replies[1] == replies[3] == replies[5] == replies[6] == ""
     assert "FETCH_THROUGH I=1 MsgId=q1 Cache=1.1.1.1:1 PatienceS=2.500000 Supplier=2.2.2.2:2" in replies[2]
     assert "SET_TIMER I=1 Handle=1 AtS=3.500000" in replies[2]
@@ -83,7 +86,7 @@
 def test_same_actions_under_any_hash_seed() -> None:
     requests = "".join(REQUEST.format(n=n) for n in range(300))
     text = batch(1, launch()) + batch(2, requests)
-    assert talk(text, "1").stdout == talk(text, "2").stdout != ""
+    assert run_simulator(text, "1").stdout == run_simulator(text, "2").stdout != ""
 
 
 @pytest.mark.parametrize(
@@ -107,11 +110,11 @@
     ],
 )
 def test_unreadable_input_ends_with_one_line_and_no_partial_reply(text: str, reported: str) -> None:
-    done = talk(text)
-    assert done.returncode != 0
-    assert reported in done.stderr
-    assert done.stderr.count("\n") == 1
-    assert done.stdout == "" or done.stdout.endswith("EOR n=1\n")
+    completed = run_simulator(text)
+    assert completed.returncode != 0
+    assert reported in completed.stderr
+    assert completed.stderr.count("\n") == 1
+    assert completed.stdout == "" or completed.stdout.endswith("EOR n=1\n")
 
 
 def test_failed_decision_is_reported_as_an_exception_of_its_instance(monkeypatch: pytest.MonkeyPatch) -> None:
