--- a/brackenlane/core/__init__.py
+++ b/brackenlane/core/__init__.py
@@ -1,5 +1,5 @@
-"""The actor around the `Router`: it owns pending requests, their attempts, timers and cached responses.
+"""The actor that runs the `Router`: it owns pending requests, their attempts, timers and cached responses.
 
-It never picks a server and knows no wire protocol; fronts hand requests in, connection pools report attempts.
-Entry point: `engine.RequestEngine`.
+It never picks a server and implements no wire protocol: fronts submit requests, and connection pools report
+the results of attempts. Entry point: `engine.RequestEngine`.
 """
--- a/brackenlane/core/action_executor.py
+++ b/brackenlane/core/action_executor.py
@@ -1,4 +1,4 @@
-"""The executor of a router's actions: attempts, cancellations, timers and final answers without a body."""
+"""Executes the actions of a router: starts and cancels attempts, sets timers, rejects or fails requests."""
 
 from __future__ import annotations
 
@@ -15,28 +15,33 @@
 
 log = logging.getLogger(__name__)
 
-# Passes an attempt to the connections of its server; false if it was not accepted.
-PlaceAttempt = Callable[[Attempt], bool]
+# Passes an attempt to the connection pool of its server. Returns whether the pool accepted it.
+DispatchAttempt = Callable[[Attempt], bool]
 
 
 class ActionExecutor:
-    """Performs actions on the request table, the timers and the connection pools; it decides nothing.
+    """Applies actions to the request table, the timers and the connection pools; it makes no decisions.
 
-    What it starts reports back by `post`, as a message of its own after the decision in progress.
+    Results of what it starts come back through `post`, as separate messages that are processed after the
+    current decision.
     """
 
     def __init__(
-        self, requests: RequestTable, timers: Timers, place: PlaceAttempt, post: Callable[[Message], None]
+        self,
+        requests: RequestTable,
+        timers: Timers,
+        dispatch: DispatchAttempt,
+        post: Callable[[Message], None],
     ) -> None:
         self._requests = requests
         self._timers = timers
-        self._place = place
+        self._dispatch = dispatch
         self._post = post
 
     def execute(self, action: Action, now: float, router: Router, default_hold_off: float) -> None:
-        """Perform one action of a router.
+        """Execute one action of a router.
 
-        default_hold_off: seconds after which a rejected client may retry, where the action names no time.
+        default_hold_off: seconds after which a rejected client may retry if the action does not specify it.
         """
         match action:
             case Fetch():
@@ -59,19 +64,19 @@
         attempt = Attempt(request, len(request.attempts), fetch, now)
         would_run_twice = request.must_run_once and request.may_have_run
         request.attempts.append(attempt)
-        if would_run_twice or not self._is_placed(attempt):
+        if would_run_twice or not self._try_dispatch(attempt):
             self._post(AttemptEnded(attempt, AttemptReply(AttemptResult.NEVER_SENT)))
 
-    def _is_placed(self, attempt: Attempt) -> bool:
-        """Pass an attempt to its server's connections; whether they will report its end."""
+    def _try_dispatch(self, attempt: Attempt) -> bool:
+        """Pass an attempt to the connection pool; return whether the pool will report its result."""
         try:
-            return self._place(attempt)
-        except Exception:  # a fault of one attempt must not stop the processing of other messages
-            log.exception("attempt for request %s not placed", attempt.fetch.request_id)
+            return self._dispatch(attempt)
+        except Exception:  # an error in one attempt must not stop the processing of other messages
+            log.exception("dispatching an attempt of request %s failed", attempt.fetch.request_id)
             return attempt.written
 
     def _cancel(self, action: Cancel) -> None:
-        # Directly, not by the server's queue of attempts, where it could wait behind others.
+        # Bypasses the server's attempt queue, where the cancellation could wait behind other attempts.
         request = self._requests.find(action.request_id)
         if request is None or action.attempt >= len(request.attempts):
             return
@@ -85,7 +90,7 @@
         if request is None:
             return
         if request.must_run_once and request.may_have_run:
-            # A rejection invites a retry, which could run it twice.
+            # A rejected client retries, and the request could then run twice.
             answer = Answer(Disposition.FAILED)
         else:
             answer = Answer(Disposition.REJECTED, hold_off=action.hold_off or default_hold_off)
--- a/brackenlane/core/cached_responses.py
+++ b/brackenlane/core/cached_responses.py
@@ -1,55 +1,55 @@
-"""Answers from the response cache, where the site has one configured."""
+"""Answers requests from the response cache, if one is configured."""
 
 from __future__ import annotations
 
 from brackenlane.core.requests import Answer, Disposition, PendingRequest
-from brackenlane.core.response_cache import Copy, ResponseCache
+from brackenlane.core.response_cache import CacheEntry, ResponseCache
 from brackenlane.routing.events import Purged
 
 
 class CachedResponses:
-    """Owner of the optional response cache; without one nothing is stored and nothing is found."""
+    """Wraps the optional response cache; if there is none, nothing is stored and every lookup fails."""
 
     def __init__(self, cache: ResponseCache | None) -> None:
         self._cache = cache
 
     @property
     def is_enabled(self) -> bool:
-        """Whether there is a response cache, so that a response may be in it."""
+        """Whether a response cache is configured."""
         return self._cache is not None
 
-    def holds(self, cls: str, copy: str) -> bool:
-        """Whether a response is stored; `copy` is the cache key of one part of an object."""
-        return self._cache is not None and self._cache.holds(cls, copy)
+    def holds(self, cls: str, cache_key: str) -> bool:
+        """Whether a response is stored; `cache_key` identifies one part of an object."""
+        return self._cache is not None and self._cache.holds(cls, cache_key)
 
     def set_share(self, share: float) -> None:
-        """Use this share (0 to 1) of the configured capacity from now on."""
+        """Limit the cache to a share (0 to 1) of the configured capacity."""
         if self._cache:
             self._cache.set_capacity(share * self._cache.max_capacity)
 
     def replace(self, cache: ResponseCache | None) -> None:
-        """Use another cache, or none; it takes over the share of its capacity that may be used."""
+        """Replace the cache; None disables it. The current capacity share applies to the new cache too."""
         if cache and self._cache:
             cache.set_capacity(cache.max_capacity * self._cache.share)
         self._cache = cache
 
-    def answer(self, request: PendingRequest, now: float) -> Answer | None:
-        """Return the answer by a stored response, which spares the caches a request; None without one."""
+    def find_answer(self, request: PendingRequest, now: float) -> Answer | None:
+        """Return an answer built from a stored response, so that no cache has to be asked; None if absent."""
         if self._cache is None or request.connect_only:
             return None
-        copy = self._cache.find(request.arrival, request.tag, now)
-        if copy is None:
+        entry = self._cache.find(request.arrival, request.tag, now)
+        if entry is None:
             return None
-        if copy.tag == request.tag:
-            return Answer(Disposition.UNCHANGED, tag=copy.tag)
-        return Answer(Disposition.SERVED, copy.body, copy.tag)
+        if entry.tag == request.tag:
+            return Answer(Disposition.UNCHANGED, tag=entry.tag)
+        return Answer(Disposition.SERVED, entry.body, entry.tag)
 
-    def store(self, copy: Copy) -> None:
-        """Store a response."""
+    def store(self, entry: CacheEntry) -> None:
+        """Store a response if a cache is configured."""
         if self._cache:
-            self._cache.store(copy)
+            self._cache.store(entry)
 
     def purge(self, event: Purged, now: float) -> None:
-        """Drop what a purge covers."""
+        """Remove the stored responses that a purge covers."""
         if self._cache:
             self._cache.purge(event, now)
--- a/brackenlane/core/claims.py
+++ b/brackenlane/core/claims.py
@@ -1,4 +1,4 @@
-"""The interface by which a front claims a submit, so that only one router of a site runs it."""
+"""Interface for claiming a submit (a non-idempotent write), so that only one router of a site runs it."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class ClaimResult(Enum):
-    """Whether this process may run a submit."""
+    """Result of a claim: whether this process may run the submit."""
 
-    OURS = "ours"
-    TAKEN = "taken"  # claimed before: it may have run
-    UNKNOWN = "unknown"  # the store cannot tell: it must not run
+    OURS = "ours"  # claimed by this call: this process may run the submit
+    TAKEN = "taken"  # already claimed: the submit may have run
+    UNKNOWN = "unknown"  # the store is unavailable: the submit must not run
 
 
 class ClaimStore(Protocol):
-    """Idempotency claims, by the id of a submit."""
+    """Stores claims by the transaction id of a submit."""
 
     async def claim(self, txn: str) -> ClaimResult:
-        """Claim a submit before it runs."""
+        """Claim a submit; to be called before it runs."""
 
     async def release(self, txn: str) -> None:
-        """Release the claim of a submit that has provably not run."""
+        """Release the claim of a submit that is proven not to have run."""
--- a/brackenlane/core/engine.py
+++ b/brackenlane/core/engine.py
@@ -1,7 +1,8 @@
 """The request engine: the actor that owns a process's routers, pending requests, timers and cached responses.
 
-Messages come in by one mailbox; answers go out by the callback of each request, attempts to the connection
-pools. It knows no wire protocol: id, entity tag and body of a request are passed on unread.
+Messages arrive through one mailbox. Answers are delivered through the callback of each request, and attempts
+are passed to the connection pools. The engine implements no wire protocol: it does not interpret the client's
+id, entity tag or body of a request.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import trio
 
 from brackenlane.clock import steady_time
-from brackenlane.core.action_executor import PlaceAttempt
+from brackenlane.core.action_executor import DispatchAttempt
 from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.mailbox import Mailbox
 from brackenlane.core.membership_view import MembershipView
@@ -24,16 +25,16 @@
 
 
 class RequestEngine:
-    """The interface of fronts, connection pools and subsystems to the requests of this process.
+    """The interface through which fronts, connection pools and subsystems access this process's requests.
 
-    Only `run` and `request` wait; every other method returns once its message has been processed or queued
-    behind the one in progress.
+    Only `run` and `request` block. Every other method returns once its message is processed, or queued if
+    another message is being processed.
     """
 
     def __init__(
         self,
         config: EngineConfig,
-        place: PlaceAttempt,
+        dispatch: DispatchAttempt,
         clock: Callable[[], float] = steady_time,
         on_result: ResultObserver | None = None,
     ) -> None:
@@ -42,14 +43,16 @@
         self._clock = clock
         self.membership = MembershipView(config.settings)
         self.timers = Timers(clock)
-        self._processor = MessageProcessor(config, self.membership, self.timers, place, self.post, on_result)
+        self._processor = MessageProcessor(
+            config, self.membership, self.timers, dispatch, self.post, on_result
+        )
         self._mailbox = Mailbox(self._processor.receive)
         self.routers = self._processor.routers
         self.cached_responses = self._processor.cached_responses
         self._request_numbers = itertools.count()
 
     def new_id(self) -> str:
-        """Return an id for the router that no other request has, whatever ids clients use."""
+        """Return a request id that is unique in this process; it does not depend on the clients' ids."""
         return f"q{next(self._request_numbers)}"
 
     @property
@@ -58,13 +61,13 @@
         return self._processor.requests.open_count
 
     def reconfigure(self, config: EngineConfig) -> None:
-        """Decide new requests by another configuration; open ones end under the one they arrived under."""
+        """Apply a new configuration to new requests; open requests finish under the one they started with."""
         self._processor.reconfigure(config, self._clock())
         self.settings = config.settings
         self._limits = config.limits
 
     def end_all(self) -> None:
-        """Answer all open requests now: rejected where a retry is harmless, else failed."""
+        """Finish all open requests now: reject those that are safe to retry, and fail the others."""
         for request in self._processor.requests.open_requests():
             request_id = request.arrival.request_id
             if request.is_idempotent or not request.may_have_run:
@@ -75,16 +78,16 @@
             self.post(ClientDisconnected(request_id))
 
     def submit(self, request: PendingRequest) -> None:
-        """Start a request; its `on_answer` is called with the final answer, perhaps before this returns."""
+        """Start a request. Its `on_answer` is called with the final answer, possibly before this returns."""
         self._mailbox.post(request)
 
     def withdraw(self, request: PendingRequest) -> None:
-        """Cancel a request whose client has disconnected, and its attempts."""
+        """Cancel a request whose client has disconnected, including its attempts."""
         request.on_answer = None
         self.post(ClientDisconnected(request.arrival.request_id))
 
     async def request(self, request: PendingRequest) -> Answer:
-        """Start a request and return its final answer; if cancelled, withdraw it."""
+        """Start a request and wait for its final answer; withdraw the request if this task is cancelled."""
         answered = trio.Event()
         request.on_answer = lambda _: answered.set()
         self.post(request)
@@ -97,13 +100,13 @@
         return request.answer
 
     def report(self, attempt: Attempt, reply: AttemptReply) -> None:
-        """Report how an attempt ended."""
+        """Report the result of an attempt."""
         self._mailbox.post(AttemptEnded(attempt, reply))
 
     def post(self, message: Message) -> None:
-        """Process a message, after the one in progress if there is one."""
+        """Process a message; if another one is being processed, queue it."""
         self._mailbox.post(message)
 
     async def run(self) -> None:
-        """Serve the timers until cancelled."""
+        """Run the timers until cancelled."""
         await self.timers.run()
--- a/brackenlane/core/engine_config.py
+++ b/brackenlane/core/engine_config.py
@@ -1,4 +1,4 @@
-"""What a request engine is started or reconfigured with."""
+"""Configuration with which a request engine is started or reconfigured."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineConfig:
-    """Settings, limits and response cache that are in force together."""
+    """Settings, limits and response cache that are applied together."""
 
     settings: Settings
-    seed: int  # of the router's random numbers
+    seed: int  # seed of the router's random number generator
     limits: Limits
-    transfer_rate: float = 0.0  # bytes per second of one transfer; 0: not configured
+    transfer_rate: float = 0.0  # rate of one transfer in bytes per second; 0: not configured
     response_cache: ResponseCache | None = None
--- a/brackenlane/core/mailbox.py
+++ b/brackenlane/core/mailbox.py
@@ -1,4 +1,4 @@
-"""The mailbox of an actor whose messages are processed by whoever posts them, one at a time."""
+"""The mailbox of an actor; messages are processed one at a time, in the task that posts them."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Mailbox(Generic[T]):
-    """A queue of messages that runs each to completion, without a task switch.
+    """A queue whose messages are each processed to completion, without a task switch.
 
-    A message posted while another is processed waits for its turn, so the receiver is never entered twice.
+    A message posted while another is being processed is queued, so the receiver is never called recursively.
     """
 
     def __init__(self, receive: Callable[[T], None]) -> None:
@@ -21,9 +21,9 @@
         self._is_processing = False
 
     def post(self, message: T) -> None:
-        """Add a message, then process the queue unless a caller further up the stack does so already.
+        """Add a message, then process the queue unless a caller further up the stack is already doing so.
 
-        Raises what the receiver raises; messages behind the failed one wait for the next `post`.
+        Exceptions of the receiver propagate; messages queued after the failed one wait for the next `post`.
         """
         self._queue.append(message)
         if self._is_processing:
--- a/brackenlane/core/membership_view.py
+++ b/brackenlane/core/membership_view.py
@@ -1,4 +1,4 @@
-"""The caches and purges as notified so far, for the last check before an attempt is written."""
+"""The caches and purges received so far, used for the last check before an attempt is written."""
 
 from __future__ import annotations
 
@@ -10,36 +10,37 @@
 from brackenlane.routing.members import Member, ServerState
 from brackenlane.routing.settings import RequestClass, Settings
 
-EXPIRY_INTERVAL = 64  # purges are expired whenever their count is a multiple of this
-MIN_AGE_LIMIT = 0.001  # seconds; 0 would mean that there is no limit
-NO_GROUP = -1  # of a purge of one object
+PURGES_PER_EXPIRY = 64  # old purges are removed when the number of purges is a multiple of this
+MIN_AGE_LIMIT = 0.001  # seconds; not 0, which means no limit
+NO_GROUP = -1  # group number in a purge event that covers one object
 
 
-def _no_updates() -> None:
-    """Stand for an engine whose updates all come by its own mailbox."""
+def _no_pending_updates() -> None:
+    """Do nothing: default for an engine that receives all updates through its own mailbox."""
 
 
 class MembershipView:
-    """Members and recent purges; only the engine changes them, connection pools and fronts read them."""
+    """Caches and recent purges; changed only by the engine, read by connection pools and fronts."""
 
     def __init__(self, settings: Settings) -> None:
         self.members: dict[str, Member] = {}
-        # By object (text) or group (number): when the purge was made, by our clock and by the origin's.
+        # Time of the latest purge by object (str) or group (int): `purges` on this machine's clock, and
+        # `_purge_times_at_origin` on the origin's clock.
         self.purges: dict[str | int, float] = {}
-        self._stamps: dict[str | int, float] = {}
+        self._purge_times_at_origin: dict[str | int, float] = {}
         self.has_list = False  # whether a list of caches has been received
-        # Applies what another process of this router has received; called before each check.
-        self.catch_up: Callable[[], None] = _no_updates
+        # Applies updates that another process of this router has received; called before each check.
+        self.catch_up: Callable[[], None] = _no_pending_updates
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Use the times of other settings from now on; members and purges stay."""
-        # Twice the time by which a purge is at every cache, seconds: later it limits no age.
+        """Apply new settings; members and purges are kept."""
+        # Seconds during which a purge limits the age of copies: twice the time it needs to reach all caches.
         self._purge_lifetime = 2 * settings.purge_propagation_time
         self._age_resolution = settings.tick
 
     def apply(self, event: Membership | Purged, now: float) -> None:
-        """Follow one event; `now` is in Unix seconds."""
+        """Apply one event; `now` is in Unix seconds."""
         if isinstance(event, Purged):
             self._apply_purge(event, now)
         else:
@@ -50,11 +51,11 @@
         purged_at = now - event.age
         stamp = event.purged_at or purged_at
         self.purges[key] = max(purged_at, self.purges.get(key, purged_at))
-        self._stamps[key] = max(stamp, self._stamps.get(key, stamp))
-        if len(self.purges) % EXPIRY_INTERVAL == 0:
+        self._purge_times_at_origin[key] = max(stamp, self._purge_times_at_origin.get(key, stamp))
+        if len(self.purges) % PURGES_PER_EXPIRY == 0:
             oldest = now - self._purge_lifetime
             self.purges = {key: at for key, at in self.purges.items() if at > oldest}
-            self._stamps = {key: self._stamps[key] for key in self.purges}
+            self._purge_times_at_origin = {key: self._purge_times_at_origin[key] for key in self.purges}
 
     def _apply_membership(self, event: Membership) -> None:
         if event.kind is not MembershipKind.CHANGES:
@@ -67,33 +68,33 @@
         self.has_list = True
 
     def purge_events(self, now: float) -> Iterator[Purged]:
-        """Iterate over the purges as events, for a router that has received none yet."""
+        """Iterate over the recent purges as events, to initialize a new router."""
         for key, purged_at in self.purges.items():
             age = max(0.0, now - purged_at)
-            stamp = self._stamps[key]
+            stamp = self._purge_times_at_origin[key]
             if isinstance(key, str):
                 yield Purged(key, NO_GROUP, age, stamp)
             else:
                 yield Purged("", key, age, stamp)
 
     def is_serving(self, server: str) -> bool:
-        """Whether new work may go to a server."""
+        """Whether new requests may be sent to a server."""
         member = self.members.get(server)
         return member is not None and member.state is ServerState.SERVING
 
     def allows(self, fetch: Fetch) -> bool:
-        """Whether the server and the fill source of an attempt still serve, as far as any process here knows.
+        """Whether the server and the fill source of an attempt are both still in service.
 
-        A drain may have been received while the attempt was queued. The rule of the site allows more time
-        after the update; none of it is used.
+        Updates received by any process of this router count. A drain may have been received while the attempt
+        was queued. The site permits some time to follow an update, but a drain is applied at once.
         """
         self.catch_up()
         return self.is_serving(fetch.server) and self.is_serving(fetch.source)
 
     def max_age(self, fetch: Fetch, request: Arrival, now: float) -> float:
-        """Return the age limit of an attempt in seconds, tightened by purges received since it was decided.
+        """Return the maximum age in seconds of a copy that an attempt may return; 0 means no limit.
 
-        0 means no limit.
+        Purges received since the attempt was decided lower the limit.
         """
         limit = fetch.max_age or math.inf
         for key in (request.obj, request.group):
@@ -103,17 +104,20 @@
         return 0.0 if limit == math.inf else limit
 
     def is_purged(self, request: Arrival, issued: float) -> bool:
-        """Whether a copy issued by the origin at this Unix time is older than a recent purge of it.
+        """Whether a copy that the origin issued at this Unix time is older than a recent purge of it.
 
-        Both are times of the origin's clock: what ours says has no part in it.
+        Both times are on the origin's clock, so this machine's clock does not affect the result.
         """
-        return any(issued <= self._stamps.get(key, -math.inf) for key in (request.obj, request.group))
+        return any(
+            issued <= self._purge_times_at_origin.get(key, -math.inf) for key in (request.obj, request.group)
+        )
 
     @staticmethod
     def is_too_old(cls: RequestClass | None, issued: float, sent: float, clock_tolerance: float) -> bool:
-        """Whether a copy is older than its class may ever be served, whatever the cache says of it.
+        """Whether a copy exceeds the maximum age of its class, even if the cache reported it as usable.
 
-        issued, sent: Unix seconds of the issue by the origin and of the request; clock_tolerance: seconds.
+        issued: Unix time at which the origin issued the copy; sent: Unix time at which the request was sent;
+        clock_tolerance: seconds.
         """
         if cls is None or not cls.fresh_for:
             return False
--- a/brackenlane/core/message_processor.py
+++ b/brackenlane/core/message_processor.py
@@ -1,11 +1,11 @@
-"""The processor of the engine's messages: each becomes an event of a router, whose actions are executed."""
+"""Processes the engine's messages: passes each to a router as an event and executes the router's actions."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
-from brackenlane.core.action_executor import ActionExecutor, PlaceAttempt
+from brackenlane.core.action_executor import ActionExecutor, DispatchAttempt
 from brackenlane.core.cached_responses import CachedResponses
 from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.membership_view import MembershipView
@@ -13,7 +13,7 @@
 from brackenlane.core.outcomes import OutcomeTranslator
 from brackenlane.core.request_table import RequestTable
 from brackenlane.core.requests import Answer, Attempt, AttemptReply, Disposition, PendingRequest
-from brackenlane.core.response_cache import Copy
+from brackenlane.core.response_cache import CacheEntry
 from brackenlane.core.router_set import RouterSet
 from brackenlane.core.timers import Timers
 from brackenlane.routing import Router
@@ -28,13 +28,13 @@
 
 log = logging.getLogger(__name__)
 
-ResultObserver = Callable[[str, AttemptResult], None]  # called with server and result of each attempt
+ResultObserver = Callable[[str, AttemptResult], None]  # called with the server and the result of each attempt
 
 
 class MessageProcessor:
     """Connects the request table, the routers, the response cache and the action executor.
 
-    `receive` must not be entered while it runs; what it causes is posted and comes as a later message.
+    `receive` is not reentrant: the effects of a message are posted as later messages.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         config: EngineConfig,
         membership: MembershipView,
         timers: Timers,
-        place: PlaceAttempt,
+        dispatch: DispatchAttempt,
         post: Callable[[Message], None],
         on_result: ResultObserver | None,
     ) -> None:
@@ -53,13 +53,13 @@
         self.routers = RouterSet(config.settings, config.seed)
         self.requests = RequestTable(timers, self.routers.remove_idle)
         self.cached_responses = CachedResponses(config.response_cache)
-        self._executor = ActionExecutor(self.requests, timers, place, post)
+        self._executor = ActionExecutor(self.requests, timers, dispatch, post)
         self._apply(config)
 
     def reconfigure(self, config: EngineConfig, now: float) -> None:
-        """Decide new requests by another configuration, with nothing learned under the last.
+        """Apply a new configuration to new requests; the new router starts without learned state.
 
-        A fault in the configuration is raised before anything has changed.
+        An invalid configuration raises an exception before anything is changed.
         """
         router = Router(config.settings, config.seed)
         members = tuple(self._membership.members.values())
@@ -72,7 +72,7 @@
         self._apply(config)
 
     def _apply(self, config: EngineConfig) -> None:
-        """Take over what is read from a configuration with each message."""
+        """Store the parts of a configuration that are needed for each message."""
         self._limits = config.limits
         self._classes = {cls.name: cls for cls in config.settings.classes}
         self._translator = OutcomeTranslator(
@@ -95,19 +95,19 @@
                 self._inform_routers(message, now)
 
     def _start(self, request: PendingRequest, now: float) -> None:
-        """Answer a request by the response cache, or have it decided by the current router."""
-        if answer := self.cached_responses.answer(request, now):
+        """Answer a request from the response cache, or pass it to the current router."""
+        if answer := self.cached_responses.find_answer(request, now):
             request.finish(answer)
             return
         request.cls = request.cls or self._classes.get(request.arrival.cls)
         request.router = self.routers.current
-        # A request that the router forgets must be answered all the same.
+        # Ensures that the request is answered even if the router never finishes it.
         expires_at = request.deadline + self._limits.decision_grace
         self.requests.add(request, expires_at, self._expire)
         self._decide(request.arrival, now, request.router)
 
     def _expire(self, request_id: str) -> None:
-        """Fail a request that no decision has ended by its deadline."""
+        """Fail a request for which the router has made no final decision by its deadline."""
         if self.requests.find_open(request_id) is None:
             return
         log.warning("request %s failed: no decision by its deadline", request_id)
@@ -115,7 +115,7 @@
         self._post(ClientDisconnected(request_id))
 
     def _disconnect(self, event: ClientDisconnected, now: float) -> None:
-        """End a request without an answer, if it is open."""
+        """Finish an open request without an answer."""
         request = self.requests.find_open(event.request_id)
         if request is None:
             return
@@ -123,7 +123,7 @@
         self._decide(event, now, request.router)
 
     def _inform_routers(self, event: Event, now: float) -> None:
-        """Apply an event about the caches to membership view and response cache, then to all routers."""
+        """Apply an event about the caches to the membership view, the response cache and all routers."""
         if isinstance(event, (Membership, Purged)):
             self._membership.apply(event, now)
         if isinstance(event, Purged):
@@ -132,7 +132,7 @@
             self._decide(event, now, router)
 
     def _end_attempt(self, attempt: Attempt, reply: AttemptReply, now: float) -> None:
-        """Record the reply of an attempt, answer its request if it is good, and inform the router."""
+        """Record the reply to an attempt, answer the request if it succeeded, and inform the router."""
         request = attempt.request
         request_id = attempt.fetch.request_id
         attempt.reply = reply
@@ -146,25 +146,25 @@
         self.requests.remove_if_done(request_id)
 
     def _store_response(self, request: PendingRequest, reply: AttemptReply, now: float) -> None:
-        """Store the response of a cache that names its time of issue, unless a purge covers it."""
+        """Store a response that carries its time of issue, unless a purge covers it."""
         if not self.cached_responses.is_enabled or not reply.issued or reply.unchanged:
             return
         earliest_issue = reply.issued - self._limits.clock_tolerance
         if not self._membership.is_purged(request.arrival, earliest_issue):
-            self.cached_responses.store(Copy(request.arrival, reply.body, reply.tag, reply.issued, now))
+            self.cached_responses.store(CacheEntry(request.arrival, reply.body, reply.tag, reply.issued, now))
 
     def _serve(self, attempt: Attempt, reply: AttemptReply) -> None:
-        """Give the request of an attempt its final answer, unless it has one."""
+        """Finish the request of an attempt with its reply, unless the request is already finished."""
         disposition = Disposition.UNCHANGED if reply.unchanged else Disposition.SERVED
         answer = Answer(disposition, reply.body, reply.tag, server=attempt.fetch.server)
         self.requests.finish(attempt.fetch.request_id, answer)
 
     def _decide(self, event: Event, now: float, router: Router | None) -> None:
-        """Have a router handle an event, and execute its actions."""
-        assert router is not None  # set by `_start` before a request is seen by anything else
+        """Pass an event to a router and execute the actions that it returns."""
+        assert router is not None  # set by `_start` before any other code can access the request
         try:
             actions = router.handle(event, now)
-        except Exception:  # a fault in one decision must not end all other requests
+        except Exception:  # an error in one decision must not affect other requests
             log.exception("router failed on %r", event)
             self.requests.finish(getattr(event, "request_id", ""), Answer(Disposition.FAILED))
             return
--- a/brackenlane/core/messages.py
+++ b/brackenlane/core/messages.py
@@ -1,4 +1,4 @@
-"""The messages that the request engine receives by its mailbox."""
+"""The messages that the request engine receives through its mailbox."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptEnded:
-    """The end of an attempt, reported by whoever performed it."""
+    """The end of an attempt, reported by the component that performed it."""
 
     attempt: Attempt
     reply: AttemptReply
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class RouterTimerFired:
-    """A timer that one router has set and that is due; no other router sees the event."""
+    """A timer set by a router is due; only that router receives the event."""
 
     router: Router
     event: TimerFired
--- a/brackenlane/core/metrics.py
+++ b/brackenlane/core/metrics.py
@@ -1,7 +1,7 @@
-"""Counters of requests since this process started, and their exposition as text.
+"""Counters of requests since this process started, and their exposition as text. Performs no I/O.
 
-Pure. The text is the Prometheus exposition format, version 0.0.4: a line for each sample, `# TYPE` before
-each name. The names in it (`gw_...`, `kind`) are fixed by its readers.
+The text is in the Prometheus exposition format, version 0.0.4: one line per sample, with a `# TYPE` line
+before each metric. Monitoring depends on the metric and label names (`gw_...`, `kind`); don't change them.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     served: int = 0
     rejected: int = 0
     failed: int = 0
-    attempts: int = 0  # written completely to caches
+    attempts: int = 0  # attempts that were written completely to a cache
 
 
 class RequestMetrics:
@@ -32,7 +32,7 @@
         self.counters = {name: ClassCounters() for name in classes}
 
     def reconfigure(self, classes: Iterable[str]) -> None:
-        """Count by these classes from now on; the counts of classes that stay go on."""
+        """Set the classes to count; classes that existed before keep their counts."""
         self.counters = {name: self.counters.get(name) or ClassCounters() for name in classes}
 
     def count_answer(self, cls: str, status: int) -> None:
@@ -55,15 +55,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Gauges:
-    """Figures of this moment."""
+    """Current values."""
 
     active: int = 0  # requests received and not yet answered
-    pool_size: int = 0  # servers on the list, parents and origin among them
-    pool_ejected: int = 0  # of these, taken out by hand or ejected by outlier detection
+    pool_size: int = 0  # listed servers, including parents and the origin
+    pool_ejected: int = 0  # listed servers taken out by an operator or ejected by outlier detection
 
 
 def expose(metrics: RequestMetrics, gauges: Gauges, faults: Mapping[str, int] | None = None) -> bytes:
-    """Return all figures as text. faults: counts since the start of what went wrong around this process."""
+    """Return all metrics as text. faults: counters of external faults since this process started, by name."""
     lines: list[str] = []
     for name, field in (("ok", "served"), ("shed", "rejected"), ("errors", "failed"), ("tries", "attempts")):
         lines.append(f"# TYPE gw_{name} counter")
@@ -79,5 +79,5 @@
 
 
 def _escape(value: str) -> str:
-    """Escape backslash, quote and line feed in the value of a label."""
+    """Escape backslashes, quotes and line feeds in a label value."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/brackenlane/core/request_table.py
+++ b/brackenlane/core/request_table.py
@@ -1,4 +1,4 @@
-"""The table of pending requests: which have no final answer yet, and which have active attempts."""
+"""The table of pending requests: those without a final answer, and those with active attempts."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class RequestTable:
-    """Owner of every request from its arrival until it is finished and its last attempt has ended.
+    """Holds each request from its arrival until it is finished and its last attempt has ended.
 
-    Bounded by the fronts: each of their connections has at most one open request.
+    Its size is bounded by the fronts: each client connection has at most one open request.
     """
 
     def __init__(self, timers: Timers, on_removed: Callable[[], None]) -> None:
@@ -25,11 +25,14 @@
         return sum(not request.is_finished for request in self._requests.values())
 
     def open_requests(self) -> list[PendingRequest]:
-        """Return the requests without a final answer, in their order of arrival."""
+        """Return the requests without a final answer, in order of arrival."""
         return [request for request in self._requests.values() if not request.is_finished]
 
     def add(self, request: PendingRequest, expires_at: float, on_expired: Callable[[str], None]) -> None:
-        """Add a request; `on_expired(request_id)` is called if it is open at `expires_at`, Unix seconds."""
+        """Add a request; `on_expired(request_id)` is called if it is still open at `expires_at`.
+
+        expires_at: Unix seconds.
+        """
         request_id = request.arrival.request_id
         self._requests[request_id] = request
         request.expiry_timer = self._timers.at(expires_at, on_expired, request_id)
@@ -39,14 +42,14 @@
         return self._requests.get(request_id)
 
     def find_open(self, request_id: str) -> PendingRequest | None:
-        """Return a request without a final answer; None if there is none of this id."""
+        """Return a request without a final answer; None if no open request has this id."""
         request = self._requests.get(request_id)
         if request is None or request.is_finished:
             return None
         return request
 
     def finish(self, request_id: str, answer: Answer | None) -> None:
-        """Give a request its final answer unless it has one; None if its client has disconnected."""
+        """Finish a request if it is open; `answer` is None if its client has disconnected."""
         request = self.find_open(request_id)
         if request is None:
             return
@@ -54,7 +57,7 @@
         self.remove_if_done(request_id)
 
     def remove_if_done(self, request_id: str) -> None:
-        """Remove a request that is finished, once none of its attempts is active."""
+        """Remove a request if it is finished and has no active attempts."""
         request = self._requests.get(request_id)
         if request is None or not request.is_finished or request.has_active_attempts:
             return
--- a/brackenlane/core/response_cache.py
+++ b/brackenlane/core/response_cache.py
@@ -1,4 +1,4 @@
-"""The response cache: objects stored in memory and served while the link to clients has capacity.
+"""The response cache: keeps objects in memory and serves them while the link to clients has capacity.
 
 Times are Unix seconds, sizes are bytes.
 """
@@ -11,36 +11,37 @@
 from brackenlane.routing.events import Arrival, Purged
 from brackenlane.routing.settings import RequestClass, Settings
 
-MAX_ENTRY_SHARE = 1 / 8  # of the capacity that one response may take
-# Share of the fresh time; past it a cache is asked, which then revalidates its own copy.
+MAX_ENTRY_SHARE = 1 / 8  # maximum share of the capacity that one response may occupy
+# Share of the fresh time for which an entry is served. After that a cache is asked, so that it revalidates
+# its own copy.
 USABLE_FRESHNESS = 0.8
-UNCHANGED_SIZE_DIVISOR = 20  # an answer without a body takes this part of its size on the link
-LINK_WAIT_SHARE = 1 / 8  # of the latency objective that an answer may wait for the link
+UNCHANGED_SIZE_DIVISOR = 20  # an answer without a body counts as this fraction of the body size on the link
+LINK_WAIT_SHARE = 1 / 8  # maximum wait for the link, as a share of the latency objective
 
 
 @dataclass(slots=True, frozen=True)
-class Copy:
-    """One part of an object, as a cache issued it."""
+class CacheEntry:
+    """One part of an object, as received from a cache."""
 
-    arrival: Arrival  # of the request that it was fetched for: object, part and group
+    arrival: Arrival  # the request that fetched it; identifies the object, part and group
     body: bytes
     tag: str  # entity tag
-    issued: float  # time at which the origin issued it, by the origin's clock
-    received_at: float  # by ours
+    issued: float  # time at which the origin issued it, on the origin's clock
+    received_at: float  # time at which this process received it, on this machine's clock
 
     def age(self, now: float) -> float:
-        """Return the seconds since the origin issued it: those since it came, and what it had then."""
+        """Return the seconds since the origin issued it: its age on receipt plus the time since then."""
         return now - self.received_at + max(0.0, self.received_at - self.issued)
 
     def is_covered_by(self, purge: Purged) -> bool:
-        """Whether a purge names its object, or its group if the purge names no object."""
+        """Whether a purge names this object or, if the purge names no object, its group."""
         if purge.obj:
             return self.arrival.obj == purge.obj
         return self.arrival.group == purge.group
 
 
 class ResponseCache:
-    """Responses by class and cache key, bounded in bytes; the least recently used is dropped first."""
+    """An LRU cache of responses by class and cache key, bounded in bytes."""
 
     def __init__(
         self,
@@ -52,8 +53,9 @@
     ) -> None:
         """Create an empty cache.
 
-        capacity: bytes; transfer_rate: bytes per second of one transfer; link_rate: bytes per second of all
-        transfers; clock_tolerance: seconds by which the clocks of two machines may differ.
+        capacity: bytes; transfer_rate: rate of one transfer in bytes per second; link_rate: rate of all
+        transfers together in bytes per second; clock_tolerance: seconds by which the clocks of two machines
+        may differ.
         """
         self.max_capacity = capacity
         self._capacity = capacity
@@ -61,9 +63,9 @@
         self._link_rate = link_rate
         self._clock_tolerance = clock_tolerance
         self._classes = {c.name: c for c in settings.classes if not c.uncached}
-        self._copies: OrderedDict[tuple[str, str], Copy] = OrderedDict()
+        self._entries: OrderedDict[tuple[str, str], CacheEntry] = OrderedDict()
         self._size = 0.0
-        self._link_free_at = 0.0  # when all that the link carries now has been sent
+        self._link_free_at = 0.0  # time at which the link will have sent all answers assigned to it
 
     @property
     def share(self) -> float:
@@ -71,62 +73,67 @@
         return self._capacity / self.max_capacity if self.max_capacity else 0.0
 
     def set_capacity(self, capacity: float) -> None:
-        """Store at most this many bytes from now on."""
+        """Set the maximum number of bytes; entries over it are evicted."""
         self._capacity = capacity
         self._evict()
 
-    def store(self, copy: Copy) -> None:
-        """Store a copy, unless its class is not cached or it is too large."""
-        size = len(copy.body)
-        if copy.arrival.cls not in self._classes or not 0 < size <= self._capacity * MAX_ENTRY_SHARE:
+    def store(self, entry: CacheEntry) -> None:
+        """Store an entry, unless its class is not cacheable or it is too large."""
+        size = len(entry.body)
+        if entry.arrival.cls not in self._classes or not 0 < size <= self._capacity * MAX_ENTRY_SHARE:
             return
-        key = (copy.arrival.cls, copy.arrival.cache_key)
+        key = (entry.arrival.cls, entry.arrival.cache_key)
         self._drop(key)
-        self._copies[key] = copy
+        self._entries[key] = entry
         self._size += size
         self._evict()
 
-    def holds(self, cls: str, copy: str) -> bool:
-        """Whether a copy is stored; whether it may be served is decided by `find`.
+    def holds(self, cls: str, cache_key: str) -> bool:
+        """Whether an entry is stored; `find` decides whether it may be served.
 
-        copy: the cache key of one part of an object.
+        cache_key: identifies one part of an object.
         """
-        return (cls, copy) in self._copies
+        return (cls, cache_key) in self._entries
 
-    def find(self, request: Arrival, tag: str, now: float) -> Copy | None:
-        """Return the copy that serves a request in time by the link, counted as sent; None if there is none.
+    def find(self, request: Arrival, tag: str, now: float) -> CacheEntry | None:
+        """Return the entry for a request, and reserve the link for it.
 
-        tag: entity tag of the copy that the client holds, which needs no body if it is the same.
+        Returns None if there is no usable entry, or if the link is too busy to send it in time.
+
+        tag: entity tag of the client's copy; if it matches the entry, no body is sent.
         """
         key = (request.cls, request.cache_key)
         cls = self._classes.get(request.cls)
-        copy = self._copies.get(key)
-        if cls is None or copy is None:
+        entry = self._entries.get(key)
+        if cls is None or entry is None:
             return None
         usable_for = USABLE_FRESHNESS * cls.fresh_for - self._clock_tolerance
-        if cls.fresh_for and copy.age(now) > usable_for:
+        if cls.fresh_for and entry.age(now) > usable_for:
             self._drop(key)
             return None
-        size = len(copy.body)
-        sent_size = size / UNCHANGED_SIZE_DIVISOR if tag == copy.tag else size
+        size = len(entry.body)
+        sent_size = size / UNCHANGED_SIZE_DIVISOR if tag == entry.tag else size
         if not self._reserve_link(cls, sent_size, now):
             return None
-        self._copies.move_to_end(key)
-        return copy
+        self._entries.move_to_end(key)
+        return entry
 
     def purge(self, event: Purged, now: float) -> None:
-        """Drop every copy that a purge covers and that was issued before it."""
+        """Remove every entry that a purge covers and that was issued before the purge."""
         purged_at = (event.purged_at or now - event.age) + self._clock_tolerance
         stale = [
             key
-            for key, copy in self._copies.items()
-            if copy.issued <= purged_at and copy.is_covered_by(event)
+            for key, entry in self._entries.items()
+            if entry.issued <= purged_at and entry.is_covered_by(event)
         ]
         for key in stale:
             self._drop(key)
 
     def _reserve_link(self, cls: RequestClass, size: float, now: float) -> bool:
-        """Reserve the link if it sends this about as soon as a cache would; transfers share it in order."""
+        """Reserve the link for an answer if it would be sent about as soon as a cache could send it.
+
+        Answers share the link in order of reservation.
+        """
         free_at = max(self._link_free_at, now) + size / self._link_rate
         transfer_time = size / self._transfer_rate
         if free_at - now > transfer_time + cls.latency_objective * LINK_WAIT_SHARE:
@@ -136,8 +143,8 @@
 
     def _evict(self) -> None:
         while self._size > self._capacity:
-            self._drop(next(iter(self._copies)))
+            self._drop(next(iter(self._entries)))
 
     def _drop(self, key: tuple[str, str]) -> None:
-        if copy := self._copies.pop(key, None):
-            self._size -= len(copy.body)
+        if entry := self._entries.pop(key, None):
+            self._size -= len(entry.body)
--- a/brackenlane/core/stamp_ages.py
+++ b/brackenlane/core/stamp_ages.py
@@ -1,9 +1,9 @@
-"""Ages of other machines' Unix times, also where this machine's clock was wrong when the process started.
+"""Computes the age of timestamps from other machines, even if this machine's clock was wrong at startup.
 
-The delay between a stamp and its arrival here is its true age plus what the clocks differ by. The least delay
-seen so far bounds that difference, so a delay less the least one is never more than the true age. A stamp
-from the future (the other clock was stepped, or ours is behind) corrects nothing: it must not make later ones
-seem old.
+The difference between a timestamp and its arrival time here is its true age plus the offset between the two
+clocks. The smallest difference seen so far is an upper bound of that offset, so subtracting it from a later
+difference never gives more than the true age. A timestamp in the future (the other clock was stepped, or this
+one is behind) is not used for the correction: it would make later timestamps seem too old.
 """
 
 from __future__ import annotations
@@ -12,13 +12,16 @@
 
 
 class StampAges:
-    """Ages of the stamps of one source, each at most the true one."""
+    """Estimates the ages of timestamps from one source; an estimate never exceeds the true age."""
 
     def __init__(self) -> None:
-        self._least_delay = math.inf
+        self._min_difference = math.inf
 
-    def age(self, stamp: float, now: float) -> float:
-        """Return the least age in seconds that a stamp can have. stamp, now: Unix times of two machines."""
-        delay = now - stamp
-        self._least_delay = min(self._least_delay, delay)
-        return max(0.0, delay - max(0.0, self._least_delay))
+    def age(self, timestamp: float, now: float) -> float:
+        """Return a lower bound of a timestamp's age in seconds.
+
+        timestamp, now: Unix times on the clocks of the source and of this machine.
+        """
+        difference = now - timestamp
+        self._min_difference = min(self._min_difference, difference)
+        return max(0.0, difference - max(0.0, self._min_difference))
--- a/brackenlane/core/timers.py
+++ b/brackenlane/core/timers.py
@@ -1,4 +1,4 @@
-"""Timers of one process: a heap of calls served by one task, without a task or a cancel scope for each."""
+"""Timers of one process: a heap of calls run by a single task, without a task or cancel scope per timer."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 log = logging.getLogger(__name__)
 
-BATCH_INTERVAL = 0.004  # seconds between two rounds, so that calls come in batches
+BATCH_INTERVAL = 0.004  # seconds between two rounds, so that calls are made in batches
 
 
 class Timer:
-    """One call to make at a time."""
+    """A call scheduled for a point in time."""
 
     __slots__ = ("args", "call")
 
@@ -28,24 +28,24 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Cancel the call and release its arguments, which may hold a large answer, before the time comes."""
+        """Cancel the call and release its arguments immediately, since they may hold a large answer."""
         self.call = None
         self.args = ()
 
 
 class Timers:
-    """Calls at Unix times, made in their order; calls of the same time in the order they were added."""
+    """Calls scheduled for Unix times, made in order of time; ties are broken by order of insertion."""
 
     def __init__(self, clock: Callable[[], float] = steady_time) -> None:
         self.clock = clock
         self._heap: list[tuple[float, int, Timer]] = []
         self._numbers = itertools.count()
-        self.before_round: Callable[[], None] | None = None  # reads pending input before any call is made
+        self.before_round: Callable[[], None] | None = None  # reads pending input before calls are made
         self._sleep = trio.CancelScope()
-        self._wakes_at = -math.inf  # when the sleeping task wakes by itself; -inf while it is awake
+        self._wakes_at = -math.inf  # time until which the task sleeps; -inf while it is not sleeping
 
     def at(self, when: float, call: Callable[..., None], *args: Any) -> Timer:
-        """Call at a Unix time, or as soon after it as the event loop is free."""
+        """Schedule a call for a Unix time; it is made then, or as soon as the event loop is free."""
         timer = Timer(call, args)
         heapq.heappush(self._heap, (when, next(self._numbers), timer))
         if when < self._wakes_at:
@@ -62,29 +62,29 @@
                 continue
             try:
                 timer.call(*timer.args)
-            except Exception:  # a fault of one timer must not stop the others
-                log.exception("timer failed")
+            except Exception:  # an error in one timer must not stop the others
+                log.exception("timer callback failed")
 
     async def run(self) -> None:
-        """Make each call as it comes due, until cancelled."""
+        """Make each call when it is due, until cancelled."""
         while True:
             self._drop_cancelled()
             await self._sleep_until_due()
-            # Input that has come but is not read yet must be applied before calls that would find it late.
+            # Input that has arrived but was not read yet is applied first, so that no timeout fires for it.
             if self.before_round:
                 self.before_round()
             self.call_due(self.clock())
             await trio.sleep(BATCH_INTERVAL)
 
     def _drop_cancelled(self) -> None:
-        """Drop cancelled timers from the front of the heap."""
+        """Remove cancelled timers from the front of the heap."""
         while self._heap and self._heap[0][2].call is None:
             heapq.heappop(self._heap)
 
     async def _sleep_until_due(self) -> None:
-        """Sleep until the first call is due; `at` moves the deadline if an earlier one is added."""
+        """Sleep until the first call is due; `at` shortens the sleep if it adds an earlier call."""
         self._wakes_at = self._heap[0][0] if self._heap else math.inf
-        # The heap is on the Unix clock, which may be set: the wait is computed anew in each round.
+        # The heap is on the Unix clock, which may be set, so the wait is recomputed in each round.
         with trio.CancelScope() as self._sleep:
             wait = self._wakes_at - self.clock()
             self._sleep.deadline = trio.current_time() + max(0.0, wait)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The request engine without any wire: one final answer for each request, whatever router and caches do."""
+"""The request engine without network: each request gets exactly one answer, whatever router and caches do."""
 
 from __future__ import annotations
 
@@ -24,49 +24,50 @@
 
 
 class EngineHarness:
-    """An engine, and the attempts that it places."""
+    """An engine and the attempts that it dispatches."""
 
-    def __init__(self, place: Callable[[Attempt], bool] | None = None) -> None:
+    def __init__(self, dispatch: Callable[[Attempt], bool] | None = None) -> None:
         self.attempts: list[Attempt] = []
-        self.placed = trio.Event()
+        self.dispatched = trio.Event()
         self.engine = RequestEngine(
-            EngineConfig(settings(classes=(VIDEO, SUBMIT), max_attempts=3), 1, Limits()), place or self.place
+            EngineConfig(settings(classes=(VIDEO, SUBMIT), max_attempts=3), 1, Limits()),
+            dispatch or self.dispatch,
         )
 
-    def place(self, attempt: Attempt) -> bool:
-        """Accept an attempt as written to its cache."""
+    def dispatch(self, attempt: Attempt) -> bool:
+        """Accept an attempt and mark it as written to its cache."""
         self.attempts.append(attempt)
         attempt.written = True
-        self.placed.set()
+        self.dispatched.set()
         return True
 
     async def run(self, test: Callable[[], Awaitable[None]]) -> None:
-        """Run a test beside the engine."""
+        """Run a test concurrently with the engine."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.engine.run)
             self.engine.post(Membership(MembershipKind.FULL, tuple(members())))
             await test()
             nursery.cancel_scope.cancel()
 
-    async def request(self, cls: str = "video", left: float = 3.0) -> Answer:
+    async def request(self, cls: str = "video", time_left: float = 3.0) -> Answer:
         """Submit a request and return its final answer."""
-        arrival = Arrival(self.engine.new_id(), left, cls, "clip")
-        return await self.engine.request(PendingRequest(arrival, time.time() + left))
+        arrival = Arrival(self.engine.new_id(), time_left, cls, "clip")
+        return await self.engine.request(PendingRequest(arrival, time.time() + time_left))
 
 
 @with_trio
 async def test_first_good_answer_is_the_only_one() -> None:
-    """Later outcomes change nothing."""
+    """Later replies to the same attempt are ignored."""
     harness = EngineHarness()
 
-    async def answer() -> None:
-        await harness.placed.wait()
+    async def report_reply() -> None:
+        await harness.dispatched.wait()
         harness.engine.report(harness.attempts[0], AttemptReply(AttemptResult.OK, 0.1, body=b"first"))
         harness.engine.report(harness.attempts[0], AttemptReply(AttemptResult.OK, 0.1, body=b"second"))
 
     async def test() -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(answer)
+            nursery.start_soon(report_reply)
             assert (await harness.request()).body == b"first"
         assert harness.engine.open_request_count == 0
 
@@ -74,8 +75,8 @@
 
 
 @with_trio
-async def test_attempts_that_are_never_placed_end_in_a_rejection() -> None:
-    """Attempts that no server's queue takes do not end in an endless loop."""
+async def test_request_whose_attempts_cannot_be_dispatched_is_rejected() -> None:
+    """If no connection pool accepts an attempt, the engine doesn't retry forever."""
     harness = EngineHarness(lambda attempt: False)
 
     async def test() -> None:
@@ -103,22 +104,22 @@
 async def test_non_idempotent_request_that_may_have_run_is_neither_sent_again_nor_rejected(
     monkeypatch: pytest.MonkeyPatch, result: AttemptResult, sent_count: int
 ) -> None:
-    """A router that sends it again, then rejects it, gets neither past the engine."""
+    """The engine prevents both, even if the router's actions ask for them."""
     harness = EngineHarness()
 
-    def careless(event: Event, now: float) -> list[Action]:
+    def resend_then_reject(event: Event, now: float) -> list[Action]:
         fetch = Fetch("q0", "edge-0", 3.0, "origin")
         return [fetch] if isinstance(event, Arrival) else [fetch, Reject("q0")] if harness.attempts else []
 
-    monkeypatch.setattr(harness.engine.routers.current, "handle", careless)
+    monkeypatch.setattr(harness.engine.routers.current, "handle", resend_then_reject)
 
-    async def answer() -> None:
-        await harness.placed.wait()
+    async def report_reply() -> None:
+        await harness.dispatched.wait()
         harness.engine.report(harness.attempts[0], AttemptReply(result, 0.1))
 
     async def test() -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(answer)
+            nursery.start_soon(report_reply)
             assert (await harness.request("submit")).disposition is Disposition.FAILED
         assert len(harness.attempts) == sent_count
 
@@ -127,21 +128,21 @@
 
 @pytest.mark.parametrize(("fails", "late"), [(True, False), (False, True)])
 @with_trio
-async def test_router_that_fails_or_forgets_a_request_costs_that_request_alone(
+async def test_request_fails_if_the_router_raises_or_returns_no_actions(
     monkeypatch: pytest.MonkeyPatch, fails: bool, late: bool
 ) -> None:
-    """The request is failed, at once or past its deadline."""
+    """The request fails immediately if the router raises, or after its deadline if no action is returned."""
     harness = EngineHarness()
 
-    def broken(event: Event, now: float) -> list[Action]:
+    def handle_badly(event: Event, now: float) -> list[Action]:
         if fails:
-            raise RuntimeError("a fault in a decision")
+            raise RuntimeError("simulated error in a decision")
         return []
 
-    monkeypatch.setattr(harness.engine.routers.current, "handle", broken)
+    monkeypatch.setattr(harness.engine.routers.current, "handle", handle_badly)
 
     async def test() -> None:
-        answer = await harness.request(left=0.05)
+        answer = await harness.request(time_left=0.05)
         assert answer.disposition is Disposition.FAILED
         assert answer.deadline_exceeded is late
 
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -1,4 +1,4 @@
-"""The response cache: within its capacity, ages and purges, and only while the link has capacity."""
+"""The response cache: capacity, ages, purges, and the capacity of the link to clients."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from brackenlane.core.response_cache import Copy, ResponseCache
+from brackenlane.core.response_cache import CacheEntry, ResponseCache
 from brackenlane.routing.events import Arrival, Purged
 from tests.router_harness import TILES, VIDEO, settings
 from tests.stand_ins import Log, platform, with_trio
@@ -16,15 +16,15 @@
 
 
 def arrival(obj: str = "a", cls: str = "video", part: int = 0, group: int = 7) -> Arrival:
-    """Build a request."""
+    """Build a request of the given object, class, part and group."""
     return Arrival("q1", 3.0, cls, obj, part, group)
 
 
-def cache_with(**sizes: int) -> ResponseCache:
-    """Build a cache of 8,000 bytes with copies of these sizes; the link sends 10 kB/s, a transfer 1 kB/s."""
+def build_cache(**sizes: int) -> ResponseCache:
+    """Build a cache of 8,000 bytes with objects of these sizes; the link has 10 kB/s, a transfer 1 kB/s."""
     cache = ResponseCache(settings(classes=(VIDEO, TILES)), 8000, 1000.0, 10_000.0, 0.05)
     for name, size in sizes.items():
-        cache.store(Copy(arrival(name), bytes(size), "e1", 100.0, 100.0))
+        cache.store(CacheEntry(arrival(name), bytes(size), "e1", 100.0, 100.0))
     return cache
 
 
@@ -34,13 +34,13 @@
         ("a", "video", 9.0, True),
         ("b", "video", 9.0, False),
         ("a", "tiles", 6.3, True),
-        ("a", "tiles", 6.4, False),  # in the last fifth of its fresh time
+        ("a", "tiles", 6.4, False),  # the copy is in the last fifth of its fresh time
     ],
 )
 def test_copy_serves_its_object_while_it_is_fresh(obj: str, cls: str, age: float, served: bool) -> None:
-    """Neither another object nor a copy in the last fifth of its fresh time is served."""
-    cache = cache_with()
-    cache.store(Copy(arrival("a", cls), b"x" * 100, "e1", 100.0, 100.0))
+    """A copy is not served for another object, nor in the last fifth of its fresh time."""
+    cache = build_cache()
+    cache.store(CacheEntry(arrival("a", cls), b"x" * 100, "e1", 100.0, 100.0))
     assert bool(cache.find(arrival(obj, cls), "", 100.0 + age)) is served
 
 
@@ -54,28 +54,28 @@
     ],
 )
 def test_purge_drops_all_older_copies_of_its_object_or_group(purge: Purged, left: set[str]) -> None:
-    """All parts go at once; copies issued after the purge stay."""
-    cache = cache_with(a=100, b=100)
-    cache.store(Copy(arrival("a", part=1), bytes(100), "e1", 100.0, 100.0))
-    cache.store(Copy(arrival("c", group=8), bytes(100), "e1", 100.0, 100.0))
+    """All parts of an object are dropped; copies issued after the purge are kept."""
+    cache = build_cache(a=100, b=100)
+    cache.store(CacheEntry(arrival("a", part=1), bytes(100), "e1", 100.0, 100.0))
+    cache.store(CacheEntry(arrival("c", group=8), bytes(100), "e1", 100.0, 100.0))
     cache.purge(purge, 110.0)
     assert {name for name in "abc" if cache.find(arrival(name), "", 110.0)} == left
     assert bool(cache.find(arrival("a", part=1), "", 110.0)) is ("a" in left)
 
 
 def test_least_recently_used_copy_is_dropped_first() -> None:
-    """Bytes are bounded, and what is too large is not stored."""
-    cache = cache_with(**{f"o{n}": 1000 for n in range(8)}, large=1001)
+    """The number of bytes is bounded, and a response that is too large is not stored."""
+    cache = build_cache(**{f"o{n}": 1000 for n in range(8)}, large=1001)
     assert cache.find(arrival("o0"), "", 101.0)
     assert not cache.find(arrival("large"), "", 101.0)
-    cache.store(Copy(arrival("new"), bytes(1000), "e1", 100.0, 100.0))
+    cache.store(CacheEntry(arrival("new"), bytes(1000), "e1", 100.0, 100.0))
     assert not cache.find(arrival("o1"), "", 105.0)
     assert cache.find(arrival("o0"), "", 110.0)
 
 
 def test_full_link_leaves_requests_to_the_caches() -> None:
-    """An answer that the client's copy is still valid takes little of it."""
-    cache = cache_with(a=1000)
+    """Answers without a body, sent when the client's copy is current, use little of the link."""
+    cache = build_cache(a=1000)
     served = sum(bool(cache.find(arrival(), "", 101.0)) for _ in range(100))
     assert 5 <= served <= 20
     assert cache.find(arrival(), "", 103.0)
@@ -85,7 +85,7 @@
 
 @with_trio
 async def test_fetched_response_serves_the_next_request_until_a_purge(tmp_path: Path) -> None:
-    """Also the client that holds it already; after the purge a cache is asked again."""
+    """A client that has a current copy gets 304; after the purge the request goes to a cache again."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
