--- a/brackenlane/admission/controller.py
+++ b/brackenlane/admission/controller.py
@@ -1,9 +1,10 @@
-"""The admission queue: what is served next and what is rejected, by how long requests have waited.
+"""The admission queue: decides what is served next and what is rejected, by how long requests have waited.
 
-A decision module: no I/O, no clock of its own; times are Unix seconds. Controlled delay after Nichols and
-Jacobson (RFC 8289), for a queue of requests instead of packets: one that has not been empty for a whole
-interval is no burst. While it stands, nothing may wait longer than a short target, and the newest goes first,
-since the oldest is the most likely to be too late. Both times come from the classes' latency objectives.
+It performs no I/O and reads no clock; times are Unix seconds. It applies controlled delay (CoDel, Nichols and
+Jacobson, RFC 8289) to requests instead of packets. A queue that has not been empty for a whole interval is a
+standing queue rather than a burst. While there is a standing queue, requests that have waited longer than a
+short target are rejected, and the newest request is served first, since the oldest one is the most likely to
+miss its deadline. Interval and target are derived from the latency objectives of the classes.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 
 
 class AdmissionQueue(Generic[T]):
-    """The requests that wait for service, bounded by the caller: a connection has at most one in it."""
+    """The requests that wait for service; bounded by the caller, as a connection has at most one in it."""
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
-        known = list(classes)
-        times = queue_times(known)
+        class_list = list(classes)
+        times = queue_times(class_list)
         self._target = times.target
         self._interval = times.interval
-        self._lanes: Lanes[T] = build_lanes(known, times)
+        self._lanes: Lanes[T] = build_lanes(class_list, times)
         self._first_attempts = list(self._lanes.first_attempts.values())
         self._retries = list(self._lanes.retries.values())
         self._priority = [lane for lane in self._first_attempts if lane.has_priority]
-        self._competing = [lane for lane in self._first_attempts if not lane.has_priority]
+        self._without_priority = [lane for lane in self._first_attempts if not lane.has_priority]
         self._last_empty_at = -math.inf
         self._phase = Phase.CALM
         self._service_rate = ServiceRate()
@@ -39,14 +40,14 @@
 
     @property
     def service_rate(self) -> float:
-        """Requests taken per second while a queue stands, learned; 0 if unknown."""
+        """Measured rate of requests taken from a non-empty queue, per second; 0 if unknown."""
         return self._service_rate.per_second
 
     def has_capacity_for(self, cls: str, is_retry: bool) -> bool:
-        """Whether a request may join the queue; else it is rejected on arrival, which costs least.
+        """Whether a request may join the queue; if not, it is rejected on arrival, which is cheapest.
 
-        Behind a standing queue there is capacity for as many as will be taken within the target, by the
-        learned rate (Little's law); the less a class is worth, the sooner it is used up.
+        A standing queue has capacity for as many requests as are served within the target at the measured
+        rate (Little's law). Classes of less value may use only a part of this capacity.
         """
         rate = self._service_rate.per_second
         if self._phase is Phase.CALM or not rate:
@@ -57,8 +58,8 @@
     def add(self, item: T, cls: str, is_retry: bool, now: float) -> None:
         """Add a request.
 
-        cls: its class, `HEALTH`, or any other name for a request without a class; is_retry: marked by its
-        client as a retry.
+        cls: the name of its class, `HEALTH`, or any other name for a request without a class; is_retry:
+        whether the client marked it as a retry.
         """
         if not self.size:
             self._last_empty_at = now
@@ -66,10 +67,10 @@
         self.size += 1
 
     def phase(self, now: float) -> Phase:
-        """Return whether a queue stands: it has not been empty for an interval.
+        """Return the phase; `STANDING` if the queue has not been empty for an interval.
 
-        A queue emptied by shedding counts as empty. Were it not so, a load that the CPU can bear, whose usual
-        waits are over the target, would be shed from for good: a second equilibrium.
+        A queue emptied by shedding counts as empty. Otherwise shedding could go on forever under a load that
+        the CPU can handle but whose usual waits exceed the target: a second equilibrium.
         """
         if not self.size:
             self._last_empty_at = now
@@ -78,7 +79,7 @@
         return self._phase
 
     def shed(self, now: float) -> list[T]:
-        """Remove and return the requests to reject at once: those that waited longer than allowed."""
+        """Remove and return the requests to reject: those that have waited longer than allowed."""
         phase = self.phase(now)
         expired: list[T] = []
         for lanes in (self._first_attempts, self._retries):
@@ -90,7 +91,7 @@
         return expired
 
     def take(self, now: float) -> tuple[T, float] | None:
-        """Remove and return the next request to serve and when it was added; None if none waits."""
+        """Remove and return the next request to serve and when it was added; None if the queue is empty."""
         if not self.size:
             return None
         phase = self.phase(now)
@@ -102,7 +103,7 @@
         return item, added_at
 
     def remove(self, item: T, cls: str, is_retry: bool) -> bool:
-        """Remove a request whose client has disconnected; whether it was waiting."""
+        """Remove a request whose client has disconnected; return whether it was in the queue."""
         lane = self._lanes.lane(cls, is_retry)
         for position, (_, waiting) in enumerate(lane.waiting):
             if waiting is item:
@@ -112,9 +113,9 @@
         return False
 
     def hold_off(self, now: float) -> float:
-        """Return the seconds after which a rejected client may retry: until what waits has been served.
+        """Return the seconds after which a rejected client may retry: the time needed to serve the queue.
 
-        At least an interval while a queue stands.
+        In a standing queue it is at least one interval.
         """
         rate = self._service_rate.per_second
         time_to_empty = self.size / rate if rate else 0.0
@@ -124,12 +125,12 @@
     def _next_lane(self, phase: Phase) -> Lane[T]:
         """Return the lane to serve: priority lanes, then first attempts, then retries.
 
-        Within each group it is the lane with the oldest request of all, or the newest while a queue stands.
-        Priority lanes are always served oldest first.
+        Among lanes of the same kind, the one with the oldest request is served, or in a standing queue the
+        one with the newest. Priority lanes are always served oldest first.
         """
         find = _lane_with_newest if phase is Phase.STANDING else _lane_with_oldest
-        lane = _lane_with_oldest(self._priority) or find(self._competing) or find(self._retries)
-        assert lane is not None  # the size counts what is in the lanes
+        lane = _lane_with_oldest(self._priority) or find(self._without_priority) or find(self._retries)
+        assert lane is not None  # `size` is not 0, so a lane has a request
         return lane
 
 
--- a/brackenlane/admission/figures.py
+++ b/brackenlane/admission/figures.py
@@ -1,6 +1,6 @@
-"""Load figures of this process: counted per second, for the admin console and for one log line a second.
+"""Load figures of this process, sampled once per second for the admin console and the log.
 
-Pure: all times are handed in. The words of `summary` and `REASON_NAMES` are read by operators.
+It performs no I/O and reads no clock. Operators read the texts of `summary` and `REASON_NAMES`.
 """
 
 from __future__ import annotations
@@ -10,15 +10,18 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-PERIOD = 1.0  # seconds that one sample covers
+PERIOD = 1.0  # length of a sample in seconds
 
 
 class Reason(IntEnum):
-    """Why a request was rejected on arrival; a number, since rejections are counted by it at full load."""
+    """Why a request was rejected before it reached the core.
 
-    QUEUED = 0  # waited longer than a standing queue allows, or found no capacity in it
+    An integer, so that counting rejections is cheap (they are counted at full load).
+    """
+
+    QUEUED = 0  # it waited longer than a standing queue allows, or the queue had no capacity for it
     LATE = 1  # its deadline passed before it could be served
-    FULL = 2  # no connection was free, and all open ones have active requests
+    FULL = 2  # no connection was free, and all open ones had active requests
 
 
 REASON_NAMES = {
@@ -30,21 +33,21 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadSample:
-    """The figures of one period."""
+    """Load figures of one period."""
 
-    taken: int = 0  # requests handed to the core
-    shed: tuple[tuple[Reason, int], ...] = ()
-    wait: float = 0.0  # longest wait in the admission queue of a request that was taken, seconds
-    lag: float = 0.0  # the most that a timer was late, seconds
-    cpu: float = 0.0  # share of one core
+    taken: int = 0  # requests passed to the core
+    shed: tuple[tuple[Reason, int], ...] = ()  # number of rejected requests by reason
+    wait: float = 0.0  # longest wait in the admission queue of a request passed to the core, seconds
+    lag: float = 0.0  # longest delay of a timer, seconds
+    cpu: float = 0.0  # CPU usage as a share of one core
 
     @property
     def is_shedding(self) -> bool:
-        """Whether any request was rejected on arrival."""
+        """Whether any request was rejected."""
         return bool(self.shed)
 
     def summary(self) -> str:
-        """Return all figures in one line for an operator."""
+        """Return all figures as one line of text."""
         shed = ", ".join(f"{count} {REASON_NAMES[reason]}" for reason, count in self.shed) or "none"
         return (
             f"taken {self.taken}, refused at the door: {shed}; longest wait {self.wait * 1000:.0f} ms, "
@@ -53,12 +56,12 @@
 
 
 class Figures:
-    """Counts per period, and totals since the start."""
+    """Collects the load figures of each period, and totals since the start."""
 
     def __init__(self) -> None:
         self.last = LoadSample()  # the last complete period
-        self.taken = 0  # total
-        self.shed: Counter[Reason] = Counter()  # total
+        self.taken = 0  # requests passed to the core since the start
+        self.shed: Counter[Reason] = Counter()  # requests rejected since the start
         self._period_start = -math.inf
         self._cpu_at_start = 0.0
         self._clear_period()
@@ -70,18 +73,19 @@
         self._shed = [0] * len(Reason)
 
     def count_taken(self, wait: float) -> None:
-        """Count a request handed to the core after so many seconds in the admission queue."""
+        """Count a request passed to the core after `wait` seconds in the admission queue."""
         self._taken += 1
         self._longest_wait = max(self._longest_wait, wait)
 
     def count_rejected(self, reason: Reason) -> None:
-        """Count a request rejected on arrival."""
+        """Count a request rejected before it reached the core."""
         self._shed[reason] += 1
 
     def tick(self, now: float, lag: float, cpu: float) -> LoadSample | None:
-        """Return the sample of a period that is over; None while it is not.
+        """Return the sample of the period if the period is complete, else None.
 
-        now: seconds of any clock; lag: seconds that a timer was late; cpu: processor seconds used so far.
+        now: seconds on any clock; lag: delay of the calling timer in seconds; cpu: CPU seconds used by this
+        process so far.
         """
         self._longest_lag = max(self._longest_lag, lag)
         elapsed = now - self._period_start
--- a/brackenlane/admission/lanes.py
+++ b/brackenlane/admission/lanes.py
@@ -1,4 +1,4 @@
-"""The lanes of the admission queue: one per request class, with its priority, capacity and longest wait."""
+"""The lanes of the admission queue, one per request class, with their priority, capacity and longest wait."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 T = TypeVar("T")
 
-UNCLASSIFIED = ""  # lane of requests that name no class, such as those that will be answered with an error
+UNCLASSIFIED = ""  # lane of requests without a class, such as those that will be answered with an error
 HEALTH = "health"  # lane of health checks
 
-TARGET_SHARE = 1 / 6  # of the shortest latency objective: the longest wait while a queue stands
-INTERVAL_SHARE = 1 / 2  # of the shortest latency objective: a queue not empty for so long is a standing queue
-MIN_WAIT_FACTOR = 0.5  # of the target, for a class of little value
-MAX_WAIT_FACTOR = 2.0  # of the target, for a class of much value
-PRIORITY_WAIT_SHARE = 1 / 4  # of its own latency objective, which a non-idempotent class may wait
-RETRY_CAPACITY_SHARE = 1 / 4  # of the capacity of first attempts, which retries may take in a standing queue
-UNCLASSIFIED_CAPACITY_SHARE = 0.5
+TARGET_SHARE = 1 / 6  # target of controlled delay, as a share of the shortest latency objective
+INTERVAL_SHARE = 1 / 2  # interval of controlled delay, as a share of the shortest latency objective
+MIN_WAIT_FACTOR = 0.5  # longest wait of a class of low value, as a multiple of the target
+MAX_WAIT_FACTOR = 2.0  # longest wait of a class of high value, as a multiple of the target
+PRIORITY_WAIT_SHARE = 1 / 4  # longest wait of a non-idempotent class, as a share of its latency objective
+RETRY_CAPACITY_SHARE = 1 / 4  # capacity for retries, as a share of the capacity for first attempts
+UNCLASSIFIED_CAPACITY_SHARE = 0.5  # capacity for requests without a class, as a share of the whole
 
 
 class Phase(Enum):
-    """State of the queue, which sets the order of service and the longest wait."""
+    """State of the queue, which determines the order of service and the longest wait."""
 
-    CALM = "calm"  # oldest first; a burst may wait for an interval
-    STANDING = "standing"  # newest first; nothing waits longer than about the target
+    CALM = "calm"  # no standing queue: oldest first; a request may wait for an interval
+    STANDING = "standing"  # standing queue: newest first; a request may wait for about the target
 
 
 @dataclass(slots=True, frozen=True)
 class QueueTimes:
-    """The two times of controlled delay, in seconds."""
+    """The two parameters of controlled delay, in seconds."""
 
-    target: float  # longest wait while a queue stands
-    interval: float  # a queue that has not been empty for so long stands
+    target: float  # longest wait in a standing queue
+    interval: float  # time for which a queue must not have been empty to count as a standing queue
 
 
 @dataclass(slots=True)
@@ -45,23 +45,22 @@
     """The waiting requests of one class, oldest first."""
 
     name: str
-    has_priority: bool  # served before all others: what must not be repeated, and health checks
-    capacity_share: (
-        float  # of the capacity of a standing queue that may be taken when one of this class comes
-    )
+    has_priority: bool  # served before lanes without priority: non-idempotent writes and health checks
+    # A request may join a standing queue while the queue uses less than this share of its capacity.
+    capacity_share: float
     longest_wait: dict[Phase, float]  # seconds
     waiting: deque[tuple[float, T]] = field(default_factory=deque)  # arrival in Unix seconds, request
 
 
 @dataclass(slots=True)
 class Lanes(Generic[T]):
-    """All lanes: first attempts and retries, each by the name of their class."""
+    """All lanes for first attempts and for retries, by class name."""
 
     first_attempts: dict[str, Lane[T]]
-    retries: dict[str, Lane[T]]  # of lanes without priority
+    retries: dict[str, Lane[T]]  # only for classes without priority
 
     def lane(self, cls: str, is_retry: bool) -> Lane[T]:
-        """Return the lane of a request; a class that is not known shares that of the unclassified."""
+        """Return the lane of a request; an unknown class uses the lane of unclassified requests."""
         lane = self.first_attempts.get(cls) or self.first_attempts[UNCLASSIFIED]
         if is_retry and not lane.has_priority:
             return self.retries[lane.name]
@@ -69,7 +68,7 @@
 
 
 def queue_times(classes: Sequence[RequestClass]) -> QueueTimes:
-    """Return the times that follow from the shortest latency objective of all classes."""
+    """Derive target and interval from the shortest latency objective of all classes."""
     shortest = min(cls.latency_objective for cls in classes)
     return QueueTimes(TARGET_SHARE * shortest, INTERVAL_SHARE * shortest)
 
@@ -77,7 +76,7 @@
 def build_lanes(classes: Sequence[RequestClass], times: QueueTimes) -> Lanes[T]:
     """Build the lanes of the classes, of unclassified requests and of health checks.
 
-    A request costs about the same processor time in any class, so value for cost is the value weight alone.
+    Requests of all classes cost about the same CPU time, so the value weight alone gives the value per cost.
     """
     mean_weight = sum(cls.value_weight for cls in classes) / len(classes) or 1.0
     greatest_weight = _greatest_weight(classes)
@@ -104,7 +103,7 @@
 
 
 def _greatest_weight(classes: Sequence[RequestClass]) -> float:
-    """Return the greatest value weight of the classes that compete for the capacity."""
+    """Return the greatest value weight of the classes without priority, which compete for the capacity."""
     competing = [cls.value_weight for cls in classes if cls.idempotency is not Idempotency.NON_IDEMPOTENT]
     return max(competing or [cls.value_weight for cls in classes])
 
@@ -118,9 +117,9 @@
 
 
 def _retry_lanes(first_attempts: dict[str, Lane[T]]) -> dict[str, Lane[T]]:
-    """Build the lanes of retries, which give way to first attempts.
+    """Build the lanes of retries, which have lower priority than first attempts.
 
-    The latency objective of a retry runs from its first attempt, so that its answer is likely late.
+    The latency objective of a retry counts from its first attempt, so its answer is likely to be late.
     """
     return {
         name: Lane(name, False, RETRY_CAPACITY_SHARE * lane.capacity_share, lane.longest_wait)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The admission queue in virtual time: overload, bursts, slow cores and clients that retry."""
+"""The admission queue in simulated time: overload, bursts, slow CPU cores and clients that retry."""
 
 from __future__ import annotations
 
@@ -14,36 +14,37 @@
 from brackenlane.lab.queueing import CLASSES, Costs, Fifo, admission, run_queue
 
 CAPACITY = 200.0  # requests a second at 5 ms each
-TARGET = 0.05  # seconds, by the shortest latency objective of CLASSES, 0.3 s
+TARGET = 0.05  # seconds, derived from the shortest latency objective of CLASSES, 0.3 s
 INTERVAL = 0.15  # seconds
-SUBMITS_NEVER_SHED_BELOW = 0.65  # of the capacity, asked for by submits alone
-MAX_SHED_SHARE_OF_SUBMITS = 0.12  # near their own saturation chance makes some wait too long
+SUBMITS_NEVER_SHED_BELOW = 0.65  # load of submits alone, as a share of the capacity
+# Above that load, random variation makes some submits wait too long.
+MAX_SHED_SHARE_OF_SUBMITS = 0.12
 
 
 def goodput_at(factor: float) -> float:
-    """Return in-time answers per second at a load of so many times the capacity, past the first seconds."""
+    """Return the answers in time per second at `factor` times the capacity, without the first seconds."""
     return run_queue(admission(), lambda _: factor * 1000, 10, costs=Costs(serve=0.001)).goodput(3, 9)
 
 
 def test_goodput_does_not_fall_under_overload() -> None:
-    """From 0.2 to 10 times the capacity goodput stays over 0.9 of its peak, once there is load for it."""
-    found = {factor: goodput_at(factor) for factor in (0.2, 0.5, 0.8, 0.95, 1.2, 1.5, 2, 3, 5, 10)}
-    peak = max(found.values())
-    for factor, good in found.items():
-        assert good >= 0.9 * min(peak, factor * 1000), (factor, found)
+    """From 0.2 to 10 times the capacity, goodput is at least 0.9 of its peak, or of the load if lower."""
+    goodput = {factor: goodput_at(factor) for factor in (0.2, 0.5, 0.8, 0.95, 1.2, 1.5, 2, 3, 5, 10)}
+    peak = max(goodput.values())
+    for factor, good in goodput.items():
+        assert good >= 0.9 * min(peak, factor * 1000), (factor, goodput)
 
 
 @pytest.mark.parametrize("factor", [2, 4, 6])
 def test_rejections_cost_only_their_own_time(factor: float) -> None:
-    """Each rejection costs a thirtieth of a request; no more is lost than that."""
+    """A rejection costs a thirtieth of the CPU time of a request; goodput drops by no more than that."""
     result = run_queue(admission(), lambda _: factor * CAPACITY, 12, costs=Costs(refuse=0.005 / 30))
-    left = CAPACITY * max(0.0, 1 - result.refusing / 12)
-    assert result.goodput(3, 10) >= 0.85 * left
+    remaining_capacity = CAPACITY * max(0.0, 1 - result.refusing / 12)
+    assert result.goodput(3, 10) >= 0.85 * remaining_capacity
 
 
 @pytest.mark.parametrize("policy", ["admission", "fifo"])
 def test_queue_recovers_after_overload(policy: str) -> None:
-    """After 6 s of triple load, 0.8 of the capacity is served as before within 2 s; plain FIFO is not."""
+    """After 6 s of triple load, a load of 0.8 is served as before within 2 s; with a FIFO queue it is not."""
     result = run_queue(
         admission() if policy == "admission" else Fifo(),
         lambda now: CAPACITY * (3.0 if 5 <= now < 11 else 0.8),
@@ -66,7 +67,7 @@
 def test_goodput_returns_after_a_burst(
     burst: float, length: float, slow: float, seed: int, video: float, submit: float
 ) -> None:
-    """Whatever the burst, the mix, a core half as fast meanwhile: each attempt has one end."""
+    """For any burst and mix of classes, on a core up to half as fast during the burst, each try ends once."""
 
     def rate(now: float) -> float:
         return CAPACITY * (burst if 4 <= now < 4 + length else 0.7)
@@ -81,8 +82,9 @@
     )
     tries = sum(result.ends.values())
     assert tries >= sum(result.requested.values())
-    assert result.share(11, 15) > result.share(1, 4) - 0.12  # some 550 requests: chance alone makes 0.1
-    # Submits go first: what is shed of them follows from the load that they alone are during the burst.
+    # With some 550 requests, random variation alone accounts for 0.1.
+    assert result.share(11, 15) > result.share(1, 4) - 0.12
+    # Submits have priority, so how many are shed depends only on the load of submits during the burst.
     submit_load = burst * submit * slow
     refused = result.classes["sheet-submit", "refused"]
     if submit_load < SUBMITS_NEVER_SHED_BELOW:
@@ -94,14 +96,14 @@
 
 
 def test_non_idempotent_requests_are_served_first() -> None:
-    """At five times the capacity all submits are served in time, whatever else is rejected."""
+    """At five times the capacity all submits are served in time, while other requests are rejected."""
     result = run_queue(admission(), lambda _: 5 * CAPACITY, 8, costs=Costs(refuse=0.0001))
     assert result.classes["sheet-submit", "refused"] == result.classes["sheet-submit", "left"] == 0
     assert result.classes["sheet-submit", "served"] > 200
 
 
 def test_standing_queue_is_shed_and_served_newest_first() -> None:
-    """A burst shorter than an interval is served in its order."""
+    """A burst shorter than an interval is served in order of arrival."""
     queue: AdmissionQueue[int] = AdmissionQueue(CLASSES)
     for n in range(10):
         queue.add(n, "video-parts", False, 0.0)
@@ -117,7 +119,7 @@
 
 
 def test_capacity_of_a_standing_queue_follows_service_rate_and_value() -> None:
-    """It is what will be served within the target; classes of less value get less of it."""
+    """The capacity is what is served within the target; classes of less value may use less of it."""
     queue: AdmissionQueue[int] = AdmissionQueue(CLASSES)
     numbers = itertools.count()
     for _ in range(9):
@@ -140,8 +142,8 @@
     assert queue.hold_off(now) > INTERVAL
 
 
-def rank(lane: tuple[str, bool]) -> int:
-    """Return the place in the order of service: submits and health, first attempts, retries."""
+def service_rank(lane: tuple[str, bool]) -> int:
+    """Return the rank in the order of service: submits and health checks, first attempts, retries."""
     return 0 if lane[0] in ("sheet-submit", "health") else 2 if lane[1] else 1
 
 
@@ -158,20 +160,20 @@
 )
 @settings(max_examples=150, deadline=None, derandomize=True)
 def test_each_request_leaves_the_queue_once(steps: list[tuple[str, str, bool, float]]) -> None:
-    """Whatever happens in whatever order, and the size is right after each step."""
+    """For any sequence of operations; the size is correct after each step."""
     queue: AdmissionQueue[int] = AdmissionQueue(CLASSES)
     now, waiting, lanes = 0.0, set(), {}
-    for number, (command, lane, again, wait) in enumerate(steps):
+    for number, (command, lane, is_retry, wait) in enumerate(steps):
         now += wait
         if command == "offer":
-            queue.add(number, lane, again, now)
+            queue.add(number, lane, is_retry, now)
             waiting.add(number)
-            lanes[number] = lane, again
+            lanes[number] = lane, is_retry
         elif command == "take":
             taken = queue.take(now)
             assert (taken is None) is (not waiting)
             if taken:
-                assert rank(lanes[taken[0]]) == min(rank(lanes[n]) for n in waiting)
+                assert service_rank(lanes[taken[0]]) == min(service_rank(lanes[n]) for n in waiting)
                 waiting.remove(taken[0])
         elif command == "shed":
             for item in queue.shed(now):
@@ -186,7 +188,7 @@
 
 
 def test_figures_count_each_period_and_the_total() -> None:
-    """One period, then the next, which begins at zero."""
+    """The counts of a period start at zero; the totals include all periods."""
     figures = Figures()
     assert figures.tick(10.0, 0.0, 1.0) is not None
     for wait in (0.01, 0.03):
@@ -204,8 +206,8 @@
         0.2,
     )
     assert reported.cpu == pytest.approx(0.5)
-    again = figures.tick(12.0, 0.0, 1.5)
-    assert again
-    assert not again.is_shedding
+    next_sample = figures.tick(12.0, 0.0, 1.5)
+    assert next_sample
+    assert not next_sample.is_shedding
     assert figures.taken == 2
     assert figures.shed[Reason.QUEUED] == 1
