--- a/brackenlane/__init__.py
+++ b/brackenlane/__init__.py
@@ -1,1 +1,1 @@
-"""The router round the decisions of brackenlane.routing: real sockets in front, caches behind."""
+"""A request router for caches: the network program around the decisions of `brackenlane.routing`."""
--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -1,4 +1,4 @@
-"""The program: without arguments the platform's router, set up by its environment; else a subcommand."""
+"""Entry point: without arguments runs the router on the platform, else runs a subcommand."""
 
 from __future__ import annotations
 
@@ -8,28 +8,31 @@
 
 from brackenlane import platform_router
 from brackenlane.config import ConfigError
-from brackenlane.lifecycle import EarlySignal
+from brackenlane.lifecycle import EarlySignalHandler
 from brackenlane.limits import Limits
 from brackenlane.net.change_log_codec import ChangeLogFormatError
-from brackenlane.observe.log_format import SteadyFormatter
+from brackenlane.observe.log_format import SteadyTimeFormatter
 from brackenlane.observe.throttle import Throttle
 
-# Exit codes; a subcommand may have others.
+# Exit codes; subcommands may have others.
 DONE = 0
 UNUSABLE_CONFIG = 2
-INTERRUPTED = 130  # 128 + SIGINT, as shells have it
+INTERRUPTED = 130  # 128 + SIGINT, the convention of shells
 
 
 def main(arguments: list[str]) -> int:
-    """Run what the command line names; return the exit code."""
+    """Run the router or the subcommand of the command line; return the exit code."""
     _set_up_logging()
-    # Guards against a SIGHUP that ends the program, and against a new file whose SIGHUP comes between the
-    # reading of the old one and the handler; before this line `run` in the deploy file has it ignored.
-    signal.signal(signal.SIGHUP, signal.SIG_IGN if arguments else EarlySignal())
+    # A SIGHUP must not end the program, and one that arrives after the configuration was read but before the
+    # watcher is installed must still cause a reload. Until here SIGHUP is ignored, since `run` in the deploy
+    # file starts the program that way.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN if arguments else EarlySignalHandler())
     status = DONE
     try:
         if arguments:
-            from brackenlane.cli.main import run  # the platform's router needs none of it
+            from brackenlane.cli.main import (
+                run,
+            )  # imported here, as the router on the platform doesn't need it
 
             status = run(arguments)
         else:
@@ -44,17 +47,17 @@
 
 
 def _set_up_logging() -> None:
-    """Log to stderr, with a bounded rate of lines; a log that can't be written changes nothing else."""
+    """Log to stderr with a limited rate of lines; errors while writing the log are ignored."""
     logging.raiseExceptions = False
     logging.basicConfig(level=logging.INFO)
     limits = Limits()
     for handler in logging.getLogger().handlers:
-        handler.setFormatter(SteadyFormatter())
+        handler.setFormatter(SteadyTimeFormatter())
         handler.addFilter(Throttle(limits.max_log_lines, limits.log_window))
 
 
 def _first_leaf(error: BaseException) -> BaseException:
-    """Return the first exception of a group that is no group itself."""
+    """Return the first exception in nested exception groups that is not a group itself."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
--- a/brackenlane/lifecycle.py
+++ b/brackenlane/lifecycle.py
@@ -1,4 +1,4 @@
-"""Lifecycle of a serving process: listening sockets, signals, and graceful shutdown on SIGTERM."""
+"""Lifecycle of a server process: listening sockets, signals, and graceful shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 SO_ATTACH_REUSEPORT_CBPF = 51  # asm-generic/socket.h
 BPF_RETURN = 0x06  # BPF_RET | BPF_K, linux/bpf_common.h
-BACKLOG = 4_096  # connections that wait to be accepted; the kernel may allow fewer (net.core.somaxconn)
-SIGNAL_READ_SIZE = 4_096  # bytes, one for each signal
+BACKLOG = 4_096  # maximum number of connections waiting for accept; also limited by net.core.somaxconn
+SIGNAL_READ_SIZE = 4_096  # bytes read at a time; each signal is one byte
 
 
 async def listen(endpoint: Endpoint) -> list[trio.SocketListener]:
-    """Open listeners on all addresses of one TCP endpoint. Raises ConfigError."""
+    """Open listeners on all addresses of a TCP endpoint. Raises ConfigError."""
     host, port = endpoint
     try:
         return await trio.open_tcp_listeners(port, host=host)
@@ -35,10 +35,10 @@
         raise ConfigError(f"cannot listen on {host}:{port}: {error.strerror}") from error
 
 
-def listen_plain(endpoint: Endpoint, shared: bool = False) -> socket.socket:
-    """Open a listening socket for a poller; shared: other processes of this user may listen there too.
+def open_listening_socket(endpoint: Endpoint, shared: bool = False) -> socket.socket:
+    """Open a non-blocking listening socket for a poller. Raises ConfigError.
 
-    Raises ConfigError.
+    shared: whether other processes of the same user may listen on the same address.
     """
     sock = socket.socket(family_of(endpoint))
     try:
@@ -55,42 +55,44 @@
     return sock
 
 
-def steer(listener: socket.socket, index: int) -> None:
-    """Direct all new connections of a shared address to the listener with this index, by order of start.
+def direct_new_connections(listener: socket.socket, index: int) -> None:
+    """Direct all new connections of a shared address to one listener.
 
-    Attaches a BPF program of one instruction, `return index`, which selects within the reuseport group
-    (socket(7), SO_ATTACH_REUSEPORT_CBPF). Once that listener is closed, the kernel selects by hash again.
+    index: position of that listener in the reuseport group, in the order in which the listeners were opened.
+
+    Attaches a BPF program with the single instruction `return index`, which selects a listener of the group
+    (socket(7), SO_ATTACH_REUSEPORT_CBPF). After that listener is closed, the kernel selects by hash again.
     """
     instruction = array.array("B", struct.pack("=HBBI", BPF_RETURN, 0, 0, index))
     program = struct.pack("@HP", 1, instruction.buffer_info()[0])
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
-    except OSError as error:  # then the kernel selects by hash until the earlier process ends
-        log.warning("new connections are not steered: %s", error.strerror)
+    except OSError as error:  # not fatal: the kernel selects by hash until the earlier process ends
+        log.warning("cannot direct new connections to this process: %s", error.strerror)
 
 
-class EarlySignal:
-    """Handler for a signal that comes before a `SignalWatcher` watches it, which then reports it."""
+class EarlySignalHandler:
+    """Records a signal that arrives before a `SignalWatcher` is installed, which then reports it."""
 
     def __init__(self) -> None:
-        self.has_come = False
+        self.was_received = False
 
     def __call__(self, *_: object) -> None:
-        """Note the signal."""
-        self.has_come = True
+        """Record that the signal was received."""
+        self.was_received = True
 
 
 class SignalWatcher:
-    """Signals reported through a socket of the poller.
+    """Reports signals through a socket that the poller watches.
 
-    A poller that waits itself would not notice trio's own way of reporting them.
+    trio's own signal handling does not wake up a poller that blocks in epoll itself.
     """
 
     def __init__(self, poller: Poller, *signals: signal.Signals) -> None:
         self._poller = poller
         self._signals = signals
         self._read, self._write = socket.socketpair()
-        self._came = trio.Event()
+        self._received = trio.Event()
         self._previous_handlers: list[Any] = []
 
     def __enter__(self) -> SignalWatcher:
@@ -98,8 +100,8 @@
         self._write.setblocking(False)
         self._poller.add(self._read.fileno(), self._on_ready, urgent=True)
         self._previous_handlers = [signal.signal(number, self._on_signal) for number in self._signals]
-        early = [handler for handler in self._previous_handlers if isinstance(handler, EarlySignal)]
-        if any(handler.has_come for handler in early):
+        early = [handler for handler in self._previous_handlers if isinstance(handler, EarlySignalHandler)]
+        if any(handler.was_received for handler in early):
             self._on_signal()
         return self
 
@@ -111,80 +113,81 @@
         self._write.close()
 
     def release(self, number: signal.Signals) -> None:
-        """Give one signal back to the handler that it had before."""
+        """Restore the previous handler of one signal."""
         signal.signal(number, self._previous_handlers[self._signals.index(number)])
 
     async def next(self) -> None:
-        """Wait for a signal; those that came since the last wait count as one."""
-        await self._came.wait()
-        self._came = trio.Event()
+        """Wait for a signal; several signals since the last wait count as one."""
+        await self._received.wait()
+        self._received = trio.Event()
 
     def _on_signal(self, *_: object) -> None:
-        with contextlib.suppress(BlockingIOError):  # full: reported already
+        with contextlib.suppress(BlockingIOError):  # the buffer is full: signals are already pending
             self._write.send(b"!")
 
     def _on_ready(self, _: int) -> None:
         with contextlib.suppress(BlockingIOError):
             self._read.recv(SIGNAL_READ_SIZE)
-            self._came.set()
+            self._received.set()
 
 
 async def serve_until_signal(
     front: HttpFront,
     endpoint: Endpoint,
     name: str,
-    beside: Callable[[], int] | None = None,
-    serving: Callable[[], None] = lambda: None,
+    count_older_processes: Callable[[], int] | None = None,
+    on_serving: Callable[[], None] = lambda: None,
 ) -> None:
-    """Serve clients; after SIGTERM go on for a moment, then end once all accepted requests are answered.
+    """Serve clients until SIGTERM or SIGINT, then shut down gracefully and return.
+
+    During the shutdown another SIGTERM is ignored, and another SIGINT ends the program at once.
 
-    Another SIGTERM meanwhile changes nothing; another SIGINT ends the program. beside: returns how many
-    earlier processes of this router serve at the same address (None: none may); serving: called once clients
-    are accepted.
+    count_older_processes: returns how many earlier processes of this router listen on the same address; None:
+    the address is not shared. on_serving: called once connections are accepted.
     """
     with SignalWatcher(front.poller, signal.SIGTERM, signal.SIGINT) as stop:
-        if beside is None:
+        if count_older_processes is None:
             front.open([_detach_socket(listener) for listener in await listen(endpoint)])
         else:
-            listener = listen_plain(endpoint, shared=True)
-            steer(listener, beside())
+            listener = open_listening_socket(endpoint, shared=True)
+            direct_new_connections(listener, count_older_processes())
             front.open([listener])
-        serving()
+        on_serving()
         log.info("%s serves on %s:%d", name, *endpoint)
         await stop.next()
-        # Signals may come in series, and the shutdown ends by itself: a second SIGTERM must not cut off the
-        # answers that are owed. Whoever presses Ctrl-C a second time means it.
+        # A second SIGTERM is ignored: signals may be sent repeatedly, the shutdown has a time limit, and the
+        # remaining answers must be sent. A second Ctrl-C is intended to end the program at once.
         stop.release(signal.SIGINT)
         await _shut_down(front, name)
 
 
 async def _shut_down(front: HttpFront, name: str) -> None:
-    """Shut down in steps, each bounded: accept on, answer what was accepted, reject the rest."""
+    """Shut down in three steps with time limits: keep accepting, answer open requests, reject the rest."""
     limits = front.limits
     log.info("%s leaves: it takes what comes for %.1f s more", name, limits.shutdown_accept_time)
-    # New connections and requests keep coming for a moment, and all are to be answered.
+    # Clients keep sending requests until they notice the shutdown, and each request has to be answered.
     await trio.sleep(limits.shutdown_accept_time)
     with trio.move_on_after(limits.shutdown_response_timeout) as last_answers:
-        await _shut_listeners(front, limits.accept_pause)
+        await _close_listeners(front, limits.accept_pause)
         front.leave()
         await front.emptied()
-    if last_answers.cancelled_caught:  # a rejection now is better than no answer
+    if last_answers.cancelled_caught:  # time is up: reject the rest, which is better than no answer
         front.leave()
         front.finish()
         with trio.move_on_after(limits.shutdown_reject_timeout):
             await front.emptied()
 
 
-async def _shut_listeners(front: HttpFront, pause: float) -> None:
-    """Stop accepting; where the system is short of something, try again after a pause until it is done."""
-    is_shut = front.shut()
-    while not is_shut:
+async def _close_listeners(front: HttpFront, pause: float) -> None:
+    """Stop accepting connections; if system resources are short, retry after a pause until it succeeds."""
+    are_closed = front.shut()
+    while not are_closed:
         await trio.sleep(pause)
-        is_shut = front.shut()
+        are_closed = front.shut()
 
 
 def _detach_socket(listener: trio.SocketListener) -> socket.socket:
-    """Take the listening socket out of a trio listener, for a poller."""
+    """Detach the listening socket from a trio listener, for use with a poller."""
     sock = socket.socket(fileno=listener.socket.detach())
     sock.setblocking(False)
     return sock
--- a/brackenlane/observe/__init__.py
+++ b/brackenlane/observe/__init__.py
@@ -1,4 +1,4 @@
-"""What the router reports about itself: so far the limit on the rate of its log.
+"""Logging of the router: line format and rate limit.
 
-It never decides anything, and adds nothing to the time of a request. Entry point: `throttle.Throttle`.
+It makes no decisions and adds no latency to requests. Entry point: `throttle.Throttle`.
 """
--- a/brackenlane/observe/throttle.py
+++ b/brackenlane/observe/throttle.py
@@ -1,4 +1,4 @@
-"""Rate limit of the log, so that endless bad input neither fills a disk nor delays active requests."""
+"""Rate limit of the log, so that a flood of bad input neither fills the disk nor delays active requests."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from brackenlane.clock import steady_time
 
-DEFAULT_MAX_KINDS = 256  # kinds of lines counted at once; past it all counts begin anew
+DEFAULT_MAX_KINDS = 256  # kinds of lines counted at the same time; beyond that all counts are reset
 
 
 @dataclass(slots=True)
 class _Window:
-    """The lines of one kind since the last that began a window."""
+    """Counts the lines of one kind in the current window."""
 
-    start: float  # steady time
+    start: float  # steady time of the first line, in seconds
     count: int = 1
 
 
 class Throttle(logging.Filter):
-    """Log filter that passes a bounded number of lines of one kind in each window of seconds.
+    """Log filter that passes at most `max_lines` lines of one kind per window of `window` seconds.
 
-    A kind is a logger and a format. The first line after a window tells how many were suppressed in it.
+    A kind is a logger and a format string. The first line after a window reports how many were suppressed.
     """
 
     def __init__(self, max_lines: int, window: float, max_kinds: int = DEFAULT_MAX_KINDS) -> None:
@@ -32,8 +32,8 @@
         self._windows: dict[tuple[str, str], _Window] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether a line passes."""
-        now = steady_time()  # not `record.created`: a wall clock that is set back would silence the log
+        """Return whether a line is to be logged."""
+        now = steady_time()  # not `record.created`: setting the wall clock back would suppress lines
         kind = (record.name, str(record.msg))
         window = self._windows.get(kind)
         if window is not None and now - window.start < self._window_length:
--- a/brackenlane/platform_router.py
+++ b/brackenlane/platform_router.py
@@ -1,4 +1,4 @@
-"""The platform's router: its parts, put together from the configuration, and reloaded on SIGHUP."""
+"""The router on the platform: creates its components from the configuration and reloads it on SIGHUP."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from brackenlane.core.engine_config import EngineConfig
 from brackenlane.core.metrics import RequestMetrics
 from brackenlane.core.response_cache import ResponseCache
-from brackenlane.lifecycle import SignalWatcher, listen_plain, serve_until_signal
+from brackenlane.lifecycle import SignalWatcher, open_listening_socket, serve_until_signal
 from brackenlane.limits import Limits
 from brackenlane.net.change_log import ChangeApplier, ChangeLogClient, ChangeLogSource
 from brackenlane.net.change_log_codec import Change, ChangeLogFormatError, read_known
@@ -35,22 +35,24 @@
 log = logging.getLogger(__name__)
 
 BYTES_PER_MB = 2**20
-FIXED_FIELDS = {"listen": "listen", "admin": "ops"}  # by field: the key of an address that cannot move
-ENGINE_FIELDS = ("settings", "sockets", "memory_mb", "transfer_rate", "link_rate")  # one changed: reconfigure
+# Addresses that cannot change without a restart: configuration key by field of `Config`.
+FIXED_ADDRESS_KEYS = {"listen": "listen", "admin": "ops"}
+# Fields of `Config` that the engine uses; if any of them changes, the engine is reconfigured.
+ENGINE_FIELDS = ("settings", "sockets", "memory_mb", "transfer_rate", "link_rate")
 
 
 def load_config() -> Config:
-    """Return the configuration named by the environment (GW_CONFIG, GW_OPS). Raises ConfigError."""
+    """Load the configuration given by the environment (GW_CONFIG, GW_OPS). Raises ConfigError."""
     return configuration.load(os.environ.get("GW_CONFIG"), os.environ.get("GW_OPS", ""))
 
 
 def run(config: Config) -> None:
-    """Run a router until it has shut down after SIGTERM. Raises ConfigError, maybe in an exception group."""
+    """Run a router until it has shut down. Raises ConfigError, possibly within an exception group."""
     trio.run(serve, config, derive_limits(config))
 
 
 def derive_limits(config: Config) -> Limits:
-    """Return the limits that follow from a configuration and from what the system allows this process."""
+    """Derive the limits from the configuration and from the system's limit on file descriptors."""
     max_sockets, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     sockets = min(config.sockets, max_sockets)
     return (
@@ -59,28 +61,28 @@
 
 
 class RouterParts(NamedTuple):
-    """The actors of one router."""
+    """The components of one router."""
 
     poller: Poller
     engine: RequestEngine
     pools: ConnectionPools
     front: HttpFront
     orders: MaintenanceOrders
-    handover: Handover | None  # None: without an admin API, or without a handover log
+    handover: Handover | None  # None if there is no admin API or no handover log
     change_log: ChangeLogClient
     clock_steps: ClockStepMonitor
 
 
 async def serve(config: Config, limits: Limits) -> None:
-    """Run a router until SIGTERM and the last response after it."""
+    """Run a router until it has shut down after SIGTERM."""
     poller = Poller(limits.max_poll_events, alone=True)
-    with SignalWatcher(poller, signal.SIGHUP) as hangups:
+    with SignalWatcher(poller, signal.SIGHUP) as sighups:
         async with trio.open_nursery() as nursery:
             parts = build(config, limits, poller)
             nursery.start_soon(parts.engine.run)
             nursery.start_soon(poller.run)
             parts.change_log.start(read_known(config.known, config.site, steady_time()), config.cursor)
-            nursery.start_soon(Reloader(config, parts).run, hangups)
+            nursery.start_soon(Reloader(config, parts).run, sighups)
             _check_clock(parts)
             await _serve_clients(config, parts)
             if parts.handover:
@@ -89,14 +91,14 @@
 
 
 def _check_clock(parts: RouterParts) -> None:
-    """Look for steps of the wall clock, periodically."""
+    """Check for steps of the wall clock, and schedule the next check."""
     parts.clock_steps.check()
     interval = parts.front.limits.clock_check_interval
     parts.engine.timers.at(steady_time() + interval, _check_clock, parts)
 
 
 def build(config: Config, limits: Limits, poller: Poller) -> RouterParts:
-    """Put the parts together, with the admin API open if there is one. Raises ConfigError."""
+    """Create the components, and open the admin API if one is configured. Raises ConfigError."""
     engine = RequestEngine(
         _engine_config(config, limits),
         lambda attempt: pools.place(attempt),
@@ -113,7 +115,7 @@
     clock_steps = ClockStepMonitor()
 
     def fault_counts() -> dict[str, int]:
-        """Return the counts of what went wrong around this process."""
+        """Return the counters of external faults by metric name."""
         return {
             **change_log.counters.by_name(),
             "clock_steps": clock_steps.step_count,
@@ -129,7 +131,7 @@
             order=orders.order,
         )
         admin_api = AdminApi(poller, engine.timers, limits, routes)
-        admin_api.open(listen_plain(config.admin))
+        admin_api.open(open_listening_socket(config.admin))
     change_log = ChangeLogClient(
         ChangeLogSource(config.changelog, config.site),
         limits,
@@ -142,28 +144,33 @@
 
 
 def open_handover_log(config: Config, limits: Limits) -> HandoverLog | None:
-    """Open the log that this router's processes share in `$TMPDIR`; None if there is none or it fails."""
+    """Open the handover log, which the processes of this router share in `$TMPDIR`.
+
+    Returns None if TMPDIR is not set or the log cannot be opened.
+    """
     folder = os.environ.get("TMPDIR")
     if not folder:
-        log.warning("TMPDIR is not set: orders and submits are not known to the next process")
+        log.warning(
+            "TMPDIR is not set: maintenance orders and submits are not handed over to the next process"
+        )
         return None
     host, port = config.listen
     try:
         return HandoverLog(Path(folder) / f"brackenlane.{host}.{port}", limits)
     except HandoverLogError as error:
-        log.warning("orders and submits are not known to the next process: %s", error)
+        log.warning("maintenance orders and submits are not handed over to the next process: %s", error)
         return None
 
 
 def _engine_config(config: Config, limits: Limits) -> EngineConfig:
-    """Return what the request engine runs with by a configuration."""
+    """Return the configuration of the request engine."""
     return EngineConfig(
         config.settings, config.seed, limits, config.transfer_rate, _response_cache(config, limits)
     )
 
 
 def _response_cache(config: Config, limits: Limits) -> ResponseCache | None:
-    """Return the response cache; None where the capacity of the link is unknown."""
+    """Create the response cache; None if the capacity of the link is unknown."""
     if not config.transfer_rate or not config.link_rate:
         return None
     max_bytes = limits.response_cache_share * config.memory_mb * BYTES_PER_MB
@@ -173,7 +180,10 @@
 
 
 async def _serve_clients(config: Config, parts: RouterParts) -> None:
-    """Serve clients until SIGTERM and the last response after it; with an admin API, share the address."""
+    """Serve clients until the shutdown is complete.
+
+    With an admin API, the listening address is shared with other processes of this router.
+    """
     handover = parts.handover
     if config.admin is None:
         await serve_until_signal(parts.front, config.listen, config.name)
@@ -190,44 +200,46 @@
 
 
 class Reloader:
-    """Owns the configuration in force; on SIGHUP replaces it as a whole, or keeps it."""
+    """Owns the current configuration; on SIGHUP replaces it as a whole or, if the new one fails, keeps it."""
 
     def __init__(self, config: Config, parts: RouterParts) -> None:
         self._config = config
         self._parts = parts
 
-    async def run(self, hangups: SignalWatcher) -> None:
-        """Reload on each SIGHUP, forever."""
+    async def run(self, sighups: SignalWatcher) -> None:
+        """Reload the configuration on each SIGHUP, until cancelled."""
         while True:
-            await hangups.next()
+            await sighups.next()
             self.reload()
 
     def reload(self) -> None:
-        """Read the file again and apply it; a file that cannot be used changes nothing."""
+        """Read the file again and apply it; an invalid file changes nothing."""
         try:
             new = load_config()
             self._check_addresses(new)
-            # All faults of a file are found before any part of it is applied.
+            # Validate the whole file before any part of it is applied.
             known = list(read_known(new.known, new.site, steady_time()))
             self._reconfigure(new)
         except (ConfigError, ChangeLogFormatError) as error:
             log.warning("SIGHUP: the old configuration remains in force: %s", " ".join(str(error).split()))
             return
-        except Exception:  # guards the requests in flight against a fault that no check foresaw
+        except Exception:  # an unexpected error must not affect requests in flight
             log.exception("SIGHUP: the old configuration remains in force")
             return
-        self._follow_change_log(new, known)
+        self._update_change_log(new, known)
         self._config = new
 
     def _check_addresses(self, new: Config) -> None:
-        moved = [
-            key for field, key in FIXED_FIELDS.items() if getattr(new, field) != getattr(self._config, field)
+        changed_keys = [
+            key
+            for field, key in FIXED_ADDRESS_KEYS.items()
+            if getattr(new, field) != getattr(self._config, field)
         ]
-        if moved:
-            raise ConfigError(f"{', '.join(moved)}: another address needs a new process")
+        if changed_keys:
+            raise ConfigError(f"{', '.join(changed_keys)}: another address needs a new process")
 
     def _reconfigure(self, new: Config) -> None:
-        """Apply new settings; nothing learned under the old ones stays."""
+        """Apply changed settings; the state learned under the old settings is discarded."""
         if all(getattr(new, field) == getattr(self._config, field) for field in ENGINE_FIELDS):
             return
         limits = derive_limits(new)
@@ -236,10 +248,10 @@
         self._parts.front.reconfigure(limits)
         log.info("SIGHUP: other settings hold")
 
-    def _follow_change_log(self, new: Config, known: list[Change]) -> None:
+    def _update_change_log(self, new: Config, known: list[Change]) -> None:
         if new.site != self._config.site:
             self._parts.change_log.restart(ChangeLogSource(new.changelog, new.site), known, new.cursor)
         else:
             self._parts.change_log.move(new.changelog)
         host, port = new.changelog or ("nowhere", 0)
-        log.info("SIGHUP: the change log is at %s, port %d", host, port)
+        log.info("SIGHUP: the change log is read from %s, port %d", host, port)
