--- a/brackenlane/clock.py
+++ b/brackenlane/clock.py
@@ -1,13 +1,14 @@
-"""The clocks of this process: one for spans of time, and the machine's wall clock.
+"""The clocks of this process: a steady clock for measuring durations, and the machine's wall clock.
 
-A wall clock may be stepped, forward or back, at any moment; the monotonic clock runs on. So every deadline,
-wait, backoff, grace, age and lease is a difference of two readings of `steady_time`, which is the monotonic
-clock, counted from the Unix time at which this process started. Its readings can be compared with Unix times
-of other machines (a purge, the issue of a copy, the start of a server); a later step of the wall clock has no
-effect on them. The kernel slews both clocks alike, so only steps set them apart.
+The wall clock may be stepped forward or back at any time; the monotonic clock is not affected by that.
+Therefore every deadline, wait, backoff, grace, age and lease is a difference of two readings of
+`steady_time`: the monotonic clock plus a fixed offset, so that it started at the Unix time at which this
+process started. Its readings can be compared with Unix times of other machines (of a purge, of the issue of a
+copy, of the start of a server), and a later step of the wall clock has no effect on them. The kernel slews
+both clocks equally, so they only diverge by steps.
 
-Nothing else in the program reads the wall clock; the linter refuses it (`banned-api` in pyproject.toml).
-docs/design/clocks.md says for each state which clock it is kept on, and why.
+No other module reads the wall clock, which the linter enforces (`banned-api` in pyproject.toml).
+docs/design/clocks.md explains which clock is used for each piece of state, and why.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 
 log = logging.getLogger(__name__)
 
-MIN_STEP = 0.5  # seconds between wall clock and steady time, from which it counts as a step
+MIN_STEP = 0.5  # change in seconds of the offset between both clocks that counts as a step
 
 
 class Clock(Protocol):
-    """A machine's two clocks, both in seconds."""
+    """The monotonic clock and the wall clock of a machine, both in seconds."""
 
     def monotonic(self) -> float:
-        """Return seconds since some moment in the past; it never goes back, and no step affects it."""
+        """Return the seconds since an arbitrary time; never decreases and is not affected by steps."""
 
     def wall(self) -> float:
-        """Return the Unix time, as the machine has it at this moment."""
+        """Return the current Unix time according to the machine."""
 
 
 class SystemClock:
@@ -45,16 +46,17 @@
         return time.time()
 
 
-UNIX_TIME_AT_ZERO = time.time() - time.monotonic()  # at the zero of the monotonic clock, read at the start
+# Unix time at which the monotonic clock was zero, according to the wall clock at startup.
+UNIX_TIME_AT_ZERO = time.time() - time.monotonic()
 
 
 def steady_time() -> float:
-    """Return the Unix time of the start of this process, carried on by the monotonic clock."""
+    """Return the Unix time in seconds: as of the start of this process, plus the monotonic time since."""
     return time.monotonic() + UNIX_TIME_AT_ZERO
 
 
 class ClockStepMonitor:
-    """Logs and counts the steps of the wall clock, for whoever reads the log; nothing depends on them."""
+    """Logs and counts steps of the wall clock; for monitoring only."""
 
     def __init__(self, clock: Clock | None = None) -> None:
         self._clock = clock or SystemClock()
@@ -62,7 +64,7 @@
         self.step_count = 0
 
     def check(self) -> None:
-        """Compare the clocks; to be called periodically."""
+        """Check whether the wall clock was stepped since the last call; to be called periodically."""
         offset = self._read_offset()
         step = offset - self._offset
         if abs(step) < MIN_STEP:
--- a/brackenlane/config.py
+++ b/brackenlane/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of a router: read once at the start and on SIGHUP, checked, as one record."""
+"""The configuration of a router on the platform: read and validated at startup and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used; the message is one plain line for each fault."""
+    """The configuration is invalid; the message has one line per fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """The names by which the change log's numbers and words are read."""
+    """The names needed to decode the change log."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    roles: dict[str, Role]  # by kind of server
+    roles: dict[str, Role]  # role of a server by its kind
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that one router is started with."""
+    """Configuration of one router."""
 
     name: str
     listen: Endpoint
@@ -48,17 +48,17 @@
     site: Site
     seed: int = 0
     changelog: Endpoint | None = None
-    known: dict[str, Any] = field(default_factory=dict)  # changes from before the start, as JSON
-    cursor: int = 0  # the number of the last change in `known`
-    sockets: int = DEFAULT_SOCKETS  # descriptors that the router may use
+    known: dict[str, Any] = field(default_factory=dict)  # changes made before startup, as JSON
+    cursor: int = 0  # event number of the last change in `known`
+    sockets: int = DEFAULT_SOCKETS  # maximum number of file descriptors
     memory_mb: float = DEFAULT_MEMORY_MB
-    transfer_rate: float = 0.0  # bytes per second of one transfer at most; 0: unknown
-    link_rate: float = 0.0  # bytes per second of all this router's transfers together; 0: unknown
-    admin: Endpoint | None = None  # address of the admin API, if there is one
+    transfer_rate: float = 0.0  # maximum rate of one transfer in bytes per second; 0: unknown
+    link_rate: float = 0.0  # rate of all transfers of this router together in bytes per second; 0: unknown
+    admin: Endpoint | None = None  # address of the admin API; None: no admin API
 
 
 def read_endpoint(text: object, what: str) -> Endpoint:
-    """Return an address and port from "ADDRESS:PORT". what: names the value in a ConfigError."""
+    """Parse "ADDRESS:PORT". what: name of the value for the message of a ConfigError."""
     host, _, port_text = str(text).rpartition(":")
     try:
         address = ipaddress.ip_address(host.strip("[]"))
@@ -71,7 +71,7 @@
 
 
 def read_settings(raw: Any) -> tuple[Settings, Site]:
-    """Return the settings of the decisions, and the names that the change log uses. Raises ConfigError."""
+    """Return the settings of the router's decisions and the names of the change log. Raises ConfigError."""
     try:
         settings = settings_codec.read_settings(raw)
         site = Site(settings.locations, settings_codec.kind_names(raw), settings_codec.kind_roles(raw))
@@ -81,9 +81,9 @@
 
 
 def parse(text: bytes, admin: str = "") -> Config:
-    """Return the configuration from its JSON text. Raises ConfigError.
+    """Parse the JSON text of a configuration. Raises ConfigError.
 
-    admin: address of the admin API where the text names none; empty: none.
+    admin: address of the admin API if the text has none; empty: no admin API.
     """
     raw = _read_json(text)
     settings, site = read_settings(raw["settings"])
@@ -112,7 +112,7 @@
 
 
 def _read_json(text: bytes) -> dict[str, Any]:
-    """Return the JSON object of a text, with all the keys that must be there."""
+    """Parse a JSON object and check that it has all required keys."""
     try:
         raw = orjson.loads(text)
     except orjson.JSONDecodeError as error:
@@ -134,7 +134,7 @@
 
 
 def _read_object(raw: dict[str, Any], key: str) -> dict[str, Any]:
-    """Return the object at a key; an empty one where the key is absent."""
+    """Return the object at a key, or an empty object if the key is absent."""
     value = raw.get(key, {})
     if not isinstance(value, dict):
         raise ConfigError(f"{key}: an object is needed")
@@ -143,13 +143,13 @@
 
 def _read_cursor(known: dict[str, Any]) -> int:
     cursor = known.get("seq", 0)
-    if type(cursor) is not int or not 0 <= cursor <= MAX_CURSOR:  # a bool is no number here
+    if type(cursor) is not int or not 0 <= cursor <= MAX_CURSOR:  # excludes bool
         raise ConfigError(f"known.seq: {cursor!r} is no event's number")
     return cursor
 
 
 def _read_number(raw: dict[str, Any], key: str, default: float, minimum: float = 0) -> float:
-    """Return the finite number at a key, of at least `minimum`; the default where the key is absent."""
+    """Return the finite number at a key, at least `minimum`; the default if the key is absent."""
     value = raw.get(key, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < float("inf"):
         raise ConfigError(f"{key}: {value!r} is no number of at least {minimum}")
@@ -157,7 +157,7 @@
 
 
 def load(path: str | None, admin: str = "") -> Config:
-    """Return the configuration from its file, named by GW_CONFIG. Raises ConfigError. admin: see `parse`."""
+    """Load the configuration from the file that GW_CONFIG names. Raises ConfigError. admin: see `parse`."""
     if not path:
         raise ConfigError("GW_CONFIG: names no file")
     try:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,8 +1,8 @@
-"""The machine's wall clock is stepped under a running router: its deadlines and waits do not move.
+"""Steps of the wall clock while the router runs must not affect its deadlines and waits.
 
-What was seen: with caches of which each hangs in a quarter of its requests, a step of 5 s or an hour, forward
-or back, left answers unsent or sent them seconds past their deadline, because every timer and deadline was a
-time of the wall clock. The real program runs here with a library that steps the clock of that process alone.
+Guards against timers and deadlines on the wall clock: with caches that hang in a quarter of their requests, a
+step of 5 s or an hour, forward or back, made answers late by seconds or prevented them. The real program runs
+with a preloaded library that steps the wall clock of this process only.
 """
 
 from __future__ import annotations
@@ -24,48 +24,48 @@
 CACHES = ("s-00000001", "s-00000002", "s-00000003")
 ORIGIN = "s-00000009"
 TTL = 1.2  # seconds
-LATE = 0.15  # seconds past the deadline, from which an answer is late
+LATE_AFTER = 0.15  # seconds after the deadline from which an answer counts as late
 REQUESTS = 60
 INTERVAL = 0.04  # seconds between two requests
-STEP_AFTER, BACK_AFTER = 0.8, 1.6  # seconds after the first request
-HANGS = 4  # of so many requests one hangs at its cache
+STEP_AT, STEP_BACK_AT = 0.8, 1.6  # seconds after the first request
+HANG_EVERY = 4  # a cache does not answer one in this many requests
 RESPONSE_CACHE_RATE = 10_000_000.0  # bytes per second
 
 
 def hang_in_some(requested: ReceivedRequest) -> bytes | None:
-    """Answer, but never every fourth object."""
-    return None if int(requested.id, 16) % HANGS == 0 else data(requested)
+    """Answer, except for one in four request ids."""
+    return None if int(requested.id, 16) % HANG_EVERY == 0 else data(requested)
 
 
-async def measure(router_process: Program, took: list[float]) -> None:
-    """Send one request, and note how long its answer took; 6 s if none came."""
+async def measure_latency(router_process: Program, latencies: list[float]) -> None:
+    """Send one request and record the seconds until its answer, 6 s if there is none."""
     sent_at = trio.current_time()
     with trio.move_on_after(6.0):
         await router_process.ask(obj=os.urandom(8).hex(), ttl=int(TTL * 1000))
-    took.append(trio.current_time() - sent_at)
+    latencies.append(trio.current_time() - sent_at)
 
 
 @pytest.mark.parametrize("step", [0.0, 1.0, -1.0, 5.0, -5.0, 3600.0, -3600.0])
 @with_trio
 async def test_no_answer_is_late_over_a_step_of_the_wall_clock(tmp_path: Path, step: float) -> None:
-    """The clock is stepped under open requests, and back again."""
+    """The clock is stepped while requests are open, and later stepped back."""
     shim = FaultShim(tmp_path)
     async with trio.open_nursery() as nursery:
         caches = [await CacheStandIn(name, answer=hang_in_some).open(nursery) for name in CACHES]
         caches.append(await CacheStandIn(ORIGIN, "origin", hang_in_some).open(nursery))
-        took: list[float] = []
+        latencies: list[float] = []
         async with (
             platform(tmp_path, caches, env=shim.environment) as router_process,
             trio.open_nursery() as clients,
         ):
             started_at = trio.current_time()
             for _ in range(REQUESTS):
-                clients.start_soon(measure, router_process, took)
+                clients.start_soon(measure_latency, router_process, latencies)
                 await trio.sleep(INTERVAL)
                 elapsed = trio.current_time() - started_at
-                shim.step_wall_clock(step if STEP_AFTER <= elapsed < BACK_AFTER else 0.0)
-        assert len(took) == REQUESTS
-        assert [at for at in took if at > TTL + LATE] == []
+                shim.step_wall_clock(step if STEP_AT <= elapsed < STEP_BACK_AT else 0.0)
+        assert len(latencies) == REQUESTS
+        assert [at for at in latencies if at > TTL + LATE_AFTER] == []
         nursery.cancel_scope.cancel()
 
 
@@ -75,14 +75,14 @@
 async def test_a_purge_holds_over_a_step_of_the_wall_clock(
     tmp_path: Path, step: float, is_wrong_at_start: bool
 ) -> None:
-    """Neither the response cache nor a cache's old copy is served after a purge that comes behind a step."""
+    """After a step and a purge, no older copy is served, neither by the response cache nor by a cache."""
     shim = FaultShim(tmp_path)
-    # Where the clock was ahead from the start, every copy seems too old for a class with a fresh time.
+    # With a clock that is ahead from the start, all copies seem too old for a class with a fresh time.
     cls = "video-parts" if is_wrong_at_start else "sheet-pages"
     if is_wrong_at_start:
         shim.step_wall_clock(step)
     async with trio.open_nursery() as nursery:
-        limits: list[float] = []  # ages that the caches were told, in seconds
+        limits: list[float] = []  # age limits sent to the caches, in seconds
 
         def note_age(requested: ReceivedRequest) -> bytes:
             limits.append(int(requested.fields.get("within", 0)) / 1000)
@@ -106,8 +106,8 @@
         nursery.cancel_scope.cancel()
 
 
-def test_age_of_a_stamp_is_never_more_than_the_true_one() -> None:
-    """The clocks differ by an hour, either way; stamps arrive 0.2 to 9 s after they were made."""
+def test_age_of_a_timestamp_never_exceeds_its_true_age() -> None:
+    """The clocks differ by an hour in either direction; timestamps arrive after 0.2 to 9 s."""
     for difference in (3600.0, -3600.0, 0.0):
         ages = StampAges()
         for made_at, delay in ((100.0, 0.5), (101.0, 0.2), (102.0, 9.0)):
@@ -116,27 +116,27 @@
         assert age == pytest.approx(0.0 if difference < 0 else 9.0 - 0.2)
 
 
-def test_stamp_from_the_future_makes_no_later_one_seem_old() -> None:
-    """The clock of whoever stamps purges is an hour ahead for one of them, and right again."""
+def test_timestamp_from_the_future_does_not_make_later_ones_seem_old() -> None:
+    """The source's clock is an hour ahead for one timestamp, and correct for the next."""
     ages = StampAges()
     assert ages.age(3700.0, 100.5) == 0.0
     assert ages.age(101.0, 101.3) == pytest.approx(0.3)
 
 
 def test_steps_of_the_wall_clock_are_counted() -> None:
-    """Half a second and more is a step, once; less is not."""
+    """A change of at least half a second is counted once as a step; a smaller one is not."""
 
     class Machine:
-        """Two clocks that a test sets."""
+        """A machine whose clocks are set by the test."""
 
         now, offset = 50.0, 1000.0
 
         def monotonic(self) -> float:
-            """The monotonic clock."""
+            """Return the monotonic time."""
             return self.now
 
         def wall(self) -> float:
-            """The wall clock."""
+            """Return the wall clock time."""
             return self.now + self.offset
 
     machine = Machine()
