--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""The real program short of CPU: what it sheds, what it never sheds, and that everyone is answered."""
+"""The real program under CPU overload, and its parser for HTTP requests."""
 
 from __future__ import annotations
 
@@ -17,93 +17,100 @@
 HEAD = "GET /api/v2/video-parts/7f3a9c21e0b4d655/n-0 HTTP/1.1\r\nHost: a\r\n"
 
 
-def answer(requested: ReceivedRequest) -> bytes:
-    """A good answer, to reads and writes."""
+def respond(requested: ReceivedRequest) -> bytes:
+    """Answer reads and writes successfully."""
     return data(requested, b"" if requested.fields["queue"] == "sheet-submit" else b"bytes")
 
 
-async def ask(router_process: Program, found: Counter[tuple[str, int]], cls: str, number: int) -> None:
-    """One request and what came of it."""
+async def send_request(
+    router_process: Program, status_counts: Counter[tuple[str, int]], cls: str, number: int
+) -> None:
+    """Send one request and count its status; a rejection must have a Retry-After."""
     body = b"signed" * (cls == "sheet-submit")
     status, headers, _ = await router_process.ask(cls, f"{number:016x}", body, ttl=9000)
-    found[cls, status] += 1
+    status_counts[cls, status] += 1
     assert status != 503 or int(headers["retry-after"]) > 0
 
 
 @with_trio
-async def test_shed(tmp_path: Path) -> None:
-    """Many times what its core can do: reads are shed before they reach a cache, submits never."""
+async def test_overload_sheds_reads_but_never_submits(tmp_path: Path) -> None:
+    """Under many times the load that a core can serve, reads are shed before they reach a cache.
+
+    Submits are never shed, and every request is answered.
+    """
     async with trio.open_nursery() as nursery:
         caches = [
-            await CacheStandIn(EDGE, answer=answer).open(nursery),
-            await CacheStandIn(ORIGIN, "origin", answer=answer).open(nursery),
+            await CacheStandIn(EDGE, answer=respond).open(nursery),
+            await CacheStandIn(ORIGIN, "origin", answer=respond).open(nursery),
         ]
         async with platform(tmp_path, caches, module="tests.slow_program", SLOW_MS="8") as router_process:
-            found: Counter[tuple[str, int]] = Counter()
-            silent = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(400)]
+            status_counts: Counter[tuple[str, int]] = Counter()
+            idle_connections = [
+                await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(400)
+            ]
             async with trio.open_nursery() as clients:
                 for number in range(300):
                     cls = "sheet-submit" if number % 50 == 0 else "video-parts"
-                    clients.start_soon(ask, router_process, found, cls, number)
-            assert sum(found.values()) == 300
-            assert found["sheet-submit", 200] == 6
-            served, refused = found["video-parts", 200], found["video-parts", 503]
-            assert served > 0, found
-            assert refused > 0, found
-            assert served + refused == 294, found
-            # What was refused never reached a cache, and no write did twice.
+                    clients.start_soon(send_request, router_process, status_counts, cls, number)
+            assert sum(status_counts.values()) == 300
+            assert status_counts["sheet-submit", 200] == 6
+            served, refused = status_counts["video-parts", 200], status_counts["video-parts", 503]
+            assert served > 0, status_counts
+            assert refused > 0, status_counts
+            assert served + refused == 294, status_counts
+            # Rejected requests did not reach a cache, and no write reached one twice.
             requested = [one for cache in caches for one in cache.received]
             assert len(requested) == served + 6 == len({one.id for one in requested})
             await router_process.says(b"short of CPU")
-            # And it comes back by itself.
+            # The router recovers without intervention.
             assert (await router_process.ask())[0] == 200
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
-            for stream in silent:
+            for stream in idle_connections:
                 await stream.aclose()
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_drain_in_a_flood(tmp_path: Path) -> None:
-    """A drain is heard in the midst of overload: from 500 ms after it was told the cache gets nothing new."""
+async def test_drain_is_applied_during_overload(tmp_path: Path) -> None:
+    """From 500 ms after a drain is published, the drained cache gets no new requests, even under overload."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, other, origin = [
-            await CacheStandIn(i, m, answer=answer).open(nursery)
+            await CacheStandIn(i, m, answer=respond).open(nursery)
             for i, m in ((EDGE, "type-a"), ("s-00000002", "type-a"), (ORIGIN, "origin"))
         ]
         async with platform(
             tmp_path, [edge, other, origin], log, module="tests.slow_program", SLOW_MS="4"
         ) as router_process:
-            found: Counter[tuple[str, int]] = Counter()
+            status_counts: Counter[tuple[str, int]] = Counter()
 
             async def flood(start: int) -> None:
                 while True:
                     start += 100
-                    await ask(router_process, found, "video-parts", start)
+                    await send_request(router_process, status_counts, "video-parts", start)
 
             async with trio.open_nursery() as clients:
                 for number in range(100):
                     clients.start_soon(flood, number)
-                while not edge.received or not found["video-parts", 503]:
+                while not edge.received or not status_counts["video-parts", 503]:
                     await trio.sleep(0.01)
                 await log.tell(2, 2, record(edge, 1))
                 await trio.sleep(0.5)
                 late, since = len(edge.received), len(other.received)
                 await other.until(lambda: len(other.received) > since + 30)
                 assert len(edge.received) == late
-                assert found["video-parts", 503]
+                assert status_counts["video-parts", 503]
                 clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_pipelined_and_cut(tmp_path: Path) -> None:
-    """Two requests in one packet get two answers in their order; one cut at any byte is one request."""
+async def test_pipelined_and_fragmented_requests(tmp_path: Path) -> None:
+    """Two requests in one packet are answered in order; a request split at any byte is one request."""
     async with trio.open_nursery() as nursery:
         caches = [
-            await CacheStandIn(EDGE, answer=answer).open(nursery),
-            await CacheStandIn(ORIGIN, "origin", answer=answer).open(nursery),
+            await CacheStandIn(EDGE, answer=respond).open(nursery),
+            await CacheStandIn(ORIGIN, "origin", answer=respond).open(nursery),
         ]
         async with platform(tmp_path, caches) as router_process:
 
@@ -135,7 +142,7 @@
     [
         (HEAD + "\r\n", "/api/v2/video-parts/7f3a9c21e0b4d655/n-0"),
         (HEAD + "X-Second-Try: 1\r\n\r\n", "/api/v2/video-parts/7f3a9c21e0b4d655/n-0"),
-        (HEAD + "Content-Length: 5\r\n\r\n", None),  # its body may hide another request
+        (HEAD + "Content-Length: 5\r\n\r\n", None),  # the body may contain another request
         (HEAD + "content-length: 0\r\n\r\n", None),
         (HEAD + "Transfer-Encoding: chunked\r\n\r\n", None),
         (HEAD + "Connection: close\r\n\r\n", None),
@@ -149,8 +156,8 @@
         ("", None),
     ],
 )
-def test_plain(sent: str, target: str | None) -> None:
-    """Only what hides nothing is refused without its being read in full."""
+def test_read_plain_accepts_only_unambiguous_reads(sent: str, target: str | None) -> None:
+    """Only a read that can't contain another request is recognized, so that it can be rejected unparsed."""
     assert read_plain(sent.encode()) == ((target, "X-Second-Try" in sent) if target else None)
 
 
@@ -179,8 +186,8 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, 7, 100_000])
-def test_codec_faults(sent: str, status: int, step: int) -> None:
-    """What h11 refused is refused still, however its bytes are cut."""
+def test_parser_rejects_invalid_requests_at_any_fragmentation(sent: str, status: int, step: int) -> None:
+    """Requests that h11 rejects are rejected, however their bytes are split into packets."""
     requests = RequestParser(Limits())
     for start in range(0, len(sent), step):
         requests.feed(sent[start : start + step].encode())
@@ -190,8 +197,8 @@
 
 
 @pytest.mark.parametrize("step", [1, 3, 100_000])
-def test_codec_reads(step: int) -> None:
-    """A body in chunks, trailers that count for nothing, a wish that is passed over, and what is behind."""
+def test_parser_reads_chunks_trailers_and_upgrades(step: int) -> None:
+    """A chunked body is read, trailers and upgrades are ignored, and pipelined requests are read."""
     sent = (
         b"PUT /a HTTP/1.1\r\nHost: a\r\nX-Txn:  1 \r\nTransfer-Encoding: chunked\r\n\r\n"
         b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Shard: 9\r\n\r\n"
@@ -201,11 +208,11 @@
     requests = RequestParser(Limits())
     for start in range(0, len(sent), step):
         requests.feed(sent[start : start + step])
-    first, option, second = requests.next(), requests.next(), requests.next()
+    first, upgrade, second = requests.next(), requests.next(), requests.next()
     assert first
     assert second
-    assert option
-    assert option.target == "/u"
+    assert upgrade
+    assert upgrade.target == "/u"
     assert requests.fault is None
     assert not requests.partial
     assert (first.method, first.target, first.body, first.keep_alive) == ("PUT", "/a", b"abcde", True)
@@ -214,16 +221,16 @@
     assert (second.method, second.target, second.keep_alive) == ("GET", "/b", False)
 
 
-def test_codec_rejects_malformed_options() -> None:
-    """A packet full of wishes for another protocol is read like any other."""
+def test_parser_ignores_many_upgrade_requests() -> None:
+    """Many pipelined requests that ask for an upgrade of the protocol are read as normal requests."""
     requests = RequestParser(Limits())
     requests.feed(b"GET /u HTTP/1.1\r\nHost: a\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n\r\n" * 1000)
     assert requests.fault is None
     assert sum(1 for _ in iter(requests.next, None)) == 1000
 
 
-def test_codec_noise() -> None:
-    """Noise ends in a fault or waits for more; it is never taken for a request, and never raises."""
+def test_parser_takes_no_random_bytes_for_a_request() -> None:
+    """Random bytes end in a fault or wait for more input; they never yield a request or an exception."""
     for _ in range(300):
         requests = RequestParser(Limits())
         requests.feed(os.urandom(200) + b"\r\n\r\n")
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -1,7 +1,7 @@
-"""The router stands still while requests arrive: it passes on what their clients have left, and no more.
+"""Requests that arrive while the router is stopped are forwarded with the client's remaining time only.
 
-A request that came while the process was stopped counted as received when it was read, so a cache was given
-the client's whole time again: as many seconds too much as the process had stood still.
+Guards against counting such a request as received when it is read: the cache then got the client's full time
+limit, which is too long by the duration of the stop.
 """
 
 from __future__ import annotations
@@ -19,40 +19,40 @@
 from tests.test_system_calls import answer
 
 EDGE, ORIGIN = "s-00000001", "s-00000009"
-TTL = 3.0  # seconds, of `request`
-STOPPED = 1.5
-SHORTAGE = 0.6
-BUDGET_SLACK = 0.15  # seconds, of the deadline passed to a server (operators' terms)
+TTL = 3.0  # time limit that `request` sets, in seconds
+STOP_DURATION = 1.5  # seconds
+SHORTAGE_DURATION = 0.6  # seconds
+BUDGET_SLACK = 0.15  # seconds by which the deadline passed to a server may be late, by the operators' rules
 
 
 @with_trio
 async def test_server_gets_no_more_time_than_the_client_has_after_a_stop(tmp_path: Path) -> None:
-    """Requests on a new and on a resting connection come right after the process is stopped."""
+    """Requests arrive on a new and on an idle connection just after the process was stopped."""
     async with trio.open_nursery() as nursery:
         edge = await CacheStandIn(EDGE).open(nursery)
         origin = await CacheStandIn(ORIGIN, "origin").open(nursery)
         async with (
             platform(tmp_path, [edge, origin]) as router_process,
-            await trio.open_tcp_stream("127.0.0.1", router_process.port) as resting,
+            await trio.open_tcp_stream("127.0.0.1", router_process.port) as idle,
         ):
-            await resting.send_all(request("1" * 16))
-            assert await answer(resting) == b"HTTP/1.1 200"
+            await idle.send_all(request("1" * 16))
+            assert await answer(idle) == b"HTTP/1.1 200"
             await trio.sleep(0.3)
             router_process.process.send_signal(signal.SIGSTOP)
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as new:
                 await new.send_all(request("2" * 16, obj="1" * 16))
-                await resting.send_all(request("3" * 16, obj="2" * 16))
-                await trio.sleep(STOPPED)
+                await idle.send_all(request("3" * 16, obj="2" * 16))
+                await trio.sleep(STOP_DURATION)
                 router_process.process.send_signal(signal.SIGCONT)
                 assert await answer(new) == b"HTTP/1.1 200"
-                assert await answer(resting) == b"HTTP/1.1 200"
+                assert await answer(idle) == b"HTTP/1.1 200"
             budgets = {
                 received.id: int(received.fields["budget"]) / 1000
                 for cache in (edge, origin)
                 for received in cache.received
             }
             for digit in "23":
-                assert budgets[digit * 16] <= TTL - STOPPED + BUDGET_SLACK
+                assert budgets[digit * 16] <= TTL - STOP_DURATION + BUDGET_SLACK
         nursery.cancel_scope.cancel()
 
 
@@ -61,7 +61,7 @@
 async def test_server_gets_no_more_time_than_the_client_has_after_a_shortage(
     tmp_path: Path, call: SystemCall
 ) -> None:
-    """A client connects and sends while accept(2) fails, or its socket can't be watched."""
+    """A client connects and sends a request while accept(2) fails or epoll_ctl(2) fails for its socket."""
     shim = FaultShim(tmp_path)
     async with trio.open_nursery() as nursery:
         edge = await CacheStandIn(EDGE).open(nursery)
@@ -71,9 +71,9 @@
             shim.fail(call, 1.0, [errno.ENFILE if call is SystemCall.ACCEPT else errno.ENOSPC])
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                 await client.send_all(request("2" * 16))
-                await trio.sleep(SHORTAGE)
+                await trio.sleep(SHORTAGE_DURATION)
                 shim.recover()
                 assert await answer(client) == b"HTTP/1.1 200"
             [received] = [one for cache in (edge, origin) for one in cache.received if one.id == "2" * 16]
-            assert int(received.fields["budget"]) / 1000 <= TTL - SHORTAGE + BUDGET_SLACK
+            assert int(received.fields["budget"]) / 1000 <= TTL - SHORTAGE_DURATION + BUDGET_SLACK
         nursery.cancel_scope.cancel()
