--- a/brackenlane/net/cache_codec.py
+++ b/brackenlane/net/cache_codec.py
@@ -1,6 +1,6 @@
-"""Codec of the protocol between a router and a cache: requests to bytes, bytes to responses.
+"""Codec of the line protocol between a router and a cache: encodes requests and parses responses.
 
-Pure and incremental. The words of the wire stand here alone.
+It does no I/O and parses incrementally. No other module contains words of this protocol.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus
 from brackenlane.routing.load_report import read_load_report
 
-RESULTS_BY_WORD = {
+RESULTS_BY_STATUS = {
     "data": AttemptResult.OK,
     "unchanged": AttemptResult.OK,
     "absent": AttemptResult.MISS,
@@ -22,7 +22,7 @@
     "failed": AttemptResult.ERROR,
     "moot": AttemptResult.NEVER_SENT,
 }
-STATUSES_BY_DETAIL = {
+CACHE_STATUSES_BY_DETAIL = {
     "hit": CacheStatus.HIT,
     "filled": CacheStatus.FILLED,
     "via_origin": CacheStatus.FILLED_BY_ORIGIN,
@@ -35,50 +35,50 @@
     "origin_failed": CacheStatus.ORIGIN_FAILED,
 }
 REPORT_SEPARATOR = ";"
-UNCHANGED_WORD = "unchanged"
+UNCHANGED_STATUS = "unchanged"
 LINE_END = b"\r\n"
 MS_PER_S = 1000
 
 LoadReport = tuple[tuple[str, float], ...]
-"""Names and values of a cache's load report."""
+"""Field names and values of a cache's load report."""
 
 
 class WireError(Exception):
-    """Bytes that are no response of a cache; the message says what was found."""
+    """The bytes received from a cache are not a valid response; the message says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class CacheResponse:
-    """One response as it was received."""
+    """One response of a cache, with its fields as received."""
 
     id: str
-    word: str
+    status_word: str
     fields: dict[str, str]
     body: bytes
 
     @property
     def result(self) -> AttemptResult:
-        """The result that the status word stands for; of an unknown word the request may have run."""
-        return RESULTS_BY_WORD.get(self.word, AttemptResult.ERROR)
+        """The result named by the status word; for an unknown word an error: the request may have run."""
+        return RESULTS_BY_STATUS.get(self.status_word, AttemptResult.ERROR)
 
     @property
     def cache_status(self) -> CacheStatus:
-        """How the cache obtained the object, if it says so."""
-        return STATUSES_BY_DETAIL.get(self.fields.get("detail", ""), CacheStatus.UNKNOWN)
+        """How the cache obtained the object, if the response reports it."""
+        return CACHE_STATUSES_BY_DETAIL.get(self.fields.get("detail", ""), CacheStatus.UNKNOWN)
 
     @property
     def tag(self) -> str:
-        """The entity tag of the copy, without quotes; empty if there is none."""
+        """The entity tag of the cached copy without quotes; empty if the response has none."""
         return self.fields.get("entity", "").strip('"')
 
     @property
     def is_unchanged(self) -> bool:
-        """Whether the copy that the client holds is current."""
-        return self.word == UNCHANGED_WORD
+        """Whether the client's copy is still current."""
+        return self.status_word == UNCHANGED_STATUS
 
     @property
     def issued(self) -> float | None:
-        """Unix time at which the origin issued this copy; None if the response does not say."""
+        """Unix time at which the origin issued this copy; None if the response has no valid value."""
         try:
             return int(self.fields["issued"]) / MS_PER_S
         except (KeyError, ValueError):
@@ -86,17 +86,17 @@
 
     @property
     def delay(self) -> float:
-        """Seconds for which a fill waited for its source; 0 if the response does not say."""
-        return (read_figure(self.fields.get("delay", "")) or 0.0) / MS_PER_S
+        """Seconds for which a fill waited for its source; 0 if the response does not report it."""
+        return (parse_non_negative_number(self.fields.get("delay", "")) or 0.0) / MS_PER_S
 
     @property
     def report(self) -> LoadReport:
-        """The load of the cache by the names of its fields; entries that are no number are left out."""
+        """The load report of the cache; entries without a numeric value are omitted."""
         return read_load_report(self.fields.get("use", ""), REPORT_SEPARATOR)
 
 
-def read_figure(text: str) -> float | None:
-    """Return a finite number of at least 0; None if the text is none."""
+def parse_non_negative_number(text: str) -> float | None:
+    """Return the number in a text, or None if it is not a finite number of at least 0."""
     try:
         value = float(text)
     except ValueError:
@@ -112,17 +112,17 @@
     max_age: float,
     tag: str,
     body: bytes,
-    key: str = "",
+    idempotency_key: str = "",
 ) -> bytes:
-    """Encode the request of one attempt; budget and max_age in seconds, cut to whole milliseconds."""
+    """Encode the request of one attempt; budget and max_age in seconds, truncated to whole milliseconds."""
     fields = {
         "queue": request.cls,
         "path": request.obj,
         "blk": str(request.part),
         "budget": str(max(1, int(budget * MS_PER_S))),
     }
-    if key:
-        fields["uniq"] = key
+    if idempotency_key:
+        fields["uniq"] = idempotency_key
     if fetch.source != fetch.server:
         fields["miss"] = fetch.source
     if fetch.keep:
@@ -152,12 +152,12 @@
 
 
 def encode_ping() -> bytes:
-    """Encode a ping; its response comes under an id that no request has."""
+    """Encode a ping; the id in its response is never that of a request."""
     return b"PING alive\r\n"
 
 
 class Parser:
-    """Incremental parser of responses; bounded by Limits.line and Limits.object_size."""
+    """Incremental parser of responses, bounded by `Limits.max_cache_line_size` and `max_object_size`."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
@@ -166,11 +166,11 @@
 
     @property
     def partial(self) -> bool:
-        """Whether a response has begun and not ended."""
+        """Whether a response has been received in part."""
         return bool(self._buffer) or self._head is not None
 
     def feed(self, data: bytes | bytearray) -> Iterator[CacheResponse]:
-        """Yield the responses that these bytes complete. Raises WireError."""
+        """Add received bytes and yield the responses that they complete. Raises WireError."""
         self._buffer += data
         while True:
             if self._head is None:
@@ -178,7 +178,7 @@
                 if end > self._limits.max_cache_line_size or (
                     end < 0 and len(self._buffer) > self._limits.max_cache_line_size
                 ):
-                    raise WireError("a line too long")
+                    raise WireError("response line exceeds the size limit")
                 if end < 0:
                     return
                 line = bytes(self._buffer[:end]).rstrip(b"\r")
@@ -190,21 +190,21 @@
             if len(self._buffer) < length + 2:
                 return
             if self._buffer[length : length + 2] != b"\r\n":
-                raise WireError("a body not as long as announced")
-            wire_id, command, fields, _ = self._head
+                raise WireError("body does not end at its declared length")
+            wire_id, status_word, fields, _ = self._head
             with memoryview(self._buffer) as view:
-                body = bytes(view[:length])  # copied once
+                body = bytes(view[:length])  # the view avoids a second copy of the body
             del self._buffer[: length + 2]
             self._head = None
-            yield CacheResponse(wire_id, command, fields, body)
+            yield CacheResponse(wire_id, status_word, fields, body)
 
     def _read_head(self, line: bytes) -> tuple[str, str, dict[str, str], int]:
         try:
-            wire_id, command, reported, size = line.decode("ascii").split(" ")
+            wire_id, status_word, field_list, size = line.decode("ascii").split(" ")
             length = int(size)
         except ValueError:
-            raise WireError(f"no answer: {line[:60]!r}") from None
+            raise WireError(f"malformed response line: {line[:60]!r}") from None
         if not 0 <= length <= self._limits.max_object_size:
-            raise WireError(f"a body of {length} bytes")
-        pairs = (pair.partition("=") for pair in reported.split(",")) if reported != "-" else ()
-        return wire_id, command, {name: value for name, _, value in pairs}, length
+            raise WireError(f"declared body length out of range: {length} bytes")
+        pairs = (pair.partition("=") for pair in field_list.split(",")) if field_list != "-" else ()
+        return wire_id, status_word, {name: value for name, _, value in pairs}, length
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -18,11 +18,11 @@
 
 log = logging.getLogger(__name__)
 
-RECEIVE_BYTES = 262_144  # read from the socket at once
+RECEIVE_BYTES = 262_144  # maximum number of bytes in one read from the socket
 
 
 class CacheConnection:
-    """One connection to a cache; responses arrive in any order, each under the id of its request."""
+    """One connection to a cache; responses arrive in any order, each with the id of its request."""
 
     def __init__(
         self,
@@ -30,32 +30,33 @@
         context: ConnectionContext,
         redispatch: Callable[[DispatchedAttempt], None],
     ) -> None:
-        """redispatch: takes back an attempt of which no byte was written when this connection ended."""
+        """redispatch: called with each attempt of which no byte was written before the connection closed."""
         self.is_open = True
         self._sock = sock
         self._context = context
         self._redispatch = redispatch
         self._parser = cache_codec.Parser(context.limits)
         self._in_flight: dict[str, DispatchedAttempt] = {}
-        # Ids under which more may come; whether they were answered. Bounded by Limits.given_up.
+        # Ids of earlier requests for which a late response may still arrive, and whether they were answered.
+        # Bounded by `Limits.max_abandoned_ids`.
         self._past_ids: OrderedDict[str, bool] = OrderedDict()
         self._to_write: deque[DispatchedAttempt | bytes] = deque()
-        self._unsent = memoryview(b"")  # the rest of what was written in part
+        self._unsent = memoryview(b"")  # unsent remainder of a partially written message
         self._being_written: DispatchedAttempt | None = None
         self._is_parsing = False
-        self._is_probed = False  # a ping was sent and nothing came since
-        self._last_activity = (
-            steady_time()
-        )  # last bytes received, or first attempt written on an idle connection
-        self._response_began_at = 0.0  # Unix time since which a response has been incomplete; 0: none is
-        self._blocked_since = 0.0  # Unix time since which the socket takes no byte; 0: it does
+        self._is_probed = False  # a ping was sent and nothing has been received since
+        # Unix time of the last bytes received, or of the first attempt written on an idle connection.
+        self._last_activity = steady_time()
+        self._response_began_at = 0.0  # Unix time since which a response has been incomplete; 0 if none is
+        self._blocked_since = 0.0  # Unix time since which the socket accepts no bytes; 0 if it is writable
         context.poller.add(sock.fileno(), self._on_ready, READ, urgent=True)
 
     def can_carry(self, wire_id: str) -> bool:
-        """Return whether a request with this id may be written here.
+        """Return whether a request with this id may be written on this connection.
 
-        A late or second response to an earlier attempt must not pass for that of a new one with the same id,
-        and nothing may wait behind the rest of a response that nobody wants, since it may never end.
+        An id is not reused, because a late or duplicate response to an earlier attempt would be taken for the
+        response to the new one. Nor is a request sent behind an incomplete response that no attempt waits
+        for, because that response may never end.
         """
         if not self.is_open or self._is_behind_unwanted_response():
             return False
@@ -75,25 +76,25 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no response and no pong is awaited."""
+        """Whether the connection waits for neither a response nor the reply to a ping."""
         return not self._in_flight and not self._is_probed
 
     @property
     def last_activity(self) -> float:
-        """Unix time of the last bytes received, or of the first attempt written while idle."""
+        """Unix time of the last bytes received, or of the first attempt written on an idle connection."""
         return self._last_activity
 
     # Writing
 
     def send(self, dispatched: DispatchedAttempt) -> None:
-        """Write an attempt now, or as soon as the socket takes it."""
+        """Write an attempt now, or as soon as the socket is writable."""
         dispatched.carrier = self
         self._in_flight[dispatched.id] = dispatched
         self._to_write.append(dispatched)
         self._flush()
 
     def release(self, dispatched: DispatchedAttempt) -> None:
-        """Forget an attempt that has its reply."""
+        """Remove an attempt whose reply was reported."""
         self._in_flight.pop(dispatched.id, None)
 
     def cancel(self, dispatched: DispatchedAttempt) -> None:
@@ -110,10 +111,11 @@
             self._past_ids.popitem(last=False)
 
     def _flush(self) -> None:
-        """Write until all is written or the socket takes no more."""
+        """Write until the queue is empty or the socket would block."""
         if self._blocked_since:
             return
-        # A request must not cross the end of a connection that was idle: it might have run.
+        # The cache may have closed an idle connection. Reading first detects that; a request written after
+        # the close would fail without showing whether it ran.
         if self._to_write and not self._is_parsing and not self._has_written_attempt():
             self._receive()
         try:
@@ -129,7 +131,7 @@
         return any(dispatched.attempt.written for dispatched in self._in_flight.values())
 
     def _write_queued(self) -> None:
-        """Write what is queued; raise OSError as the socket does."""
+        """Write the queued messages. Raises OSError if the socket does."""
         while self.is_open and (self._unsent or self._to_write):
             if not self._unsent:
                 item = self._to_write.popleft()
@@ -138,7 +140,7 @@
                     if rest:
                         self._unsent = rest
                     self._count_if_written()
-                    # The end of an attempt whose turn came may have led to other writes meanwhile.
+                    # Finishing an expired attempt may have triggered other writes, which may have blocked.
                     if self._blocked_since:
                         return
                     continue
@@ -147,15 +149,15 @@
             self._count_if_written()
 
     def _count_if_written(self) -> None:
-        """Count an attempt once its last byte was taken by the socket."""
+        """Count an attempt once its last byte was handed to the kernel."""
         if self._being_written and not self._unsent:
             self._context.count_written(self._being_written.attempt.request.arrival.cls)
             self._being_written = None
 
     def _write_attempt(self, dispatched: DispatchedAttempt) -> memoryview:
-        """Begin to write an attempt; return what the socket did not take of it."""
+        """Start to write an attempt; return the bytes that the socket did not accept."""
         data = self._encode_if_sendable(dispatched)
-        if data and self._unsent:  # others were written meanwhile, as far as the socket took them
+        if data and self._unsent:  # encoding triggered another write, which is still incomplete
             self._to_write.appendleft(dispatched)
             return memoryview(b"")
         if not data or not self.is_open:
@@ -164,10 +166,10 @@
         try:
             sent = self._sock.send(data)
         except OSError as error:
-            if is_temporary(error):  # no byte was written: whether it may go is checked again later
+            if is_temporary(error):  # no byte was written, so the attempt is checked and encoded again later
                 self._to_write.appendleft(dispatched)
             else:
-                attempt.written = True  # it may have been
+                attempt.written = True  # the kernel may have sent a part of it
             raise
         dispatched.sent_at = steady_time()
         if not self._has_written_attempt():
@@ -177,7 +179,7 @@
         return memoryview(data)[sent:]
 
     def _encode_if_sendable(self, dispatched: DispatchedAttempt) -> bytes:
-        """Return the bytes of an attempt, or none if it must not be written any more."""
+        """Return the encoded attempt, or no bytes if it has no time left and must not be written."""
         attempt = dispatched.attempt
         membership = self._context.membership
         now = steady_time()
@@ -200,15 +202,15 @@
     # Liveness
 
     def check_liveness(self, now: float, lag: float) -> None:
-        """Close or probe a connection that is silent or blocked for too long.
+        """Close or probe a connection that has been silent or blocked for too long.
 
-        now: Unix time; lag: seconds by which this check is late, which are not held against the cache.
+        now: Unix time; lag: seconds by which this check runs late, which do not count as the cache's silence.
         """
         limits = self._context.limits
         self._last_activity += lag
         if self._blocked_since:
             self._blocked_since += lag
-        # Behind the full buffer of an unresponsive machine every later request would wait.
+        # The send buffer of an unresponsive machine stays full, and all later requests would wait behind it.
         if self._blocked_since and now - self._blocked_since > limits.write_stall_timeout:
             self.close()
             return
@@ -220,7 +222,7 @@
             self._handle_silence()
 
     def _allowed_silence(self) -> float:
-        """Return the seconds for which nothing may come."""
+        """Return the seconds without received bytes after which `_handle_silence` is called."""
         limits = self._context.limits
         if self._is_probed:
             return limits.idle_probe_after + limits.probe_timeout
@@ -230,10 +232,11 @@
 
     def _handle_silence(self) -> None:
         if self.is_idle:
-            self.close()  # before the cache does, so that no request crosses its close
+            # Closes before the cache does: of a request sent at that moment it would be unknown if it ran.
+            self.close()
         elif self._is_probed or not self._context.settings.may_probe:
-            # All that is in flight on a connection cut off without an end would wait for its deadline, and
-            # what comes next as well.
+            # On a connection that was cut off without FIN or RST, all requests in flight and all later ones
+            # would wait until their deadlines.
             log.warning("connection closed: the cache is unresponsive, %d requests in flight", self.load)
             self.close()
         else:
@@ -242,13 +245,13 @@
             self._flush()
 
     def close(self) -> None:
-        """End the connection; each attempt in flight is redispatched if no byte was written, else fails."""
+        """Close the connection; attempts in flight are redispatched if unwritten, else they fail."""
         if not self.is_open:
             return
         self.is_open = False
         self._context.poller.remove(self._sock.fileno())
         self._sock.close()
-        self._context.quota.give()
+        self._context.quota.release()
         self._to_write.clear()
         interrupted = list(self._in_flight.values())
         self._in_flight = {}
@@ -275,8 +278,8 @@
                 self._blocked_since = 0.0
                 self._context.poller.want(self._sock.fileno(), READ)
                 self._flush()
-        except Exception:  # attempts on this connection fail; other connections go on
-            log.exception("connection to a cache failed")
+        except Exception:  # attempts on this connection fail; other connections are not affected
+            log.exception("unexpected error on a connection to a cache")
             self.close()
 
     def _receive(self) -> None:
@@ -296,7 +299,7 @@
         self._track_open_response(self._parse(data))
 
     def _parse(self, data: bytes) -> bool:
-        """Handle the responses that these bytes complete; return whether there was one."""
+        """Handle the responses that these bytes complete; return whether there was any."""
         any_complete = False
         self._is_parsing = True
         try:
@@ -304,14 +307,14 @@
                 any_complete = True
                 self._on_response(response)
         except cache_codec.WireError as error:
-            log.warning("connection closed: unreadable response: %s", error)
+            log.warning("connection closed: invalid response: %s", error)
             self.close()
         finally:
             self._is_parsing = False
         return any_complete
 
     def _track_open_response(self, any_complete: bool) -> None:
-        """Note since when a response has been incomplete."""
+        """Update the time since which a response has been incomplete."""
         if not self._parser.partial:
             self._response_began_at = 0.0
         elif any_complete or not self._response_began_at:
@@ -331,7 +334,8 @@
             log.warning("%s answered with what can't be served", dispatched.attempt.fetch.server)
             result = AttemptResult.ERROR
             body = b""
-        # A second response is harmless where it can only lead to another lookup of the same object.
+        # The id of an idempotent request that did not run need not be remembered: a duplicate response could
+        # at most cause another lookup of the same object.
         if not (result.is_proven_not_run and request.is_idempotent):
             self._remember_id(dispatched.id, answered=True)
         dispatched.finish(
@@ -349,14 +353,14 @@
         )
 
     def _is_servable(self, response: cache_codec.CacheResponse, dispatched: DispatchedAttempt) -> bool:
-        """Return whether a good response may be passed to the client."""
+        """Return whether a successful response may be passed to the client."""
         request: PendingRequest = dispatched.attempt.request
         if response.issued is not None and self._context.membership.is_too_old(
             request.cls, response.issued, dispatched.sent_at, self._context.limits.clock_tolerance
         ):
             return False
-        # A stored copy bears its tag and the time at which the origin gave it out.
+        # Every cached copy must have an entity tag and the time at which the origin issued it.
         if not request.arrival.is_write and (not response.tag or response.issued is None):
             return False
-        # "Unchanged" must speak of the copy that the client holds.
+        # "unchanged" is valid only for the entity tag that the client sent.
         return not response.is_unchanged or response.tag == request.tag
--- a/brackenlane/net/connection_context.py
+++ b/brackenlane/net/connection_context.py
@@ -1,4 +1,4 @@
-"""What the connections to all caches share: settings in force, the descriptor quota, and where results go."""
+"""Context shared by the connections to all caches: settings, descriptor quota, and callbacks for results."""
 
 from __future__ import annotations
 
@@ -20,36 +20,36 @@
 
 
 class ConnectionQuota:
-    """The number of descriptors that connections to all caches together may use.
+    """Limit on the file descriptors used by connections to all caches together.
 
-    The remaining descriptors of the process are kept for the change log, operators and clients. One unit is
-    taken when a connect begins and given back when its connection ends.
+    The remaining descriptors of the process are reserved for the change log, operators and clients. One unit
+    is acquired when a connect begins and released when its connection is closed.
     """
 
     def __init__(self, maximum: int) -> None:
         self.maximum = maximum
         self.close_idle: Callable[[], bool] = lambda: False
-        """Closes one idle connection to make room; returns whether there was one."""
+        """Closes one idle connection to free a descriptor; returns whether there was one."""
         self._taken = 0
 
-    def take(self, needed: bool) -> bool:
-        """Take one unit and return whether there was one.
+    def acquire(self, needed: bool) -> bool:
+        """Acquire one unit; return False if none is available.
 
-        needed: an idle connection may be closed to free one.
+        needed: an idle connection may be closed to free a unit.
         """
         if self._taken >= self.maximum and not (needed and self.close_idle()):
             return False
         self._taken += 1
         return True
 
-    def give(self) -> None:
-        """Give one unit back."""
+    def release(self) -> None:
+        """Release one unit."""
         self._taken -= 1
 
 
 @dataclass(slots=True)
 class ConnectionContext:
-    """Shared by all pools and their connections, so that a new configuration reaches all of them at once."""
+    """Shared by all pools and connections, so that a new configuration applies to all of them at once."""
 
     membership: MembershipView
     limits: Limits
--- a/brackenlane/net/connection_pool.py
+++ b/brackenlane/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one cache, parent or origin, and the attempts that wait for one."""
+"""Pool of the connections to one cache, parent or origin, and of the attempts that wait for a connection."""
 
 from __future__ import annotations
 
@@ -15,43 +15,44 @@
 
 
 class ConnectionPool:
-    """Carries out the attempts at one server on connections of its own."""
+    """Sends the attempts for one server on the connections to that server."""
 
     def __init__(self, endpoint: Endpoint, context: ConnectionContext) -> None:
         self._endpoint = endpoint
         self._context = context
         self._connections: list[CacheConnection] = []
-        self._earlier_connections: list[CacheConnection] = []  # to an address that the server has left
+        self._earlier_connections: list[CacheConnection] = []  # connections to the server's old addresses
         self._connector: Connector | None = None
-        self._waiting: deque[DispatchedAttempt] = deque()  # for a connection; bounded by Limits.peer_mail
+        # Attempts waiting for a connection; bounded by `Limits.max_queued_attempts`.
+        self._waiting: deque[DispatchedAttempt] = deque()
         self._is_removed = False
 
     def dispatch(self, attempt: Attempt) -> bool:
-        """Take an attempt; return False if too many wait already."""
+        """Send or queue an attempt; return False if too many are queued already."""
         if len(self._waiting) >= self._context.limits.max_queued_attempts:
             return False
         dispatched = DispatchedAttempt(attempt, self._context.report)
         attempt.stop = dispatched.stop
-        # Its time runs from the decision.
+        # The timeout counts from the decision to make the attempt, not from its dispatch.
         deadline = attempt.started_at + attempt.fetch.timeout
         dispatched.timer = self._context.timers.at(deadline, dispatched.stop)
         self._assign(dispatched)
         return True
 
     def move(self, endpoint: Endpoint) -> None:
-        """Follow the server to another address; attempts in flight end at the old one."""
+        """Change the server's address; attempts in flight finish on connections to the old one."""
         if endpoint == self._endpoint:
             return
         self._endpoint = endpoint
         self._earlier_connections += self._connections
         self._connections = []
-        self._connector = None  # its result is discarded
+        self._connector = None  # the result of a connect to the old address is discarded
         if self._waiting:
             are_probes = all(waiting.attempt.request.connect_only for waiting in self._waiting)
             self._start_connecting(keep=not are_probes)
 
     def recheck_waiting(self) -> None:
-        """Return waiting attempts that may no longer go to this server, before a connection comes up."""
+        """Finish queued attempts that may no longer be sent to this server."""
         waiting = self._waiting
         self._waiting = deque()
         for dispatched in waiting:
@@ -61,7 +62,7 @@
                 dispatched.finish(NEVER_SENT)
 
     def remove(self) -> None:
-        """Close once the attempts in flight have ended: the server left the list."""
+        """Close the connections as they become idle, because the server was removed from the list."""
         self._is_removed = True
 
     @property
@@ -71,13 +72,13 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a response is awaited."""
+        """Whether any connection waits for a response."""
         return not all(connection.is_idle for connection in self._all_connections())
 
     def check_liveness(self, now: float, lag: float) -> bool:
-        """Check each connection; return whether anything is left to check.
+        """Check each connection; return whether connections or queued attempts remain.
 
-        now: Unix time; lag: seconds by which this check is late.
+        now: Unix time; lag: seconds by which this check runs late.
         """
         for connection in self._all_connections():
             connection.check_liveness(now, lag)
@@ -95,7 +96,7 @@
         return self._context.membership.allows(dispatched.attempt.fetch)
 
     def _assign(self, dispatched: DispatchedAttempt) -> None:
-        """Write an attempt on the connection with the fewest in flight, or wait for a new one."""
+        """Write an attempt on the connection with the fewest requests in flight, or wait for a new one."""
         if dispatched.is_finished:
             return
         if dispatched.attempt.request.connect_only:
@@ -105,7 +106,7 @@
         may_open_another = self._is_below_limit() and self._may_send(dispatched)
         if usable:
             connection = min(usable, key=lambda one: one.load)
-            # One connection that ends or hangs must not take all requests at this server with it.
+            # With several connections, one that breaks or hangs affects only a part of the requests.
             if may_open_another and connection.load >= self._context.limits.next_connection_threshold:
                 self._start_connecting(needed=False)
             connection.send(dispatched)
@@ -118,7 +119,7 @@
         return sum(one.is_open for one in self._connections) < self._context.limits.max_connections_per_server
 
     def _close_one_idle(self, dispatched: DispatchedAttempt) -> bool:
-        """Close an idle connection that cannot carry this id again; return whether there was one."""
+        """Close an idle connection, which cannot carry this id again; return whether there was one."""
         idle = next((one for one in self._connections if one.is_open and one.is_idle), None)
         if idle is None or not self._may_send(dispatched):
             return False
@@ -126,7 +127,10 @@
         return True
 
     def _wait_for_connection(self, dispatched: DispatchedAttempt) -> None:
-        """Wait for a new connection; for a DNS answer, that it comes up is all that is wanted."""
+        """Queue an attempt for a new connection.
+
+        A connect-only attempt (for a DNS answer) finishes as soon as the connection is established.
+        """
         if not self._may_send(dispatched):
             dispatched.finish(AttemptReply(AttemptResult.UNREACHABLE, dispatched.elapsed_time()))
             return
@@ -139,15 +143,17 @@
         return waiting
 
     def _start_connecting(self, keep: bool = True, needed: bool = True) -> None:
-        """Open a connection unless one is being opened.
+        """Open a connection unless one is already being opened.
 
-        keep: it is to carry requests; needed: an idle connection may be closed to get a descriptor for it.
+        keep: the connection will carry requests; needed: an idle connection may be closed to free a
+        descriptor for it.
         """
         if self._connector:
             self._connector.keep |= keep
             return
-        if not self._context.quota.take(needed):
-            for dispatched in self._take_waiting():  # our own shortage says nothing about the server
+        if not self._context.quota.acquire(needed):
+            # The shortage is local and must not count as a failure of the server.
+            for dispatched in self._take_waiting():
                 dispatched.finish(NEVER_SENT)
             return
         context = self._context
@@ -162,19 +168,19 @@
         self._connector.start()
 
     def _on_connected(self, connector: Connector, sock: socket.socket | None) -> None:
-        """Handle the end of a connect: a socket, or None if it failed."""
-        if connector is not self._connector:  # the server has moved meanwhile
-            self._context.quota.give()
+        """Handle the result of a connect: a socket, or None if it failed."""
+        if connector is not self._connector:  # the server's address has changed meanwhile
+            self._context.quota.release()
             if sock:
                 sock.close()
             return
         self._connector = None
         waiting = self._take_waiting()
-        came_up = sock is not None and self._use_socket(connector, sock)
+        is_connected = sock is not None and self._use_socket(connector, sock)
         for dispatched in waiting:
-            if connector.starved:
+            if connector.had_local_shortage:
                 dispatched.finish(NEVER_SENT)
-            elif not came_up:
+            elif not is_connected:
                 dispatched.finish(AttemptReply(AttemptResult.UNREACHABLE, dispatched.elapsed_time()))
             elif dispatched.attempt.request.connect_only:
                 dispatched.finish(AttemptReply(AttemptResult.OK, dispatched.elapsed_time()))
@@ -182,17 +188,17 @@
                 self._assign(dispatched)
 
     def _use_socket(self, connector: Connector, sock: socket.socket) -> bool:
-        """Add a connection on a new socket, if it is to carry requests; return whether it can be used."""
+        """Add a connection on a new socket if it is to be kept; return False if it cannot be polled."""
         if not connector.keep:
             sock.close()
-            self._context.quota.give()
+            self._context.quota.release()
             return True
         try:
             connection = CacheConnection(sock, self._context, self._assign)
-        except OSError:  # the poller cannot watch it: as if there were no descriptor
+        except OSError:  # epoll cannot register the socket: treated like a lack of descriptors
             sock.close()
-            connector.starved = True
-            self._context.quota.give()
+            connector.had_local_shortage = True
+            self._context.quota.release()
             return False
         self._connections = [*(one for one in self._connections if one.is_open), connection]
         return True
--- a/brackenlane/net/connection_pools.py
+++ b/brackenlane/net/connection_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of all servers on the list, and the periodic check of their connections."""
+"""Connection pools of all listed servers, and the periodic liveness check of their connections."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ConnectionPools:
-    """Pools by server id, since a new server may have the address of one that left."""
+    """Connection pools by server id; a new server may have the address of a removed one."""
 
     def __init__(
         self,
@@ -50,12 +50,12 @@
         )
         self._endpoints: dict[str, Endpoint] = {}
         self._pools: dict[str, ConnectionPool] = {}
-        self._removed_pools: list[ConnectionPool] = []  # off the list, with requests in flight
-        self._are_all_idle = False  # then checks are far between
+        self._removed_pools: list[ConnectionPool] = []  # pools of unlisted servers, with requests in flight
+        self._are_all_idle = False  # no response is awaited, so checks run at the longer idle interval
         self._next_check = self._schedule_check(steady_time(), limits.connection_check_interval)
 
     def place(self, attempt: Attempt) -> bool:
-        """Hand an attempt to the pool of its server; return False if it cannot be taken."""
+        """Dispatch an attempt to the pool of its server; return False if the pool does not accept it."""
         pool = self._pool_for(attempt.fetch.server)
         if pool is None:
             return False
@@ -75,9 +75,9 @@
         return pool
 
     def follow(self, endpoints: dict[str, Endpoint], gone: set[str], complete: bool) -> None:
-        """Follow the addresses of the list.
+        """Update the addresses of the servers from a new or changed list.
 
-        gone: servers that left it; complete: servers that `endpoints` does not name have left as well.
+        gone: servers that were removed; complete: servers missing from `endpoints` are removed as well.
         """
         if complete:
             gone = gone | (self._endpoints.keys() - endpoints.keys())
@@ -93,12 +93,12 @@
                 pool.move(endpoint)
 
     def recheck(self) -> None:
-        """Return attempts that wait for a server which now takes nothing new; the list has changed."""
+        """Finish queued attempts that may no longer be sent to their server after a change of the list."""
         for pool in self._all_pools():
             pool.recheck_waiting()
 
     def reconfigure(self, limits: Limits, settings: Settings) -> None:
-        """Use other limits and settings from now on, on open connections too."""
+        """Apply new limits and settings, to open connections as well."""
         context = self._context
         context.limits = limits
         context.settings = settings
@@ -121,11 +121,12 @@
         return self._context.timers.at(now + delay, self._check_liveness, now + delay)
 
     def _check_liveness(self, due: float) -> None:
-        """Check all connections; due: Unix time at which this check was to run."""
+        """Check all connections; due: Unix time at which this check was scheduled."""
         now = steady_time()
-        # What we were too slow to read is no silence of a cache.
+        # Time in which this process was too slow to read does not count as silence of a cache.
         lag = max(0.0, now - due)
-        self._are_all_idle = False  # a check may dispatch an attempt, which must not schedule a second check
+        # A check may dispatch an attempt through `place`, which must not schedule a second check.
+        self._are_all_idle = False
         for pool in list(self._pools.values()):
             self._check_pool(pool, now, lag)
         self._removed_pools = [pool for pool in self._removed_pools if self._check_pool(pool, now, lag)]
@@ -138,9 +139,9 @@
 
     @staticmethod
     def _check_pool(pool: ConnectionPool, now: float, lag: float) -> bool:
-        """Check one pool; return whether anything is left in it to check."""
+        """Check one pool; return whether connections or queued attempts remain in it."""
         try:
             return pool.check_liveness(now, lag)
-        except Exception:  # the checks of all other pools go on
-            log.exception("connections of a cache could not be checked")
+        except Exception:  # the other pools are still checked
+            log.exception("unexpected error in the liveness check of a cache's connections")
             return True
--- a/brackenlane/net/connector.py
+++ b/brackenlane/net/connector.py
@@ -1,4 +1,4 @@
-"""Outgoing connections: sockets of the poller to caches and the change log, streams to store or resolver."""
+"""Outgoing connections: polled sockets to caches and the change log, trio streams to store and resolver."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 log = logging.getLogger(__name__)
 
-CONNECT_BEGUN = (0, errno.EINPROGRESS, errno.EINTR)  # connect(2): interrupted, it goes on by itself
+# Results of connect(2) after which the connect is in progress; after EINTR it continues asynchronously.
+CONNECT_BEGUN = (0, errno.EINPROGRESS, errno.EINTR)
 
 
 def family_of(endpoint: Endpoint) -> int:
@@ -37,7 +38,7 @@
 
 
 def _open_socket(endpoint: Endpoint) -> socket.socket:
-    """Return a socket to connect with, which does not block. Raises OSError."""
+    """Return a non-blocking socket to connect with. Raises OSError."""
     sock = socket.socket(family_of(endpoint))
     try:
         sock.setblocking(False)
@@ -49,10 +50,10 @@
 
 
 class Connector:
-    """One attempt to connect.
+    """One attempt to open a connection.
 
-    `on_end` is called once with this connector and a socket, or None if it failed; perhaps before `start`
-    returns.
+    `on_end` is called once with this connector and the connected socket, or None if the attempt failed. The
+    call may happen before `start` returns.
     """
 
     def __init__(
@@ -65,56 +66,57 @@
         keep: bool = True,
     ) -> None:
         self.endpoint = endpoint
-        self.keep = keep  # whether the connection is to be used, or only to be seen to come up
-        self.starved = False  # this process had no descriptor: it says nothing about the other end
+        self.keep = keep  # False: the connection only tests whether the server accepts connections
+        # The failure is local, such as a lack of descriptors: it gives no information about the remote end.
+        self.had_local_shortage = False
         self._poller = poller
         self._timers = timers
         self._timeout = timeout  # seconds
         self._on_end = on_end
         self._timer: Timer | None = None
         self._sock: socket.socket
-        self._is_over = False
+        self._is_finished = False
 
     def start(self) -> None:
-        """Begin to connect."""
+        """Start to connect."""
         try:
             self._sock = _open_socket(self.endpoint)
         except OSError as error:
             log.warning("no socket for a connection: %s", error.strerror)
-            self.starved = True
-            self._is_over = True
+            self.had_local_shortage = True
+            self._is_finished = True
             self._on_end(self, None)
             return
         error_number = self._sock.connect_ex(self.endpoint)
         if error_number not in CONNECT_BEGUN:
-            self.starved = is_shortage(error_number)
-            self._end(None)
+            self.had_local_shortage = is_shortage(error_number)
+            self._finish(None)
             return
-        self._timer = self._timers.at(steady_time() + self._timeout, self._end, None)
+        self._timer = self._timers.at(steady_time() + self._timeout, self._finish, None)
         try:
-            self._poller.add(self._sock.fileno(), self._ready, WRITE, urgent=True)
-        except OSError:  # the poller cannot watch it: as if there were no descriptor
-            self.starved = True
-            self._end(None)
+            self._poller.add(self._sock.fileno(), self._on_writable, WRITE, urgent=True)
+        except OSError:  # epoll cannot register the socket: treated like a lack of descriptors
+            self.had_local_shortage = True
+            self._finish(None)
 
     def cancel(self) -> None:
         """Abandon the attempt; `on_end` is not called."""
-        if not self._is_over:
-            self._stop()
+        if not self._is_finished:
+            self._stop_watching()
             self._sock.close()
 
-    def _ready(self, _: int) -> None:
+    def _on_writable(self, _: int) -> None:
         has_failed = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
-        self._end(None if has_failed else self._sock)
+        self._finish(None if has_failed else self._sock)
 
-    def _end(self, sock: socket.socket | None) -> None:
-        self._stop()
+    def _finish(self, sock: socket.socket | None) -> None:
+        self._stop_watching()
         if sock is None:
             self._sock.close()
         self._on_end(self, sock)
 
-    def _stop(self) -> None:
-        self._is_over = True
+    def _stop_watching(self) -> None:
+        self._is_finished = True
         if self._timer:
             self._timer.cancel()
             self._poller.remove(self._sock.fileno())
--- a/brackenlane/net/dispatched_attempt.py
+++ b/brackenlane/net/dispatched_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt while a connection pool carries it out, from its dispatch to its one reply."""
+"""State of an attempt in a connection pool, from its dispatch to its single reply."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """The connection that carries an attempt."""
 
     def release(self, dispatched: DispatchedAttempt) -> None:
-        """Forget an attempt that has its reply."""
+        """Remove an attempt whose reply was reported."""
 
     def cancel(self, dispatched: DispatchedAttempt) -> None:
         """Tell the cache that the response of an attempt is no longer wanted."""
@@ -34,16 +34,16 @@
         self.sent_at = 0.0  # Unix time at which its first byte was written
         self.carrier: AttemptCarrier | None = None
         self.timer: Timer | None = None
-        self.redispatches = 0  # times that it moved to another connection before its first byte was written
+        self.redispatches = 0  # number of moves to another connection before the first byte was written
         self._report = report
 
     @property
     def is_finished(self) -> bool:
-        """Whether its reply was reported."""
+        """Whether the reply of the attempt was reported."""
         return self.attempt.reply is not None
 
     def finish(self, reply: AttemptReply) -> None:
-        """Report its reply; only the first one counts."""
+        """Report the reply of the attempt; later replies are ignored."""
         if self.is_finished:
             return
         if self.timer:
@@ -53,7 +53,7 @@
         self._report(self.attempt, reply)
 
     def stop(self) -> None:
-        """Finish an attempt that was cancelled or whose time is up; if unwritten, it provably did not run."""
+        """Finish an attempt that was cancelled or timed out; if unwritten, it provably did not run."""
         if self.is_finished:
             return
         if self.carrier and self.attempt.written:
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -21,7 +21,7 @@
     wire = b"a1 data entity=t,issued=5000 4\r\n\r\n\r\n\r\nb2 full - 0\r\n\r\nc3 absent detail=hit 0\r\n\r\n"
     parser = Parser(Limits())
     found = [answer for at in range(0, len(wire), piece) for answer in parser.feed(wire[at : at + piece])]
-    assert [(a.id, a.word, a.body, a.issued) for a in found] == [
+    assert [(a.id, a.status_word, a.body, a.issued) for a in found] == [
         ("a1", "data", b"\r\n\r\n", 5.0),
         ("b2", "full", b"", None),
         ("c3", "absent", b"", None),
