--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -1,4 +1,4 @@
-"""Client of the change log: follows the caches and purges of the platform, and reconnects with backoff."""
+"""Client of the change log: receives cache list changes and purges, and reconnects with backoff."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_JITTER = (0.5, 1.5)  # bounds of the random factor on a retry interval
-PATIENCE_JITTER = (1.0, 1.25)  # of that on the wait for bytes
+RETRY_JITTER = (0.5, 1.5)  # range of the random factor on the retry delay
+SILENCE_TIMEOUT_JITTER = (1.0, 1.25)  # range of the random factor on the wait for the first or next bytes
 
 
 class ChangeApplier:
-    """Passes each change once, in order, to the connection pools and the request engine."""
+    """Passes each change to the connection pools and the request engine, in order and at most once."""
 
     def __init__(self, pools: ConnectionPools, notify: Callable[[Event], None]) -> None:
-        """Call `notify` with each event, for the request engine."""
+        """notify: passes an event to the request engine."""
         self._pools = pools
         self._notify = notify
-        self.cursor = 0  # the number of the last change applied
+        self.cursor = 0  # number of the last change applied
 
     def apply(self, change: Change) -> None:
-        """Apply a change, unless it was applied before."""
+        """Apply a change unless it was already applied."""
         event = change.event
         if event is None or change.number <= self.cursor:
             return
@@ -55,10 +55,10 @@
 class ChangeLogCounters:
     """Counts since the start of this process."""
 
-    connections: int = 0  # opened
-    failures: int = 0  # connections that were refused, reset, ended or unreadable
-    silences: int = 0  # times that nothing had come for the usual time
-    events: int = 0  # applied
+    connections: int = 0  # connections opened
+    failures: int = 0  # connections that were refused, reset, closed by the log, or sent invalid data
+    silences: int = 0  # timeouts without received data after which another connection was opened
+    events: int = 0  # events applied
 
     def by_name(self) -> dict[str, int]:
         """Return each count under the name of its metric."""
@@ -66,20 +66,21 @@
 
 
 class ChangeLogSource(NamedTuple):
-    """Where the change log is (None: nowhere), and by which names its lists are read."""
+    """Address of the change log (None if there is none) and the site whose names its lists use."""
 
     endpoint: Endpoint | None
     site: Site
 
 
 class ChangeLogClient:
-    """Follows one change log from the last change applied, forever.
-
-    A connection that brings nothing is not given up for another: one more is opened beside it, and whichever
-    brings something first is followed while all others are closed. So a log that takes long to begin is still
-    waited for, and a connection that will stay silent for ever costs no more than the wait for the next one.
-    No patience is learned: what one connection did says nothing about the next, least of all at another
-    address. Each event is applied once, by its number, whichever connection brings it.
+    """Receives the events of one change log after the last change applied, until the program ends.
+
+    A connection on which no data arrives is not closed at once: another one is opened in parallel, the first
+    one to deliver data is used, and all others are closed. A log that is slow to start sending is thus still
+    received, and a connection that stays silent delays updates only until the next connection is opened.
+    The timeouts do not adapt to earlier connections, whose behavior does not predict that of the next one,
+    least of all at another address. Each event is applied once, by its number, on whichever connection it
+    arrives.
     """
 
     def __init__(
@@ -100,53 +101,59 @@
         self.counters = ChangeLogCounters()
         self._purge_ages = StampAges()
         self._connections: list[ChangeLogConnection] = []  # oldest first
-        self._followed: ChangeLogConnection | None = None  # the one that brought something last
+        self._active_connection: ChangeLogConnection | None = None  # the one that last delivered data
         self._connection_numbers = itertools.count(1)
-        self._retry_interval = limits.change_log_retry_delay  # seconds on average
+        self._retry_interval = limits.change_log_retry_delay  # seconds, before jitter
         self._timer: Timer | None = None
-        self._timer_at = math.inf  # when the timer is due
-        self._next_connection_at = math.inf  # when one more connection is opened, unless something comes
+        self._timer_due_at = math.inf  # Unix time at which the timer fires
+        # Unix time at which another connection is opened, unless data arrives before.
+        self._next_connection_at = math.inf
 
     @property
     def cursor(self) -> int:
-        """The number of the last event applied."""
+        """Number of the last event applied."""
         return self._applier.cursor
 
     def start(self, known: Iterable[Change], cursor: int) -> None:
-        """Apply the changes known from the configuration, then follow those behind the cursor."""
+        """Apply the changes contained in the configuration, then receive those after the cursor."""
         for change in known:
             self._applier.apply(change)
         self._applier.cursor = max(self._applier.cursor, cursor)
         self._open_connection()
 
     def move(self, endpoint: Endpoint | None) -> None:
-        """Continue at another address, at once, from the last change applied."""
+        """Reconnect to another address at once and continue after the last change applied."""
         if endpoint != self._source.endpoint:
             self._source = self._source._replace(endpoint=endpoint)
-            self._abandon_all()
+            self._close_all_connections()
             self._open_connection()
 
     def restart(self, source: ChangeLogSource, known: Iterable[Change], cursor: int) -> None:
-        """Read all again by other names of zones and kinds: first what is known, then what came later."""
-        self._abandon_all()
+        """Start over with a new source: names of zones or server kinds changed, so all events are read again.
+
+        known: changes contained in the configuration, applied first; cursor: number after which to continue.
+        """
+        self._close_all_connections()
         self._source = source
         self._applier.cursor = 0
         self.start(known, cursor)
 
-    def on_up(self, connection: ChangeLogConnection) -> None:
-        """Give a new connection the usual time for its first bytes."""
-        log.info("change log: connection %d is up, asks from event %d", connection.number, self.cursor)
+    def on_connected(self, connection: ChangeLogConnection) -> None:
+        """Start the silence timeout for the first bytes of a new connection."""
+        log.info("change log: connection %d established, last event is %d", connection.number, self.cursor)
         self._wait_for_bytes(self._limits.change_log_silence_timeout)
 
     def on_received(self, connection: ChangeLogConnection) -> None:
-        """Follow the connection that brought bytes, and no other."""
-        if connection is not self._followed:
-            self._followed = connection
-            log.info("change log: connection %d is followed, from event %d", connection.number, self.cursor)
+        """Use the connection that delivered data and close all others."""
+        if connection is not self._active_connection:
+            self._active_connection = connection
+            log.info(
+                "change log: connection %d delivers data, last event is %d", connection.number, self.cursor
+            )
         if len(self._connections) > 1:
             others = [other for other in self._connections if other is not connection]
             for other in others:
-                self._abandon(other, f"connection {connection.number} is followed")
+                self._close_connection(other, f"connection {connection.number} delivers data")
         self._retry_interval = self._limits.change_log_retry_delay
         self._wait_for_bytes(self._limits.change_log_silence_timeout)
 
@@ -156,17 +163,18 @@
         now = steady_time()
         change = read_frame(frame, self._source.site, now)
         if isinstance(change.event, Purged):
-            # Not the clocks' difference: a purge that seems older than it is would limit no copy's age.
+            # The age is not computed from the two clocks: if a purge seemed older than it is, copies from
+            # before it would be accepted.
             age = self._purge_ages.age(change.event.purged_at, now)
             change = replace(change, event=replace(change.event, age=age))
         self._applier.apply(change)
         self.counters.events += self.cursor != before
 
     def on_failure(self, connection: ChangeLogConnection, reason: str) -> None:
-        """Reconnect after a while; the changes missed meanwhile come first on the next connection."""
+        """Reconnect after a delay; the next connection starts with the changes missed meanwhile."""
         self._connections.remove(connection)
         self.counters.failures += 1
-        # Jittered, since all routers lose the log at one moment and must not come back at one.
+        # Jittered, because all routers lose the log at the same moment and must not reconnect in step.
         delay = self._retry_interval * self._random.uniform(*RETRY_JITTER)
         self._retry_interval = min(2 * self._retry_interval, self._limits.max_change_log_retry_delay)
         log.warning(
@@ -179,12 +187,14 @@
         self._open_connection_in(delay)
 
     def _open_connection(self) -> None:
-        """Open one more connection; past the bound the one that was opened first gives way."""
+        """Open another connection; at the limit the oldest one is closed first."""
         self._next_connection_at = math.inf
         if self._source.endpoint is None:
             return
         if len(self._connections) >= self._limits.max_change_log_connections:
-            self._abandon(self._connections[0], "it was silent for too long")
+            self._close_connection(
+                self._connections[0], "no data received, and the limit of connections is reached"
+            )
         connection = ChangeLogConnection(
             next(self._connection_numbers), self._poller, self._timers, self._limits, self
         )
@@ -194,50 +204,50 @@
         connection.start(self._source.endpoint)
 
     def _open_another(self) -> None:
-        """Open a connection beside those that have brought nothing for a while."""
+        """Open another connection in parallel to those on which no data arrived within the timeout."""
         if self._connections:
             self.counters.silences += 1
             newest = self._connections[-1]
             log.warning(
-                "change log: it says nothing; connection %d is %s at event %d, one more is opened",
+                "change log: no data received; connection %d is %s at event %d, opening another one",
                 newest.number,
                 newest.state.value,
                 self.cursor,
             )
         self._open_connection()
 
-    def _abandon_all(self) -> None:
+    def _close_all_connections(self) -> None:
         for connection in list(self._connections):
-            self._abandon(connection, "the log has moved")
+            self._close_connection(connection, "the address or the names of the log have changed")
         self._retry_interval = self._limits.change_log_retry_delay
         self._next_connection_at = math.inf
 
-    def _abandon(self, connection: ChangeLogConnection, reason: str) -> None:
+    def _close_connection(self, connection: ChangeLogConnection, reason: str) -> None:
         log.info(
-            "change log: connection %d, %s, is closed: %s", connection.number, connection.state.value, reason
+            "change log: closing connection %d (%s): %s", connection.number, connection.state.value, reason
         )
         self._connections.remove(connection)
         connection.close()
 
-    def _wait_for_bytes(self, patience: float) -> None:
-        """Open one more connection after these seconds, jittered, unless bytes come before."""
-        self._open_connection_in(patience * self._random.uniform(*PATIENCE_JITTER))
+    def _wait_for_bytes(self, timeout: float) -> None:
+        """Open another connection after a jittered timeout in seconds, unless data arrives before."""
+        self._open_connection_in(timeout * self._random.uniform(*SILENCE_TIMEOUT_JITTER))
 
     def _open_connection_in(self, delay: float) -> None:
         self._next_connection_at = self._timers.clock() + delay
-        # A timer that is due earlier is set again when it finds that the time was put off.
-        if self._next_connection_at < self._timer_at:
+        # A timer that fires earlier is kept: `_on_timer` sets it again for the later time.
+        if self._next_connection_at < self._timer_due_at:
             self._set_timer()
 
     def _set_timer(self) -> None:
         if self._timer:
             self._timer.cancel()
-        self._timer_at = self._next_connection_at
-        self._timer = self._timers.at(self._timer_at, self._on_timer)
+        self._timer_due_at = self._next_connection_at
+        self._timer = self._timers.at(self._timer_due_at, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._timer_at = math.inf
+        self._timer_due_at = math.inf
         if self._next_connection_at <= self._timers.clock():
             self._open_another()
         elif self._next_connection_at < math.inf:
--- a/brackenlane/net/change_log_connection.py
+++ b/brackenlane/net/change_log_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the change log: the connect, the cursor that asks for events, the frames received."""
+"""One connection to the change log: connects, sends the number of the last event applied, reads frames."""
 
 from __future__ import annotations
 
@@ -22,41 +22,41 @@
 
 
 class ConnectionState(Enum):
-    """What a connection has come to; it only moves down this list."""
+    """State of a connection; transitions only go down this list."""
 
     CONNECTING = "connecting"
-    SILENT = "silent"  # it has come up, and nothing was received yet
-    FOLLOWING = "following"
+    SILENT = "silent"  # connected, no data received yet
+    FOLLOWING = "following"  # connected, data received
     CLOSED = "closed"
 
 
 class ConnectionOwner(Protocol):
-    """The owner of a connection."""
+    """Receiver of the events of a connection."""
 
     @property
     def cursor(self) -> int:
-        """The number of the last event applied."""
+        """Number of the last event applied."""
 
-    def on_up(self, connection: ChangeLogConnection) -> None:
-        """Handle that the connection has come up."""
+    def on_connected(self, connection: ChangeLogConnection) -> None:
+        """Called when the connection is established."""
 
     def on_received(self, connection: ChangeLogConnection) -> None:
-        """Handle that bytes have come, before their frames."""
+        """Called when bytes were received, before their frames are handled."""
 
     def on_frame(self, frame: Frame) -> None:
-        """Handle one frame. Raises ChangeLogFormatError for one that cannot be read."""
+        """Handle one frame. Raises ChangeLogFormatError if it cannot be decoded."""
 
     def on_failure(self, connection: ChangeLogConnection, reason: str) -> None:
-        """Handle the end of the connection, which is closed already."""
+        """Called when the connection failed or ended; it is already closed."""
 
 
 class ChangeLogConnection:
-    """One attempt to follow the change log; after `close` its owner hears nothing more of it."""
+    """One connection to the change log; after `close` its owner is not called any more."""
 
     def __init__(
         self, number: int, poller: Poller, timers: Timers, limits: Limits, owner: ConnectionOwner
     ) -> None:
-        """number: tells the connections of one process apart in the log."""
+        """number: identifies the connection in the log of this process."""
         self.number = number
         self.state = ConnectionState.CONNECTING
         self._poller = poller
@@ -64,24 +64,24 @@
         self._owner = owner
         self._connect_timeout = limits.change_log_connect_timeout
         self._reader = FrameReader(limits.max_change_log_frame)
-        self._unsent = b""  # of the cursor
+        self._unsent_cursor = b""  # bytes of the encoded cursor that are still to be sent
         self._sock: socket.socket | None = None
         self._connector: Connector | None = None
 
     @property
     def is_open(self) -> bool:
-        """Whether it may still bring something."""
+        """Whether the connection is not closed; it may still be connecting."""
         return self.state is not ConnectionState.CLOSED
 
     def start(self, endpoint: Endpoint) -> None:
-        """Begin to connect; the owner may be called before this returns."""
+        """Start to connect; the owner may be called before this returns."""
         self._connector = Connector(
             endpoint, self._poller, self._timers, self._connect_timeout, self._on_connect_end
         )
         self._connector.start()
 
     def close(self) -> None:
-        """Close the connection, or abandon the attempt to connect."""
+        """Close the connection, or cancel the connect in progress."""
         self.state = ConnectionState.CLOSED
         if self._connector:
             self._connector.cancel()
@@ -99,33 +99,33 @@
     def _on_connect_end(self, _: Connector, sock: socket.socket | None) -> None:
         self._connector = None
         if sock is None:
-            self._fail("no connection")
+            self._fail("cannot connect")
             return
         self._sock = sock
         try:
             self._poller.add(sock.fileno(), self._on_ready, urgent=True)
         except OSError as error:
-            self._fail(f"it can't be watched: {error.strerror}")
+            self._fail(f"epoll cannot register the socket: {error.strerror}")
             return
         self.state = ConnectionState.SILENT
-        self._unsent = self._owner.cursor.to_bytes(CURSOR_BYTES, "big")
-        self._owner.on_up(self)
+        self._unsent_cursor = self._owner.cursor.to_bytes(CURSOR_BYTES, "big")
+        self._owner.on_connected(self)
         self._send_cursor()
 
     def _send_cursor(self) -> None:
-        """Send what is left of the cursor: the system may take any part of it at a time (send(2))."""
+        """Send the rest of the cursor: send(2) may accept any part of it at a time."""
         if self._sock is None:
             return
         try:
-            self._unsent = self._unsent[self._sock.send(self._unsent) :]
+            self._unsent_cursor = self._unsent_cursor[self._sock.send(self._unsent_cursor) :]
         except OSError as error:
             if not is_temporary(error):
                 self._fail(str(error))
                 return
-        self._poller.want(self._sock.fileno(), READ | WRITE if self._unsent else READ)
+        self._poller.want(self._sock.fileno(), READ | WRITE if self._unsent_cursor else READ)
 
     def _on_ready(self, _: int) -> None:
-        if self._unsent:
+        if self._unsent_cursor:
             self._send_cursor()
         if self._sock is None:
             return
@@ -136,7 +136,7 @@
                 self._fail(str(error))
             return
         if not data:
-            self._fail("it ended the connection")
+            self._fail("the log closed the connection")
             return
         self.state = ConnectionState.FOLLOWING
         self._owner.on_received(self)
@@ -150,6 +150,6 @@
                 self._owner.on_frame(frame)
         except ChangeLogFormatError as error:
             self._fail(str(error))
-        except Exception:  # one event must not keep all later ones from being read
+        except Exception:  # reconnects, so that a failure on one event does not stop all later ones
             log.exception("an event of the change log failed")
-            self._fail("an event failed")
+            self._fail("unexpected error while applying an event")
--- a/tests/test_change_log_outage.py
+++ b/tests/test_change_log_outage.py
@@ -22,7 +22,7 @@
 import trio
 
 from brackenlane.limits import Limits
-from brackenlane.net.change_log import PATIENCE_JITTER, RETRY_JITTER
+from brackenlane.net.change_log import RETRY_JITTER, SILENCE_TIMEOUT_JITTER
 from tests.stand_ins import CacheStandIn, Log, Program, data, platform, record, with_trio
 
 EDGE, ORIGIN = "s-00000001", "s-00000009"
@@ -177,7 +177,7 @@
 def test_no_wait_for_the_log_exceeds_the_time_after_which_updates_count() -> None:
     """The pages: updates count as received 2 s after a break, 4 s after a stop or a move, 7 s at the most."""
     limits = Limits()
-    jitter, retry_jitter = PATIENCE_JITTER[1], RETRY_JITTER[1]
+    jitter, retry_jitter = SILENCE_TIMEOUT_JITTER[1], RETRY_JITTER[1]
     silence = limits.change_log_silence_timeout * jitter
     connect = limits.change_log_connect_patience * jitter
     retry = limits.max_change_log_retry_delay * retry_jitter
