--- a/brackenlane/net/admission_queue.py
+++ b/brackenlane/net/admission_queue.py
@@ -1,6 +1,6 @@
-"""Admission queue of an HTTP front: turns of waiting requests, load shedding, prepared rejections.
+"""Admission queue of an HTTP front: serves queued requests, sheds load and caches encoded rejections.
 
-The decisions are those of `brackenlane.admission.controller`; this module carries them out.
+`brackenlane.admission.controller` decides the order and what is shed; this module carries that out.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-HOLD_OFF_STEP = 0.05  # seconds between the times to stay away for which rejections are prepared
+HOLD_OFF_STEP = 0.05  # seconds to which hold-off times are rounded up, so that encoded rejections are reused
 
 
 class AdmissionQueue:
-    """The queue of the requests that wait for their turn, one at most of each connection."""
+    """Queue of requests waiting to be served, with at most one request per connection."""
 
     def __init__(self, core: RequestEngine, context: FrontContext, encoder: AnswerEncoder) -> None:
         self._core = core
@@ -33,39 +33,39 @@
         self.admission: controller.AdmissionQueue[ClientConnection] = controller.AdmissionQueue(
             core.settings.classes
         )
-        self._rejections: dict[int, bytes] = {}  # prepared, by their time to stay away in steps
-        self.rejection = self.prepare_rejection(steady_time())  # the one that is sent now
+        self._rejections: dict[int, bytes] = {}  # encoded rejections, by hold-off time in steps
+        self.rejection = self.prepare_rejection(steady_time())  # encoded rejection that is currently sent
 
     def reconfigure(self) -> None:
-        """Apply the core's new settings; requests that wait keep their place by arrival."""
+        """Apply the core's new settings; queued requests keep their order of arrival."""
         self._rejections = {}
         earlier = self.admission
         self.admission = controller.AdmissionQueue(self._core.settings.classes)
         while taken := earlier.take(steady_time()):
             connection, since = taken
-            connection.rejoin(since)
+            connection.requeue(since)
 
-    def offer(self, connection: ClientConnection, class_name: str, is_retry: bool, since: float) -> None:
-        """Add the request of a connection, which waits since a Unix time."""
+    def enqueue(self, connection: ClientConnection, class_name: str, is_retry: bool, since: float) -> None:
+        """Add the request of a connection; since: Unix time from which it has waited."""
         self.admission.add(connection, class_name, is_retry, since)
 
-    def drop(self, connection: ClientConnection, class_name: str, is_retry: bool) -> None:
-        """Remove the request of a connection that ends."""
+    def remove(self, connection: ClientConnection, class_name: str, is_retry: bool) -> None:
+        """Remove the request of a connection that is being closed."""
         self.admission.remove(connection, class_name, is_retry)
 
-    def rejects(self, target: str, is_retry: bool) -> bool:
-        """Whether there is no room for a request, and no cached copy of ours to serve it."""
-        return not self.admission.has_capacity_for(queue_class(target), is_retry) and not self.has_copy(
-            target
-        )
+    def must_reject(self, target: str, is_retry: bool) -> bool:
+        """Return whether the queue is full for this request and the response cache cannot serve it."""
+        return not self.admission.has_capacity_for(
+            queue_class(target), is_retry
+        ) and not self.has_cached_response(target)
 
-    def has_copy(self, target: str) -> bool:
-        """Whether our response cache would serve this: nearly free, so it is never rejected."""
+    def has_cached_response(self, target: str) -> bool:
+        """Return whether the response cache can serve this target; that is cheap and so never rejected."""
         found = TARGET.fullmatch(target) if self._core.cached_responses.is_enabled else None
         return found is not None and self._core.cached_responses.holds(found[1], f"{found[2]}/{found[3]}")
 
     def serve_turn(self) -> bool:
-        """Reject what has waited too long, then serve for a bounded time; whether more waits."""
+        """Reject requests that waited too long, then serve for a bounded time; return whether any remain."""
         if not self.admission.size:
             return False
         now = steady_time()
@@ -76,7 +76,8 @@
         limits = self._context.limits
         end = now + limits.admission_time_slice
         count = 0
-        # At least a few: on a core that others use too, time passes in which we do not run.
+        # On a CPU core shared with other processes the time slice may pass without this process running, so
+        # a minimum number of requests is served in any case.
         while (now < end or count < limits.min_requests_per_slice) and (taken := self.admission.take(now)):
             connection, since = taken
             count += 1
@@ -86,21 +87,21 @@
         return self.admission.size > 0
 
     def reject_all(self, now: float) -> None:
-        """Reject every request that waits."""
+        """Reject every queued request."""
         while taken := self.admission.take(now):
             connection, _ = taken
             self._call_guarded(connection, connection.reject, now)
 
     def hold_off(self, now: float) -> float:
-        """Return the seconds after which a client that is rejected now may come back."""
+        """Return the seconds after which a client that is rejected now may retry."""
         return max(HOLD_OFF_STEP, min(self.admission.hold_off(now), self._context.limits.max_client_wait))
 
     def encode_rejection(self, hold_off: float = 0.0) -> EncodedResponse:
-        """Encode a rejection; hold_off: seconds to stay away, the usual ones if 0."""
+        """Encode a rejection; hold_off: seconds before the client may retry, 0 for `Limits.retry_after`."""
         return self._encoder.encode_rejection(hold_off)
 
     def prepare_rejection(self, now: float) -> bytes:
-        """Return a complete rejection as bytes, encoded once for each time to stay away."""
+        """Return a complete rejection as bytes, encoded once for each hold-off time."""
         steps = math.ceil(self.hold_off(now) / HOLD_OFF_STEP)
         if steps not in self._rejections:
             status, headers, body = self.encode_rejection(steps * HOLD_OFF_STEP)
@@ -111,6 +112,6 @@
     def _call_guarded(connection: ClientConnection, call: Callable[[float], None], at: float) -> None:
         try:
             call(at)
-        except Exception:  # one client must not end the others
-            log.exception("a client's request failed")
+        except Exception:  # a failure for one client must not affect the others
+            log.exception("unexpected error while handling a client's request")
             connection.close()
--- a/brackenlane/net/answer_encoder.py
+++ b/brackenlane/net/answer_encoder.py
@@ -1,4 +1,4 @@
-"""Answers of the core as responses, by the settings and limits now in force."""
+"""Encodes the core's answers as HTTP responses, using the current settings and limits."""
 
 from __future__ import annotations
 
@@ -9,18 +9,21 @@
 
 
 class AnswerEncoder:
-    """Encodes final answers and the front's own rejections."""
+    """Encodes final answers of the core and rejections made by the front."""
 
     def __init__(self, core: RequestEngine, context: FrontContext) -> None:
         self._core = core
         self._context = context
 
     def encode_answer(self, answer: Answer) -> EncodedResponse:
-        """Encode a final answer as the clients of this site understand it."""
+        """Encode a final answer; the retry headers depend on the site's `max_hold_off` setting."""
         return encode_final_answer(answer, self._core.settings.max_hold_off)
 
     def encode_rejection(self, hold_off: float = 0.0) -> EncodedResponse:
-        """Encode a rejection by the front itself; hold_off: seconds to stay away, the usual ones if 0."""
+        """Encode a rejection made by the front.
+
+        hold_off: seconds before the client may retry; 0 for `Limits.retry_after`.
+        """
         return self.encode_answer(
             Answer(Disposition.REJECTED, hold_off=hold_off or self._context.limits.retry_after)
         )
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: requests received, answers sent, and the state that it waits in."""
+"""One client connection: receives requests, sends answers, and tracks the state of the connection."""
 
 from __future__ import annotations
 
@@ -22,71 +22,75 @@
 
 log = logging.getLogger(__name__)
 
-REQUEST_START = re.compile(rb"(?:GET|PUT) /api/v2/([^/?#]{1,64})/")  # how a request for a class begins
-MAX_READS_TO_END = 4  # reads before a client counts as connected: data may stand before its end
+# A request line up to and including the name of the class.
+REQUEST_START = re.compile(rb"(?:GET|PUT) /api/v2/([^/?#]{1,64})/")
+MAX_READS_TO_END = 4  # reads that look for the end of the stream; unread data may precede it
 
 
 class ClientState(IntEnum):
-    """State of a client connection. A number, since the connection table finds its lists by it."""
+    """State of a client connection. The connection table uses the values as list indices."""
 
-    ACTIVE = 0  # a request is queued or in flight: the connection waits for nothing of the client's
-    NEW = 1  # no byte of its first request has come
-    IDLE = 2  # no byte of its next request has come
-    READING = 3  # a request has come in part
-    WRITING = 4  # an answer has been sent in part
-    CLOSING = 5  # our half is closed; the client is to close its own
+    ACTIVE = 0  # a request is queued or in flight; nothing is expected from the client
+    NEW = 1  # accepted, no byte of the first request was received
+    IDLE = 2  # no byte of the next request was received
+    READING = 3  # a request was received in part
+    WRITING = 4  # an answer was sent in part
+    CLOSING = 5  # the sending half is closed; the client has yet to close its half
 
 
 class ConnectionTracker(Protocol):
-    """What a connection reports its state to."""
+    """Receiver of the state changes of connections."""
 
     def move(self, connection: ClientConnection, previous: ClientState, state: ClientState) -> None:
         """Record a change of state."""
 
     def forget(self, connection: ClientConnection, state: ClientState) -> None:
-        """Remove a connection that ends in this state."""
+        """Remove a connection that is closed while in this state."""
 
-    def closed(self) -> None:
-        """Count a connection whose socket is closed."""
+    def on_socket_closed(self) -> None:
+        """Called when the socket of a connection was closed."""
 
 
 class RequestQueue(Protocol):
-    """What a connection queues its requests in, and asks for rejections."""
+    """Queue in which a connection places its requests; it also provides the rejections."""
 
-    rejection: bytes  # complete, as it is sent now
+    rejection: bytes  # complete encoded rejection that is currently sent
 
-    def offer(self, connection: ClientConnection, class_name: str, is_retry: bool, since: float) -> None:
-        """Add a request, which waits since a Unix time; `serve` or `reject` is called in its turn."""
+    def enqueue(self, connection: ClientConnection, class_name: str, is_retry: bool, since: float) -> None:
+        """Add a request; since: Unix time from which it has waited.
 
-    def drop(self, connection: ClientConnection, class_name: str, is_retry: bool) -> None:
+        The queue later calls `serve` or `reject` on the connection.
+        """
+
+    def remove(self, connection: ClientConnection, class_name: str, is_retry: bool) -> None:
         """Remove a request."""
 
-    def rejects(self, target: str, is_retry: bool) -> bool:
-        """Whether there is no room for a request."""
+    def must_reject(self, target: str, is_retry: bool) -> bool:
+        """Return whether the queue is full for this request and the response cache cannot serve it."""
 
-    def has_copy(self, target: str) -> bool:
-        """Whether the response cache would serve this."""
+    def has_cached_response(self, target: str) -> bool:
+        """Return whether the response cache can serve this target."""
 
     def hold_off(self, now: float) -> float:
-        """Return the seconds that a rejected client should stay away."""
+        """Return the seconds after which a rejected client may retry."""
 
     def encode_rejection(self, hold_off: float = 0.0) -> EncodedResponse:
-        """Encode a rejection; hold_off: seconds to stay away, the usual ones if 0."""
+        """Encode a rejection; hold_off: seconds before the client may retry, 0 for `Limits.retry_after`."""
 
 
 class RequestHandler(Protocol):
-    """What a connection hands its requests to; the answer comes by `ClientConnection.answer`."""
+    """Handler of the requests of a connection; it answers through `ClientConnection.answer`."""
 
     def accept(self, client: ClientConnection, parsed: ParsedRequest, since: float) -> None:
-        """Accept a request, which came at a Unix time. Raises BadRequestError."""
+        """Accept a request; since: Unix time of its arrival. Raises BadRequestError."""
 
     def withdraw(self, request: PendingRequest) -> None:
-        """Withdraw a request whose client has left."""
+        """Withdraw a request whose client has disconnected."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionServices:
-    """What is handed to every connection of a front."""
+    """Services that all connections of a front use."""
 
     context: FrontContext
     tracker: ConnectionTracker
@@ -95,26 +99,26 @@
 
 
 class QueueEntry(NamedTuple):
-    """Where the request of a connection is queued."""
+    """Class and retry flag under which the request of a connection is queued."""
 
     class_name: str
     is_retry: bool
 
 
 class ClientConnection:
-    """One client connection, with one request at a time."""
+    """One client connection; it handles one request at a time."""
 
     __slots__ = (
-        "_came_after",
         "_class_name",
         "_closes_after_answer",
         "_context",
         "_earliest_arrival",
         "_handler",
         "_input",
-        "_is_rejected_unseen",
+        "_is_rejected_before_request",
         "_queue",
         "_queue_entry",
+        "_request_arrived_after",
         "_state",
         "_tracker",
         "_transport",
@@ -131,18 +135,20 @@
         self._input = RequestInput(self._context.limits)
         self._state = ClientState.NEW
         self._queue_entry: QueueEntry | None = None
-        self._came_after = 0.0  # Unix time after which the queued request came
-        self._earliest_arrival = math.inf  # of what is read now, if that lies back further
-        self._class_name = ""  # of the latest request, as its target tells: for the metrics
-        self._is_rejected_unseen = False  # rejected before its request came: counted when that is seen
+        self._request_arrived_after = 0.0  # earliest Unix time at which the queued request can have arrived
+        # Earliest Unix time at which data read by `read_delayed_input` can have arrived; infinite otherwise.
+        self._earliest_arrival = math.inf
+        self._class_name = ""  # class named by the target of the latest request, for the metrics
+        # Rejected before its request was received; the rejection is counted once the request arrives.
+        self._is_rejected_before_request = False
         self._closes_after_answer = False
         self.is_open = True
-        self.request: PendingRequest | None = None  # in flight
+        self.request: PendingRequest | None = None  # request in flight
 
     # States
 
     def wait(self, state: ClientState) -> None:
-        """Enter a state; a connection that waits for a request is closed during a graceful shutdown."""
+        """Enter a state; during a graceful shutdown a connection without a request is closed instead."""
         if not self.is_open:
             return
         self._tracker.move(self, self._state, state)
@@ -156,19 +162,19 @@
             return
         self.is_open = False
         if self._queue_entry is not None:
-            self._queue.drop(self, *self._queue_entry)
+            self._queue.remove(self, *self._queue_entry)
         self._tracker.forget(self, self._state)
         self._transport.close()
-        self._tracker.closed()
+        self._tracker.on_socket_closed()
         if self.request:
             request = self.request
             self.request = None
             self._handler.withdraw(request)
 
-    def retire(self, at_once: bool = False) -> None:
-        """Close an idle connection, unless a request has come meanwhile: then after its answer.
+    def close_if_idle(self, at_once: bool = False) -> None:
+        """Close an idle connection, unless unread data shows that a request has arrived.
 
-        at_once: its descriptor is needed, so what may still be on its way is not waited for.
+        at_once: close without a linger phase, because the descriptor is needed for another connection.
         """
         if self._state is not ClientState.CLOSING:
             self.on_ready(READ)
@@ -184,7 +190,7 @@
             self._begin_close()
 
     def expire(self) -> None:
-        """Close a connection past its deadline, unless what has come meanwhile changes its state."""
+        """Close a connection whose deadline has passed, unless unread data changes its state."""
         if self._state in (ClientState.WRITING, ClientState.CLOSING):
             self.close()
             return
@@ -192,14 +198,14 @@
         self.on_ready(READ)
         if self.is_open and self._state is state:
             if state is ClientState.READING:
-                log.warning("a client does not end its request")
+                log.warning("client connection closed: the request was not completed in time")
             self._begin_close()
 
     def _begin_close(self) -> None:
-        """Close our half of the connection: nothing is owed, and nothing that comes now is served.
+        """Close the sending half of the connection; no answer is pending and later requests are not served.
 
-        What comes is read for a moment more, since closing with unread data would reset an answer that is
-        still on its way.
+        Incoming data is still read and discarded for a bounded time: closing a socket with unread data sends
+        a reset, which could destroy an answer that the client has not received yet.
         """
         self._closes_after_answer = True
         self._input.bytes_allowed = self._context.limits.max_linger_size
@@ -218,36 +224,39 @@
                 self._flush()
             if events & ~WRITE and self.is_open:
                 self._receive()
-        except Exception:  # one client must not end the others
-            log.exception("a client's connection failed")
+        except Exception:  # a failure on one connection must not affect the others
+            log.exception("unexpected error on a client's connection")
             self.close()
 
-    def read_late(self, came_after: float) -> None:
-        """Read what has come since a Unix time from which the connection could not be read."""
-        self._earliest_arrival = came_after
+    def read_delayed_input(self, earliest_arrival: float) -> None:
+        """Read data that may have arrived earlier, while the connection could not be read.
+
+        earliest_arrival: Unix time after which the data arrived.
+        """
+        self._earliest_arrival = earliest_arrival
         self.on_ready(READ)
         self._earliest_arrival = math.inf
 
     def is_client_connected(self) -> bool:
-        """Whether the client is connected, by its socket now: its end may not have been read yet."""
+        """Return whether the client is still connected; reads the socket to detect an end of stream."""
         try:
             for _ in range(MAX_READS_TO_END):
                 if not self.is_open or not self._receive():
                     break
-        except Exception:  # one client must not end the connection to a cache, nor another's request
-            log.exception("a client's connection failed")
+        except Exception:  # the caller serves other requests, which a failure here must not affect
+            log.exception("unexpected error on a client's connection")
             self.close()
         return self.is_open
 
     def _receive(self) -> bool:
-        """Handle what has come; whether anything had."""
+        """Receive and handle data; return whether there was data or an end of stream."""
         data = self._transport.receive()
         if data is None:
             return False
         if data:
             self._on_data(data)
         else:
-            self.close()  # the client has left: nothing is owed
+            self.close()  # the client has disconnected, so no answer can be delivered
         return True
 
     def _on_data(self, data: bytes) -> None:
@@ -262,28 +271,30 @@
             self._continue()
 
     def _discard(self, data: bytes) -> None:
-        """Read on while the client closes its half, up to a bound."""
-        if self._is_rejected_unseen and (found := REQUEST_START.match(data)):
-            self._is_rejected_unseen = False
+        """Discard data received while closing; close the connection once it exceeds a limit."""
+        if self._is_rejected_before_request and (found := REQUEST_START.match(data)):
+            self._is_rejected_before_request = False
             self._context.metrics.count_answer(found[1].decode(), HTTPStatus.SERVICE_UNAVAILABLE)
-        if self._input.spend(data):
+        if self._input.count_unrequested(data):
             self.close()
 
     def _buffer(self, data: bytes) -> None:
-        """Keep the bytes of a next request, up to a bound.
+        """Buffer the bytes of the next request, up to a limit.
 
-        Past it nothing is kept, and the answer that is owed closes the connection. It is still read, since
-        that shows when the client leaves.
+        Beyond the limit the bytes are discarded and the connection is closed after the pending answer. The
+        socket is still read, to detect that the client disconnects.
         """
-        was_flooded = self._input.is_flooded
+        had_overflowed = self._input.has_overflowed
         self._input.buffer(data)
-        if self._input.is_flooded and not was_flooded:
-            log.warning("a client sends on and on behind its request: its answer ends the connection")
+        if self._input.has_overflowed and not had_overflowed:
+            log.warning(
+                "a client sends on and on behind its request: closing the connection after its answer"
+            )
 
     # The queue
 
     def _queue_unparsed(self, data: bytes, target: str, is_retry: bool) -> None:
-        if self._queue.rejects(target, is_retry) and not self._context.drain.ends_connections:
+        if self._queue.must_reject(target, is_retry) and not self._context.drain.ends_connections:
             self._context.figures.count_rejected(Reason.QUEUED)
             self._class_name = queue_class(target)
             self._reject_unparsed()
@@ -296,33 +307,35 @@
         self.wait(ClientState.ACTIVE)
         self._class_name = queue_class(target)
         self._queue_entry = QueueEntry(self._class_name, is_retry)
-        self._came_after = min(self._context.poller.came_after, self._earliest_arrival)
-        self._queue.offer(self, self._class_name, is_retry, self._context.poller.polled)
+        self._request_arrived_after = min(self._context.poller.earliest_arrival, self._earliest_arrival)
+        self._queue.enqueue(self, self._class_name, is_retry, self._context.poller.polled_at)
 
-    def rejoin(self, since: float) -> None:
-        """Join the new queue of a reload; since: the Unix time from which it has waited."""
+    def requeue(self, since: float) -> None:
+        """Queue the request again after a reload; since: Unix time from which it has waited."""
         assert self._queue_entry is not None
-        self._queue.offer(self, *self._queue_entry, since)
+        self._queue.enqueue(self, *self._queue_entry, since)
 
     def serve(self, since: float) -> None:
-        """Serve the queued request in its turn; since: the Unix time at which it came."""
+        """Serve the queued request; since: Unix time from which it has waited."""
         parsed = self._next_request()
         if parsed is None:
             self._continue()
             return
-        # To HEAD, which no class takes, no body may be answered: the end shows that what came was none.
+        # No class accepts HEAD, and its error response carries a body although a response to HEAD must not.
+        # Closing the connection keeps the client from reading that body as the next response.
         self._closes_after_answer = not parsed.keep_alive or parsed.method == "HEAD"
         try:
-            # Its deadline counts from before a time in which the process stood still; its turn does not.
-            self._handler.accept(self, parsed, min(since, self._came_after))
-        except BadRequestError as fault:  # a fault of the request alone: the connection is kept
+            # If the process was stopped, the request may have arrived any time after the stop began. Its
+            # deadline counts from then; its place in the queue counts from when it was read.
+            self._handler.accept(self, parsed, min(since, self._request_arrived_after))
+        except BadRequestError as fault:  # only this request is invalid, so the connection is kept
             log.warning("a request that can't be served: %s", fault)
             self.answer(encode_fault(fault))
 
     def reject(self, now: float) -> None:
-        """Reject the queued request; one that is held unparsed spares the parser."""
+        """Reject the queued request; one that is held unparsed is rejected without parsing it."""
         target = self._input.target
-        if target and self._queue.has_copy(target):
+        if target and self._queue.has_cached_response(target):
             self.serve(now)
             return
         self._context.figures.count_rejected(Reason.QUEUED)
@@ -339,13 +352,13 @@
         self.answer(self._queue.encode_rejection(self._queue.hold_off(now)))
 
     def reject_connection(self) -> None:
-        """Reject the connection, for which there is no room: before its request comes."""
-        self._is_rejected_unseen = True
+        """Reject a connection beyond the connection limit, before its request is received."""
+        self._is_rejected_before_request = True
         self._closes_after_answer = True
         self.answer(self._queue.encode_rejection())
 
     def _reject_unparsed(self) -> None:
-        """Send the prepared rejection; the connection is kept."""
+        """Send the encoded rejection and keep the connection open."""
         self._input.bytes_allowed = self._context.limits.max_head_size
         self._closes_after_answer = False
         self._context.metrics.count_answer(self._class_name, HTTPStatus.SERVICE_UNAVAILABLE)
@@ -358,11 +371,11 @@
         return self._input.next()
 
     def _continue(self) -> None:
-        """Queue the next request once the last is answered, or wait for it."""
+        """Queue the next request if it is complete, answer a parse error, or wait for more data."""
         if parsed := self._input.complete:
             self._enqueue(parsed.target, "x-second-try" in parsed.headers)
         elif fault := self._input.fault:
-            log.warning("a client that can't be read: %s", fault)
+            log.warning("closing a client connection after an invalid request: %s", fault)
             self._closes_after_answer = True
             self.wait(ClientState.ACTIVE)
             self.answer(encode_fault(fault))
@@ -381,13 +394,16 @@
     # Answers
 
     def answer(self, response: EncodedResponse) -> None:
-        """Send one complete answer. If it is cut short, its length shows that, and the connection ends."""
+        """Send one complete answer.
+
+        If the connection breaks during the answer, the client detects that by the Content-Length.
+        """
         if not self.is_open:
             return
         status, headers, body = response
         self._context.metrics.count_answer(self._class_name, status)
         self._class_name = ""
-        self._closes_after_answer |= self._context.drain.ends_connections or self._input.is_flooded
+        self._closes_after_answer |= self._context.drain.ends_connections or self._input.has_overflowed
         self._send(encode_answer(status, headers, body, self._closes_after_answer), body)
         if not self.is_open:
             return
@@ -397,7 +413,8 @@
             self._on_answer_sent()
 
     def _on_answer_sent(self) -> None:
-        if self._closes_after_answer or self._input.is_flooded:  # a flood may come while the answer is sent
+        # The input may also have overflowed while the answer was being sent.
+        if self._closes_after_answer or self._input.has_overflowed:
             self._begin_close()
         else:
             self._continue()
--- a/brackenlane/net/client_transport.py
+++ b/brackenlane/net/client_transport.py
@@ -1,4 +1,4 @@
-"""Socket of one client connection: bytes received, answers sent as the client takes them."""
+"""Socket of one client connection: receives bytes, and sends answers as fast as the client reads them."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class ClientDisconnectedError(Exception):
-    """The socket of a client can't be written: the client has left."""
+    """The socket of a client cannot be written any more, because the client has disconnected."""
 
 
 class ClientTransport:
-    """Owns a client's socket and what is still unsent of an answer."""
+    """Owns a client's socket and the unsent rest of an answer."""
 
     __slots__ = ("_poller", "_sock", "_unsent")
 
@@ -26,18 +26,18 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether the client has not taken all of the answer yet."""
+        """Whether a part of the answer is still to be sent."""
         return bool(self._unsent)
 
     def receive(self) -> bytes | None:
-        """Return what has come: None if nothing has, nothing (b"") if the client has left."""
+        """Return received bytes, None if there are none, or b"" if the client has disconnected."""
         try:
             return self._sock.recv(RECEIVE_SIZE)
         except OSError as error:
             return None if is_temporary(error) else b""
 
     def send(self, head: bytes, body: bytes = b"") -> None:
-        """Send what the socket takes now; the rest is sent by `flush` as the socket becomes writable.
+        """Send what the socket accepts now; `flush` sends the rest once the socket is writable.
 
         Raises ClientDisconnectedError.
         """
@@ -52,7 +52,7 @@
             self._poller.want(self._sock.fileno(), READ | WRITE)
 
     def flush(self) -> bool:
-        """Send on; whether the last byte of the answer has now been sent.
+        """Continue sending; return whether the answer is now sent completely.
 
         Raises ClientDisconnectedError.
         """
@@ -65,18 +65,18 @@
         self._unsent = self._unsent[sent:]
         if self._unsent:
             return False
-        self._unsent = memoryview(b"")  # releases the answer
+        self._unsent = memoryview(b"")  # drops the reference to the answer's memory
         self._poller.want(self._sock.fileno(), READ)
         return True
 
     def end_sending(self) -> None:
-        """Close the sending half; the client may still send. Raises ClientDisconnectedError."""
+        """Shut down the sending half; the client may still send. Raises ClientDisconnectedError."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError as error:
             raise ClientDisconnectedError(error.strerror) from error
 
     def close(self) -> None:
-        """Close the socket, and stop watching it."""
+        """Stop polling the socket and close it."""
         self._poller.remove(self._sock.fileno())
         self._sock.close()
--- a/brackenlane/net/drain_state.py
+++ b/brackenlane/net/drain_state.py
@@ -1,4 +1,4 @@
-"""State of a graceful shutdown or handover, as the parts of one HTTP front read it."""
+"""State of a graceful shutdown or handover, shared by the components of one HTTP front."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(slots=True)
 class DrainState:
-    """How far a front has gone in giving up its clients; changed by the front alone."""
+    """Progress of a graceful shutdown or handover; only the front changes it."""
 
-    is_closing: bool = False  # idle connections are closed, the others after their answer
-    is_finished: bool = False  # nothing more is accepted: a request that still comes is rejected at once
-    is_handing_over: bool = False  # answers close their connections: clients reconnect to a successor
+    is_closing: bool = False  # idle connections are closed, all others after their current answer
+    is_finished: bool = False  # no request is accepted any more: new ones are rejected at once
+    is_handing_over: bool = False  # connections are closed after an answer: clients reconnect to a successor
 
     @property
     def ends_connections(self) -> bool:
-        """Whether each answer closes its connection."""
+        """Whether connections are closed after each answer."""
         return self.is_closing or self.is_handing_over
--- a/brackenlane/net/front_context.py
+++ b/brackenlane/net/front_context.py
@@ -1,4 +1,4 @@
-"""Record of what every part of one HTTP front shares."""
+"""State and services shared by the components of one HTTP front."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class FrontContext:
-    """Shared by the parts of one front. `limits` is replaced by a reload, so it is read at each use."""
+    """Context of one front. A reload replaces `limits`, so components must not keep a copy of it."""
 
     limits: Limits
     poller: Poller
--- a/brackenlane/net/http_codec.py
+++ b/brackenlane/net/http_codec.py
@@ -1,7 +1,7 @@
-"""Codec of HTTP/1.1 (RFC 9112): bytes to requests, responses to bytes. Pure and incremental.
+"""Codec of HTTP/1.1 (RFC 9112): parses requests incrementally and encodes responses. It does no I/O.
 
-The parser is llhttp's (httptools), at a fraction of h11's cost; the checks that h11 makes and llhttp does not
-are made here (docs/design/overload.md).
+The parser is llhttp (through httptools), which costs a fraction of h11. This module adds the checks that h11
+makes and llhttp does not (docs/design/overload.md).
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 from brackenlane.limits import Limits
 
-# Of all headers only these are read; none of them may occur twice (RFC 9110, 5.3).
-READ_HEADERS = {
+# All other headers are ignored. None of these may occur twice (RFC 9110, 5.3).
+RECOGNIZED_HEADERS = {
     name.encode(): name
     for name in (
         "x-txn",
@@ -33,15 +33,17 @@
         "expect",
     )
 }
-LENGTH = re.compile(r"\d{1,12}", re.ASCII)
-PLAIN = re.compile(rb"GET (/[^ \r\n]{1,200}) HTTP/1\.1\r\n").match
+CONTENT_LENGTH = re.compile(r"\d{1,12}", re.ASCII)
+MATCH_SIMPLE_GET = re.compile(rb"GET (/[^ \r\n]{1,200}) HTTP/1\.1\r\n").match
 Headers = dict[str, str]
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-STATUS = {s.value: b"HTTP/1.1 %d %b\r\n" % (s.value, s.phrase.encode()) for s in HTTPStatus}
+STATUS_LINES = {
+    status.value: b"HTTP/1.1 %d %b\r\n" % (status.value, status.phrase.encode()) for status in HTTPStatus
+}
 
 
 class BadRequestError(Exception):
-    """A request that is answered with an error: status, extra headers, and the text of the body."""
+    """An invalid request, with the status, extra headers and body text of the error response."""
 
     def __init__(self, status: HTTPStatus, text: str, headers: Headers | None = None) -> None:
         super().__init__(text)
@@ -61,20 +63,20 @@
 
 
 def encode_answer(status: int, headers: Mapping[str, str], body: bytes, close: bool) -> bytes:
-    """Return the head of a response, to be followed by its body. A 304 has neither body nor length."""
+    """Return the head of a response, which the body follows. A 304 response has no body and no length."""
     lines = b"".join([b"%b: %b\r\n" % (name.encode(), value.encode()) for name, value in headers.items()])
     length = b"" if status == 304 else b"Content-Length: %d\r\n" % len(body)
-    return STATUS[status] + lines + length + (b"Connection: close\r\n\r\n" if close else b"\r\n")
+    return STATUS_LINES[status] + lines + length + (b"Connection: close\r\n\r\n" if close else b"\r\n")
 
 
 def read_plain(data: bytes) -> tuple[str, bool] | None:
-    """Return the target of a request that can be rejected unparsed, and whether it is marked as a retry.
+    """Return the target and the retry mark of a simple request, which can be rejected unparsed.
 
-    None if it must be parsed. A plain request is one complete GET with nothing behind it, and names no
-    length, encoding or connection option: else another request could be hidden in the body of one rejected
-    unparsed.
+    Returns None if the request must be parsed. A simple request is a single complete GET without Content-*,
+    Transfer-*, Connection, Expect or Upgrade headers. With them, the body of a request that was rejected
+    unparsed could contain another request.
     """
-    found = PLAIN(data)
+    found = MATCH_SIMPLE_GET(data)
     if not found or data.find(b"\r\n\r\n") != len(data) - 4:
         return None
     lower = data.lower()  # faster than a case-insensitive pattern
@@ -90,7 +92,7 @@
 
 
 class RequestParser:
-    """Incremental parser of one client's requests. After a fault nothing more is parsed."""
+    """Incremental parser of one client's requests; it stops at the first error."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
@@ -98,8 +100,8 @@
         self._complete: deque[ParsedRequest] = deque()
         self._begin()
         self._in_head = False
-        self._begun = False  # a message began within the bytes fed last
-        self.partial = False  # a request has begun and not ended
+        self._message_began = False  # a message began within the bytes that were fed last
+        self.partial = False  # a request was received in part
         self.fault: BadRequestError | None = None
         self.wants_continue = False  # the client waits for 100 Continue before it sends its body
 
@@ -111,17 +113,17 @@
         self._body_size = 0
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes; complete requests are returned by `next`, an error is in `fault`."""
+        """Parse bytes; `next` returns complete requests, `fault` holds the error if there was one."""
         while data and not self.fault:
             data = self._feed(data)
 
     def _feed(self, data: bytes) -> bytes:
-        """Parse bytes; return those left for a new parser."""
+        """Parse bytes; return the remaining bytes if they have to be fed to a new parser."""
         if not self.partial:
             self.partial = True
             self._in_head = True
             self._head_size = 0
-        self._begun = False
+        self._message_began = False
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as end:
@@ -136,16 +138,16 @@
                 raise
         except httptools.HttpParserError:
             self._fail(HTTPStatus.BAD_REQUEST, "not HTTP as it should be")
-        # llhttp does not bound the head: all bytes that come while one is open count.
+        # llhttp does not limit the size of the head, so all bytes received before its end are counted here.
         if self._in_head:
-            self._head_size = len(data) + (0 if self._begun else self._head_size)
+            self._head_size = len(data) + (0 if self._message_began else self._head_size)
         if self._in_head and self._head_size > self._limits.max_head_size:
             self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         return b""
 
     @property
     def complete(self) -> ParsedRequest | None:
-        """The next complete request, left in place."""
+        """The next complete request, without removing it."""
         return self._complete[0] if self._complete else None
 
     def next(self) -> ParsedRequest | None:
@@ -158,22 +160,22 @@
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a new request."""
         self._begin()
         self.partial = True
         self._in_head = True
-        self._begun = True
+        self._message_began = True
 
     def on_url(self, url: bytes) -> None:
-        """Add a part of the target."""
+        """Append to the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add one header; trailers behind a chunked body are ignored."""
+        """Add one header; trailers after a chunked body are ignored. Raises BadRequestError."""
         self._head_size += len(name) + len(value)
         if self._head_size > 2 * self._limits.max_head_size:
             raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
-        known = READ_HEADERS.get(name.lower())
+        known = RECOGNIZED_HEADERS.get(name.lower())
         if known is None or not self._in_head:
             return
         if known in self._headers:
@@ -190,7 +192,7 @@
             raise BadRequestError(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here")
         if "host" not in headers and self._parser.get_http_version() == "1.1":
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "Host is missing")
-        # Request smuggling: parsers differ in which of the two they follow (RFC 9112, 6.3).
+        # Prevents request smuggling: parsers differ in which of the two headers they use (RFC 9112, 6.3).
         if "content-length" in headers and "transfer-encoding" in headers:
             raise BadRequestError(
                 HTTPStatus.BAD_REQUEST, "Content-Length and Transfer-Encoding: one of them at most"
@@ -198,14 +200,14 @@
         if headers.get("transfer-encoding", "chunked").lower() != "chunked":
             raise BadRequestError(HTTPStatus.NOT_IMPLEMENTED, "of all encodings only chunked is known")
         length = headers.get("content-length", "0")
-        if not LENGTH.fullmatch(length):
+        if not CONTENT_LENGTH.fullmatch(length):
             raise BadRequestError(HTTPStatus.BAD_REQUEST, "Content-Length must be a number")
         if int(length) > self._limits.max_upload_size:
             raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self.wants_continue = headers.get("expect", "").lower() == "100-continue"
 
     def on_body(self, data: bytes) -> None:
-        """Add a part of the body. Raises BadRequestError if it is too large."""
+        """Append to the body. Raises BadRequestError if it is too large."""
         self.wants_continue = False
         self._body_size += len(data)
         if self._body_size > self._limits.max_upload_size:
@@ -213,7 +215,7 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Complete the request."""
+        """Add the request to the complete ones."""
         self.partial = False
         self.wants_continue = False
         self._complete.append(
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 front: composes listener, connection table, admission queue and request intake."""
+"""HTTP/1.1 front: connects the listener, connection table, admission queue and request intake."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class HttpFront:
-    """Serves all client connections of one router process."""
+    """Serves all client connections of one router process over HTTP/1.1."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         nursery: trio.Nursery | None = None,
         counts: RequestMetrics | None = None,
     ) -> None:
-        """Compose the parts; with claims, a nursery is needed to run them in."""
+        """Create the components; if claims are given, they need a nursery to run in."""
         self._core = core
         self.poller = poller
         self.counts = counts or RequestMetrics(c.name for c in core.settings.classes)
@@ -50,8 +50,8 @@
         self.intake = RequestIntake(core, self._context, encoder, claims, nursery)
         services = ConnectionServices(self._context, self.table, self.queue, self.intake)
         self.listener = Listener(self._context, core.timers, self.table, services)
-        poller.after.append(self.queue.serve_turn)
-        self._schedule_watch(steady_time())
+        poller.round_callbacks.append(self.queue.serve_turn)
+        self._schedule_check(steady_time())
 
     @property
     def limits(self) -> Limits:
@@ -60,17 +60,17 @@
 
     @property
     def active(self) -> int:
-        """Requests accepted and not yet ended."""
+        """Number of accepted requests that are not finished."""
         return self.table.active
 
     @property
     def serves(self) -> bool:
-        """Whether clients are accepted and would be served."""
+        """Whether clients are accepted and can be served."""
         return self.listener.is_open and self._core.membership.has_list and not self._context.drain.is_closing
 
     @property
     def ready(self) -> Callable[[], bool]:
-        """Asked by the health check, besides whether a cache list has come."""
+        """Additional condition of the health check, which also requires a cache list."""
         return self.intake.is_ready
 
     @ready.setter
@@ -79,7 +79,7 @@
 
     @property
     def claim(self) -> Callable[[str], ClaimResult]:
-        """Claims a write, by its id, against other processes of this router."""
+        """Claims the id of a write, so that no other process of this router runs that write."""
         return self.intake.writes.claim
 
     @claim.setter
@@ -88,7 +88,7 @@
 
     @property
     def release(self) -> Callable[[str], None]:
-        """Releases the claim of a write that never ran."""
+        """Releases the claim on the id of a write that never ran."""
         return self.intake.writes.release
 
     @release.setter
@@ -96,34 +96,37 @@
         self.intake.writes.release = release
 
     def open(self, listeners: Iterable[socket.socket]) -> None:
-        """Accept clients from now on."""
+        """Start accepting clients."""
         self.listener.open(listeners)
 
     def reconfigure(self, limits: Limits) -> None:
-        """Apply other limits, and the core's new settings; requests that wait go on waiting."""
+        """Apply new limits and the core's new settings; queued requests stay queued."""
         self._context.limits = limits
         self.intake.reconfigure()
         self.queue.reconfigure()
         self.table.reconfigure()
 
     def set_share(self, share: float, is_handing_over: bool) -> None:
-        """Hold this share of the limit of connections; handing over: send their clients to a successor."""
+        """Use this share of the connection limit.
+
+        is_handing_over: close connections after an answer, so that clients reconnect to a successor process.
+        """
         self._context.drain.is_handing_over = is_handing_over
         self.table.set_share(share)
 
     # Graceful shutdown, in the order of its steps
 
     def shut(self) -> bool:
-        """Stop accepting clients; those accepted are served on. Return whether that is done."""
+        """Stop accepting clients; accepted ones are still served. Return False to be called again later."""
         return self.listener.shut()
 
     def leave(self) -> None:
-        """Close idle connections, and every other one after its answer."""
+        """Close idle connections now and all others after their current answer."""
         self._context.drain.is_closing = True
-        self.table.retire_idle()
+        self.table.close_idle_connections()
 
     def finish(self) -> None:
-        """Reject all requests that wait or are in flight, and at once what may still come."""
+        """Reject all queued requests and those in flight, and from now on every new one."""
         self.listener.close()
         self._context.drain.is_finished = True
         self._core.end_all()
@@ -136,14 +139,14 @@
 
     # Periodic check of deadlines
 
-    def _schedule_watch(self, now: float) -> None:
+    def _schedule_check(self, now: float) -> None:
         due = now + self.limits.client_check_interval
-        self._core.timers.at(due, self._watch, due)
+        self._core.timers.at(due, self._check_deadlines, due)
 
-    def _watch(self, due: float) -> None:
-        """Close the connections whose deadline has passed, and report overload."""
+    def _check_deadlines(self, due: float) -> None:
+        """Close the connections whose deadlines have passed, and log overload."""
         now = steady_time()
-        self._schedule_watch(now)
+        self._schedule_check(now)
         snapshot = self.figures.tick(now, max(0.0, now - due), time.process_time())
         if snapshot and snapshot.is_shedding:
             log.warning("short of CPU: %s", snapshot.summary())
--- a/brackenlane/net/listener.py
+++ b/brackenlane/net/listener.py
@@ -1,4 +1,4 @@
-"""Listener of an HTTP front: clients accepted, and rejected where connections or descriptors run short."""
+"""Listener of an HTTP front: accepts clients, and rejects them when connections or descriptors run out."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_SHUT_ACCEPTS = 8_192  # calls of accept(2) as a listener closes: twice the backlog that may wait
-FIRST_ACCEPT_PAUSE = 0.005  # seconds after a shortage; doubled by each further one, to `Limits.accept_pause`
-MAX_WATCH_ATTEMPTS = 25  # of one accepted socket that the system does not watch: some two seconds
+MAX_CLOSING_ACCEPTS = 8_192  # maximum accept(2) calls when a listener closes: twice its maximum backlog
+FIRST_ACCEPT_PAUSE = 0.005  # seconds after a shortage; doubles up to `Limits.accept_pause` while it lasts
+MAX_POLL_ADD_ATTEMPTS = 25  # attempts to register one accepted socket with epoll, over about two seconds
 
 
 class Listener:
@@ -36,9 +36,9 @@
         self._services = services
         self._sockets: list[socket.socket] = []
         self._accept_pause = FIRST_ACCEPT_PAUSE
-        self._waiting_since = math.inf  # Unix time since which clients may wait to be accepted
-        self._unwatched = 0  # accepted sockets that wait for the system to watch them
-        self.shortages = 0  # times that accept(2) failed since the system was short of something
+        self._waiting_since = math.inf  # Unix time since which clients may have been waiting to be accepted
+        self._unpolled_count = 0  # accepted sockets that are not yet registered with epoll
+        self.shortages = 0  # number of accept(2) calls that failed for lack of a system resource
 
     @property
     def is_open(self) -> bool:
@@ -46,25 +46,25 @@
         return bool(self._sockets)
 
     def open(self, sockets: Iterable[socket.socket]) -> None:
-        """Accept clients on these sockets from now on; the listener closes them."""
+        """Start accepting clients on these sockets; the listener closes them."""
         for listening in sockets:
             self._sockets.append(listening)
             self._context.poller.add(listening.fileno(), functools.partial(self._on_ready, listening))
 
     def shut(self) -> bool:
-        """Stop accepting clients; accepted connections are not touched.
+        """Accept the clients in the backlogs, then close the listening sockets; return whether that is done.
 
-        Returns whether that is done: a client whose connection waits in a backlog has been accepted by the
-        machine, and closing the socket would reset it. Where the system is short of something at this moment,
-        call it again after a pause.
+        The kernel has already completed the connections in a backlog, and closing the socket would reset
+        them. If a shortage of system resources prevents accepting them, this returns False and must be called
+        again after a pause. Accepted connections stay open.
         """
         for listening in list(self._sockets):
             if self._accept_all(listening):
                 self._close(listening)
-        return not self._sockets and not self._unwatched
+        return not self._sockets and not self._unpolled_count
 
     def close(self) -> None:
-        """Stop accepting clients at once, also those that wait in a backlog."""
+        """Close the listening sockets at once, without accepting the clients in their backlogs."""
         for listening in list(self._sockets):
             self._close(listening)
 
@@ -74,31 +74,31 @@
         listening.close()
 
     def _accept_all(self, listening: socket.socket) -> bool:
-        """Accept all clients that wait; whether none does any more."""
-        for _ in range(MAX_SHUT_ACCEPTS):
+        """Accept all clients in a backlog; return False if a shortage prevents that."""
+        for _ in range(MAX_CLOSING_ACCEPTS):
             try:
                 sock, _address = listening.accept()
             except BlockingIOError:
                 return True
             except OSError as error:
-                # An idle client gives its descriptor to one that waits.
+                # Close an idle connection to free its descriptor for a client in the backlog.
                 if is_shortage(error.errno) and not self._table.close_one_without_request():
                     return False
                 continue
             self._admit_or_retry(sock, self._earliest_arrival())
         return True
 
-    def admit(self, sock: socket.socket, came_after: float = math.inf) -> None:
-        """Serve one more connection, or reject it where there is no room.
+    def admit(self, sock: socket.socket, earliest_arrival: float = math.inf) -> None:
+        """Serve a new connection, or reject it if the connection limit is reached.
 
-        came_after: Unix time since which it may have waited to be accepted or watched.
-        Raises OSError for a socket that can't be watched.
+        earliest_arrival: Unix time since which it may have been waiting to be accepted or polled.
+        Raises OSError if the socket cannot be polled.
         """
         is_rejected = self._table.is_full
         if is_rejected:
             if self._table.close_one_without_request():
                 is_rejected = False
-            elif self._table.has_no_room_to_reject:
+            elif self._table.is_rejection_limit_reached:
                 self._context.figures.count_rejected(Reason.FULL)
                 sock.close()
                 return
@@ -108,18 +108,19 @@
         self._context.poller.add(sock.fileno(), client.on_ready)
         self._table.add()
         client.wait(ClientState.NEW)
-        if is_rejected:  # with an answer: a connection closed unread tells its client nothing
+        if is_rejected:  # an answer is sent, because a connection closed without one gives no reason
             self._context.figures.count_rejected(Reason.FULL)
             client.reject_connection()
-        elif came_after < self._context.poller.polled:
-            # Its client's time has run since then, and what it sent is not read before the next round.
-            client.read_late(came_after)
+        elif earliest_arrival < self._context.poller.polled_at:
+            # The time limit of the client's request may have been running since then, so its data is read now
+            # and not in the next polling round.
+            client.read_delayed_input(earliest_arrival)
 
     def _on_ready(self, listening: socket.socket, _: int) -> None:
         self._accept_batch(listening)
 
     def _accept_batch(self, listening: socket.socket) -> bool:
-        """Accept a bounded number of clients; whether more may wait."""
+        """Accept a bounded number of clients; return whether more may be waiting."""
         for _ in range(self._context.limits.max_accepts):
             try:
                 sock, _address = listening.accept()
@@ -130,43 +131,43 @@
                 if is_shortage(error.errno):
                     self._pause(listening)
                     return False
-                continue  # the client has closed it again
+                continue  # the client has already closed the connection
             self._accept_pause = FIRST_ACCEPT_PAUSE
             self._admit_or_retry(sock, self._earliest_arrival())
         return True
 
     def _earliest_arrival(self) -> float:
-        """Return the Unix time after which the client that is accepted now has connected."""
-        return min(self._context.poller.came_after, self._waiting_since)
+        """Return the earliest Unix time at which the client that is accepted now can have connected."""
+        return min(self._context.poller.earliest_arrival, self._waiting_since)
 
-    def _admit_or_retry(self, sock: socket.socket, came_after: float, failures: int = 0) -> None:
-        """Serve a connection; where the system can't watch it for the moment, try again after a pause."""
+    def _admit_or_retry(self, sock: socket.socket, earliest_arrival: float, failures: int = 0) -> None:
+        """Serve a connection; if epoll cannot register it at the moment, try again after a pause."""
         try:
-            self.admit(sock, came_after)
-        except OSError as error:  # a socket that can't be watched must not end the listening
-            has_room = self._unwatched < self._context.limits.max_rejected_connections
-            if failures + 1 < MAX_WATCH_ATTEMPTS and has_room:
-                self._unwatched += 1
+            self.admit(sock, earliest_arrival)
+        except OSError as error:  # a socket that cannot be polled must not stop the listener
+            has_room = self._unpolled_count < self._context.limits.max_rejected_connections
+            if failures + 1 < MAX_POLL_ADD_ATTEMPTS and has_room:
+                self._unpolled_count += 1
                 pause = min(FIRST_ACCEPT_PAUSE * 2**failures, self._context.limits.accept_pause)
-                self._timers.at(steady_time() + pause, self._retry, sock, came_after, failures + 1)
+                self._timers.at(steady_time() + pause, self._retry, sock, earliest_arrival, failures + 1)
                 return
-            log.warning("a client can't be taken in: %s", error.strerror)
+            log.warning("client connection closed: its socket cannot be polled: %s", error.strerror)
             sock.close()
 
-    def _retry(self, sock: socket.socket, came_after: float, failures: int) -> None:
-        self._unwatched -= 1
-        self._admit_or_retry(sock, came_after, failures)
+    def _retry(self, sock: socket.socket, earliest_arrival: float, failures: int) -> None:
+        self._unpolled_count -= 1
+        self._admit_or_retry(sock, earliest_arrival, failures)
 
     def _pause(self, listening: socket.socket) -> None:
-        """Stop watching a socket for a while: no descriptor is left for its next connection.
+        """Stop polling a listening socket for a while, because accept(2) failed for lack of a resource.
 
-        Else the loop would spin on that connection.
+        Otherwise the socket would stay ready and the loop would spin on it.
         """
         self.shortages += 1
         self._waiting_since = self._earliest_arrival()
         self._context.poller.want(listening.fileno(), 0)
         self._timers.at(steady_time() + self._accept_pause, self._resume, listening)
-        # A shortage may be over at once, and deadlines run: only a lasting one is worth a long pause.
+        # The first pause is short, because a shortage may end at once and request deadlines are running.
         self._accept_pause = min(2 * self._accept_pause, self._context.limits.accept_pause)
 
     def _resume(self, listening: socket.socket) -> None:
--- a/brackenlane/net/poller.py
+++ b/brackenlane/net/poller.py
@@ -1,14 +1,14 @@
-"""Polls many sockets in one task: what is ready is handled in batches, without a task switch for each.
+"""Polls many sockets in one trio task and calls their handlers in batches, without a task switch for each.
 
-A trio task costs a switch, an epoll_ctl and an allocation for every wait, which for client connections is
-more than the work itself. The poller registers a socket once and calls its handler whenever it is ready. It
-waits for nothing but its own epoll, and hands the loop back to trio after each batch, so that no other task
-starves.
+With one trio task per connection, every wait costs a task switch, an epoll_ctl call and an allocation, which
+is more than the work for a client request. The poller registers a socket once and calls its handler whenever
+the socket is ready. It waits only for its own epoll and returns control to trio after each batch, so that
+other tasks are not starved.
 
-There are two ways to wait. Where all sockets of the program are polled here, the poller itself waits in its
-one flat epoll, for as long as every trio task is blocked and none is due. Where other tasks wait on sockets
-by trio's own means (the appliance), trio waits for the poller's epoll inside its own. Not every platform
-tells an outer epoll what is ready in an inner one: there the second way would never see a client.
+There are two ways to wait. If all sockets of the program are registered here, the poller itself blocks in
+its flat epoll while every trio task is blocked and none is due. If other tasks wait on sockets through trio
+(as in the appliance), trio waits for the poller's epoll inside its own. Some platforms do not report
+readiness of an inner epoll to an outer one; there the second way would never see a client.
 """
 
 from __future__ import annotations
@@ -30,78 +30,83 @@
 READ = select.EPOLLIN | select.EPOLLRDHUP
 WRITE = select.EPOLLOUT
 Handler = Callable[[int], None]
-MIN_STANDSTILL = 0.05  # seconds without a look at the sockets, from which the process counts as stopped
-URGENT_BATCHES = 4  # of events, handled of urgent sockets at once
+MIN_STOP_TIME = 0.05  # seconds between two polls, above which the process counts as having been stopped
+URGENT_BATCHES = 4  # maximum batches of events of urgent sockets in one round
 
 
 @dataclass(slots=True, frozen=True)
 class Registration:
-    """One polled socket."""
+    """Handler and priority of a polled socket."""
 
     urgent: bool
     handler: Handler
 
 
 class Poller:
-    """Two classes of sockets: urgent ones (caches, change log, signals) are handled before clients' ones.
+    """Polls sockets in two priorities: urgent ones (caches, change log, signals) before those of clients.
 
-    Handlers are called with epoll's event bits. They must not wait; the socket of one that raises is removed.
+    Handlers are called with epoll's event bits. They must not block. If a handler raises, its socket is no
+    longer polled.
     """
 
     def __init__(self, batch: int, alone: bool = False) -> None:
-        """batch.
+        """Create an empty poller.
 
-        Events handled before anything else is looked at; alone: no task waits on a socket otherwise.
+        batch: maximum number of events of clients handled in one round.
+        alone: no other trio task waits on a socket, so the poller blocks in its own epoll.
         """
-        self.after: list[Callable[[], bool]] = []
+        self.round_callbacks: list[Callable[[], bool]] = []
         """Called once in each round, for work that belongs to no socket.
 
-        Each returns whether more is left.
+        Each callback returns whether it has more work to do.
         """
-        self.polled = steady_time()  # Unix time at which clients' sockets were polled last
-        # What is read of clients in this round came after it: now, unless the process stood still.
-        self.came_after = self.polled
-        self._running_at = self.polled  # when the process was last seen to run
+        self.polled_at = steady_time()  # Unix time at which clients' sockets were polled last
+        # Unix time after which the client data read in this round arrived. It is the time of the poll, unless
+        # the process was stopped before it.
+        self.earliest_arrival = self.polled_at
+        self._last_ran_at = self.polled_at  # Unix time at which the process was last known to run
         self._batch = batch
         self._alone = alone
-        # Urgent sockets are in both, so that they can be polled by themselves and one wait is for all.
+        # Urgent sockets are registered with both epolls: they can be polled separately, and a wait on `_all`
+        # covers all sockets.
         self._all = select.epoll()
         self._urgent = select.epoll()
         self._registered: dict[int, Registration] = {}
-        self._unapplied: dict[int, int] = {}  # events that the system could not take yet, by descriptor
+        # Changes of events that epoll_ctl(2) failed to apply, by descriptor; retried in each round.
+        self._unapplied_events: dict[int, int] = {}
 
     def add(self, fd: int, handler: Handler, events: int = READ, urgent: bool = False) -> None:
-        """Poll a socket from now on. Raises OSError if the system takes no more."""
+        """Start polling a socket. Raises OSError if epoll cannot register it."""
         registered: list[select.epoll] = []
         try:
             for poll in self._polls(urgent):
                 poll.register(fd, events)
                 registered.append(poll)
         except OSError:
-            for poll in registered:  # else a socket that nobody handles would keep waking the loop
+            for poll in registered:  # a registered socket without a handler would wake the loop repeatedly
                 poll.unregister(fd)
             raise
         self._registered[fd] = Registration(urgent, handler)
 
     def want(self, fd: int, events: int) -> None:
-        """Poll a socket for other events; where the system is short of memory, from a later round on."""
-        self._unapplied.pop(fd, None)
+        """Change the events for which a socket is polled; if memory is short, retried in the next round."""
+        self._unapplied_events.pop(fd, None)
         try:
             for poll in self._polls(self._registered[fd].urgent):
                 poll.modify(fd, events)
         except OSError as error:
             if not is_shortage(error.errno):
                 raise
-            # Not forgotten: a listener that waits to be watched again would never accept another client.
-            self._unapplied[fd] = events
+            # Kept for a retry: otherwise a listener whose polling is resumed would never accept again.
+            self._unapplied_events[fd] = events
 
-    def _retry_unapplied(self) -> None:
-        for fd, events in list(self._unapplied.items()):
+    def _retry_unapplied_events(self) -> None:
+        for fd, events in list(self._unapplied_events.items()):
             self.want(fd, events)
 
     def remove(self, fd: int) -> None:
         """Stop polling a socket; call it before the socket is closed."""
-        self._unapplied.pop(fd, None)
+        self._unapplied_events.pop(fd, None)
         registration = self._registered.pop(fd, None)
         if registration is not None:
             for poll in self._polls(registration.urgent):
@@ -111,74 +116,75 @@
         return (self._all, self._urgent) if urgent else (self._all,)
 
     async def run(self) -> None:
-        """Handle what is ready until cancelled."""
+        """Handle ready sockets until cancelled."""
         try:
             while True:
                 await self._wait()
                 while self.turn():
-                    await trio.lowlevel.checkpoint()  # drains, purges and signals have their turn
+                    await trio.lowlevel.checkpoint()  # lets the tasks for drains, purges and signals run
         finally:
-            self._registered.clear()  # whoever closes a socket later finds nothing to remove
+            self._registered.clear()  # `remove` does nothing for sockets that are closed later
             for poll in (self._all, self._urgent):
                 poll.close()
 
     async def _wait(self) -> None:
-        """Wait until a socket is ready, or a task if the poller is alone."""
+        """Wait until a socket is ready; if the poller is alone, also until a trio task is due."""
         if self._alone:
             await wait_all_tasks_blocked()
             self._block_until_due()
         else:
             await trio.lowlevel.wait_readable(self._all.fileno())
-            self._running_at = steady_time()
+            self._last_ran_at = steady_time()
 
     def _block_until_due(self) -> None:
         """Block the thread until a socket is ready or a trio task is due.
 
-        Nothing else can wake a task meanwhile: a program whose poller is alone has no other thread and no
-        socket of trio's.
+        Nothing else can wake a trio task meanwhile: if the poller is alone, the program has no other thread
+        and trio waits on no socket.
         """
         due = max(0.0, trio.lowlevel.current_statistics().seconds_to_next_deadline)
         began_at = steady_time()
-        stood_still_before = began_at - self._running_at > MIN_STANDSTILL
+        was_stopped_before = began_at - self._last_ran_at > MIN_STOP_TIME
         self._all.poll(None if due == math.inf else due, 1)
-        if stood_still_before:
+        if was_stopped_before:
             return
         ended_at = steady_time()
-        # A wait that ends long after it was due: the process was stopped in it, and input may be as old.
-        self._running_at = began_at if ended_at - began_at > due + MIN_STANDSTILL else ended_at
+        # If the wait ended long after its timeout, the process was stopped during it, and received data may
+        # be as old as the start of the wait.
+        self._last_ran_at = began_at if ended_at - began_at > due + MIN_STOP_TIME else ended_at
 
     def handle_urgent(self) -> None:
-        """Handle what urgent sockets have received so far."""
+        """Handle the urgent sockets that are ready now."""
         self._handle(self._urgent, URGENT_BATCHES * self._batch)
 
     def turn(self) -> bool:
-        """Run one round: all urgent sockets, then a batch of the rest; return whether more may be ready."""
-        if self._unapplied:
-            self._retry_unapplied()
+        """Run one round (urgent sockets, a batch of all, callbacks); return whether more may be ready."""
+        if self._unapplied_events:
+            self._retry_unapplied_events()
         more = self._handle(self._urgent, URGENT_BATCHES * self._batch)
-        self.polled = steady_time()
-        stood_still = self.polled - self._running_at > MIN_STANDSTILL
-        self.came_after = self._running_at if stood_still else self.polled
-        self._running_at = self.polled
+        self.polled_at = steady_time()
+        was_stopped = self.polled_at - self._last_ran_at > MIN_STOP_TIME
+        self.earliest_arrival = self._last_ran_at if was_stopped else self.polled_at
+        self._last_ran_at = self.polled_at
         more |= self._handle(self._all, self._batch)
-        for work in self.after:
+        for work in self.round_callbacks:
             try:
                 more |= work()
-            except Exception:  # the work of one round must not end the poller
-                log.exception("work of a polling round failed")
+            except Exception:  # a failure of one callback must not stop the poller
+                log.exception("unexpected error in a callback of the polling loop")
         return more
 
-    def _handle(self, poll: select.epoll, most: int) -> bool:
-        # Looked up before any handler is called: one handler may close another's socket, whose number may
-        # stand for a new one by now, and what was ready of the old one says nothing about that.
-        ready = [(fd, self._registered.get(fd), events) for fd, events in poll.poll(0, most)]
+    def _handle(self, poll: select.epoll, max_events: int) -> bool:
+        # Registrations are looked up before any handler is called. A handler may close another socket whose
+        # event is pending, and a new socket may reuse its descriptor; the event is not for that new socket.
+        ready = [(fd, self._registered.get(fd), events) for fd, events in poll.poll(0, max_events)]
         for fd, registration, events in ready:
             if registration is None or self._registered.get(fd) is not registration:
                 continue
             try:
                 registration.handler(events)
-            except Exception:  # one connection must not end the others
-                log.exception("a connection failed")
+            except Exception:  # a failure on one socket must not affect the others
+                log.exception("unexpected error in the handler of a socket, which is removed")
                 if self._registered.get(fd) is registration:
                     self.remove(fd)
-        return len(ready) == most
+        return len(ready) == max_events
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -1,4 +1,4 @@
-"""Requests of the platform's clients as values, and the core's answers as HTTP responses. Pure."""
+"""Decodes requests of the platform's clients and encodes the core's answers; it does no I/O."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 PATH_PREFIX = "/api/v2/"
 TARGET = re.compile(r"/api/v2/([^/?#]{1,64})/([0-9a-f]{16})/n-(0|[1-9]\d{0,8})", re.ASCII)
 HEALTH_TARGET = "/-/healthy"
-HEALTH_QUEUE_CLASS = "health"  # the admission queue's name for health checks
+HEALTH_QUEUE_CLASS = "health"  # class under which health checks are queued for admission
 TRANSACTION_ID = re.compile(r"[0-9a-fA-F]{16}")
-IDEMPOTENCY_KEY = re.compile(r"[\w.:-]{1,64}", re.ASCII)  # goes into a line to a cache
-ETAG = re.compile(r'(?:W/)?"([\w.:-]{1,64})"', re.ASCII)  # likewise
+# Idempotency keys and entity tags are copied into the line sent to a cache, which limits their characters.
+IDEMPOTENCY_KEY = re.compile(r"[\w.:-]{1,64}", re.ASCII)
+ETAG = re.compile(r'(?:W/)?"([\w.:-]{1,64})"', re.ASCII)
 SIZE_KB = re.compile(r"\d{1,9}(?:\.\d{1,9})?", re.ASCII)
 MAX_NUMBER_DIGITS = 9
 MAX_SHARD = 255
-MIN_TIME_LEFT = 0.001  # seconds that a request has at least as it arrives
+MIN_TIME_LEFT = 0.001  # minimum time left of a request on arrival, in seconds
 MS_PER_SECOND = 1000
 REJECTED_BODY = b"refused, nothing ran: try again\n"
 FAILED_BODY = b"failed\n"
 
 
 class EncodedResponse(NamedTuple):
-    """A response to be sent to a client."""
+    """Status, headers and body of a response to a client."""
 
     status: int
     headers: Headers
@@ -40,9 +41,9 @@
 def read_request(
     parsed: ParsedRequest, classes: dict[str, RequestClass], limits: Limits, name: str, now: float
 ) -> PendingRequest:
-    """Return the request that a client makes, which arrived at `now` (Unix seconds).
+    """Return a client's request; name: its id in the core, now: Unix time of its arrival.
 
-    Raises BadRequestError for the first fault found.
+    Raises BadRequestError for the first error found.
     """
     target = TARGET.fullmatch(parsed.target)
     request_class = classes.get(target[1]) if target else None
@@ -85,13 +86,13 @@
     method = "PUT" if request_class.uncached else "GET"
     if parsed.method != method:
         raise BadRequestError(HTTPStatus.METHOD_NOT_ALLOWED, f"this class takes {method}", {"Allow": method})
-    # Guards the caches, which close on what they can't read, whatever else is open on that connection.
+    # A cache closes the connection on a request that it cannot parse, which breaks all other requests on it.
     if bool(parsed.body) is not request_class.uncached:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "a write has a body, a read has none")
 
 
 def _read_number(parsed: ParsedRequest, name: str, low: int, high: int) -> int:
-    """Return a header that is a whole number within its range."""
+    """Return the value of a header that must be a whole number from low to high. Raises BadRequestError."""
     text = parsed.headers.get(name, "")
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
     if not is_number or not low <= int(text) <= high:
@@ -114,13 +115,13 @@
 
 
 def _read_size_kb(parsed: ParsedRequest) -> float:
-    """Return the size of the part as its client reports it; 0, for unknown, where that can't be read."""
+    """Return the size of the part in KB as reported by the client; 0 (unknown) if missing or invalid."""
     text = parsed.headers.get("x-working-set-kb", "")
     return float(text) if SIZE_KB.fullmatch(text) else 0.0
 
 
 def queue_class(target: str) -> str:
-    """Return the class by which a request is queued, from its target alone; "" if it names none."""
+    """Return the class named by a target, under which its request is queued; "" if it names none."""
     if target == HEALTH_TARGET:
         return HEALTH_QUEUE_CLASS
     if not target.startswith(PATH_PREFIX):
@@ -129,12 +130,15 @@
 
 
 def encode_fault(fault: BadRequestError) -> EncodedResponse:
-    """Encode the response to a request that can't be served."""
+    """Encode the error response to an invalid request."""
     return EncodedResponse(fault.status.value, fault.headers, f"{fault}\n".encode())
 
 
 def encode_final_answer(answer: Answer, max_hold_off: float) -> EncodedResponse:
-    """Encode a final answer; max_hold_off: the most seconds to stay away that clients honour, 0: none."""
+    """Encode a final answer.
+
+    max_hold_off: longest wait in seconds that clients accept in X-Throttle-Ms; 0 if they ignore the header.
+    """
     etag = {"ETag": f'"{answer.tag}"'} if answer.tag else {}
     match answer.disposition:
         case Disposition.SERVED:
@@ -150,10 +154,10 @@
 
 
 def _encode_hold_off(hold_off: float, max_hold_off: float) -> Headers:
-    """Encode how long a rejected client should stay away.
+    """Encode the time after which a rejected client may retry.
 
-    In whole seconds for any HTTP client (RFC 9110, 10.2.3), and in milliseconds where the site's clients
-    honour that, for no longer than they do.
+    Retry-After is in whole seconds for any HTTP client (RFC 9110, 10.2.3). X-Throttle-Ms is in milliseconds;
+    it is added if the site's clients support it, and limited to the longest wait that they accept.
     """
     headers = {"Retry-After": str(max(1, math.ceil(hold_off)))}
     if max_hold_off and hold_off > 0:
--- a/brackenlane/net/request_input.py
+++ b/brackenlane/net/request_input.py
@@ -1,4 +1,4 @@
-"""Bytes of one client as requests: parsed, or held unparsed until it is the request's turn."""
+"""Input of one client connection: requests that are parsed, or held unparsed until they are served."""
 
 from __future__ import annotations
 
@@ -7,33 +7,35 @@
 
 
 class RequestInput:
-    """Holds what a client has sent and was not served yet, up to a bound.
+    """Holds the bytes that a client has sent and that were not served yet, up to a limit.
 
-    A simple GET is held unparsed: if it is rejected, the parser is spared.
+    A simple GET is held unparsed, so that rejecting it does not cost a run of the parser.
     """
 
-    __slots__ = ("_parser", "_unparsed", "bytes_allowed", "is_flooded", "target")
+    __slots__ = ("_parser", "_unparsed", "bytes_allowed", "has_overflowed", "target")
 
     def __init__(self, limits: Limits) -> None:
         self._parser = RequestParser(limits)
         self._unparsed = b""
-        self.target = ""  # of the unparsed request; "" once more has come behind it
-        self.bytes_allowed = 0  # that may still come while none are asked for
-        self.is_flooded = False  # more came behind a request than is kept
+        self.target = ""  # target of the unparsed request; "" if there is none or bytes follow it
+        self.bytes_allowed = (
+            0  # bytes that the client may still send before the answer, or before this side closes
+        )
+        self.has_overflowed = False  # the bytes after a request exceeded the limit and were discarded
 
     @property
     def complete(self) -> ParsedRequest | None:
-        """The next complete request, which is not removed."""
+        """The next complete request, without removing it."""
         return self._parser.complete
 
     @property
     def fault(self) -> BadRequestError | None:
-        """What is wrong with the bytes that came; nothing behind it is read."""
+        """The error in the received bytes, after which nothing is parsed; None if there is none."""
         return self._parser.fault
 
     @property
     def is_partial(self) -> bool:
-        """Whether a request has begun to come and is not complete."""
+        """Whether a request was received in part."""
         return self._parser.partial
 
     def feed(self, data: bytes) -> None:
@@ -46,35 +48,35 @@
         self.target = target
 
     def buffer(self, data: bytes) -> None:
-        """Keep bytes that come behind a request; past the bound nothing more is kept."""
-        if self.spend(data):
-            self.is_flooded = True
+        """Buffer bytes that follow a request; beyond the limit they are discarded."""
+        if self.count_unrequested(data):
+            self.has_overflowed = True
             self.target = ""
         elif self._unparsed:
             self._unparsed += data
-            self.target = ""  # more than one request: to be parsed
+            self.target = ""  # the bytes are no longer a single simple request and must be parsed
         else:
             self._parser.feed(data)
 
-    def spend(self, data: bytes) -> bool:
-        """Count bytes that were not asked for; whether the bound is reached."""
+    def count_unrequested(self, data: bytes) -> bool:
+        """Count bytes that the client sent before its answer; return whether the limit is reached."""
         self.bytes_allowed -= len(data)
         return self.bytes_allowed <= 0
 
     def discard_unparsed(self) -> None:
-        """Drop the request that is held unparsed."""
+        """Discard the request that is held unparsed."""
         self._unparsed = b""
         self.target = ""
 
     def next(self) -> ParsedRequest | None:
-        """Remove and return the next complete request; what is held unparsed is parsed first."""
+        """Remove and return the next complete request, after parsing the bytes that are held unparsed."""
         unparsed = self._unparsed
         self.discard_unparsed()
         self._parser.feed(unparsed)
         return self._parser.next()
 
     def take_continue(self) -> bool:
-        """Whether the client waits for "100 Continue" (RFC 9110, 10.1.1); true once a request."""
+        """Return whether the client waits for "100 Continue" (RFC 9110, 10.1.1), once for each request."""
         is_wanted = self._parser.wants_continue
         self._parser.wants_continue = False
         return is_wanted
--- a/brackenlane/net/request_intake.py
+++ b/brackenlane/net/request_intake.py
@@ -1,4 +1,4 @@
-"""Request intake: requests read, checked against their deadline, claimed, submitted and answered."""
+"""Request intake: decodes requests, checks deadlines, claims writes, submits to the core, and answers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-TIME_LEFT_TOLERANCE = 0.001  # seconds of queueing that are not taken off a request's time
+TIME_LEFT_TOLERANCE = 0.001  # seconds in the queue up to which a request's time left is not reduced
 HEALTHY_RESPONSE = EncodedResponse(HTTPStatus.OK.value, {}, b"healthy\n")
 NOT_READY_RESPONSE = EncodedResponse(
     HTTPStatus.SERVICE_UNAVAILABLE.value, {"Retry-After": "1"}, b"not ready\n"
@@ -33,7 +33,7 @@
 
 
 class RequestIntake:
-    """Takes the requests of all connections to the core, and the core's answers back."""
+    """Passes the requests of all connections to the core and the core's answers back to the connections."""
 
     def __init__(
         self,
@@ -49,19 +49,22 @@
         self._claims = claims
         self._nursery = nursery
         self._classes = {c.name: c for c in core.settings.classes}
-        self._clients_by_request: dict[str, ClientConnection] = {}  # of requests in flight, by their wire id
+        # Clients of the requests in flight, by wire id.
+        self._clients_by_request: dict[str, ClientConnection] = {}
         self.writes = WriteRecord(context)
-        self.is_ready: Callable[[], bool] = lambda: True  # asked by the health check, besides the cache list
+        # Additional condition of the health check, which also requires a cache list.
+        self.is_ready: Callable[[], bool] = lambda: True
 
     def reconfigure(self) -> None:
-        """Read requests by the core's new classes."""
+        """Use the core's new classes for requests from now on."""
         self._classes = {c.name: c for c in self._core.settings.classes}
         self._context.metrics.reconfigure(self._classes)
 
     def accept(self, client: ClientConnection, parsed: ParsedRequest, since: float) -> None:
-        """Accept one request, which came at a Unix time; the client gets its answer, perhaps at once.
+        """Accept one request; the client is answered later or before this returns.
 
-        Raises BadRequestError for a request that can't be served.
+        since: Unix time at which the request arrived.
+        Raises BadRequestError for a request that cannot be served.
         """
         if parsed.target == HEALTH_TARGET:
             self._answer_health_check(client, parsed)
@@ -76,8 +79,8 @@
             client.answer(self._encoder.encode_rejection())
             return
         if time_left < request.arrival.time_left - TIME_LEFT_TOLERANCE:
-            request.arrival = replace(request.arrival, time_left=time_left)  # less what it was queued
-        claim = self._claim_here(request)
+            request.arrival = replace(request.arrival, time_left=time_left)  # without the time in the queue
+        claim = self._claim_in_router(request)
         if claim is ClaimResult.UNKNOWN:
             client.answer(self._encoder.encode_rejection())
             return
@@ -86,12 +89,12 @@
         self._start(client, request)
 
     def withdraw(self, request: PendingRequest) -> None:
-        """Withdraw the request of a client that has left."""
+        """Withdraw the request of a client that has disconnected."""
         self._finish(request, is_rejected=False)
         self._core.withdraw(request)
 
     def reject_all(self) -> None:
-        """Reject the requests that the core has not answered: their claims are still open, nothing ran."""
+        """Reject the requests that still wait for their claims and were not submitted to the core."""
         for client in list(self._clients_by_request.values()):
             if client.request:
                 self._reject(client, client.request)
@@ -102,8 +105,8 @@
         is_ready = self._core.membership.has_list and not self._context.drain.is_closing and self.is_ready()
         client.answer(HEALTHY_RESPONSE if is_ready else NOT_READY_RESPONSE)
 
-    def _claim_here(self, request: PendingRequest) -> ClaimResult:
-        """Claim a request against duplicates, within this process and its router's other processes."""
+    def _claim_in_router(self, request: PendingRequest) -> ClaimResult:
+        """Check a request for duplicates in this process, and claim a write among the router's processes."""
         if request.wire_id in self._clients_by_request or request.wire_id in self.writes:
             return ClaimResult.TAKEN
         if request.must_run_once:
@@ -123,10 +126,10 @@
     async def _claim_and_submit(
         self, client: ClientConnection, request: PendingRequest, claims: ClaimStore
     ) -> None:
-        """Submit a write that other routers could be sent too: claimed before it runs."""
+        """Submit a write that other routers may also receive, after claiming it in the shared store."""
         claim = await claims.claim(request.wire_id)
         if client.request is not request:
-            return  # the client has left; its claim is kept, as if the write had run, which is safe
+            return  # the client has disconnected; its claim is kept as if the write had run, which is safe
         time_left = request.deadline - steady_time()
         if claim is ClaimResult.TAKEN:
             self._finish(request, is_rejected=False)
@@ -156,8 +159,8 @@
         client.request = None
         try:
             client.answer(self._encoder.encode_answer(answer))
-        except Exception:  # an answer that can't be encoded must not leave its client waiting
-            log.exception("an answer could not be given")
+        except Exception:  # a client must not wait for an answer that cannot be encoded
+            log.exception("cannot send an answer, closing the client's connection")
             client.close()
 
     def _finish(self, request: PendingRequest, is_rejected: bool) -> None:
--- a/brackenlane/net/write_record.py
+++ b/brackenlane/net/write_record.py
@@ -1,4 +1,4 @@
-"""Record of the writes that may have run, so that a duplicate is not run again."""
+"""Record of the writes that may have run, so that duplicates of them are not run again."""
 
 from __future__ import annotations
 
@@ -11,13 +11,16 @@
 
 
 class WriteRecord:
-    """Ids of the latest writes that may have run here, and the claims shared with other processes."""
+    """Ids of recent writes that may have run in this process, and claims shared with other processes.
+
+    A claim reserves the id of a write, so that only one process of this router runs it.
+    """
 
     def __init__(self, context: FrontContext) -> None:
         self._context = context
         self._ids: OrderedDict[str, None] = OrderedDict()  # oldest first
-        # Asked before a write runs, and called once it is known that it never ran. Set where other processes
-        # of this router could be sent the same write.
+        # `claim` is called before a write runs, `release` once it is known that the write never ran. Both are
+        # replaced where other processes of this router may receive the same write.
         self.claim: Callable[[str], ClaimResult] = lambda _: ClaimResult.OURS
         self.release: Callable[[str], None] = lambda _: None
 
@@ -25,7 +28,7 @@
         return write_id in self._ids
 
     def finish(self, request: PendingRequest, is_rejected: bool) -> None:
-        """Record the end of a request: a rejected write never ran, any other may have."""
+        """Record the end of a request: a rejected write never ran, any other write may have run."""
         if not request.must_run_once:
             return
         if is_rejected:
