--- a/brackenlane/net/admission_queue.py
+++ b/brackenlane/net/admission_queue.py
@@ -64,7 +64,7 @@
         found = TARGET.fullmatch(target) if self._core.cached_responses.is_enabled else None
         return found is not None and self._core.cached_responses.holds(found[1], f"{found[2]}/{found[3]}")
 
-    def serve_turn(self) -> bool:
+    def serve_queued(self) -> bool:
         """Reject requests that waited too long, then serve for a bounded time; return whether any remain."""
         if not self.admission.size:
             return False
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -232,7 +232,7 @@
 
     def _handle_silence(self) -> None:
         if self.is_idle:
-            # Closes before the cache does: of a request sent at that moment it would be unknown if it ran.
+            # Close before the cache does. A request sent while the cache closes might or might not have run.
             self.close()
         elif self._is_probed or not self._context.settings.may_probe:
             # On a connection that was cut off without FIN or RST, all requests in flight and all later ones
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -47,8 +47,8 @@
     def forget(self, connection: ClientConnection, state: ClientState) -> None:
         """Remove a connection that is closed while in this state."""
 
-    def on_socket_closed(self) -> None:
-        """Called when the socket of a connection was closed."""
+    def count_closed(self) -> None:
+        """Count a connection whose socket was closed."""
 
 
 class RequestQueue(Protocol):
@@ -165,7 +165,7 @@
             self._queue.remove(self, *self._queue_entry)
         self._tracker.forget(self, self._state)
         self._transport.close()
-        self._tracker.on_socket_closed()
+        self._tracker.count_closed()
         if self.request:
             request = self.request
             self.request = None
@@ -268,7 +268,7 @@
             self._queue_unparsed(data, *simple)
         else:
             self._input.feed(data)
-            self._continue()
+            self._process_input()
 
     def _discard(self, data: bytes) -> None:
         """Discard data received while closing; close the connection once it exceeds a limit."""
@@ -299,7 +299,7 @@
             self._class_name = queue_class(target)
             self._reject_unparsed()
             return
-        self._input.hold(data, target)
+        self._input.hold_unparsed(data, target)
         self._enqueue(target, is_retry)
 
     def _enqueue(self, target: str, is_retry: bool) -> None:
@@ -319,7 +319,7 @@
         """Serve the queued request; since: Unix time from which it has waited."""
         parsed = self._next_request()
         if parsed is None:
-            self._continue()
+            self._process_input()
             return
         # No class accepts HEAD, and its error response carries a body although a response to HEAD must not.
         # Closing the connection keeps the client from reading that body as the next response.
@@ -346,7 +346,7 @@
             return
         parsed = self._next_request()
         if parsed is None:
-            self._continue()
+            self._process_input()
             return
         self._closes_after_answer = not parsed.keep_alive
         self.answer(self._queue.encode_rejection(self._queue.hold_off(now)))
@@ -370,7 +370,7 @@
         self._queue_entry = None
         return self._input.next()
 
-    def _continue(self) -> None:
+    def _process_input(self) -> None:
         """Queue the next request if it is complete, answer a parse error, or wait for more data."""
         if parsed := self._input.complete:
             self._enqueue(parsed.target, "x-second-try" in parsed.headers)
@@ -417,7 +417,7 @@
         if self._closes_after_answer or self._input.has_overflowed:
             self._begin_close()
         else:
-            self._continue()
+            self._process_input()
 
     def _send(self, head: bytes, body: bytes = b"") -> None:
         try:
--- a/brackenlane/net/connection_table.py
+++ b/brackenlane/net/connection_table.py
@@ -76,7 +76,7 @@
         """Increment the number of open connections."""
         self._count += 1
 
-    def on_socket_closed(self) -> None:
+    def count_closed(self) -> None:
         """Decrement the number of open connections."""
         self._count -= 1
         if not self._count:
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -50,7 +50,7 @@
         self.intake = RequestIntake(core, self._context, encoder, claims, nursery)
         services = ConnectionServices(self._context, self.table, self.queue, self.intake)
         self.listener = Listener(self._context, core.timers, self.table, services)
-        poller.round_callbacks.append(self.queue.serve_turn)
+        poller.round_callbacks.append(self.queue.serve_queued)
         self._schedule_check(steady_time())
 
     @property
--- a/brackenlane/net/request_input.py
+++ b/brackenlane/net/request_input.py
@@ -18,9 +18,8 @@
         self._parser = RequestParser(limits)
         self._unparsed = b""
         self.target = ""  # target of the unparsed request; "" if there is none or bytes follow it
-        self.bytes_allowed = (
-            0  # bytes that the client may still send before the answer, or before this side closes
-        )
+        # Bytes that the client may still send before its answer is sent, or before this side closes.
+        self.bytes_allowed = 0
         self.has_overflowed = False  # the bytes after a request exceeded the limit and were discarded
 
     @property
@@ -42,7 +41,7 @@
         """Parse bytes."""
         self._parser.feed(data)
 
-    def hold(self, data: bytes, target: str) -> None:
+    def hold_unparsed(self, data: bytes, target: str) -> None:
         """Hold one complete simple request unparsed."""
         self._unparsed = data
         self.target = target
