--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""The codecs, apart from any socket: bytes may come in any pieces, and none may break them."""
+"""The codecs without sockets: chunks of any size, and malformed input, are handled."""
 
 from __future__ import annotations
 
@@ -15,12 +15,16 @@
 _, SITE = read_settings(SETTINGS)
 
 
-@pytest.mark.parametrize("piece", [1, 7, 1000])
-def test_answers(piece: int) -> None:
-    """Answers come out whole, whatever pieces they came in; a body may hold line ends."""
+@pytest.mark.parametrize("chunk_size", [1, 7, 1000])
+def test_responses_are_read_from_chunks_of_any_size(chunk_size: int) -> None:
+    """Responses are complete whatever the size of the received chunks; a body may contain line ends."""
     wire = b"a1 data entity=t,issued=5000 4\r\n\r\n\r\n\r\nb2 full - 0\r\n\r\nc3 absent detail=hit 0\r\n\r\n"
     parser = Parser(Limits())
-    found = [answer for at in range(0, len(wire), piece) for answer in parser.feed(wire[at : at + piece])]
+    found = [
+        response
+        for at in range(0, len(wire), chunk_size)
+        for response in parser.feed(wire[at : at + chunk_size])
+    ]
     assert [(a.id, a.status_word, a.body, a.issued) for a in found] == [
         ("a1", "data", b"\r\n\r\n", 5.0),
         ("b2", "full", b"", None),
@@ -29,13 +33,17 @@
 
 
 @pytest.mark.parametrize("use", ["inflight:7;util:0.6", "util:nan;x0:-4", "util", "util:", ":3;;:", "a:b:c"])
-def test_load_report_harms_no_answer(use: str) -> None:
-    """Whatever a load report says, the answer that carries it is read as without it."""
+def test_invalid_load_report_does_not_affect_the_response(use: str) -> None:
+    """A response with an invalid load report is read like one without a report."""
     wire = f"a1 data entity=t,use={use},detail=hit,issued=5000 2\r\nok\r\n".encode()
-    [answer] = Parser(Limits()).feed(wire)
-    assert (answer.result, answer.cache_status, answer.issued) == (AttemptResult.OK, CacheStatus.HIT, 5.0)
-    assert answer.body == b"ok"
-    assert answer.fields["use"] == use
+    [response] = Parser(Limits()).feed(wire)
+    assert (response.result, response.cache_status, response.issued) == (
+        AttemptResult.OK,
+        CacheStatus.HIT,
+        5.0,
+    )
+    assert response.body == b"ok"
+    assert response.fields["use"] == use
 
 
 @pytest.mark.parametrize(
@@ -49,8 +57,8 @@
         b"x" * 3000,
     ],
 )
-def test_bad_answers(wire: bytes) -> None:
-    """What is no answer is told apart at once."""
+def test_malformed_responses_are_rejected(wire: bytes) -> None:
+    """Malformed responses are rejected as soon as they are received."""
     with pytest.raises(WireError):
         list(Parser(Limits()).feed(wire))
 
@@ -63,26 +71,30 @@
         (2, ServerState.GONE, "terminated"),
     ],
 )
-@pytest.mark.parametrize("piece", [1, 1000])
-def test_list(number: int, state: ServerState, command: str, piece: int) -> None:
-    """A frame and its JSON twin mean the same."""
+@pytest.mark.parametrize("chunk_size", [1, 1000])
+def test_server_list_frame_equals_its_json_form(
+    number: int, state: ServerState, command: str, chunk_size: int
+) -> None:
+    """A server list in a frame decodes to the same change as its JSON form in the configuration."""
     cache = CacheStandIn("s-00c41f7a", "parent")
     cache.port = 7001
     payload = record(cache, number)
     wire = (9 + len(payload)).to_bytes(4, "big") + (41).to_bytes(8, "big") + b"\x01" + payload
     reader = FrameReader(1000)
-    [(seq, kind, rest)] = [f for at in range(0, len(wire), piece) for f in reader.feed(wire[at : at + piece])]
-    change = read_frame(Frame(seq, kind, rest), SITE, 0.0)
-    [twin] = read_known(
+    [(seq, kind, frame_payload)] = [
+        f for at in range(0, len(wire), chunk_size) for f in reader.feed(wire[at : at + chunk_size])
+    ]
+    change = read_frame(Frame(seq, kind, frame_payload), SITE, 0.0)
+    [from_json] = read_known(
         {"results": [{"seq": 41, "fleet": {"all": True, "targets": [target(cache, command)]}}]}, SITE, 0.0
     )
-    assert change == twin
+    assert change == from_json
     assert isinstance(change.event, Membership)
     assert change.event.members[0].state is state
 
 
-def test_purges() -> None:
-    """Purges of an object and of a group, with their ages."""
+def test_purge_frames_are_decoded_with_their_ages() -> None:
+    """Purges of an object and of a group are decoded with their ages."""
     at = (5000).to_bytes(8, "big")
     assert read_frame(Frame(1, 3, bytes.fromhex("7f3a9c21e0b4d655") + at), SITE, 7.0).event == Purged(
         "7f3a9c21e0b4d655", -1, 2.0, 5.0
@@ -93,8 +105,8 @@
 @pytest.mark.parametrize(
     ("kind", "payload"), [(1, b"short"), (3, b""), (4, b"x"), (9, b""), (2, bytes(10) + b"\xff" * 17)]
 )
-def test_bad_frames(kind: int, payload: bytes) -> None:
-    """A frame that can't be read is a fault of the log's, in one line."""
+def test_malformed_frames_are_rejected(kind: int, payload: bytes) -> None:
+    """Malformed frames and lengths raise ChangeLogFormatError and no other exception."""
     with pytest.raises(ChangeLogFormatError):
         read_frame(Frame(1, kind, payload), SITE, 0.0)
     with pytest.raises(ChangeLogFormatError):
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -1,4 +1,4 @@
-"""The board's two ways of waiting, and that the platform's router waits in one flat epoll."""
+"""The poller: both ways of waiting, registration errors, and the flat epoll of the platform's router."""
 
 from __future__ import annotations
 
@@ -21,21 +21,23 @@
 from tests.stand_ins import CacheStandIn, data, platform, with_trio
 
 
-def kind_of(descriptor: Path) -> str:
-    """What an entry of /proc/PID/fd is open on (proc(5)); empty: closed since the folder was listed."""
+def read_descriptor_target(descriptor: Path) -> str:
+    """Return the target of an entry of /proc/PID/fd (proc(5)); empty if it was closed since it was listed."""
     try:
         return os.readlink(descriptor)
     except FileNotFoundError:
         return ""
 
 
-def nested(pid: int) -> list[tuple[str, str]]:
-    """Epolls of a process that wait for another epoll of it.
+def find_nested_epolls(pid: int) -> list[tuple[str, str]]:
+    """Return the pairs (outer, inner) of epolls of a process in which one polls the other.
 
-    The process goes on opening and closing sockets meanwhile; its epolls stay open as long as it runs.
+    The process opens and closes sockets meanwhile, but its epolls stay open for as long as it runs.
     """
     descriptors = Path(f"/proc/{pid}/fd")
-    epolls = {fd.name for fd in descriptors.iterdir() if kind_of(fd) == "anon_inode:[eventpoll]"}
+    epolls = {
+        fd.name for fd in descriptors.iterdir() if read_descriptor_target(fd) == "anon_inode:[eventpoll]"
+    }
     lines = [
         (fd, line.split()[1])
         for fd in epolls
@@ -47,8 +49,8 @@
 
 
 @with_trio
-async def test_no_epoll_waits_for_another(tmp_path: Path) -> None:
-    """Where an epoll in an epoll is told nothing, the router would never hear of a client."""
+async def test_router_has_no_nested_epolls(tmp_path: Path) -> None:
+    """On platforms that do not report readiness of nested epolls, the router would never see a client."""
     async with trio.open_nursery() as nursery:
         caches = [
             await cache.open(nursery)
@@ -56,71 +58,75 @@
         ]
         async with platform(tmp_path, caches) as router_process:
             assert (await router_process.ask())[0] == 200
-            assert nested(router_process.process.pid) == []
+            assert find_nested_epolls(router_process.process.pid) == []
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("alone", [True, False])
 @with_trio
 async def test_wakes_for_sockets_tasks_and_signals(alone: bool) -> None:
-    """A board that waits itself must not sleep through what trio's tasks are due for, nor a signal."""
+    """A poller that blocks by itself must still wake for due trio tasks and for signals."""
     poller = Poller(16, alone)
     ours, theirs = socket.socketpair()
-    came: list[bytes] = []
-    poller.add(ours.fileno(), lambda _: came.append(ours.recv(9)))
+    handled: list[bytes] = []
+    poller.add(ours.fileno(), lambda _: handled.append(ours.recv(9)))
     with SignalWatcher(poller, signal.SIGUSR1) as reported, trio.fail_after(20):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(poller.run)
             start = time.monotonic()
-            await trio.sleep(0.05)  # nothing is on any socket: only the task's own time ends the wait
+            await trio.sleep(0.05)  # no socket is ready, so only the deadline of this task can end the wait
             assert time.monotonic() - start < 10
             theirs.send(b"bytes")
-            while not came:
+            while not handled:
                 await trio.sleep(0.01)
             os.kill(os.getpid(), signal.SIGUSR1)
             await reported.next()
             nursery.cancel_scope.cancel()
-    assert came == [b"bytes"]
+    assert handled == [b"bytes"]
     ours.close()
     theirs.close()
 
 
 def test_events_of_a_closed_socket_do_not_reach_its_successor() -> None:
-    """A try to connect that took the number of a client's closed socket passed for one that had come up."""
+    """A pending event of a closed socket must not reach a new socket that reuses its descriptor.
+
+    A connect that reused the descriptor of a client's closed socket was reported as established.
+    """
     poller = Poller(16)
     pairs = [socket.socketpair() for _ in range(2)]
     reported: list[str] = []
-    fresh: list[socket.socket] = []
+    new_sockets: list[socket.socket] = []
 
-    def end_the_other(mine: int) -> None:
+    def close_other_socket(index: int) -> None:
         reported.append("old")
-        other = pairs[1 - mine][0]
+        other = pairs[1 - index][0]
         number = other.fileno()
         poller.remove(number)
         other.close()
-        fresh.append(socket.socket())  # takes the lowest number free: that of the one just closed
-        assert fresh[0].fileno() == number
+        new_sockets.append(socket.socket())  # gets the lowest free descriptor: that of the closed socket
+        assert new_sockets[0].fileno() == number
         poller.add(number, lambda _: reported.append("new"))
 
-    for mine, (ours, theirs) in enumerate(pairs):
-        poller.add(ours.fileno(), partial(lambda mine, _: end_the_other(mine), mine))
+    for index, (ours, theirs) in enumerate(pairs):
+        poller.add(ours.fileno(), partial(lambda index, _: close_other_socket(index), index))
         theirs.send(b"!")
     poller.turn()
     assert reported[:1] == ["old"]
     assert reported.count("old") == 1
     assert "new" not in reported
-    for sock in (*fresh, *(sock for pair in pairs for sock in pair)):
+    for sock in (*new_sockets, *(sock for pair in pairs for sock in pair)):
         sock.close()
 
 
 @pytest.mark.parametrize(
-    ("second", "status", "exit_code"), [(signal.SIGTERM, b"HTTP/1.1 200", 0), (signal.SIGINT, b"", 130)]
+    ("second_signal", "status", "exit_code"),
+    [(signal.SIGTERM, b"HTTP/1.1 200", 0), (signal.SIGINT, b"", 130)],
 )
 @with_trio
 async def test_second_sigterm_cuts_off_no_answer_and_ctrl_c_ends_the_shutdown(
-    tmp_path: Path, second: signal.Signals, status: bytes, exit_code: int
+    tmp_path: Path, second_signal: signal.Signals, status: bytes, exit_code: int
 ) -> None:
-    """Signals may come in series, and what was accepted is owed; a person at a terminal need not wait."""
+    """Repeated SIGTERMs cut off no answers to accepted requests; a second Ctrl-C ends the process at once."""
     async with trio.open_nursery() as nursery:
         origin = await CacheStandIn("s-00000009", "origin").open(nursery)
         slow = await CacheStandIn("s-00000001", answer=lambda requested: None).open(nursery)
@@ -131,10 +137,10 @@
                     b"X-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 30000\r\nX-Shard: 1\r\n\r\n"
                 )
                 await slow.until(lambda: bool(slow.received))
-                for number in (signal.SIGTERM, second, second):
+                for number in (signal.SIGTERM, second_signal, second_signal):
                     router_process.process.send_signal(number)
                     await trio.sleep(0.2)
-                if second is signal.SIGTERM:
+                if second_signal is signal.SIGTERM:
                     await slow.say(slow.received[0].link, data(slow.received[0]))
                 received = b""
                 with contextlib.suppress(trio.BrokenResourceError):
@@ -145,20 +151,23 @@
 
 
 @with_trio
-async def test_event_that_the_system_could_not_take_is_asked_for_again() -> None:
-    """epoll_ctl(2) is short of memory once: a listener that is to be watched again is, a round later."""
+async def test_failed_change_of_events_is_retried_in_the_next_round() -> None:
+    """If epoll_ctl(2) fails once for lack of memory, the change of events is applied in the next round.
+
+    A listener whose polling is to be resumed would otherwise never accept again.
+    """
     poller = Poller(16)
     near, far = socket.socketpair()
-    came: list[int] = []
+    handled: list[int] = []
 
-    class Short:
-        """An epoll that fails its first change."""
+    class FailsOnce:
+        """An epoll whose first `modify` fails."""
 
         def __init__(self) -> None:
             self.changes = 0
 
         def modify(self, fd: int, events: int) -> None:
-            """Fail once."""
+            """Fail on the first call."""
             self.changes += 1
             if self.changes == 1:
                 raise OSError(errno.ENOMEM, "Cannot allocate memory")
@@ -168,31 +177,31 @@
             return getattr(real, name)
 
     with near, far:
-        poller.add(near.fileno(), came.append, 0)
+        poller.add(near.fileno(), handled.append, 0)
         real = poller._all
-        poller._all = cast("select.epoll", Short())
+        poller._all = cast("select.epoll", FailsOnce())
         far.send(b"!")
         poller.want(near.fileno(), select.EPOLLIN)
         poller.turn()
-        assert came
+        assert handled
         poller.remove(near.fileno())
 
 
 @with_trio
-async def test_socket_that_cannot_be_watched_leaves_nothing_behind() -> None:
-    """The second of two epolls is short of memory: the first forgets the socket, and does not wake for it."""
+async def test_failed_registration_leaves_no_socket_in_the_other_epoll() -> None:
+    """If the second epoll cannot register a socket, the first one drops it and is not woken by it."""
 
-    class Full:
-        """An epoll that takes no more."""
+    class RejectsAll:
+        """An epoll that cannot register any more sockets."""
 
         def register(self, fd: int, events: int) -> None:
-            """Fail."""
+            """Fail as epoll_ctl(2) does at the limit of watches."""
             raise OSError(errno.ENOSPC, "No space left on device")
 
     poller = Poller(16)
     near, far = socket.socketpair()
     with near, far:
-        poller._urgent = cast("select.epoll", Full())
+        poller._urgent = cast("select.epoll", RejectsAll())
         with pytest.raises(OSError, match="No space"):
             poller.add(near.fileno(), lambda _: None, urgent=True)
         far.send(b"!")
