--- a/brackenlane/store/__init__.py
+++ b/brackenlane/store/__init__.py
@@ -1,5 +1,5 @@
-"""Owns what the routers of one site share in Redis: cache list, operator orders, purges, idempotency claims.
+"""Owns what the routers of a site share in Redis: cache list, operator orders, purges, idempotency claims.
 
-Never holds up a request for the store except for a claim, and never picks a server.
+A request waits for the store only while a submit is claimed, and nothing here selects a server.
 Entry point: `shared_store.SharedStore`.
 """
--- a/brackenlane/store/capacity_hint.py
+++ b/brackenlane/store/capacity_hint.py
@@ -1,4 +1,4 @@
-"""The capacity hint: the rates that the store can serve, as an operator may write them into it."""
+"""The capacity hint: the request rates that the store can serve, as an operator may set them in the store."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def apply_hint(text: str, capacity: Capacity) -> Capacity:
-    """Return the capacity with the rates of the hint.
+    """Return the capacity with its rates replaced by those of the hint.
 
-    Text that is no JSON object changes nothing; StoreDataError for an object without usable rates.
+    Text that is not a JSON object changes nothing. Raises StoreDataError for an object without valid rates.
     """
     hint = load_json(text)
     if not isinstance(hint, dict):
--- a/brackenlane/store/connection.py
+++ b/brackenlane/store/connection.py
@@ -1,4 +1,4 @@
-"""One connection to Redis: commands out, replies in; RESP is parsed by hiredis."""
+"""A connection to Redis that sends commands and receives their replies; hiredis parses them (RESP)."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Connection:
-    """Sends commands one batch after another; after a failure the next batch opens a new connection."""
+    """Sends batches of commands, one at a time; after a failure the next batch opens a new connection."""
 
     def __init__(self, endpoint: Endpoint, timeout: float) -> None:
-        """timeout: seconds for one batch, connecting included, unless the call says otherwise."""
+        """timeout: seconds for one batch, including the connection setup; a call may override it."""
         self._endpoint = endpoint
         self._timeout = timeout
         self._stream: trio.SocketStream | None = None
@@ -29,10 +29,10 @@
         self._lock = trio.Lock()
 
     async def call(self, *commands: Command, time_limit: float | None = None) -> list[Any]:
-        """Send some commands together and return their replies.
+        """Send a batch of commands and return their replies.
 
-        time_limit: seconds, in place of the connection's own timeout.
-        Raises StoreTimeoutError, StoreUnavailableError, or StoreCommandError if any command was refused.
+        time_limit: seconds; overrides the timeout of the connection.
+        Raises StoreTimeoutError, StoreUnavailableError, or StoreCommandError if a command is rejected.
         """
         try:
             with trio.fail_after(time_limit or self._timeout):
@@ -53,7 +53,7 @@
             replies = await self._exchange(commands)
             is_complete = True
         finally:
-            # Otherwise the late reply to one command would be taken for that to the next.
+            # A reply that arrives later would be read as the reply to the next command.
             if not is_complete:
                 await self.close()
         return replies
@@ -77,7 +77,7 @@
             self._reader.feed(data)
 
     async def close(self) -> None:
-        """Close the connection, if one is open."""
+        """Close the connection if one is open."""
         stream = self._stream
         self._stream = None
         if stream:
--- a/brackenlane/store/errors.py
+++ b/brackenlane/store/errors.py
@@ -1,22 +1,22 @@
-"""What can go wrong with the shared store."""
+"""Errors of the shared store."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Base class: the store did not do what was asked, or holds what cannot be used."""
+    """Base class: a command failed, or a value in the store is invalid."""
 
 
 class StoreUnavailableError(StoreError):
-    """The store cannot be reached, or the connection broke."""
+    """The store cannot be reached, or the connection to it broke."""
 
 
 class StoreTimeoutError(StoreUnavailableError):
-    """The store did not answer in time."""
+    """The store did not reply within the timeout."""
 
 
 class StoreCommandError(StoreError):
-    """The store refused a command."""
+    """The store rejected a command."""
 
 
 class StoreDataError(StoreError):
--- a/brackenlane/store/event_applier.py
+++ b/brackenlane/store/event_applier.py
@@ -1,4 +1,4 @@
-"""Applies what was read from the store to the registry of caches."""
+"""Applies events and hash values read from the store to the registry of caches."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 
 
 class StoreClock:
-    """The store's clock, as its offset from this router's monotonic one."""
+    """The store's clock, kept as an offset from this router's monotonic clock."""
 
     def __init__(self) -> None:
         self._offset = 0.0  # seconds
 
     def synchronize(self, seconds: int, microseconds: int) -> None:
-        """Take over the reply to TIME."""
+        """Set the offset from the reply to a TIME command."""
         self._offset = seconds + microseconds / 1e6 - time.monotonic()
 
     def age(self, position: StreamPosition) -> float:
-        """Return the seconds since a stream entry was written; 0 for one from the future."""
+        """Return the seconds since a stream entry was written; 0 if its time is in the future."""
         return max(0.0, time.monotonic() + self._offset - position.milliseconds / 1000)
 
 
 class EventApplier:
-    """Owns what is known of the store's orders and its clock. Values that cannot be decoded are skipped."""
+    """Owns the orders read from the store, and its clock. Values that cannot be decoded are skipped."""
 
     def __init__(self, registry: Registry, purges: RecentPurges) -> None:
-        self.orders_in_store: dict[str, OperatorOrder] = {}  # by cache id, as far as they were read
+        self.orders_in_store: dict[str, OperatorOrder] = {}  # the orders read so far, by cache id
         self.clock = StoreClock()
         self._registry = registry
         self._purges = purges
@@ -69,7 +69,7 @@
         self._apply_order(event)
 
     def apply_entry(self, entry: StreamEntry) -> None:
-        """Apply an entry of the stream; kinds of events that are not known are passed over."""
+        """Apply an entry of the stream; an event of an unknown type is ignored."""
         try:
             event = decode_event(entry.event_text)
         except StoreDataError as error:
@@ -84,7 +84,7 @@
                 self._apply_purge(event, entry.position)
 
     def apply_entry_if_purge(self, entry: StreamEntry) -> None:
-        """Apply an entry of the stream if it is a purge: after a full load the others are known already."""
+        """Apply an entry of the stream if it is a purge; a full load has read all other changes already."""
         try:
             event = decode_purge(entry.event_text)
         except StoreDataError as error:
@@ -94,10 +94,10 @@
             self._apply_purge(event, entry.position)
 
     def restore_purges(self, purges: Mapping[tuple[str, int], float]) -> None:
-        """Apply the purges of a snapshot (Unix seconds by object and group) that are recent still."""
-        for (obj, group), at in purges.items():
-            if steady_time() - at <= self._purges.lifetime:
-                self._purge(obj, group, at)
+        """Apply those purges of a snapshot (Unix seconds by object and group) that have not expired."""
+        for (obj, group), purged_at in purges.items():
+            if steady_time() - purged_at <= self._purges.lifetime:
+                self._purge(obj, group, purged_at)
 
     def _apply_cache(self, event: CacheDefined) -> None:
         self._registry.define(DefinitionSource.STORE, event.definition)
@@ -108,9 +108,10 @@
         self._registry.order(event.server, event.order)
 
     def _apply_purge(self, event: PurgeRequested, position: StreamPosition) -> None:
-        # By the store's clock: if this router's were minutes ahead, a new purge would look too old to matter.
+        # The age is measured by the store's clock: if this router's clock were minutes ahead, a new purge
+        # would look expired.
         self._purge(event.obj, event.group, steady_time() - self.clock.age(position))
 
-    def _purge(self, obj: str, group: int, at: float) -> None:
-        self._registry.purge(obj, group, at)
-        self._purges.record(obj, group, at)
+    def _purge(self, obj: str, group: int, purged_at: float) -> None:
+        self._registry.purge(obj, group, purged_at)
+        self._purges.record(obj, group, purged_at)
--- a/brackenlane/store/event_codec.py
+++ b/brackenlane/store/event_codec.py
@@ -1,6 +1,6 @@
-"""The JSON of the store's events and hash values, to typed records and back.
+"""Codec of the store's events and hash values: JSON to typed records and back.
 
-What another program may have written is checked here: `decode_...` raise StoreDataError and nothing else.
+Another program may have written a value, so it is validated here: `decode_...` raise only StoreDataError.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from brackenlane.discovery.records import CacheDefinition, OperatorOrder
 from brackenlane.store.errors import StoreDataError
 
-EVENT_FIELD = "event"  # of a stream entry
+EVENT_FIELD = "event"  # the field of a stream entry that contains the encoded event
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeRequested:
-    """An object was purged, or a group of them (then the object is empty; else the group is -1)."""
+    """A purge of one object (the group is -1) or of a group of objects (the object is empty)."""
 
     obj: str
     group: int
-    # Unix seconds by the clock of the router that published it. None in a decoded event: readers take the
-    # time from the entry's position, which is by the store's clock.
+    # Unix seconds by the clock of the publishing router. None in a decoded event: readers take the time from
+    # the position of the stream entry, which is assigned by the store's clock.
     requested_at: float | None = None
 
 
@@ -51,16 +51,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEntry:
-    """One entry of the event stream; its event is decoded only when it is applied."""
+    """An entry of the event stream; its event is decoded when the entry is applied."""
 
     position: StreamPosition
     event_text: str
 
 
 def parse_entries(reply: Iterable[Any]) -> list[StreamEntry]:
-    """Return the entries in the reply to XRANGE or XREVRANGE, or of one stream in that to XREAD.
+    """Return the entries in a reply to XRANGE or XREVRANGE, or of one stream in a reply to XREAD.
 
-    An entry without an event has an empty text. ValueError for an id in a form that Redis never writes.
+    An entry without an event field has an empty event text. Raises ValueError for an invalid entry id, which
+    Redis never generates.
     """
     return [_parse_entry(str(position), fields) for position, fields in reply]
 
@@ -71,17 +72,17 @@
 
 
 def encode_cache(definition: CacheDefinition) -> str:
-    """Return a cache as its hash keeps it."""
+    """Return the value of the cache in the hash of caches."""
     return orjson.dumps(encode_definition(definition)).decode()
 
 
 def encode_operator_order(server: str, order: OperatorOrder) -> str:
-    """Return an order as its hash keeps it."""
+    """Return the value of the order in the hash of orders."""
     return orjson.dumps(encode_order(server, order)).decode()
 
 
 def encode_event(event: StoreEvent) -> str:
-    """Return an event as the stream keeps it."""
+    """Return the event as the text of the event field in a stream entry."""
     return orjson.dumps(_event_object(event)).decode()
 
 
@@ -93,45 +94,45 @@
             return {"order": encode_order(event.server, event.order)}
         case PurgeRequested():
             if event.requested_at is None:
-                raise ValueError(f"{event}: a purge is published with its time")
+                raise ValueError(f"{event}: requested_at must be set in a purge that is published")
             milliseconds = int(event.requested_at * 1000)
             return {"purge": {"object": event.obj, "group": event.group, "time": milliseconds}}
 
 
 def decode_cache(text: str) -> CacheDefined:
-    """Return the event that a value in the hash of caches stands for."""
+    """Return the event that corresponds to a value in the hash of caches."""
     return _decode_cache(load_json(text))
 
 
 def decode_order(text: str) -> OrderGiven:
-    """Return the event that a value in the hash of orders stands for."""
+    """Return the event that corresponds to a value in the hash of orders."""
     return _decode_order(load_json(text))
 
 
 def decode_event(text: str) -> StoreEvent | None:
-    """Return the event of a stream entry; None for a kind that this version does not know."""
-    found = load_json(text)
-    if not isinstance(found, dict):
+    """Return the event of a stream entry; None for a type that this version does not support."""
+    document = load_json(text)
+    if not isinstance(document, dict):
         return None
-    if "box" in found:
-        return _decode_cache(found["box"])
-    if "order" in found:
-        return _decode_order(found["order"])
-    if "purge" in found:
-        return _decode_purge(found["purge"])
+    if "box" in document:
+        return _decode_cache(document["box"])
+    if "order" in document:
+        return _decode_order(document["order"])
+    if "purge" in document:
+        return _decode_purge(document["purge"])
     return None
 
 
 def decode_purge(text: str) -> PurgeRequested | None:
-    """Return the purge of a stream entry; None, without decoding the rest, for any other event."""
-    found = load_json(text)
-    if not isinstance(found, dict) or "purge" not in found:
+    """Return the purge of a stream entry; None for any other event, which is not decoded further."""
+    document = load_json(text)
+    if not isinstance(document, dict) or "purge" not in document:
         return None
-    return _decode_purge(found["purge"])
+    return _decode_purge(document["purge"])
 
 
 def load_json(text: str) -> Any:
-    """Return a JSON document; None if the text is none."""
+    """Return the parsed JSON document; None if the text is not valid JSON."""
     try:
         return orjson.loads(text)
     except orjson.JSONDecodeError:
--- a/brackenlane/store/event_commands.py
+++ b/brackenlane/store/event_commands.py
@@ -1,4 +1,4 @@
-"""The Redis commands that write an event: the hash that keeps it, and the stream that followers read."""
+"""The Redis commands that write an event to its hash and to the event stream."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from brackenlane.store.keys import StoreKeys
 
 
-def write_commands(event: StoreEvent, keys: StoreKeys, stream_length: int) -> list[Command]:
-    """Return the commands that write an event; several belong in one transaction.
+def write_commands(event: StoreEvent, keys: StoreKeys, max_stream_length: int) -> list[Command]:
+    """Return the commands that write an event; if there are several, they must run in one transaction.
 
-    stream_length: entries at which the stream is trimmed, roughly.
+    max_stream_length: approximate maximum number of entries; older ones are trimmed.
     """
     append: Command = [
         "XADD",
         keys.events,
         "MAXLEN",
         "~",
-        stream_length,
+        max_stream_length,
         "*",
         EVENT_FIELD,
         encode_event(event),
@@ -39,5 +39,5 @@
 
 
 def transaction(commands: list[Command]) -> list[Command]:
-    """Return the commands wrapped so that the store executes all of them or none."""
+    """Return the commands between MULTI and EXEC, so that the store executes all of them or none."""
     return [["MULTI"], *commands, ["EXEC"]]
--- a/brackenlane/store/file_registration.py
+++ b/brackenlane/store/file_registration.py
@@ -1,4 +1,4 @@
-"""Registers the caches of the operator's file in the store, once for all routers with the same file."""
+"""Registers the caches of the operator's file in the store, once for all routers that have the same file."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from brackenlane.store.event_commands import transaction, write_commands
 from brackenlane.store.keys import StoreKeys
 
-DONE = "done"  # the stored word
+DONE = "done"  # the value of the registration key once all caches are registered
 DIGEST_LENGTH = 32  # hexadecimal digits
 
 
 class FileRegistration:
-    """Owns whether the caches of this router's file are known to be in the store."""
+    """Tracks whether the caches of this router's file are registered in the store."""
 
     def __init__(
         self, caches: Sequence[CacheDefinition], keys: StoreKeys, router_name: str, limits: Limits
@@ -32,12 +32,12 @@
         self.key = keys.file_registration(_digest(caches))
         self.is_done = not caches
 
-    def observe(self, value: str | None) -> None:
-        """Take over the value read at the key: a store that was set back may have lost the caches."""
+    def apply_stored_value(self, value: str | None) -> None:
+        """Set the state from the key's value; a store restored to an older state may have lost the caches."""
         self.is_done = not self._caches or value == DONE
 
     async def register(self, connection: Connection) -> None:
-        """Write the caches that the store lacks unless another router is about to; StoreError if it fails."""
+        """Write the caches missing in the store, unless another router does so. Raises StoreError."""
         reply, value = await connection.call(
             ["SET", self.key, self._router_name, "NX", "EX", self._limits.store_file_lock_lifetime],
             ["GET", self.key],
@@ -52,7 +52,8 @@
             if text is None:
                 commands += write_commands(CacheDefined(cache), self._keys, self._limits.max_store_events)
         commands.append(["SET", self.key, DONE, "EX", self._limits.store_file_done_lifetime])
-        # In one transaction: a router that ends in between would leave a cache that no follower learns of.
+        # One transaction: a router that terminated in between would leave a cache in the hash without an
+        # event in the stream, so that the other routers would not be notified of it.
         await connection.call(*transaction(commands), time_limit=self._limits.store_block_time)
         self.is_done = True
 
--- a/brackenlane/store/idempotency_claims.py
+++ b/brackenlane/store/idempotency_claims.py
@@ -1,4 +1,4 @@
-"""Claims on submits with an idempotency key, kept in Redis, so that two routers never run the same one."""
+"""Idempotency claims in Redis, so that a submit with an idempotency key never runs at two routers."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     """Claims submits for one router. Implements `core.claims.ClaimStore`."""
 
     def __init__(self, connection: Connection, keys: StoreKeys, router_name: str, lifetime: int) -> None:
-        """lifetime: seconds for which a claim is kept."""
+        """lifetime: seconds until a claim expires."""
         self._connection = connection
         self._keys = keys
         self._router_name = router_name
         self._lifetime = lifetime
 
     async def claim(self, txn: str) -> ClaimResult:
-        """Claim a submit before it runs; only the router whose claim comes first may ever run it."""
+        """Claim a submit before it runs; only the first router that claims it may run it."""
         try:
             [reply] = await self._connection.call(
                 ["SET", self._keys.claim(txn), self._router_name, "NX", "EX", self._lifetime]
@@ -34,7 +34,7 @@
         return ClaimResult.OURS if reply == "OK" else ClaimResult.TAKEN
 
     async def release(self, txn: str) -> None:
-        """Release the claim of a submit that provably never ran, so that it may be sent again."""
+        """Release the claim of a submit that provably never ran, so that a client may send it again."""
         try:
             await self._connection.call(["DEL", self._keys.claim(txn)])
         except StoreError as error:
--- a/brackenlane/store/publisher.py
+++ b/brackenlane/store/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes this router's changes to the store, and repairs a store that was set back to an older state."""
+"""Publishes this router's events to the store, and repairs a store that was restored to an older state."""
 
 from __future__ import annotations
 
@@ -20,38 +20,39 @@
 
 
 class Publisher:
-    """Owns the events that wait for the store, and those that it has but has not sent back yet."""
+    """Owns the events that are not written to the store yet, and those not read back from the stream yet."""
 
     def __init__(self, connection: Connection, keys: StoreKeys, limits: Limits) -> None:
         self._connection = connection
         self._keys = keys
-        self._stream_length = limits.max_store_events
+        self._max_stream_length = limits.max_store_events
         self._max_unacknowledged = limits.max_unshared_changes
         self._pending: deque[StoreEvent] = deque(maxlen=limits.max_unshared_changes)
-        # By the event's text, oldest first. A store that is set back may have lost them.
+        # The events not read back yet, by encoded event, oldest first. A store that is restored to an older
+        # state may have lost them.
         self._unacknowledged: OrderedDict[str, StoreEvent] = OrderedDict()
 
     async def publish(self, event: StoreEvent) -> bool:
-        """Write an event to the store; False if that must wait until the store is available again."""
-        # Events that wait go first: a load must not undo a drain that the store does not know yet.
+        """Write an event to the store; False if it was queued until the store is available again."""
+        # Queued events are written first: a full load must not undo a drain that is not in the store yet.
         if not self._pending and await self._send(event):
             return True
         self._pending.append(event)
         return False
 
     async def flush_pending(self) -> None:
-        """Write the events that wait; StoreUnavailableError if one cannot be written."""
+        """Write the queued events. Raises StoreUnavailableError if one cannot be sent."""
         while self._pending:
             if not await self._send(self._pending[0]):
                 raise StoreUnavailableError("what changed meanwhile can't be shared yet")
             self._pending.popleft()
 
     def acknowledge(self, event_text: str) -> None:
-        """Note that an event was read back from the stream."""
+        """Mark an event as read back from the stream."""
         self._unacknowledged.pop(event_text, None)
 
     async def resend_unacknowledged(self) -> None:
-        """Write again what was never read back; StoreUnavailableError if an event cannot be written."""
+        """Rewrite the events that were not read back. Raises StoreUnavailableError if one cannot be sent."""
         events = list(self._unacknowledged.values())
         self._unacknowledged.clear()
         for event in events:
@@ -62,7 +63,7 @@
         self._unacknowledged[encode_event(event)] = event
         if len(self._unacknowledged) > self._max_unacknowledged:
             self._unacknowledged.popitem(last=False)
-        commands = write_commands(event, self._keys, self._stream_length)
+        commands = write_commands(event, self._keys, self._max_stream_length)
         if len(commands) > 1:
             commands = transaction(commands)
         try:
@@ -74,7 +75,7 @@
 
 
 class StoreRepair:
-    """Writes again what a store that was set back has lost: this router's events, and operators' orders."""
+    """Rewrites what a store restored to an older state has lost: this router's events and operator orders."""
 
     def __init__(
         self,
@@ -91,13 +92,13 @@
         self._applier = applier
 
     async def run(self) -> None:
-        """Repair the store once; StoreError if it fails meanwhile."""
+        """Repair the store once. Raises StoreError."""
         await self._publisher.resend_unacknowledged()
         orders = self._registry.merge.orders
         missing = missing_orders(orders, self._applier.orders_in_store, OperatorOrder.beats)
         if not missing:
             return
-        # Other routers may have written them since they were read.
+        # Other routers may have written these orders since this router read the store.
         [texts] = await self._connection.call(["HMGET", self._keys.orders, *missing])
         for server, text in zip(missing, texts, strict=True):
             stored = _stored_order(text)
--- a/brackenlane/store/reader.py
+++ b/brackenlane/store/reader.py
@@ -1,4 +1,4 @@
-"""The commands that read the store, and their replies as typed records."""
+"""Reads the store: sends the commands, and returns their replies as typed records."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from brackenlane.store.event_codec import StreamEntry, parse_entries
 from brackenlane.store.keys import StoreKeys
 
-STREAM_END = "+"  # Redis: the greatest possible id
-FIRST_ID = "-"  # Redis: the least possible id
+STREAM_END = "+"  # the greatest possible entry id, in a Redis range
+FIRST_ID = "-"  # the smallest possible entry id, in a Redis range
 
 
 @dataclass(frozen=True, slots=True)
 class StoreState:
-    """The reply to the first request on a connection."""
+    """The replies to the first batch of commands on a connection."""
 
-    entries: list[StreamEntry]  # from the remembered position on, that one included
+    entries: list[StreamEntry]  # the entries from the remembered position on, inclusive
     capacity_hint: str | None
-    registration: str | None  # the value at the key of the file's registration
+    registration: str | None  # the value of the file registration key
     clock_seconds: int
     clock_microseconds: int
-    order_texts: list[str | None]  # one for each id that was asked for
+    order_texts: list[str | None]  # the encoded order of each requested cache, or None
 
 
 class StoreReader:
-    """Reads the store over one connection. All methods raise StoreError; it keeps no state."""
+    """Reads the store over one connection, without state of its own. All methods raise StoreError."""
 
     def __init__(self, connection: Connection, keys: StoreKeys, limits: Limits) -> None:
         self._connection = connection
@@ -39,8 +39,8 @@
     async def read_state(
         self, position: StreamPosition, registration_key: str, order_ids: Sequence[str]
     ) -> StoreState:
-        """Read in one round trip what tells whether this router can continue from its position."""
-        # Without a position nothing can be continued, so no entries are asked for.
+        """Read in one round trip what determines whether this router can resume from its position."""
+        # Without a position the router cannot resume, so no entries are requested.
         start = STREAM_END if position == STREAM_START else str(position)
         ids = order_ids[: self._page_size]
         commands: list[Command] = [
@@ -63,7 +63,7 @@
         )
 
     async def read_following_pages(self, page: list[StreamEntry]) -> list[StreamEntry]:
-        """Return the entries after a page of them; none if the page was not full."""
+        """Return the entries after a page of entries; an empty list if the page was not full."""
         entries: list[StreamEntry] = []
         while len(page) >= self._page_size:
             page = await self.read_updates(page[-1].position)
@@ -71,7 +71,7 @@
         return entries
 
     async def read_updates(self, position: StreamPosition, block: float = 0.0) -> list[StreamEntry]:
-        """Return entries after a position; if there are none, wait up to `block` seconds for some."""
+        """Return the entries after a position; if there are none, wait up to `block` seconds for new ones."""
         block_option: Command = ["BLOCK", int(block * 1000)] if block else []
         [streams] = await self._connection.call(
             ["XREAD", "COUNT", self._page_size, *block_option, "STREAMS", self._keys.events, str(position)],
@@ -80,7 +80,7 @@
         return [entry for _, entries in streams or () for entry in parse_entries(entries)]
 
     async def read_newest_position(self) -> StreamPosition:
-        """Return the position of the newest entry; STREAM_START if there is none."""
+        """Return the position of the newest entry; STREAM_START if the stream is empty."""
         [reply] = await self._connection.call(
             ["XREVRANGE", self._keys.events, STREAM_END, FIRST_ID, "COUNT", 1]
         )
@@ -88,16 +88,16 @@
         return entries[0].position if entries else STREAM_START
 
     async def read_entries_from(self, position: StreamPosition) -> list[StreamEntry]:
-        """Return all entries from a position on."""
+        """Return all entries from a position on, inclusive."""
         [reply] = await self._connection.call(["XRANGE", self._keys.events, str(position), STREAM_END])
         return parse_entries(reply)
 
     def scan_orders(self) -> AsyncIterator[str]:
-        """Yield the encoded orders, page by page; one that changes meanwhile may come twice."""
+        """Yield the encoded orders, page by page; an order that changes during the scan may appear twice."""
         return self._scan_values(self._keys.orders)
 
     def scan_caches(self) -> AsyncIterator[str]:
-        """Yield the encoded caches, page by page; one that changes meanwhile may come twice."""
+        """Yield the encoded caches, page by page; a cache that changes during the scan may appear twice."""
         return self._scan_values(self._keys.caches)
 
     async def _scan_values(self, key: str) -> AsyncIterator[str]:
--- a/brackenlane/store/replica.py
+++ b/brackenlane/store/replica.py
@@ -1,4 +1,4 @@
-"""Keeps this router's registry equal to the store: catches up or loads everything, then follows."""
+"""Keeps this router's registry in sync with the store: catches up or loads all, then follows the stream."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Replica:
-    """Owns the stream position: all entries up to it have been applied."""
+    """Owns the stream position; all entries up to it have been applied."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self._publisher = publisher
 
     async def catch_up(self, state: StoreState) -> bool:
-        """Apply what came after the position; False if that is unknown, so that a full load is needed."""
+        """Apply the entries after the position; False if some may be missing and a full load is needed."""
         entries = state.entries + await self._reader.read_following_pages(state.entries)
         if not is_log_continuous(self.position, {entry.position for entry in entries}):
             return False
@@ -41,13 +41,14 @@
         return True
 
     async def load(self, purge_lifetime: float) -> None:
-        """Read everything, in pages, and the purges of the last seconds.
+        """Load all orders and caches, page by page, and the purges of the last `purge_lifetime` seconds.
 
-        The position is read first: what changes during the load comes after it, and is followed later.
+        The position is read first: changes during the load come after it in the stream, and `follow` applies
+        them.
         """
         position = await self._reader.read_newest_position()
         self._applier.orders_in_store.clear()
-        # Orders before caches: a cache that is drained must never serve.
+        # Orders are applied before caches, so that a drained cache is never in service.
         async for text in self._reader.scan_orders():
             self._applier.apply_stored_order(text)
         async for text in self._reader.scan_caches():
@@ -58,7 +59,7 @@
         self.position = position
 
     async def follow(self, block: float) -> None:
-        """Wait up to `block` seconds for new entries and apply them."""
+        """Wait up to `block` seconds for new entries, and apply them."""
         self._apply(await self._reader.read_updates(self.position, block))
 
     def _apply(self, entries: list[StreamEntry]) -> None:
--- a/brackenlane/store/shared_store.py
+++ b/brackenlane/store/shared_store.py
@@ -1,9 +1,9 @@
-"""The shared store of one router: wires its parts together, and keeps the connection up.
+"""One router's access to the shared store: wires the parts of this package, and reconnects after a failure.
 
-Redis holds a hash of the caches, one of the operators' orders, a stream of the events since, and a key for
-each claimed submit (keys.py). A router that remembers its position in the stream reads what came after it. If
+Redis holds a hash of the caches, a hash of the operators' orders, a stream of events, and a key for each
+claimed submit (keys.py). A router that remembers its position in the stream reads the entries after it. If
 the stream no longer holds that position, the router waits for a load ticket, reads the hashes in pages, and
-follows the stream from the position before the load, so that it misses nothing in between.
+follows the stream from the position that was the newest before the load, so that it misses no change.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
 
 log = logging.getLogger(__name__)
 
-# A purge is kept for twice the time that it takes to propagate.
+# The lifetime of a recorded purge, as a multiple of the time that a purge takes to propagate.
 PURGE_LIFETIME_FACTOR = 2
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """Where the store is, and how this router uses it."""
+    """The store's address, and this router's settings for it."""
 
     endpoint: Endpoint
     site: str
@@ -55,7 +55,7 @@
 
 
 class SharedStore:
-    """Owns the connections to the store and its availability; its parts do the reading and writing."""
+    """Owns the connections to the store, and tracks whether it is available."""
 
     def __init__(
         self,
@@ -65,8 +65,8 @@
         phases: StartupPhases,
         position: StreamPosition = STREAM_START,
     ) -> None:
-        """position: all entries of the event stream up to it are known to the registry."""
-        self.fault = ""  # why the store is unavailable; empty while it is followed
+        """position: the registry already contains all entries of the event stream up to it."""
+        self.fault = ""  # why the store is unavailable; empty while it is available
         self._settings = settings
         self._registry = registry
         self._limits = limits
@@ -74,7 +74,7 @@
         self._keys = StoreKeys(settings.site)
         self._random = random.Random()
         self.pacing = StorePacing(settings.router_name, settings.capacity, self._random)
-        # Two connections: a read that waits for updates must not hold up a claim.
+        # Two connections: a read that blocks until there are updates must not delay a claim.
         command_connection = Connection(settings.endpoint, limits.store_command_timeout)
         self._read_connection = Connection(settings.endpoint, limits.store_command_timeout)
         self._reader = StoreReader(self._read_connection, self._keys, limits)
@@ -103,9 +103,9 @@
         return self._purges.by_target
 
     async def run(self, file_caches: Sequence[CacheDefinition]) -> None:
-        """Follow the store until cancelled; while it is unavailable the registry stays as it is.
+        """Follow the store until cancelled; while the store is unavailable, the registry does not change.
 
-        file_caches: those of the operator's file, to be registered in the store.
+        file_caches: the caches of the operator's file, to be registered in the store.
         """
         registration = FileRegistration(file_caches, self._keys, self._settings.router_name, self._limits)
         await trio.sleep(self.pacing.initial_delay())
@@ -119,7 +119,7 @@
             await trio.sleep(delay)
 
     async def _follow_until_failure(self, registration: FileRegistration) -> Exception:
-        """Catch up, then follow and repair at the same time; return the StoreError that ended it."""
+        """Catch up, then follow and repair the store concurrently; return the StoreError that ended this."""
         failures: list[Exception] = []
         try:
             async with trio.open_nursery() as nursery:
@@ -134,17 +134,18 @@
         return failures[0]
 
     async def _catch_up(self, registration: FileRegistration) -> None:
-        """Bring store and registry together: publish what waits, then read updates or load everything."""
+        """Synchronize store and registry: write queued events, then read updates or load everything."""
         await self.publisher.flush_pending()
         requested_at = time.monotonic()
         state = await self._reader.read_state(
             self.replica.position, registration.key, sorted(self._registry.merge.orders)
         )
         self.applier.clock.synchronize(state.clock_seconds, state.clock_microseconds)
-        # If the store takes over half of what a submit may wait, the fleet should spread its requests more.
+        # A submit waits for the store up to the command timeout. An answer that takes over half of it is
+        # slow: the routers should spread their requests over more time.
         self.pacing.record_answer(time.monotonic() - requested_at, self._limits.store_command_timeout / 2)
         self._apply_capacity_hint(state)
-        registration.observe(state.registration)
+        registration.apply_stored_value(state.registration)
         if not await self.replica.catch_up(state):
             self._phases.step(StartupEvent.LOAD_STARTED, steady_time())
             await self._tickets.wait_for_turn()
@@ -161,7 +162,7 @@
             log.warning("capacity hint %s ignored: %s", self._keys.capacity_hint, error)
 
     async def _repair_after_delay(self) -> None:
-        # All routers notice a store that was set back at once. The first one in the window repairs it; the
-        # others see its events before their own turn.
+        # All routers notice at the same time that the store was restored to an older state. The first one in
+        # the window repairs it; the others read its events before their own delay is over.
         await trio.sleep(self._random.uniform(0.0, self.pacing.window))
         await self._repair.run()
