--- a/brackenlane/ops/__init__.py
+++ b/brackenlane/ops/__init__.py
@@ -1,5 +1,6 @@
-"""The operators' side of a router: its admin API, maintenance orders, and the handover between two processes.
+"""Owns the operator interface of a router: admin API, maintenance orders, handover between two processes.
 
-It never picks a server and never waits for the request engine, nor for another process once this one serves.
+It never selects a server, and never waits for the request engine; once this process serves clients, it never
+waits for another process either.
 Entry points: `admin_api.AdminApi`, `maintenance_orders.MaintenanceOrders` and `handover.Handover` (actors).
 """
--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -1,7 +1,7 @@
-"""Actor at the admin address: one HTTP call per connection, answered as soon as it is read.
+"""HTTP server of the admin API (actor): one call per connection, answered as soon as it is read.
 
-It serves a few connections at once, each for a short time; when there are too many, the oldest gives way to
-the newest. The poller handles it before all clients, and it waits for nothing.
+The number of connections and the time of each are limited; a connection past the limit closes an older one.
+The poller handles the admin API before all clients, and nothing in here blocks.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 RECEIVE_BYTES = 4_096
-EXPIRY_CHECKS = 4  # in the time that a connection may stay
+EXPIRY_CHECKS_PER_TIMEOUT = 4  # checks for expired connections within the timeout of one
 
 
 class AdminApi:
@@ -35,19 +35,19 @@
         )
         self._timers = timers
         self._max_connections = limits.max_admin_connections
-        self._connection_time = limits.admin_call_timeout
+        self._connection_timeout = limits.admin_call_timeout
         self._accept_pause = limits.accept_pause
-        self._deadlines: dict[AdminConnection, float] = {}  # Unix time of each one's end, the oldest first
+        self._deadlines: dict[AdminConnection, float] = {}  # in Unix time, oldest connection first
         self._listener: socket.socket | None = None
 
     def open(self, listener: socket.socket) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         self._listener = listener
         self.poller.add(listener.fileno(), self._accept, urgent=True)
         self._close_expired()
 
     def _accept(self, _: int) -> None:
-        """Accept what waits, but at most as many connections as may be open at once."""
+        """Accept the pending connections, in one call at most as many as may be open at once."""
         assert self._listener is not None
         for _ in range(self._max_connections):
             try:
@@ -56,35 +56,35 @@
                 return
             except OSError as error:
                 if is_shortage(error.errno):
-                    self._pause()
+                    self._pause_accepting()
                     return
-                continue  # the caller has closed it again
+                continue  # the client has closed the connection already
             if len(self._deadlines) >= self._max_connections:
-                self._close_one()
+                self._close_for_new_connection()
             sock.setblocking(False)
             connection = AdminConnection(self, sock)
             try:
                 self.poller.add(sock.fileno(), connection.on_ready, urgent=True)
-            except OSError as error:  # must not end the listening
-                log.warning("an admin call can't be taken in: %s", error.strerror)
+            except OSError as error:  # the listener must remain open
+                log.warning("an admin connection cannot be registered with the poller: %s", error.strerror)
                 sock.close()
                 continue
-            self._deadlines[connection] = steady_time() + self._connection_time
+            self._deadlines[connection] = steady_time() + self._connection_timeout
 
-    def _pause(self) -> None:
-        """Stop watching the listener for a while, else the loop would spin on the connection that waits."""
+    def _pause_accepting(self) -> None:
+        """Stop polling the listener for a while; otherwise a pending connection would make the loop spin."""
         assert self._listener is not None
         self.poller.want(self._listener.fileno(), 0)
-        self._timers.at(steady_time() + self._accept_pause, self._resume)
+        self._timers.at(steady_time() + self._accept_pause, self._resume_accepting)
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         assert self._listener is not None
         self.poller.want(self._listener.fileno(), READ)
 
-    def _close_one(self) -> None:
-        """Make room: close the oldest answered connection, or else the oldest.
+    def _close_for_new_connection(self) -> None:
+        """Close the oldest answered connection, or the oldest one if none is answered.
 
-        Guards against callers that connect and never finish a call.
+        This protects against clients that connect and never send a complete call.
         """
         for connection in self._deadlines:
             if connection.is_answered:
@@ -94,7 +94,7 @@
         oldest.close()
 
     def on_closed(self, connection: AdminConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a closed connection from the table."""
         self._deadlines.pop(connection, None)
 
     def _close_expired(self) -> None:
@@ -102,7 +102,7 @@
         for connection, deadline in list(self._deadlines.items()):
             if deadline < now:
                 connection.close()
-        self._timers.at(now + self._connection_time / EXPIRY_CHECKS, self._close_expired)
+        self._timers.at(now + self._connection_timeout / EXPIRY_CHECKS_PER_TIMEOUT, self._close_expired)
 
 
 class AdminConnection:
@@ -114,11 +114,11 @@
         self._sock = sock
         self._parser = RequestParser(api.request_limits)
         self._unsent = memoryview(b"")
-        self._surplus_bytes = api.request_limits.max_head_size  # that may still come behind the call
+        self._discardable_bytes = api.request_limits.max_head_size  # bytes still accepted after the call
         self._is_open = True
 
     def close(self) -> None:
-        """Close the connection, if it is open."""
+        """Close the connection if it is open."""
         if self._is_open:
             self._is_open = False
             self._api.poller.remove(self._sock.fileno())
@@ -126,7 +126,7 @@
             self._api.on_closed(self)
 
     def on_ready(self, events: int) -> None:
-        """Handle readiness of the socket, a set of the poller's events."""
+        """Handle readiness of the socket. events: a set of the poller's flags."""
         try:
             if events & WRITE:
                 self._flush()
@@ -134,7 +134,7 @@
                 self._receive()
         except OSError:
             self.close()
-        except Exception:  # one connection must not end the others
+        except Exception:  # a failed connection must not affect the others
             log.exception("an admin call failed")
             self.close()
 
@@ -153,9 +153,9 @@
             self._parse(data)
 
     def _discard(self, data: bytes) -> None:
-        """Read on behind the call, so that the response is not lost to a connection reset."""
-        self._surplus_bytes -= len(data)
-        if self._surplus_bytes < 0:
+        """Discard bytes after the call: if they stayed unread, a reset could destroy the response."""
+        self._discardable_bytes -= len(data)
+        if self._discardable_bytes < 0:
             self.close()
 
     def _parse(self, data: bytes) -> None:
--- a/brackenlane/ops/admin_routes.py
+++ b/brackenlane/ops/admin_routes.py
@@ -1,6 +1,6 @@
-"""The calls of the admin API: from a parsed request to its response. Pure.
+"""The routes of the admin API: from a parsed request to its response. Pure.
 
-Paths and texts are an interface that operators' scripts rely on.
+Operators' scripts rely on the paths and on the texts of the responses.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class AdminResponse(NamedTuple):
-    """One response; the connection is closed behind it."""
+    """One response; the connection is closed after it."""
 
     status: HTTPStatus
     body: bytes
@@ -46,17 +46,17 @@
 
 
 class _Route(NamedTuple):
-    """One call: its only method, and what carries it out."""
+    """One route: the only method that it allows, and the function that carries out the call."""
 
     method: str
     respond: Callable[[], AdminResponse]
 
 
 class AdminRoutes(NamedTuple):
-    """The functions behind the calls.
+    """The functions that the routes call.
 
     is_serving: whether this process can serve clients. metrics: returns all metrics as text. order: carries
-    out a maintenance order for the cache of an id.
+    out a maintenance order for the cache with an id.
     """
 
     is_serving: Callable[[], bool]
--- a/brackenlane/ops/handover.py
+++ b/brackenlane/ops/handover.py
@@ -1,7 +1,7 @@
-"""Handover (hot restart) between the processes of one router that listen at the same address.
+"""Handover (hot restart) between the processes of one router, which listen at the same address.
 
-The actor behind the handover log: it applies what the other processes recorded, and keeps to the behavior of
-the handover state that follows from which of them are alive. Nothing in here waits.
+The actor applies the records that the other processes append to the handover log, determines the handover
+state from which processes are alive, and applies the behavior of that state. Nothing in here blocks.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
         handover_log: HandoverLog,
         orders: MaintenanceOrders,
     ) -> None:
-        """Follow the log from now on, and have the engine and the front consult it before they write."""
+        """Start to follow the log, and make the engine and the front consult it before they send requests."""
         self._engine = engine
         self._front = front
         self._check_interval = limits.handover_check_interval
@@ -57,7 +57,7 @@
 
     @property
     def older_process_count(self) -> int:
-        """Number of other live processes of this router; at the start of this one, all of them are older."""
+        """Number of other running processes of this router; when this one starts, all of them are older."""
         return len(self._handover_log.other_processes())
 
     def announce_serving(self) -> None:
@@ -68,7 +68,7 @@
             log.error("the other processes do not learn that this one serves: %s", error)
 
     def close(self) -> None:
-        """Leave the live processes, as this process ends; the others notice at once."""
+        """Close the log, as this process terminates; the other processes detect that immediately."""
         self._engine.membership.catch_up = lambda: None
         self._handover_log.close()
 
@@ -82,9 +82,10 @@
                 self._update_state()
 
     def _catch_up(self) -> None:
-        """Apply what the other processes have recorded; a log that can't be read ends no request.
+        """Apply the records of the other processes; if the log cannot be read, requests continue.
 
-        Called before each write to a cache, so an error here must not look like one of that cache's socket.
+        This is called before each write to a cache, so an OSError must not be taken for one of that cache's
+        socket.
         """
         try:
             self._handover_log.read_new_records()
@@ -93,20 +94,20 @@
             log.error("the handover log cannot be read: %s", error.strerror)
 
     def _check_periodically(self) -> None:
-        """Read the log, compact it where it has grown, and see which processes are alive."""
+        """Read the log, compact it if it has grown, and check which processes are alive."""
         self._engine.timers.at(steady_time() + self._check_interval, self._check_periodically)
         self._catch_up()
         self._handover_log.compact()
         self._update_state()
 
     def _update_state(self) -> None:
-        """Determine the state from the live processes, and switch to its behavior if it has changed."""
+        """Determine the state from the running processes, and apply its behavior if it has changed."""
         own_id = self._handover_log.process_id
         index = self._handover_log.index
         alive = set(self._handover_log.other_processes())
         for process_id in list(index.is_serving):
             if process_id != own_id and process_id not in alive:
-                index.forget_process(process_id)
+                index.remove_process(process_id)
         old_state = self._state
         self._state = handover_state(own_id, index.is_serving, alive)
         if self._state is old_state:
@@ -119,7 +120,10 @@
             self._switch_cold_caches(behavior.uses_cold_caches)
 
     def _switch_cold_caches(self, uses_cold_caches: bool) -> None:
-        """Leave the slow-start budget of cold caches to the later process, or start anew with them."""
+        """Start or stop sending requests to cold caches, with their slow-start budgets counted as spent.
+
+        The later process spends these budgets while this one sends no requests to cold caches.
+        """
         now = steady_time()
         self._engine.routers.spend_slow_start_budgets(now)
         if uses_cold_caches:
@@ -128,7 +132,7 @@
             self._orders.exclude(lambda member: self._is_cold(member, now))
 
     def _is_cold(self, member: Member, now: float) -> bool:
-        """Whether a cache was within its slow start at a Unix time."""
+        """Whether a cache is in slow start at a Unix time."""
         if member.role is Role.ORIGIN or member.started_at <= 0:
             return False
         settings = self._engine.settings
--- a/brackenlane/ops/handover_index.py
+++ b/brackenlane/ops/handover_index.py
@@ -1,4 +1,4 @@
-"""The state that the records of a handover log add up to. Pure."""
+"""The state that results from the records of a handover log. Pure."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     """Which processes serve, which caches are out of service, and which submits may have run."""
 
     def __init__(self, max_claims: int) -> None:
-        """Remember at most `max_claims` ids of submits; the oldest are forgotten first."""
+        """max_claims: number of claims that are kept; past it the oldest claim is dropped."""
         self._max_claims = max_claims
-        self.is_serving: dict[str, bool] = {}  # by process id, in the order of their start
-        self.out_of_service: dict[str, float] = {}  # by cache: the Unix time since when
-        self.claims: OrderedDict[str, str] = OrderedDict()  # by request id: the process that claimed it first
+        self.is_serving: dict[str, bool] = {}  # whether each process serves, by process id in start order
+        self.out_of_service: dict[str, float] = {}  # the Unix time of the order, by cache
+        self.claims: OrderedDict[str, str] = OrderedDict()  # the process with the first claim, by request id
 
     def apply(self, record: HandoverRecord) -> None:
-        """Add one record. The first claim of a request id and the first time of an order hold."""
+        """Apply one record. The first claim of a request id and the first of repeated orders are kept."""
         match record:
             case ProcessStarted(process_id):
                 self.is_serving.setdefault(process_id, False)
@@ -44,12 +44,12 @@
             case SubmitReleased(request_id):
                 self.claims.pop(request_id, None)
 
-    def forget_process(self, process_id: str) -> None:
-        """Drop a process that has ended; its claims stay, since what it claimed may have run."""
+    def remove_process(self, process_id: str) -> None:
+        """Remove a terminated process; its claims are kept, since the submits may have run."""
         self.is_serving.pop(process_id, None)
 
     def summary(self) -> Iterator[HandoverRecord]:
-        """Yield the fewest records that add up to the same state."""
+        """Yield the smallest sequence of records that results in the same state."""
         for process_id, is_serving in self.is_serving.items():
             yield ProcessStarted(process_id)
             if is_serving:
--- a/brackenlane/ops/handover_log.py
+++ b/brackenlane/ops/handover_log.py
@@ -1,8 +1,8 @@
-"""The handover log: what the processes of one router share in a folder of `$TMPDIR`.
+"""The handover log: state that the processes of one router share in a folder of `$TMPDIR`.
 
-Each process appends records to one file, reads those of the others, and holds a lock while it is alive. Once
-a process serves, no call in here waits for another process: an append is one write, a read is one fstat(2)
-while nothing is new.
+Each process appends records to one file, reads the records of the others, and holds a lock while it is alive.
+Once a process serves clients, no call in here waits for another process: an append is one write, and a read
+without new records is one fstat(2).
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 class HandoverLog:
     """One process's access to the shared log.
 
-    process_id: the id of this process, drawn at its start. index: the state that all records read add up to.
-    on_record: called with each record read, also with those of this process, in the order of the file.
+    process_id: random id of this process. index: the state that results from all records read so far.
+    on_record: called with each record read, including those of this process, in the order of the file.
     """
 
     def __init__(self, folder: Path, limits: Limits) -> None:
-        """Open the log in its folder, and record that this process starts. Raises HandoverLogError."""
+        """Open the log in its folder, and record the start of this process. Raises HandoverLogError."""
         self._limits = limits
         self.write_failures = 0  # records that could not be stored
         self.process_id = os.urandom(PROCESS_ID_BYTES).hex()
@@ -48,26 +48,26 @@
                 if not is_locked:
                     raise HandoverLogError("another process starts, and does not get on")
                 self._start(folder)
-        except OSError as fault:
-            raise HandoverLogError(f"{folder}: {fault.strerror}") from fault
+        except OSError as error:
+            raise HandoverLogError(f"{folder}: {error.strerror}") from error
 
     def _start(self, folder: Path) -> None:
-        """Join the live processes, and clean up behind those that have ended."""
-        self._locks.declare_alive()
+        """Join the running processes, and remove the state of those that have terminated."""
+        self._locks.lock_own_file()
         max_read_bytes = self._limits.max_handover_log_size + self._limits.handover_log_order_reserve
         self._file = HandoverFile(folder, max_read_bytes, self._limits.max_handover_record_size)
         self.read_new_records()
         for process_id in list(self.index.is_serving):
             if not self._locks.is_alive(process_id):
-                self.index.forget_process(process_id)
+                self.index.remove_process(process_id)
         self._locks.delete_stale_files()
-        # Damaged, outdated and foreign lines are dropped while nobody else reads the file.
+        # The file is rewritten without damaged, outdated and foreign lines, as no other process reads it.
         if not self.other_processes() and self._file.read_position > 0:
             self._file.replace(self.index.summary())
         self.append(ProcessStarted(self.process_id))
 
     def other_processes(self) -> list[str]:
-        """Return the other processes of this router that are alive, in the order of their start."""
+        """Return the ids of the other processes of this router that are alive, in start order."""
         return [
             process_id
             for process_id in self.index.is_serving
@@ -90,31 +90,31 @@
             if self._file.size() + len(data) > max_bytes:
                 raise self._write_failure("the handover log is full")
             if not self._file.append(data):
-                raise self._write_failure("the handover log took a part of a record")
+                raise self._write_failure("the handover log accepted only a part of a record")
             self.read_new_records()
-        except OSError as fault:
-            raise self._write_failure(f"{self._file.path}: {fault.strerror}") from fault
+        except OSError as error:
+            raise self._write_failure(f"{self._file.path}: {error.strerror}") from error
 
     def _write_failure(self, reason: str) -> HandoverLogError:
         self.write_failures += 1
         return HandoverLogError(reason)
 
     def compact(self) -> None:
-        """Replace the file by a summary if it has grown or is gone, and no other process is alive.
+        """Replace the file by a summary if it has grown or was deleted, unless another process is alive.
 
         To be called periodically.
         """
-        if self._file.is_in_place() and self._file.read_position < self._limits.handover_log_compaction_size:
+        if self._file.is_at_path() and self._file.read_position < self._limits.handover_log_compaction_size:
             return
         try:
             with self._locks.start_lock(timeout=0.0) as is_locked:
                 if is_locked and not self.other_processes():
                     self._file.replace(self.index.summary())
-        except OSError as fault:
-            log.warning("the handover log could not be rewritten: %s", fault.strerror)
+        except OSError as error:
+            log.warning("the handover log could not be rewritten: %s", error.strerror)
 
     def close(self) -> None:
-        """Leave the live processes; the others notice at once."""
+        """Release the lock and close the file; the other processes detect that immediately."""
         self._locks.close()
         self._file.close()
         self._locks.delete_own_file()
--- a/brackenlane/ops/handover_records.py
+++ b/brackenlane/ops/handover_records.py
@@ -1,7 +1,7 @@
 """Codec of the handover log: typed records to lines and back. Pure.
 
-A record is the line `CRC32 KIND FIELDS...` behind an empty line, so that a record torn by a crash or a full
-disk damages no other. KIND is one of the signs `* = + - ! ~`.
+A record is the line `CRC32 TYPE FIELDS...`, preceded by a newline, so that a record truncated by a crash or a
+full disk does not damage the next one. TYPE is one of the characters `* = + - ! ~`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 CHECKSUM_DIGITS = 8
-OVERLONG_LINE = b"#"  # stands for the start of a line that is too long: no record begins so
+OVERLONG_LINE = b"#"  # replaces the start of a line that is too long, so that the line is no valid record
 
 
 class ProcessStarted(NamedTuple):
@@ -41,14 +41,14 @@
 
 
 class SubmitClaimed(NamedTuple):
-    """A process claims a non-idempotent request, by its id: from now on the request may have run there."""
+    """A process claimed a non-idempotent request, by its id; the request may have run there since."""
 
     request_id: str
     process_id: str
 
 
 class SubmitReleased(NamedTuple):
-    """A claimed request provably never ran, so that its id may be claimed again."""
+    """A claimed request provably never ran; its id may be claimed again."""
 
     request_id: str
 
@@ -59,13 +59,13 @@
 
 
 def encode(record: HandoverRecord) -> bytes:
-    """Return the bytes of one record, to be appended as they are."""
-    text = " ".join(_fields(record)).encode()
+    """Return the bytes to append for one record."""
+    text = " ".join(_encode_fields(record)).encode()
     return b"\n%08x %b\n" % (zlib.crc32(text), text)
 
 
-def _fields(record: HandoverRecord) -> tuple[str, ...]:
-    """Return the sign of a record's kind and its fields as text."""
+def _encode_fields(record: HandoverRecord) -> tuple[str, ...]:
+    """Return the character of a record's type, and its fields as text."""
     match record:
         case ProcessStarted(process_id):
             return "*", process_id
@@ -82,18 +82,18 @@
 
 
 def decode(line: bytes) -> HandoverRecord | None:
-    """Return the record of one line; None if the line holds none, or a damaged one."""
+    """Return the record of one line; None if the line is not a valid record."""
     checksum, _, text = line.partition(b" ")
     try:
         if len(checksum) != CHECKSUM_DIGITS or int(checksum, 16) != zlib.crc32(text):
             return None
-        return _read_fields(text.decode("ascii").split(" "))
-    except ValueError:  # not hexadecimal, not ASCII, or no time
+        return _decode_fields(text.decode("ascii").split(" "))
+    except ValueError:  # the checksum is not hexadecimal, the text not ASCII, or a time not a number
         return None
 
 
-def _read_fields(fields: list[str]) -> HandoverRecord | None:
-    """Return the record of a kind's sign and its fields; None for an unknown kind. Raises ValueError."""
+def _decode_fields(fields: list[str]) -> HandoverRecord | None:
+    """Return the record of a type's character and its fields; None if unknown. Raises ValueError."""
     record: HandoverRecord | None = None
     match fields:
         case ["*", process_id]:
@@ -112,7 +112,7 @@
 
 
 class RecordReader:
-    """Incremental decoder of pieces of any size; damaged lines are counted and skipped."""
+    """Incremental decoder for chunks of any size; damaged lines are counted and skipped."""
 
     def __init__(self, max_line_bytes: int) -> None:
         self._max_line_bytes = max_line_bytes
--- a/brackenlane/ops/handover_state.py
+++ b/brackenlane/ops/handover_state.py
@@ -1,9 +1,9 @@
 """The state of one process in a handover (hot restart) between the processes of its router. Pure.
 
-It is the state of this process relative to the other live processes at the same address, which are ordered by
-their start:
+The state depends on the other running processes that listen at the same address, and on the order in which
+the processes started:
 
-| other live processes                                 | state       |
+| other running processes                              | state       |
 | ---------------------------------------------------- | ----------- |
 | none                                                 | ALONE       |
 | at least one started later and serves clients        | RELIEVED    |
@@ -22,14 +22,14 @@
 class HandoverBehavior:
     """What a process does in one handover state."""
 
-    label: str  # as the log shows it
-    client_share: float  # part of the client connections and requests that this process accepts, 0 to 1
-    is_handing_over: bool  # responses ask clients to reconnect, which leads them to the later process
-    uses_cold_caches: bool  # whether requests may go to caches that started recently
+    label: str  # the name of the state in log lines
+    client_share: float  # share of the client connections and requests that this process accepts, 0 to 1
+    is_handing_over: bool  # whether responses ask clients to reconnect, so that the later process gets them
+    uses_cold_caches: bool  # whether requests may be sent to caches in slow start
 
 
 class HandoverState(Enum):
-    """The four states, each with the behavior that it prescribes."""
+    """The four handover states, each with its behavior."""
 
     ALONE = HandoverBehavior("alone", client_share=1.0, is_handing_over=False, uses_cold_caches=True)
     EXPECTING = HandoverBehavior(
@@ -44,8 +44,8 @@
 def handover_state(process_id: str, is_serving: Mapping[str, bool], alive: Set[str]) -> HandoverState:
     """Return the state of one process.
 
-    is_serving: for each recorded process, in the order of their start, whether it serves clients; it contains
-    `process_id`. alive: which of them run now; whether it contains `process_id` makes no difference.
+    is_serving: whether each recorded process serves clients, by process id in start order; it must contain
+    `process_id`. alive: the processes that are running; it may contain `process_id` or not.
     """
     start_order = list(is_serving)
     own_position = start_order.index(process_id)
--- a/brackenlane/ops/maintenance.py
+++ b/brackenlane/ops/maintenance.py
@@ -1,7 +1,7 @@
-"""Maintenance: caches that an operator took out of service, laid over what the change log says of them. Pure.
+"""Maintenance: caches that an operator took out of service, whatever state the change log reports. Pure.
 
 A cache in maintenance is reported to the request engine as draining, so that every rule for draining caches
-holds for it. What the change log says meanwhile is kept, and reported once the cache may serve again.
+applies to it. State from the change log is stored meanwhile, and reported once the cache is back in service.
 """
 
 from __future__ import annotations
@@ -16,39 +16,39 @@
 
 
 class MaintenanceAction(Enum):
-    """What an operator orders for a cache; the values are words of the admin API."""
+    """What an operator orders for a cache; the values are part of the admin API's paths."""
 
     ENTER = "enter"
     EXIT = "exit"
 
 
 class MaintenanceResult(Enum):
-    """How an order ended."""
+    """The result of a maintenance order."""
 
     DONE = "done"
-    UNKNOWN = "unknown"  # no cache of this name is listed or out of service
-    FULL = "full"  # as many caches are out of service as may be
-    NOT_RECORDED = "not recorded"  # it cannot be stored for the next process, so nothing has changed
+    UNKNOWN = "unknown"  # no cache with this id is listed or out of service
+    FULL = "full"  # the maximum number of caches is out of service
+    NOT_RECORDED = "not recorded"  # the order cannot be stored for the next process, so nothing has changed
 
 
 class MaintenanceChange(NamedTuple):
-    """The result of an order, and the event that the request engine must get, if any."""
+    """The result of an order, and the event to be sent to the request engine, if any."""
 
     result: MaintenanceResult
     event: Membership | None
 
 
 class Maintenance:
-    """The caches listed by the change log, and which of them are out of service."""
+    """Owns which caches the change log lists, and which caches operators took out of service."""
 
     def __init__(self, max_out_of_service: int) -> None:
         self._max_out_of_service = max_out_of_service
-        self.listed: dict[str, Member] = {}  # as the change log says, without those that are gone
-        self.out_of_service: dict[str, float] = {}  # by cache: the Unix time since when
+        self.listed: dict[str, Member] = {}  # by id; caches that are gone are removed
+        self.out_of_service: dict[str, float] = {}  # the Unix time of the order, by cache
         self._is_excluded: Callable[[Member], bool] = lambda _: False
 
     def apply(self, event: Membership) -> Membership:
-        """Keep an event of the change log; return it as the request engine may get it."""
+        """Store an event of the change log; return it with the caches in maintenance as draining."""
         if event.kind is not MembershipKind.CHANGES:
             self.listed = {}
         for member in event.members:
@@ -56,14 +56,14 @@
                 self.listed.pop(member.server, None)
             else:
                 self.listed[member.server] = member
-        return Membership(event.kind, tuple(self._masked(member) for member in event.members))
+        return Membership(event.kind, tuple(self._as_reported(member) for member in event.members))
 
     def is_out_of_service(self, server: str) -> bool:
         """Whether an operator took a cache out of service."""
         return server in self.out_of_service
 
     def check(self, action: MaintenanceAction, server: str) -> MaintenanceResult | None:
-        """Return the result of an order that changes nothing; None for one that is to be carried out."""
+        """Return the result of an order that would change nothing; None for an order to be carried out."""
         is_listed = server in self.listed
         is_out = self.is_out_of_service(server)
         if action is MaintenanceAction.EXIT:
@@ -79,7 +79,7 @@
         return None
 
     def carry_out(self, action: MaintenanceAction, server: str, now: float) -> MaintenanceChange:
-        """Carry out an order; repeated, it changes nothing. now: its Unix time."""
+        """Carry out an order; a repeated order changes nothing. now: the Unix time of the order."""
         result = self.check(action, server)
         if result is not None:
             return MaintenanceChange(result, None)
@@ -89,32 +89,33 @@
 
     def _enter(self, server: str, now: float) -> MaintenanceChange:
         self.out_of_service[server] = now
-        return MaintenanceChange(MaintenanceResult.DONE, self._changes([self.listed[server]]))
+        return MaintenanceChange(MaintenanceResult.DONE, self._change_event([self.listed[server]]))
 
     def _exit(self, server: str, now: float) -> MaintenanceChange:
         """Put a cache back into service.
 
-        Guards a cache that was restarted in maintenance, which the (late) change log does not say yet: unless
-        it has reported a start since, the cache counts as started now, so as warming up.
+        A cache may have been restarted during maintenance without the change log having reported it yet. So
+        unless the change log has reported a start since the order, the cache counts as started now, in slow
+        start.
         """
         since = self.out_of_service.pop(server)
         member = self.listed.get(server)
-        if member is None:  # not listed at the moment: when it is again, the change log reports its start
+        if member is None:  # not listed at present; the change log reports the start when it lists it again
             return MaintenanceChange(MaintenanceResult.DONE, None)
         started_at = member.started_at if member.started_at >= since else now
         return MaintenanceChange(
-            MaintenanceResult.DONE, self._changes([replace(member, started_at=started_at)])
+            MaintenanceResult.DONE, self._change_event([replace(member, started_at=started_at)])
         )
 
     def exclude(self, is_excluded: Callable[[Member], bool]) -> Membership:
-        """Treat the caches that this selects as out of service from now on; return the event that does so."""
+        """Report the caches that the predicate selects as draining from now on; return the event for that."""
         self._is_excluded = is_excluded
-        return self._changes(list(self.listed.values()))
+        return self._change_event(list(self.listed.values()))
 
-    def _changes(self, members: list[Member]) -> Membership:
-        return Membership(MembershipKind.CHANGES, tuple(self._masked(member) for member in members))
+    def _change_event(self, members: list[Member]) -> Membership:
+        return Membership(MembershipKind.CHANGES, tuple(self._as_reported(member) for member in members))
 
-    def _masked(self, member: Member) -> Member:
+    def _as_reported(self, member: Member) -> Member:
         if member.state is not ServerState.SERVING:
             return member
         if self.is_out_of_service(member.server) or self._is_excluded(member):
--- a/brackenlane/ops/maintenance_orders.py
+++ b/brackenlane/ops/maintenance_orders.py
@@ -1,4 +1,4 @@
-"""Maintenance orders of one process: between the change log, the admin API and the request engine."""
+"""Carries out maintenance orders, and passes events of the change log on to the request engine."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class MaintenanceOrders:
-    """Owns what operators took out of service, and tells the request engine of it.
+    """Owns which caches operators took out of service, and notifies the request engine of changes.
 
-    With a handover log each order is stored there first, and carried out as its record is read back; without
-    one the orders are known to this process alone.
+    With a handover log, each order is appended to the log and carried out when its record is read back;
+    without one, orders apply to this process only.
     """
 
     def __init__(
@@ -34,13 +34,13 @@
             self._maintenance.out_of_service.update(handover_log.index.out_of_service)
 
     def on_event(self, event: Event) -> None:
-        """Pass an event of the change log to the request engine, with caches in maintenance masked."""
+        """Pass an event of the change log to the request engine, with caches in maintenance as draining."""
         if isinstance(event, Membership):
             event = self._maintenance.apply(event)
         self._engine.post(event)
 
     def order(self, action: MaintenanceAction, server: str) -> MaintenanceResult:
-        """Carry out an operator's order before this returns."""
+        """Carry out an operator's order; it is in force when this returns."""
         now = steady_time()
         if self._handover_log is None:
             return self.carry_out(action, server, now)
@@ -48,31 +48,32 @@
         if result is not None:
             return result
         try:
-            self._handover_log.append(_record(action, server, now))
+            self._handover_log.append(_make_record(action, server, now))
         except HandoverLogError as error:
             log.error("maintenance order for %s cannot be stored: %s", server, error)
             return MaintenanceResult.NOT_RECORDED
         return MaintenanceResult.DONE
 
     def carry_out(self, action: MaintenanceAction, server: str, at: float) -> MaintenanceResult:
-        """Carry out an order of this or another process, given at a Unix time."""
+        """Carry out an order that this or another process received at a Unix time."""
         change = self._maintenance.carry_out(action, server, at)
         if change.event:
             self._notify(change.event)
         return change.result
 
     def exclude(self, is_excluded: Callable[[Member], bool]) -> None:
-        """Treat the caches that this selects as out of service from now on."""
+        """Report the caches that the predicate selects as draining from now on."""
         self._notify(self._maintenance.exclude(is_excluded))
 
     def _notify(self, event: Membership) -> None:
         if event.members:
-            # At once, for what is being written now; the engine may be in the middle of a decision.
+            # Applied immediately for attempts that are about to be written, and also posted, since the engine
+            # may be in the middle of a decision.
             self._engine.membership.apply(event, steady_time())
             self._engine.post(event)
 
     def metrics(self, counts: RequestMetrics, active: int, faults: Mapping[str, int]) -> bytes:
-        """Return all metrics in the text format. active: requests in progress; faults: counts by name."""
+        """Return all metrics in the text format. active: requests in flight. faults: fault counts by name."""
         listed = self._maintenance.listed
         ejected_servers = self._engine.routers.ejected_servers()
         ejected = sum(
@@ -81,7 +82,7 @@
         return expose(counts, Gauges(active, len(listed), ejected), faults)
 
 
-def _record(action: MaintenanceAction, server: str, at: float) -> MaintenanceEntered | MaintenanceExited:
+def _make_record(action: MaintenanceAction, server: str, at: float) -> MaintenanceEntered | MaintenanceExited:
     if action is MaintenanceAction.ENTER:
         return MaintenanceEntered(server, at)
     return MaintenanceExited(server, at)
--- a/brackenlane/ops/process_locks.py
+++ b/brackenlane/ops/process_locks.py
@@ -1,6 +1,6 @@
-"""File locks (flock(2)) in a router's shared folder: who is alive, and who may rewrite the log.
+"""Locks (flock(2)) on files in a router's folder: which processes are alive, and which may rewrite the log.
 
-The kernel drops a lock with the process that holds it, however that process ends.
+The kernel releases a lock when the process that holds it terminates, for whatever reason.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 from collections.abc import Generator
 from pathlib import Path
 
-LIFE_PREFIX = "life."  # one file for each process, locked while it is alive
-START_LOCK = "starting"  # locked by the process that starts, or that rewrites the log
-RETRY_INTERVAL = 0.01  # seconds between two attempts to get the start lock
+LIVENESS_PREFIX = "life."  # start of the name of a process's lock file, which it locks while it is alive
+START_LOCK_NAME = "starting"  # the file locked by a process that is starting or rewriting the log
+RETRY_INTERVAL = 0.01  # seconds between two attempts to acquire the start lock
 
 
 class ProcessLocks:
-    """The locks of one process and a view of those of the others."""
+    """The locks of one process, and checks of the locks of other processes."""
 
     def __init__(self, folder: Path, process_id: str) -> None:
         self._folder = folder
         self._process_id = process_id
-        self._life_file: int | None = None
+        self._own_file: int | None = None
 
-    def declare_alive(self) -> None:
-        """Take the lock that shows the other processes that this one is alive. Raises OSError."""
-        self._life_file = _open_lock_file(self._folder / f"{LIFE_PREFIX}{self._process_id}")
-        _try_lock(self._life_file)
+    def lock_own_file(self) -> None:
+        """Acquire the lock by which other processes detect that this one is alive. Raises OSError."""
+        self._own_file = _open_lock_file(self._folder / f"{LIVENESS_PREFIX}{self._process_id}")
+        _try_lock(self._own_file)
 
     def is_alive(self, process_id: str) -> bool:
-        """Whether a process runs, which it does while it holds its lock."""
+        """Whether a process is running, that is, whether its lock is held."""
         if process_id == self._process_id:
             return True
         try:
-            file = os.open(self._folder / f"{LIFE_PREFIX}{process_id}", os.O_RDWR | os.O_CLOEXEC)
+            file = os.open(self._folder / f"{LIVENESS_PREFIX}{process_id}", os.O_RDWR | os.O_CLOEXEC)
         except OSError:
             return False
         try:
@@ -44,18 +44,18 @@
             os.close(file)
 
     def delete_stale_files(self) -> None:
-        """Delete the lock files of processes that have ended."""
-        for path in self._folder.glob(f"{LIFE_PREFIX}*"):
-            if not self.is_alive(path.name.removeprefix(LIFE_PREFIX)):
+        """Delete the lock files of processes that have terminated."""
+        for path in self._folder.glob(f"{LIVENESS_PREFIX}*"):
+            if not self.is_alive(path.name.removeprefix(LIVENESS_PREFIX)):
                 path.unlink(missing_ok=True)
 
     @contextlib.contextmanager
     def start_lock(self, timeout: float) -> Generator[bool, None, None]:
-        """Hold the lock that one process at a time may hold; yield whether it could be had.
+        """Hold the lock that only one process may hold at a time; yield whether it was acquired.
 
-        timeout: seconds to try, in which the process blocks; with 0 it does not wait.
+        timeout: seconds to retry, during which the whole process blocks; with 0 there is one attempt.
         """
-        file = _open_lock_file(self._folder / START_LOCK)
+        file = _open_lock_file(self._folder / START_LOCK_NAME)
         try:
             deadline = time.monotonic() + timeout
             is_locked = _try_lock(file)
@@ -67,15 +67,15 @@
             os.close(file)
 
     def close(self) -> None:
-        """Give up the lock of this process: from now on it counts as ended."""
-        if self._life_file is not None:
-            os.close(self._life_file)
-            self._life_file = None
+        """Release the lock of this process, which then counts as terminated."""
+        if self._own_file is not None:
+            os.close(self._own_file)
+            self._own_file = None
 
     def delete_own_file(self) -> None:
-        """Delete the lock file of this process, if it can be done."""
+        """Delete the lock file of this process; errors are ignored."""
         with contextlib.suppress(OSError):
-            (self._folder / f"{LIFE_PREFIX}{self._process_id}").unlink()
+            (self._folder / f"{LIVENESS_PREFIX}{self._process_id}").unlink()
 
 
 def _open_lock_file(path: Path) -> int:
@@ -83,7 +83,7 @@
 
 
 def _try_lock(file: int) -> bool:
-    """Try to get an exclusive lock on an open file, without waiting; return whether this process holds it."""
+    """Try to acquire an exclusive lock on an open file without blocking; return whether it is held."""
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
--- a/brackenlane/ops/submit_claims.py
+++ b/brackenlane/ops/submit_claims.py
@@ -1,4 +1,4 @@
-"""Claims of submits (non-idempotent requests) in the handover log: no two processes run the same one."""
+"""Claims of submits (non-idempotent requests) in the handover log, so that only one process runs each."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class SubmitClaims:
-    """The claims of one process."""
+    """Claims and releases submits for one process."""
 
     def __init__(self, handover_log: HandoverLog) -> None:
         self._handover_log = handover_log
 
     def claim(self, request_id: str) -> ClaimResult:
-        """Claim a submit; it may run here if no process claimed it before."""
+        """Claim a submit; this process may run it if no process has claimed it before."""
         own_id = self._handover_log.process_id
         try:
             self._handover_log.append(SubmitClaimed(request_id, own_id))
@@ -30,7 +30,7 @@
         return ClaimResult.TAKEN
 
     def release(self, request_id: str) -> None:
-        """Release a submit that provably never ran: its client may send it again."""
+        """Release the claim of a submit that provably never ran, so that the client may send it again."""
         try:
             self._handover_log.append(SubmitReleased(request_id))
         except HandoverLogError as error:
