--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -37,7 +37,7 @@
         self._max_connections = limits.max_admin_connections
         self._connection_timeout = limits.admin_call_timeout
         self._accept_pause = limits.accept_pause
-        self._deadlines: dict[AdminConnection, float] = {}  # in Unix time, oldest connection first
+        self._deadlines: dict[AdminConnection, float] = {}  # Unix times, oldest connection first
         self._listener: socket.socket | None = None
 
     def open(self, listener: socket.socket) -> None:
@@ -114,7 +114,7 @@
         self._sock = sock
         self._parser = RequestParser(api.request_limits)
         self._unsent = memoryview(b"")
-        self._discardable_bytes = api.request_limits.max_head_size  # bytes still accepted after the call
+        self._discardable_bytes = api.request_limits.max_head_size  # bytes that may follow the call
         self._is_open = True
 
     def close(self) -> None:
--- a/brackenlane/ops/maintenance.py
+++ b/brackenlane/ops/maintenance.py
@@ -43,7 +43,7 @@
 
     def __init__(self, max_out_of_service: int) -> None:
         self._max_out_of_service = max_out_of_service
-        self.listed: dict[str, Member] = {}  # by id; caches that are gone are removed
+        self.listed: dict[str, Member] = {}  # the caches that the change log lists, by id
         self.out_of_service: dict[str, float] = {}  # the Unix time of the order, by cache
         self._is_excluded: Callable[[Member], bool] = lambda _: False
 
