--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' address: the real program, its callers, and counts made at client and cache."""
+"""The admin API: maintenance rules, and the calls to a running router process."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 ENTER, EXIT = MaintenanceAction.ENTER, MaintenanceAction.EXIT
 
 
-async def call(port: int, path: str, method: str = "GET", raw: bytes = b"") -> tuple[int, str]:
-    """One call: status and body."""
+async def call_admin_api(port: int, path: str, method: str = "GET", raw: bytes = b"") -> tuple[int, str]:
+    """Make one call of the admin API; return the status and the body."""
     async with await trio.open_tcp_stream("127.0.0.1", port) as stream:
         await stream.send_all(raw or f"{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
-        got = b""
+        received = b""
         while more := await stream.receive_some(65_536):
-            got += more
-    head, _, body = got.partition(b"\r\n\r\n")
+            received += more
+    head, _, body = received.partition(b"\r\n\r\n")
     return int(head.split()[1]), body.decode()
 
 
 async def figures(port: int) -> dict[str, float]:
-    """All samples by name and labels."""
-    status, text = await call(port, "/status/metrics")
+    """Return all samples of the metrics, by name and labels."""
+    status, text = await call_admin_api(port, "/status/metrics")
     assert status == 200
     return {
         line.rpartition(" ")[0]: float(line.rpartition(" ")[2])
@@ -53,52 +53,55 @@
 
 
 def test_metrics_text_format() -> None:
-    """Each line is a sample or a type, names and labels as the published format has them, quotes escaped."""
+    """Each line is a valid sample or type line of the text format, with escaped label values."""
     counts = RequestMetrics(['a"b\\c\nd', "pages"])
     counts.count_answer("pages", 200)
     counts.count_answer("pages", 304)
     counts.count_answer("nobody's", 200)
     text = expose(counts, Gauges(14, 9, 1)).decode()
-    sample = re.compile(r'[a-z_]+(\{kind="(\\["\\n]|[^"\\\n])*"\})? \d+')
-    kinds = re.compile(r"# TYPE [a-z_]+ (counter|gauge)")
+    sample_line = re.compile(r'[a-z_]+(\{kind="(\\["\\n]|[^"\\\n])*"\})? \d+')
+    type_line = re.compile(r"# TYPE [a-z_]+ (counter|gauge)")
     assert text.endswith("\n")
-    assert all(kinds.fullmatch(line) or sample.fullmatch(line) for line in text.splitlines())
+    assert all(type_line.fullmatch(line) or sample_line.fullmatch(line) for line in text.splitlines())
     assert 'gw_ok{kind="pages"} 2\n' in text
     assert "gw_active 14\n" in text
     assert r'gw_ok{kind="a\"b\\c\nd"} 0' in text
 
 
 def test_maintenance_outlasts_change_log_events() -> None:
-    """A cache that is out stays so through every list; back, it counts as cold unless the log told so."""
-    known = Maintenance(max_out_of_service=1)
+    """A cache in maintenance is draining whatever the change log reports.
+
+    After its exit it counts as started then, unless the change log has reported a start since the order.
+    """
+    maintenance = Maintenance(max_out_of_service=1)
     cache, other = Member("a", "z", started_at=5.0), Member("b", "z")
 
     def reported(event: Membership | None) -> list[tuple[str, ServerState, float]]:
         assert event is not None
         return [(m.server, m.state, m.started_at) for m in event.members]
 
-    assert known.carry_out(ENTER, "a", 10.0) == (MaintenanceResult.UNKNOWN, None)
-    known.apply(Membership(MembershipKind.FULL, (cache, other)))
-    assert reported(known.carry_out(ENTER, "a", 10.0)[1]) == [("a", ServerState.DRAINING, 5.0)]
-    assert known.carry_out(ENTER, "a", 11.0) == (MaintenanceResult.DONE, None)
-    assert known.carry_out(ENTER, "b", 11.0) == (MaintenanceResult.FULL, None)
+    assert maintenance.carry_out(ENTER, "a", 10.0) == (MaintenanceResult.UNKNOWN, None)
+    maintenance.apply(Membership(MembershipKind.FULL, (cache, other)))
+    assert reported(maintenance.carry_out(ENTER, "a", 10.0)[1]) == [("a", ServerState.DRAINING, 5.0)]
+    assert maintenance.carry_out(ENTER, "a", 11.0) == (MaintenanceResult.DONE, None)
+    assert maintenance.carry_out(ENTER, "b", 11.0) == (MaintenanceResult.FULL, None)
     for kind in (MembershipKind.CHANGES, MembershipKind.FULL):
-        assert reported(known.apply(Membership(kind, (cache, other)))) == [
+        assert reported(maintenance.apply(Membership(kind, (cache, other)))) == [
             ("a", ServerState.DRAINING, 5.0),
             ("b", ServerState.SERVING, 0.0),
         ]
-    assert reported(known.carry_out(EXIT, "a", 20.0)[1]) == [
+    assert reported(maintenance.carry_out(EXIT, "a", 20.0)[1]) == [
         ("a", ServerState.SERVING, 20.0)
-    ]  # no start told since: cold
-    assert known.carry_out(EXIT, "a", 21.0) == (MaintenanceResult.DONE, None)
-    assert known.carry_out(EXIT, "c", 21.0) == (MaintenanceResult.UNKNOWN, None)
-    known.carry_out(ENTER, "a", 30.0)
-    known.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", state=ServerState.GONE),)))
-    assert known.carry_out(EXIT, "a", 31.0) == (MaintenanceResult.DONE, None)
-    known.apply(Membership(MembershipKind.CHANGES, (cache,)))
-    known.carry_out(ENTER, "a", 40.0)
-    known.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", started_at=44.0),)))
-    assert reported(known.carry_out(EXIT, "a", 50.0)[1]) == [("a", ServerState.SERVING, 44.0)]
+    ]  # no start was reported since the order
+    assert maintenance.carry_out(EXIT, "a", 21.0) == (MaintenanceResult.DONE, None)
+    assert maintenance.carry_out(EXIT, "c", 21.0) == (MaintenanceResult.UNKNOWN, None)
+    maintenance.carry_out(ENTER, "a", 30.0)
+    maintenance.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", state=ServerState.GONE),)))
+    assert maintenance.carry_out(EXIT, "a", 31.0) == (MaintenanceResult.DONE, None)
+    maintenance.apply(Membership(MembershipKind.CHANGES, (cache,)))
+    maintenance.carry_out(ENTER, "a", 40.0)
+    maintenance.apply(Membership(MembershipKind.CHANGES, (Member("a", "z", started_at=44.0),)))
+    assert reported(maintenance.carry_out(EXIT, "a", 50.0)[1]) == [("a", ServerState.SERVING, 44.0)]
 
 
 @pytest.mark.parametrize(
@@ -117,31 +120,33 @@
 )
 @with_trio
 async def test_each_call_gets_its_response(tmp_path: Path, raw: bytes, status: int) -> None:
-    """Each call gets its answer; what can't be read or is not known changes nothing."""
+    """Each call gets its status; a malformed or unknown call changes nothing."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in (CacheStandIn(EDGE), CacheStandIn(ORIGIN, "origin"))]
-        ops = free_port()
-        async with platform(tmp_path, caches, ops=ops) as router_process:
-            found, _ = await call(ops, "", raw=raw)
-            assert found == status or (status >= 400 and 400 <= found < 500 and b"\xff" in raw)
-            assert (await figures(ops))["gw_pool_ejected"] == 0
+        admin_port = free_port()
+        async with platform(tmp_path, caches, ops=admin_port) as router_process:
+            actual_status, _ = await call_admin_api(admin_port, "", raw=raw)
+            assert actual_status == status or (
+                status >= 400 and 400 <= actual_status < 500 and b"\xff" in raw
+            )
+            assert (await figures(admin_port))["gw_pool_ejected"] == 0
             assert (await router_process.ask())[0] == 200
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_idle_connections_give_way_to_new_calls(tmp_path: Path) -> None:
-    """More callers than may stand there, idle or half-way, and a caller that calls is answered at once."""
+    """More idle or incomplete connections than allowed do not delay a complete call."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in (CacheStandIn(EDGE), CacheStandIn(ORIGIN, "origin"))]
-        ops = free_port()
-        async with platform(tmp_path, caches, ops=ops):
-            idle = [await trio.open_tcp_stream("127.0.0.1", ops) for _ in range(40)]
+        admin_port = free_port()
+        async with platform(tmp_path, caches, ops=admin_port):
+            idle = [await trio.open_tcp_stream("127.0.0.1", admin_port) for _ in range(40)]
             for stream in idle[::2]:
                 await stream.send_all(b"GET /status HT")
             with trio.fail_after(5):
                 for _ in range(20):
-                    assert (await call(ops, "/status"))[0] == 200
+                    assert (await call_admin_api(admin_port, "/status"))[0] == 200
             for stream in idle:
                 await stream.aclose()
         nursery.cancel_scope.cancel()
@@ -149,8 +154,8 @@
 
 @with_trio
 async def test_metrics_agree_with_clients_and_caches(tmp_path: Path) -> None:
-    """Every way a request may end is counted as its client saw it, each attempt as its cache did."""
-    ways: dict[str, ScriptedReply] = {
+    """Metrics count each response as its client received it, and each attempt as its cache received it."""
+    replies: dict[str, ScriptedReply] = {
         "00000000000000a0": b"%b absent - 0\r\n\r\n",
         "00000000000000a1": b"%b failed - 0\r\n\r\n",
         "00000000000000a2": b"%b full - 0\r\n\r\n",
@@ -158,66 +163,71 @@
     }
 
     def answer(requested: ReceivedRequest) -> ScriptedReply:
-        worded = ways.get(requested.fields["path"], b"")
+        reply = replies.get(requested.fields["path"], b"")
         if requested.fields["path"] == "00000000000000a4":
             return data(requested, b"", "unchanged")
-        return data(requested) if worded == b"" else worded and worded % requested.id.encode()
+        return data(requested) if reply == b"" else reply and reply % requested.id.encode()
 
     async with trio.open_nursery() as nursery:
         caches = [
             await cache.open(nursery)
             for cache in (CacheStandIn(EDGE, answer=answer), CacheStandIn(ORIGIN, "origin", answer=answer))
         ]
-        ops = free_port()
-        async with platform(tmp_path, caches, ops=ops) as router_process:
-            seen = {
+        admin_port = free_port()
+        async with platform(tmp_path, caches, ops=admin_port) as router_process:
+            expected = {
                 (name, cls): 0
                 for name in ("ok", "shed", "errors")
                 for cls in ("video-parts", "sheet-pages", "sheet-submit")
             }
 
             async def request(cls: str, obj: str, **headers: str) -> None:
-                found = (
+                status = (
                     await router_process.ask(cls, obj, b"signed" * (cls == "sheet-submit"), 600, **headers)
                 )[0]
-                ending = "ok" if found in (200, 304) else "shed" if found in (429, 503) else "errors"
-                seen[ending, cls] += 1
+                metric = "ok" if status in (200, 304) else "shed" if status in (429, 503) else "errors"
+                expected[metric, cls] += 1
 
             for n in range(5):
                 for cls in ("video-parts", "sheet-pages", "sheet-submit"):
                     await request(cls, f"00000000000000a{n}", If_None_Match='"e1"')
-            await request("video-parts", "00000000000000b0", X_Second_Try="7")  # malformed, of a class
+            # A malformed request of a known class.
+            await request("video-parts", "00000000000000b0", X_Second_Try="7")
             await router_process.ask("no-such-class")
-            with socket.create_connection(("127.0.0.1", router_process.port)) as gone:  # a client that leaves
-                gone.send(
+            # A client that disconnects before it has a response.
+            with socket.create_connection(("127.0.0.1", router_process.port)) as client:
+                client.send(
                     b"GET /api/v2/sheet-pages/00000000000000a3/n-1 HTTP/1.1\r\nHost: o\r\nX-Txn: "
                     b"9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 9000\r\nX-Shard: 1\r\n\r\n"
                 )
-                before = len(caches[0].received)
-                await caches[0].until(lambda: len(caches[0].received) > before)
-                assert (await figures(ops))["gw_active"] == 1
-            now = await figures(ops)
-            while now["gw_active"]:
-                now = await figures(ops)
-            assert {(n, c): now[f'gw_{n}{{kind="{c}"}}'] for n, c in seen} == seen
+                received_before = len(caches[0].received)
+                await caches[0].until(lambda: len(caches[0].received) > received_before)
+                assert (await figures(admin_port))["gw_active"] == 1
+            metrics = await figures(admin_port)
+            while metrics["gw_active"]:
+                metrics = await figures(admin_port)
+            assert {(n, c): metrics[f'gw_{n}{{kind="{c}"}}'] for n, c in expected} == expected
             for cls in ("video-parts", "sheet-pages", "sheet-submit"):
-                written = sum(a.fields["queue"] == cls for cache in caches for a in cache.received)
-                assert now[f'gw_tries{{kind="{cls}"}}'] == written > 0
-            assert now["gw_pool_size"] == 2
+                attempt_count = sum(a.fields["queue"] == cls for cache in caches for a in cache.received)
+                assert metrics[f'gw_tries{{kind="{cls}"}}'] == attempt_count > 0
+            assert metrics["gw_pool_size"] == 2
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_cache_in_maintenance_receives_no_requests(tmp_path: Path) -> None:
-    """From the yes on nothing goes to it, whatever the log says; one call back undoes two."""
+    """A cache gets no request once its order is confirmed, whatever the change log reports.
+
+    One exit order is enough after two enter orders.
+    """
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, other, origin = [
             await cache.open(nursery)
             for cache in (CacheStandIn(EDGE), CacheStandIn(OTHER), CacheStandIn(ORIGIN, "origin"))
         ]
-        ops = free_port()
-        async with platform(tmp_path, [edge, other, origin], log, ops=ops) as router_process:
+        admin_port = free_port()
+        async with platform(tmp_path, [edge, other, origin], log, ops=admin_port) as router_process:
 
             async def request_all() -> None:
                 for n in range(12):
@@ -226,22 +236,26 @@
             await request_all()
             assert edge.received
             for _ in range(2):
-                assert (await call(ops, f"/maintenance/enter/{EDGE}", "PUT"))[0] == 200
-            before = len(edge.received)
+                assert (await call_admin_api(admin_port, f"/maintenance/enter/{EDGE}", "PUT"))[0] == 200
+            received_before = len(edge.received)
             await request_all()
             await log.tell(2, 2, record(edge, 1))
             await log.tell(3, 2, record(edge, 0))
             await log.tell(4, 1, record(edge, 0) + record(other, 0) + record(origin, 0))
             await log.cut()
             await request_all()
-            assert len(edge.received) == before
-            assert not [a for a in (*other.received, *origin.received) if a.fields.get("miss") == EDGE]
-            now = await figures(ops)
-            assert (now["gw_pool_size"], now["gw_pool_ejected"]) == (3, 1)
-            assert (await call(ops, f"/maintenance/exit/{EDGE}", "PUT"))[0] == 200
-            end = time.monotonic() + 5
-            while len(edge.received) == before:
-                assert time.monotonic() < end
+            assert len(edge.received) == received_before
+            assert not [
+                attempt
+                for attempt in (*other.received, *origin.received)
+                if attempt.fields.get("miss") == EDGE
+            ]
+            metrics = await figures(admin_port)
+            assert (metrics["gw_pool_size"], metrics["gw_pool_ejected"]) == (3, 1)
+            assert (await call_admin_api(admin_port, f"/maintenance/exit/{EDGE}", "PUT"))[0] == 200
+            deadline = time.monotonic() + 5
+            while len(edge.received) == received_before:
+                assert time.monotonic() < deadline
                 await request_all()
-            assert (await figures(ops))["gw_pool_ejected"] == 0
+            assert (await figures(admin_port))["gw_pool_ejected"] == 0
         nursery.cancel_scope.cancel()
