--- a/tests/test_store_codec.py
+++ b/tests/test_store_codec.py
@@ -1,4 +1,4 @@
-"""The store's values, decoded: what another program wrote there is skipped, and never stops a router."""
+"""Decoding of values in the store: an invalid value, as another program may write it, is skipped."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 @pytest.mark.parametrize("event", [CacheDefined(EDGE), OrderGiven("e-1", OperatorOrder(True, 5.0, "a"))])
 def test_an_event_is_decoded_to_what_was_encoded(event: StoreEvent) -> None:
-    """Definitions and orders come back whole."""
+    """Definitions and orders are decoded to equal records."""
     assert decode_event(encode_event(event)) == event
 
 
 def test_a_purge_is_decoded_without_the_writers_time() -> None:
-    """Readers go by the store's clock; a time that is missing or damaged is no reason to skip a purge."""
+    """Readers use the store's clock, so a purge whose own time is missing or invalid is not skipped."""
     assert decode_event(encode_event(PurgeRequested("clip", -1, 7.5))) == PurgeRequested("clip", -1)
     for text in ('{"purge":{"object":"","group":7}}', '{"purge":{"object":"","group":7,"time":"x"}}'):
         assert decode_event(text) == decode_purge(text) == PurgeRequested("", 7)
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "7", "null", "{}", '{"other":{}}'])
 def test_an_unknown_event_is_none(text: str) -> None:
-    """What is no event, or one of a later version, is no error."""
+    """Text that is not an event, or an event of a later version, is ignored without an error."""
     assert decode_event(text) is None
     assert decode_purge(text) is None
 
@@ -64,7 +64,7 @@
     ],
 )
 def test_a_damaged_event_is_reported_and_skipped(text: str, caplog: pytest.LogCaptureFixture) -> None:
-    """It raises one kind of error; the applier logs it with its position and goes on."""
+    """The decoder raises StoreDataError; the applier logs the position of the entry and skips it."""
     with pytest.raises(StoreDataError):
         decode_event(text)
     notified: list[object] = []
@@ -77,7 +77,7 @@
 
 
 def test_entries_without_an_event_are_passed_over() -> None:
-    """Fields of other names, and a name without a value."""
+    """Other fields, and a field name without a value, are ignored."""
     reply = [("5-1", ["other", "x"]), ("5-2", ["event", "{}", "odd"])]
     assert parse_entries(reply) == [
         StreamEntry(StreamPosition(5, 1), ""),
@@ -86,7 +86,7 @@
 
 
 def test_a_capacity_hint_is_applied_or_refused() -> None:
-    """Rates replace the file's; what is no object changes nothing; one without good rates is an error."""
+    """Its rates replace those of the file; text that is no object is ignored; invalid rates are an error."""
     capacity = Capacity(9, 500.0, 20.0)
     assert apply_hint('{"asks": 5, "loads": 3.5}', capacity) == Capacity(9, 5.0, 3.5)
     assert apply_hint("spare me", capacity) == apply_hint("7", capacity) == capacity
@@ -101,7 +101,7 @@
 
 
 def test_of_too_many_purges_the_first_are_kept() -> None:
-    """Within the limit and the lifetime, with the latest time of each."""
+    """A purge past the limit and an expired one are not recorded."""
     purges = RecentPurges(12.0, limit=2)
     now = time.time()
     purges.record("old", -1, now - 13.0)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,7 +1,7 @@
-"""What is stored outside the program stays as it is, whatever its modules and classes are called.
+"""The formats of stored data stay the same when modules and classes of the program are renamed.
 
-The samples in tests/data were written by the program's own code at 5cb6090, with its clock at SAVED; that of
-version 1 by the code before 35ab276.
+The program wrote the samples in tests/data at commit 5cb6090, with its clock at SAVED, and the snapshot of
+version 1 before commit 35ab276.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 DATA = Path(__file__).parent / "data"
 ROOT = Path(__file__).parent.parent
-AGES = 1e9  # seconds for which a purge counts, so that those of the sample still do
+PURGE_PROPAGATION_TIME = 1e9  # seconds; long enough that the purges of the sample have not expired
 
 EDGE = CacheDefinition("e-1", "192.0.2.7", 7001, "north", Role.EDGE, 2.5, 0)
 PARENT = CacheDefinition("p-1", "parent.branch.example", 7002, "south", Role.PARENT, 1.0, 10)
@@ -57,7 +57,7 @@
 RESTORE = OperatorOrder(False, 1_700_000_100.5, "the console of door-b")
 
 SAVED = 1_700_000_200.75
-KEPT = snapshot_codec.Snapshot(
+SNAPSHOT = snapshot_codec.Snapshot(
     RememberedMembers(
         (EDGE, PARENT),
         {"_cache._tcp.branch.example": (ORIGIN,), "_empty._tcp.branch.example": ()},
@@ -84,41 +84,43 @@
 
 
 class RecordingRedis(Redis):
-    """The stand-in store, and the commands that came, in their order."""
+    """A stand-in for Redis that records the commands received, in order."""
 
     def __init__(self, keys: dict[str, Any] | None = None) -> None:
         super().__init__()
-        self.came: list[list[str]] = []
+        self.received_commands: list[list[str]] = []
         self.keys.update(keys or {})
 
     async def _turn(
         self, command: list[str], queue: list[list[str]] | None
     ) -> tuple[bytes, list[list[str]] | None]:
-        self.came.append([re.sub(r":loads:\d+$", ":loads:BUCKET", text) for text in command])
+        self.received_commands.append([re.sub(r":loads:\d+$", ":loads:BUCKET", text) for text in command])
         return await super()._turn(command, queue)
 
 
-def shared_at(redis: Redis, position: StreamPosition = STREAM_START) -> tuple[SharedStore, MembershipMerge]:
-    """A view of the store in redis, from a place in its log on."""
+def open_shared_store(
+    redis: Redis, position: StreamPosition = STREAM_START
+) -> tuple[SharedStore, MembershipMerge]:
+    """Return a router's shared store, at a stream position, and the merge that it updates."""
     merge = MembershipMerge(Policy())
-    roster = Registry(merge, lambda _: None, lambda *_: None)
+    registry = Registry(merge, lambda _: None, lambda *_: None)
     endpoint = ("127.0.0.1", redis.port)
-    settings = StoreSettings(endpoint, "branch.example", "door-a", AGES, Capacity(2))
-    return SharedStore(settings, roster, Limits(), StartupPhases(0.0), position), merge
+    settings = StoreSettings(endpoint, "branch.example", "door-a", PURGE_PROPAGATION_TIME, Capacity(2))
+    return SharedStore(settings, registry, Limits(), StartupPhases(0.0), position), merge
 
 
-async def follow_until_current(redis: Redis, shared: SharedStore, own: list[CacheDefinition]) -> None:
-    """Run until the store is read whole and news are waited for."""
+async def run_until_current(redis: Redis, shared: SharedStore, file_caches: list[CacheDefinition]) -> None:
+    """Run a router's shared store until it has read everything and waits for updates."""
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(shared.run, own)
+        nursery.start_soon(shared.run, file_caches)
         await redis.seen.wait()
         nursery.cancel_scope.cancel()
 
 
 async def write_store(redis: RecordingRedis) -> None:
-    """One of each form that the program writes to the store."""
-    shared, _ = shared_at(redis)
-    await follow_until_current(redis, shared, [EDGE])
+    """Write values in every format that the program writes to the store."""
+    shared, _ = open_shared_store(redis)
+    await run_until_current(redis, shared, [EDGE])
     assert await shared.publisher.publish(CacheDefined(PARENT))
     assert await shared.publisher.publish(OrderGiven("e-1", DRAIN))
     assert await shared.publisher.publish(OrderGiven("p-1", RESTORE))
@@ -130,18 +132,18 @@
 
 
 def stored_keys() -> dict[str, Any]:
-    """The store's sample, as the stand-in holds it: entries of a stream by their two numbers."""
+    """Return the sample of the store as the stand-in represents it: stream ids are pairs of numbers."""
     keys: dict[str, Any] = orjson.loads((DATA / "store-keys.json").read_bytes())
     return {
-        key: [((int(at[0]), int(at[1])), fields) for at, fields in value]
+        key: [((int(entry_id[0]), int(entry_id[1])), fields) for entry_id, fields in value]
         if isinstance(value, list)
         else value
         for key, value in keys.items()
     }
 
 
-def without_places(keys: dict[str, Any]) -> dict[str, Any]:
-    """The store's content but for what its clock made."""
+def without_stream_ids(keys: dict[str, Any]) -> dict[str, Any]:
+    """Return the store's content without stream ids and ticket windows, which depend on the time."""
     return {
         re.sub(r":loads:\d+$", ":loads:BUCKET", key): [fields for _, fields in value]
         if isinstance(value, list)
@@ -152,80 +154,82 @@
 
 @with_trio
 async def test_store_gets_the_same_commands_and_keys() -> None:
-    """Keys, fields, options and JSON of every command are those of the sample."""
+    """Keys, fields, options and JSON of all commands are those of the sample."""
     async with trio.open_nursery() as nursery:
         redis = await RecordingRedis().open(nursery)
         await write_store(redis)
         nursery.cancel_scope.cancel()
-    assert redis.came == orjson.loads((DATA / "store-commands.json").read_bytes())
-    assert without_places(redis.keys) == without_places(stored_keys())
+    assert redis.received_commands == orjson.loads((DATA / "store-commands.json").read_bytes())
+    assert without_stream_ids(redis.keys) == without_stream_ids(stored_keys())
 
 
 @pytest.mark.parametrize(
-    ("position", "others"),
+    ("position", "definitions"),
     [(STREAM_START, {EDGE, PARENT}), (StreamPosition(1700000200750, 0), {PARENT})],
 )
-def test_store_is_read_to_the_same_state(position: StreamPosition, others: set[CacheDefinition]) -> None:
-    """A whole load, and a place behind the first entry of the log, give caches, orders and purges."""
+def test_store_is_read_to_the_same_state(position: StreamPosition, definitions: set[CacheDefinition]) -> None:
+    """A full load, and updates after the first entry of the stream, yield caches, orders and purges."""
     keys = stored_keys()
-    keys["brackenlane:branch.example:pace"] = '{"asks": 5, "loads": 3.5}'  # the operator's to write
+    keys["brackenlane:branch.example:pace"] = '{"asks": 5, "loads": 3.5}'  # written by an operator
 
     @with_trio
     async def read() -> None:
         async with trio.open_nursery() as nursery:
             redis = await RecordingRedis(keys).open(nursery)
-            shared, merge = shared_at(redis, position)
-            await follow_until_current(redis, shared, [EDGE])
-            assert not any(command[0] == "SET" for command in redis.came)  # the file is there already
+            shared, merge = open_shared_store(redis, position)
+            await run_until_current(redis, shared, [EDGE])
+            assert not any(
+                command[0] == "SET" for command in redis.received_commands
+            )  # the file is registered already
             assert await shared.claims.claim("txn-1") is ClaimResult.TAKEN
             assert await shared.claims.claim("txn-2") is ClaimResult.OURS
             nursery.cancel_scope.cancel()
-        memory = merge.to_remember()
-        assert set(memory.definitions) == others
-        assert not memory.srv_members
-        assert memory.orders == {"e-1": DRAIN, "p-1": RESTORE}
+        remembered = merge.to_remember()
+        assert set(remembered.definitions) == definitions
+        assert not remembered.srv_members
+        assert remembered.orders == {"e-1": DRAIN, "p-1": RESTORE}
         assert str(shared.position) == "1700000200750-5"
-        told_at = pytest.approx(SAVED, abs=5.0)  # by the store's clock, less the time of an answer
-        assert shared.purges == {("clip", -1): told_at, ("", 7): told_at}
+        purged_at = pytest.approx(SAVED, abs=5.0)  # by the store's clock, less the duration of a reply
+        assert shared.purges == {("clip", -1): purged_at, ("", 7): purged_at}
         assert (shared.pacing.capacity.request_rate, shared.pacing.capacity.load_rate) == (5.0, 3.5)
 
     read()
 
 
 @pytest.mark.parametrize(
-    ("sample", "retained"),
+    ("sample", "expected"),
     [
-        ("last-list-2.json", KEPT),
+        ("last-list-2.json", SNAPSHOT),
         (
             "last-list-1.json",
-            snapshot_codec.Snapshot(KEPT.memory, SAVED),
-        ),  # knew neither place nor leaving nor purges
+            snapshot_codec.Snapshot(SNAPSHOT.memory, SAVED),
+        ),  # version 1 has no position, shutdown flag or purges
     ],
 )
-def test_last_list_is_read_to_the_same_state(
-    sample: str, retained: snapshot_codec.Snapshot, tmp_path: Path
+def test_snapshot_is_read_to_the_same_state(
+    sample: str, expected: snapshot_codec.Snapshot, tmp_path: Path
 ) -> None:
-    """Boxes, lists, addresses, orders, place and purges, of each version."""
-    path = Path(shutil.copy(DATA / sample, tmp_path))  # a copy, since one that can't be read is moved
-    assert snapshot.load(path) == retained
+    """A snapshot of each version yields caches, SRV lists, addresses, orders, position and purges."""
+    path = Path(shutil.copy(DATA / sample, tmp_path))  # a copy, since an unreadable file is renamed
+    assert snapshot.load(path) == expected
 
 
-def test_last_list_is_written_the_same(tmp_path: Path) -> None:
-    """Byte for byte, under a version and a checksum, and nothing beside it."""
-    snapshot.save(tmp_path / "last-list.json", snapshot_codec.dump(KEPT))
+def test_snapshot_is_written_the_same(tmp_path: Path) -> None:
+    """The file equals the sample, with its version and checksum, and no other file is left."""
+    snapshot.save(tmp_path / "last-list.json", snapshot_codec.dump(SNAPSHOT))
     assert (tmp_path / "last-list.json").read_bytes() == (DATA / "last-list-2.json").read_bytes()
     assert os.listdir(tmp_path) == ["last-list.json"]
 
 
-def test_damaged_last_list_is_set_aside(tmp_path: Path) -> None:
-    """Its name is the operator's to find."""
+def test_damaged_snapshot_is_renamed(tmp_path: Path) -> None:
+    """Operators look for the renamed file by this name."""
     (tmp_path / "last-list.json").write_bytes(b"{}")
     assert snapshot.load(tmp_path / "last-list.json") is None
     assert os.listdir(tmp_path) == ["last-list.json.damaged"]
 
 
 def test_handover_records_are_read_and_written_the_same() -> None:
-    """Every kind of record, and what they add up to."""
+    """Every type of record, and the index that results from all of them."""
     data = (DATA / "ledger").read_bytes()
     reader, index = (
         RecordReader(Limits().max_handover_record_size),
@@ -249,12 +253,12 @@
 def test_next_process_reads_the_handover_log(
     sample: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The folder by the address that is listened at, the files in it, and what outlives its processes."""
+    """The folder's name has the listening address; its orders and claims outlive the processes."""
     config = load_config(str(ROOT / "example/config.json"))
     folder = tmp_path / "brackenlane.{}.{}".format(*config.listen)
     folder.mkdir()
     shutil.copy(DATA / sample, folder / "ledger")
-    (folder / "life.0a1b2c3d").touch()  # its process has ended: nobody holds its lock
+    (folder / "life.0a1b2c3d").touch()  # its process has terminated, so its lock is free
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     handover_log = open_handover_log(config, Limits())
     assert isinstance(handover_log, HandoverLog)
