--- a/brackenlane/appliance/__init__.py
+++ b/brackenlane/appliance/__init__.py
@@ -1,5 +1,5 @@
 """The router as an appliance for a small site: DNS and HTTP fronts, set up by an operator's file.
 
-It puts the parts of the other packages together, and decides only what a starting router serves from. Entry
-points: `config.load` and `program.serve`.
+Assembles the components of the other packages. Its only logic of its own is which data a starting router uses
+before the shared store has answered. Entry points: `config.load` and `program.serve`.
 """
--- a/brackenlane/appliance/config.py
+++ b/brackenlane/appliance/config.py
@@ -1,4 +1,4 @@
-"""The configuration of an appliance, as its parts need it: made from the tables of the operator's file."""
+"""Converts the tables of the operator's file to the configuration records of the appliance's components."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryConfig:
-    """Which caches there are, and where their addresses come from."""
+    """The configured caches and SRV entries, and how DNS names are resolved."""
 
     caches: tuple[CacheDefinition, ...]
     watches: tuple[SrvWatch, ...]
     resolvers: tuple[Endpoint, ...]
     policy: Policy
     lifetimes: Lifetimes
-    snapshot_path: Path | None  # None: nothing is remembered over a restart
+    snapshot_path: Path | None  # None: no snapshot is kept across restarts
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,21 +45,21 @@
     http: Endpoint
     dns: Endpoint
     zone: Name
-    console: Path  # of its Unix socket
+    console: Path  # path of the console's Unix socket
     settings: Settings
     discovery: DiscoveryConfig
-    redis: Endpoint | None  # the shared store
+    redis: Endpoint | None  # address of the shared store; None: no store
     store_capacity: Capacity
     coldstart: ColdStartTable
 
 
 def load(path: str) -> ApplianceConfig:
-    """Return the configuration from the operator's file at a path. Raises ConfigError with all its faults."""
+    """Return the configuration from the file at a path. Raises ConfigError that lists all faults."""
     return convert(load_appliance(path), Path(path).parent)
 
 
 def convert(file: ApplianceFile, folder: Path) -> ApplianceConfig:
-    """Return the configuration of a file; the other files that it names are relative to its folder."""
+    """Return the configuration of a file. Paths in the file are relative to `folder`."""
     return ApplianceConfig(
         name=file.name,
         http=read_endpoint(file.http, "http"),
@@ -114,5 +114,5 @@
 
 
 def _canonical_name(name: str) -> str:
-    """Return a DNS name in lower case, without its last dot."""
+    """Return a DNS name in lower case, without the trailing dot."""
     return name.rstrip(".").lower()
--- a/brackenlane/appliance/program.py
+++ b/brackenlane/appliance/program.py
@@ -1,4 +1,4 @@
-"""The appliance's router: its parts, put together from the operator's file, step by step."""
+"""Starts the appliance's router: creates its components from the configuration and runs them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import trio
 
 from brackenlane.appliance.config import ApplianceConfig
-from brackenlane.appliance.startup import Startup
+from brackenlane.appliance.startup import RegistryBootstrap
 from brackenlane.clock import steady_time
 from brackenlane.coldstart.phases import StartupEvent, StartupPhases
 from brackenlane.coldstart.stream_position import STREAM_START
@@ -33,16 +33,15 @@
 from brackenlane.routing.events import AttemptResult
 from brackenlane.store.shared_store import SharedStore, StoreSettings
 
-SUSPICIOUS_RESULTS = (AttemptResult.UNREACHABLE, AttemptResult.BROKEN)  # the cache may be elsewhere by now
-
-
-SEED_BITS = 63  # of the random numbers of decisions
+# After these results the address of a cache is looked up again, since it may have changed.
+LOOKUP_TRIGGERS = (AttemptResult.UNREACHABLE, AttemptResult.BROKEN)
+SEED_BITS = 63  # length of the seed of the engine's random numbers
 
 
 class CacheObserver:
-    """Receives the result of each attempt, for the console and for discovery.
+    """Passes the result of each attempt to the console's health records and to discovery.
 
-    `registry` and `dns_source` are set once those exist.
+    `registry` and `dns_source` are None until these components have been created.
     """
 
     def __init__(self) -> None:
@@ -51,17 +50,17 @@
         self.dns_source: DnsSource | None = None
 
     def on_result(self, server: str, result: AttemptResult) -> None:
-        """Record the result of an attempt; have the address of a cache that fails looked up again."""
+        """Record the result of an attempt; after one of LOOKUP_TRIGGERS, look up the cache's address."""
         self.health.record(server, result, steady_time())
         if self.registry:
             self.health.forget_removed(self.registry.merge.caches.keys())
-        if self.dns_source and result in SUSPICIOUS_RESULTS:
+        if self.dns_source and result in LOOKUP_TRIGGERS:
             self.dns_source.replace_unreachable(server)
 
 
 @dataclass(frozen=True, slots=True)
-class ServingParts:
-    """The parts that serve requests."""
+class ServingComponents:
+    """The components that serve requests."""
 
     engine: RequestEngine
     poller: Poller
@@ -71,20 +70,22 @@
 
 
 async def serve(config: ApplianceConfig, limits: Limits) -> None:
-    """Run both fronts until SIGTERM and the last response after it. Raises ConfigError."""
+    """Run the DNS and HTTP fronts until SIGTERM, then finish the open requests. Raises ConfigError."""
     async with trio.open_nursery() as nursery:
-        parts = build_serving_parts(config, limits)
-        nursery.start_soon(parts.engine.run)
-        nursery.start_soon(parts.poller.run)
-        startup = Startup(config, parts.registry, parts.phases)
-        startup.fill_registry()
-        start_discovery(config, limits, parts, nursery)
-        store = start_store(config, limits, parts, startup, nursery)
-        snapshot_writer = start_snapshot_writer(config, limits, parts, store, nursery)
-        await start_dns_front(config, limits, parts, nursery)
-        front = HttpFront(parts.engine, limits, parts.poller, store.claims if store else None, nursery)
-        front.ready = lambda: parts.phases.is_store_read or config.coldstart.ready == "listed"
-        start_console(config, limits, parts, front, store, nursery)
+        components = build_serving_components(config, limits)
+        nursery.start_soon(components.engine.run)
+        nursery.start_soon(components.poller.run)
+        bootstrap = RegistryBootstrap(config, components.registry, components.phases)
+        bootstrap.fill_registry()
+        start_discovery(config, limits, components, nursery)
+        store = start_store(config, limits, components, bootstrap, nursery)
+        snapshot_writer = start_snapshot_writer(config, limits, components, store, nursery)
+        await start_dns_front(config, limits, components, nursery)
+        front = HttpFront(
+            components.engine, limits, components.poller, store.claims if store else None, nursery
+        )
+        front.ready = lambda: components.phases.is_store_read or config.coldstart.ready == "listed"
+        start_console(config, limits, components, front, store, nursery)
         await serve_until_signal(front, config.http, config.name)
         config.console.unlink(missing_ok=True)
         if snapshot_writer:
@@ -92,8 +93,8 @@
         nursery.cancel_scope.cancel()
 
 
-def build_serving_parts(config: ApplianceConfig, limits: Limits) -> ServingParts:
-    """Put together what serves requests; nothing runs yet, and no cache is known."""
+def build_serving_components(config: ApplianceConfig, limits: Limits) -> ServingComponents:
+    """Create the components that serve requests. None is started yet, and the registry is empty."""
     observer = CacheObserver()
     engine = RequestEngine(
         EngineConfig(config.settings, random.SystemRandom().getrandbits(SEED_BITS), limits),
@@ -106,13 +107,13 @@
     merge = MembershipMerge(config.discovery.policy, config.discovery.watches)
     registry = Registry(merge, engine.post, pools.follow)
     observer.registry = registry
-    return ServingParts(engine, poller, registry, observer, StartupPhases(steady_time()))
+    return ServingComponents(engine, poller, registry, observer, StartupPhases(steady_time()))
 
 
 def start_discovery(
-    config: ApplianceConfig, limits: Limits, parts: ServingParts, nursery: trio.Nursery
+    config: ApplianceConfig, limits: Limits, components: ServingComponents, nursery: trio.Nursery
 ) -> None:
-    """Look up the caches' addresses, if the file names resolvers."""
+    """Start looking up the caches' addresses in DNS, if the file names resolvers."""
     discovery = config.discovery
     if not discovery.resolvers:
         return
@@ -125,7 +126,7 @@
     )
     other_routers = config.store_capacity.router_count - 1
     dns_source = DnsSource(
-        parts.registry,
+        components.registry,
         resolver,
         limits,
         config.settings.connect_timeout,
@@ -133,18 +134,26 @@
         config.name,
         other_routers / config.coldstart.look_ups,
     )
-    parts.observer.dns_source = dns_source
+    components.observer.dns_source = dns_source
     nursery.start_soon(dns_source.run)
 
 
 def start_store(
-    config: ApplianceConfig, limits: Limits, parts: ServingParts, startup: Startup, nursery: trio.Nursery
+    config: ApplianceConfig,
+    limits: Limits,
+    components: ServingComponents,
+    bootstrap: RegistryBootstrap,
+    nursery: trio.Nursery,
 ) -> SharedStore | None:
-    """Follow the shared store from where the snapshot ends, if the file names a store."""
+    """Start following the shared store, if the file names one.
+
+    Reading begins at the log position of the snapshot, or at the start of the log without a trusted snapshot.
+    """
     if config.redis is None:
-        parts.phases.step(StartupEvent.CAUGHT_UP, steady_time())  # nobody else knows more
+        # Without a store there are no updates from other routers to wait for.
+        components.phases.step(StartupEvent.CAUGHT_UP, steady_time())
         return None
-    retained = startup.retained
+    loaded_snapshot = bootstrap.loaded_snapshot
     store = SharedStore(
         StoreSettings(
             config.redis,
@@ -153,39 +162,39 @@
             config.settings.purge_propagation_time,
             config.store_capacity,
         ),
-        parts.registry,
+        components.registry,
         limits,
-        parts.phases,
-        retained.position if retained and startup.is_trusted else STREAM_START,
+        components.phases,
+        loaded_snapshot.position if loaded_snapshot and bootstrap.is_snapshot_trusted else STREAM_START,
     )
-    if retained:
-        store.applier.restore_purges({(obj, group): at for obj, group, at in retained.purges})
+    if loaded_snapshot:
+        store.applier.restore_purges({(obj, group): at for obj, group, at in loaded_snapshot.purges})
     nursery.start_soon(store.run, list(config.discovery.caches))
-    nursery.start_soon(startup.handle_silent_store, limits)
+    nursery.start_soon(bootstrap.fall_back_without_store, limits)
     return store
 
 
 def start_snapshot_writer(
     config: ApplianceConfig,
     limits: Limits,
-    parts: ServingParts,
+    components: ServingComponents,
     store: SharedStore | None,
     nursery: trio.Nursery,
 ) -> SnapshotWriter | None:
-    """Keep a snapshot of what is known, if the file names one."""
+    """Start writing snapshots of the registry and the store position, if the file names a snapshot file."""
     path = config.discovery.snapshot_path
     if path is None:
         return None
-    writer = SnapshotWriter(parts.registry, path, limits.snapshot_interval, store)
+    writer = SnapshotWriter(components.registry, path, limits.snapshot_interval, store)
     nursery.start_soon(writer.run)
     return writer
 
 
 async def start_dns_front(
-    config: ApplianceConfig, limits: Limits, parts: ServingParts, nursery: trio.Nursery
+    config: ApplianceConfig, limits: Limits, components: ServingComponents, nursery: trio.Nursery
 ) -> None:
-    """Answer DNS queries on UDP and TCP. Raises ConfigError if the address cannot be used."""
-    responder = Responder(config.zone, config.http, parts.engine, parts.registry, limits)
+    """Start answering DNS queries on UDP and TCP. Raises ConfigError if the address cannot be bound."""
+    responder = Responder(config.zone, config.http, components.engine, components.registry, limits)
     server = Server(responder, limits)
     listeners = await listen(config.dns)
     sock = await _bind_udp(config.dns)
@@ -208,13 +217,15 @@
 def start_console(
     config: ApplianceConfig,
     limits: Limits,
-    parts: ServingParts,
+    components: ServingComponents,
     front: HttpFront,
     store: SharedStore | None,
     nursery: trio.Nursery,
 ) -> None:
-    """Serve the operator's terminals at the Unix socket that the file names."""
-    sources = ConsoleSources(parts.registry, store, parts.observer.health, front.figures, parts.phases)
+    """Start serving console clients on the Unix socket that the file names."""
+    sources = ConsoleSources(
+        components.registry, store, components.observer.health, front.figures, components.phases
+    )
     console = AdminConsole(config.name, sources)
 
     async def serve_one(stream: trio.SocketStream) -> None:
--- a/brackenlane/appliance/startup.py
+++ b/brackenlane/appliance/startup.py
@@ -1,7 +1,8 @@
-"""What a starting appliance serves from until the shared store has answered: the file, and the snapshot.
+"""Fills the registry of a starting appliance from its file and its snapshot until the shared store answers.
 
-The snapshot holds what was known when this router last ran. A snapshot that is too old to be trusted waits
-for the store; the operators' orders in it hold all the same.
+The snapshot holds the caches, purges and operators' orders that were known when this router last ran. The
+caches of a snapshot that is too old to be trusted are not used unless the store fails to answer; the
+operators' orders in it apply at once in any case.
 """
 
 from __future__ import annotations
@@ -21,79 +22,83 @@
 
 log = logging.getLogger(__name__)
 
-GROUP_COUNT = 256  # groups of objects are numbered from 0
-NO_GROUP = -1  # objects of no group
+GROUP_COUNT = 256  # number of object groups; they are numbered from 0
+NO_GROUP = -1  # group number of objects that belong to no group
 
 
-class Startup:
-    """The snapshot of one router, and how far it is used.
+class RegistryBootstrap:
+    """Loads the snapshot of one router and fills the registry at startup.
 
-    retained: the snapshot, if there is one. is_trusted: whether its caches may be used before the store has
-    answered; also true where there is no snapshot.
+    loaded_snapshot: the snapshot; None if there is none. is_snapshot_trusted: whether the caches of the
+    snapshot may be used before the store has answered; also true if there is no snapshot.
     """
 
     def __init__(self, config: ApplianceConfig, registry: Registry, phases: StartupPhases) -> None:
-        """Read the snapshot from its file."""
+        """Load the snapshot, if a file is configured."""
         self._config = config
         self._registry = registry
         self._phases = phases
         path = config.discovery.snapshot_path
-        self.retained = snapshot.load(path) if path else None
-        self.is_trusted = True
+        self.loaded_snapshot = snapshot.load(path) if path else None
+        self.is_snapshot_trusted = True
 
     def fill_registry(self) -> None:
-        """Enter what is known before anybody is asked: the snapshot first, then the caches of the file."""
+        """Add the contents of the snapshot, then the caches of the file; no network access."""
         now = steady_time()
         if self._config.discovery.snapshot_path and not self._are_caches_warm(now):
             self._registry.apply(self._registry.merge.count_all_as_cold(now))
-        if self.retained:
-            self.is_trusted = self._config.redis is None or self._is_younger_than(
+        if self.loaded_snapshot:
+            self.is_snapshot_trusted = self._config.redis is None or self._is_younger_than(
                 self._config.coldstart.trust, now
             )
-            if self.is_trusted:
-                self._restore(self.retained)
+            if self.is_snapshot_trusted:
+                self._restore(self.loaded_snapshot)
             else:
-                self._restore_orders(self.retained, now)
+                self._restore_orders(self.loaded_snapshot, now)
         for cache in self._config.discovery.caches:
             self._registry.define(DefinitionSource.FILE, cache)
 
-    async def handle_silent_store(self, limits: Limits) -> None:
-        """Fall back while the store has not answered: distrust all copies, later use an old snapshot."""
+    async def fall_back_without_store(self, limits: Limits) -> None:
+        """If the store doesn't answer in time, purge all copies; if it still doesn't, use the old snapshot."""
         await trio.sleep(limits.purge_recovery_timeout)
         if self._phases.is_store_read:
             return
-        # Which purges were ordered while this router was down is unknown, so each object counts as purged,
-        # for as long as a purge takes at the caches themselves.
+        # The purges that were ordered while this router was down are unknown, so every object is treated as
+        # purged until the caches have dropped purged copies by themselves (purge_propagation_time).
         log.warning("the store has not answered yet: no copy from before now is served")
         for group in range(NO_GROUP, GROUP_COUNT):
             self._registry.purge("", group, steady_time())
-        if self.retained is None or self.is_trusted:
+        if self.loaded_snapshot is None or self.is_snapshot_trusted:
             return
         await trio.sleep(max(0.0, self._config.coldstart.patience - limits.purge_recovery_timeout))
-        if not self._phases.is_store_read:  # an old snapshot is better than none
-            self._restore(self.retained)
+        if not self._phases.is_store_read:
+            # Addresses from an old snapshot are better than no addresses.
+            self._restore(self.loaded_snapshot)
 
     def _are_caches_warm(self, now: float) -> bool:
-        """Whether the caches have kept what they had: this router left in order, a short time ago.
+        """Return whether the caches can be assumed to have kept their contents.
 
-        After a power failure it cannot know that they did, nor what has become of them since long ago.
+        They are if this router shut down in an orderly way a short time ago. After a power failure the caches
+        may have restarted as well, and after a long time their contents may have changed.
         """
-        if self.retained is None or not self.retained.is_shutdown:
+        if self.loaded_snapshot is None or not self.loaded_snapshot.is_shutdown:
             return False
         return self._is_younger_than(self._config.discovery.policy.max_warm_age, now)
 
     def _is_younger_than(self, max_age: float, now: float) -> bool:
-        assert self.retained is not None
-        return 0 <= now - self.retained.saved_at <= max_age
+        assert self.loaded_snapshot is not None
+        return 0 <= now - self.loaded_snapshot.saved_at <= max_age
 
-    def _restore(self, retained: Snapshot) -> None:
-        """Serve from a snapshot."""
+    def _restore(self, loaded_snapshot: Snapshot) -> None:
+        """Use the caches and orders of a snapshot."""
         now = steady_time()
         merge = self._registry.merge
-        self._registry.apply(merge.restore_snapshot(retained.memory, retained.saved_at, now))
+        self._registry.apply(merge.restore_snapshot(loaded_snapshot.memory, loaded_snapshot.saved_at, now))
         self._phases.step(StartupEvent.SNAPSHOT_RESTORED, now)
-        log.info("snapshot of %.0f s ago restored: %d caches", now - retained.saved_at, len(merge.caches))
+        log.info(
+            "snapshot of %.0f s ago restored: %d caches", now - loaded_snapshot.saved_at, len(merge.caches)
+        )
 
-    def _restore_orders(self, retained: Snapshot, now: float) -> None:
-        orders = RememberedMembers(orders=retained.memory.orders)
+    def _restore_orders(self, loaded_snapshot: Snapshot, now: float) -> None:
+        orders = RememberedMembers(orders=loaded_snapshot.memory.orders)
         self._registry.apply(self._registry.merge.restore_snapshot(orders, now, now))
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -12,7 +12,7 @@
 import trio
 
 from brackenlane.appliance.config import ApplianceConfig
-from brackenlane.appliance.startup import Startup
+from brackenlane.appliance.startup import RegistryBootstrap
 from brackenlane.clock import steady_time
 from brackenlane.coldstart.phases import StartupPhases
 from brackenlane.console.text_table import render_table
@@ -86,7 +86,7 @@
     logging.getLogger("brackenlane").setLevel(logging.ERROR)
     merge = MembershipMerge(config.discovery.policy, config.discovery.watches)
     registry = Registry(merge, lambda _: None, lambda *_: None)
-    Startup(config, registry, StartupPhases(steady_time())).fill_registry()
+    RegistryBootstrap(config, registry, StartupPhases(steady_time())).fill_registry()
     async with trio.open_nursery() as nursery:
         resolver = Resolver(
             config.discovery.resolvers,
