--- a/brackenlane/appliance/config.py
+++ b/brackenlane/appliance/config.py
@@ -21,7 +21,7 @@
     DiscoveryTable,
     SrvTable,
 )
-from brackenlane.settings.conversion import decision_settings
+from brackenlane.settings.conversion import routing_settings
 from brackenlane.settings.loader import load_appliance
 
 
@@ -66,7 +66,7 @@
         dns=read_endpoint(file.dns, "dns"),
         zone=read_zone(file.zone),
         console=folder / file.console,
-        settings=decision_settings(file),
+        settings=routing_settings(file),
         discovery=_discovery_config(file, folder),
         redis=read_endpoint(file.redis, "redis") if file.redis else None,
         store_capacity=Capacity(
--- a/brackenlane/appliance/startup.py
+++ b/brackenlane/appliance/startup.py
@@ -59,7 +59,7 @@
             self._registry.define(DefinitionSource.FILE, cache)
 
     async def fall_back_without_store(self, limits: Limits) -> None:
-        """If the store doesn't answer in time, purge all copies; if it still doesn't, use the old snapshot."""
+        """While the store doesn't answer, purge all copies, and later use the old snapshot."""
         await trio.sleep(limits.purge_recovery_timeout)
         if self._phases.is_store_read:
             return
--- a/brackenlane/settings/appliance.py
+++ b/brackenlane/settings/appliance.py
@@ -1,7 +1,7 @@
-"""The tables of an operator's file: every key, its type, its bounds and its default.
+"""Schema of the operator's file: the keys of every table with their types, bounds and defaults.
 
-An unknown key is a fault. Field names are the file's keys. What the tables say together is checked in
-consistency.py; the router's settings follow from them in conversion.py.
+Field names are the keys of the file; an unknown key is a fault. Durations are in seconds. Checks across
+several tables are in consistency.py; conversion.py converts the tables to the router's settings.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from brackenlane.settings.value_types import (
-    Address,
+    AddressWithPort,
     CacheId,
     CacheRole,
     DnsName,
     Host,
     PerSecond,
     PositiveSeconds,
+    ResponseValue,
     Seconds,
-    Service,
-    Value,
+    SrvName,
     Weight,
     Zone,
 )
@@ -31,13 +31,16 @@
 
 
 class Table(BaseModel):
-    """A table of the file: no unknown keys, no numbers as text."""
+    """Base class of all tables. Unknown keys and numbers that are written as strings are rejected."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 class SlowStartTable(Table):
-    """Slow start of a cache that has started recently (`[settings.edge_cold]`, `[settings.parent_cold]`)."""
+    """Slow start of a cache after its start (`[settings.edge_cold]`, `[settings.parent_cold]`).
+
+    The keys are explained at `brackenlane.routing.settings.SlowStart`.
+    """
 
     share: Annotated[float, Field(gt=0, le=1)] = 1.0
     ramp: Seconds = 0.0
@@ -46,13 +49,17 @@
 
 
 class SettingsTable(Table):
-    """Settings of the decisions (`[settings]`); `brackenlane.routing.settings.Settings` explains them."""
+    """Routing settings (`[settings]`).
+
+    The keys are explained at the fields of `brackenlane.routing.settings.Settings`; conversion.py maps the
+    keys that have another name there.
+    """
 
     location: Zone
     locations: Annotated[list[Zone], Field(min_length=1, max_length=1000)]
     gateway: Annotated[int, Field(ge=0, le=MAX_ROUTERS)] = 0
     gateways: Annotated[int, Field(ge=1, le=MAX_ROUTERS)] = 1
-    mate: Annotated[int, Field(ge=0, le=MAX_ROUTERS)] | None = None  # place in this location, from 0
+    mate: Annotated[int, Field(ge=0, le=MAX_ROUTERS)] | None = None  # index in its location, from 0
     hub_of: list[Annotated[int, Field(ge=0)]] = []
     seats: list[Annotated[float, Field(ge=0)]] = []
     link_kb_per_s: list[Annotated[float, Field(ge=0)]] = []
@@ -74,26 +81,30 @@
 
 
 class ClassTable(Table):
-    """One class of requests (`[[class]]`)."""
+    """One class of requests (`[[class]]`).
+
+    The keys are explained at the fields of `brackenlane.routing.settings.RequestClass`; conversion.py maps
+    the keys that have another name there.
+    """
 
     name: Annotated[str, Field(pattern=r"^[0-9A-Za-z-]{1,63}$")]
     aim: PositiveSeconds
     give_up: PositiveSeconds
     aim_stretch: Annotated[float, Field(ge=0, le=100)] = 0.0
-    worth: Value = 1.0
-    late_worth: Value = 0.0
+    worth: ResponseValue = 1.0
+    late_worth: ResponseValue = 0.0
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
     scope: Literal["all", "zone", "cell"] = "all"
     repeat_window: Seconds = 0.0
     fresh: Annotated[float, Field(ge=0)] = 0.0
     grace: Annotated[float, Field(ge=0)] = 0.0
-    stale_worth: Value = 0.0
+    stale_worth: ResponseValue = 0.0
     in_parts: bool = False
     uncached: bool = False
 
 
 class CacheTable(Table):
-    """One cache (`[[box]]`), by address or by a host name that is looked up."""
+    """One cache (`[[box]]`). `host` is an IP address or a host name that is resolved by DNS."""
 
     id: CacheId
     host: Host
@@ -104,9 +115,9 @@
 
 
 class SrvTable(Table):
-    """One SRV entry whose targets are caches (`[[discover]]`)."""
+    """One SRV name whose targets are caches (`[[discover]]`)."""
 
-    srv: Service
+    srv: SrvName
     zone: Zone
     role: CacheRole = "edge"
     weight_scale: Weight = 1.0
@@ -114,7 +125,10 @@
 
 
 class DiscoveryTable(Table):
-    """When DNS answers are believed (`[discovery]`); seconds, and shares of a list."""
+    """Limits of discovery and of the DNS cache (`[discovery]`).
+
+    `appliance/config.py` maps the keys to the fields of Policy and Lifetimes, which explain them.
+    """
 
     grace: Seconds = 5.0
     most_gone: Annotated[float, Field(ge=0, le=1)] = 0.5
@@ -126,31 +140,42 @@
     ceiling: Annotated[float, Field(ge=1, le=DAY)] = 300.0
     negative: Annotated[float, Field(ge=0.1, le=3600)] = 30.0
     stale: Annotated[float, Field(ge=0, le=7 * DAY)] = 3600.0
-    last_list: Annotated[str, Field(max_length=255)] = ""  # snapshot file, beside this one; empty: none
+    # Path of the snapshot file, relative to the folder of this file; empty: no snapshot is kept.
+    last_list: Annotated[str, Field(max_length=255)] = ""
 
 
 class ColdStartTable(Table):
-    """How starting routers spare the shared store and the resolver (`[coldstart]`); rates of all routers."""
+    """How starting routers limit their load on the shared store and the resolver (`[coldstart]`).
+
+    Rates are for all routers of the site together.
+    """
 
-    doormans: Annotated[int, Field(ge=1, le=MAX_ROUTERS)] | None = None  # None: as settings.gateways
-    asks: PerSecond = 500.0  # small queries that the store bears
-    loads: PerSecond = 20.0  # full lists that the store bears
-    look_ups: PerSecond = 1000.0  # queries that the resolver bears
-    trust: Annotated[float, Field(ge=0, le=31 * DAY)] = DAY  # an older snapshot waits for the store
-    patience: Annotated[float, Field(ge=0, le=600)] = 10.0  # for so long; then an old snapshot is used
-    ready: Literal["listed", "current"] = "listed"  # what /-/healthy waits for
+    # Number of routers; None: settings.gateways.
+    doormans: Annotated[int, Field(ge=1, le=MAX_ROUTERS)] | None = None
+    asks: PerSecond = 500.0  # small requests per second that the store can serve
+    loads: PerSecond = 20.0  # full loads per second that the store can serve
+    look_ups: PerSecond = 1000.0  # queries per second that the resolver can serve
+    # Maximum age of a snapshot whose caches are used at once; an older one is used only if the store doesn't
+    # answer.
+    trust: Annotated[float, Field(ge=0, le=31 * DAY)] = DAY
+    # How long to wait for the store's answer before a snapshot older than `trust` is used.
+    patience: Annotated[float, Field(ge=0, le=600)] = 10.0
+    # "listed": /-/healthy succeeds at once; "current": only once the store has been read.
+    ready: Literal["listed", "current"] = "listed"
 
 
 class ApplianceFile(Table):
-    """The whole file."""
+    """The whole operator's file."""
 
     name: Annotated[str, Field(min_length=1, max_length=64)]
-    http: Address
-    dns: Address
+    http: AddressWithPort
+    dns: AddressWithPort
     zone: DnsName
     console: Annotated[str, Field(min_length=1, max_length=100)]
-    resolver: Address | Annotated[list[Address], Field(min_length=1, max_length=8)] | None = None
-    redis: Address | None = None
+    resolver: AddressWithPort | Annotated[list[AddressWithPort], Field(min_length=1, max_length=8)] | None = (
+        None
+    )
+    redis: AddressWithPort | None = None
     settings: SettingsTable
     classes: Annotated[list[ClassTable], Field(alias="class", min_length=1, max_length=64)]
     caches: Annotated[list[CacheTable], Field(alias="box", max_length=MAX_CACHES)] = []
@@ -160,7 +185,7 @@
 
     @property
     def resolvers(self) -> tuple[str, ...]:
-        """The addresses of the upstream resolvers, in the order of the file."""
+        """Addresses of the upstream resolvers, in the order of the file."""
         if self.resolver is None:
             return ()
         if isinstance(self.resolver, str):
--- a/brackenlane/settings/consistency.py
+++ b/brackenlane/settings/consistency.py
@@ -1,4 +1,4 @@
-"""Checks of what the tables of an operator's file say together; each fault is one line with its path."""
+"""Consistency checks across the tables of an operator's file. A fault is one line with the key's path."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def find_faults(file: ApplianceFile) -> Iterator[str]:
-    """Yield a line for each fault of a file whose tables are valid by themselves."""
+    """Yield a line for each inconsistency of a file whose tables are each valid."""
     yield from _location_faults(file.settings)
     yield from _duplicate_names(file)
     yield from _unknown_zones(file)
--- a/brackenlane/settings/conversion.py
+++ b/brackenlane/settings/conversion.py
@@ -1,4 +1,4 @@
-"""From the tables of an operator's file to the settings of the decisions, under their own field names."""
+"""Converts the tables of an operator's file to routing settings, whose fields have other names."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 UNKNOWN_PEER_INDEX = -1
 
-# The file's keys stay as operators wrote them; the records that they fill have field names of their own.
+# Keys of the file whose field in the routing settings has another name.
 SETTING_FIELDS = {
     "gateway": "router_index",
     "gateways": "router_count",
@@ -33,10 +33,10 @@
 }
 
 
-def decision_settings(file: ApplianceFile) -> Settings:
-    """Return the settings of the decisions."""
+def routing_settings(file: ApplianceFile) -> Settings:
+    """Return the routing settings of an operator's file."""
     table = file.settings
-    values = _renamed(table.model_dump(), SETTING_FIELDS)
+    values = _by_field_name(table.model_dump(), SETTING_FIELDS)
     if table.mate is None:
         values["peer_index"] = _default_peer_index(table)
     for field in ("locations", "hub_of", "routers_by_location", "link_kb_per_s"):
@@ -48,7 +48,11 @@
 
 
 def _default_peer_index(table: SettingsTable) -> int:
-    """Return the place of the router in its location, which is known only if that has all the routers."""
+    """Return the router's index in its location, or UNKNOWN_PEER_INDEX.
+
+    It follows from `gateway`, the index among all routers, only if all routers are in this location;
+    without `seats` they are assumed to be.
+    """
     if not table.seats:
         return table.gateway if table.gateway < table.gateways else UNKNOWN_PEER_INDEX
     here = table.seats[table.locations.index(table.location)]
@@ -57,12 +61,12 @@
 
 
 def _request_class(table: ClassTable) -> RequestClass:
-    values = _renamed(table.model_dump(), CLASS_FIELDS)
+    values = _by_field_name(table.model_dump(), CLASS_FIELDS)
     values["idempotency"] = Idempotency(table.effect)
     values["scope"] = Scope(table.scope)
     return RequestClass(**values)
 
 
-def _renamed(table: dict[str, Any], field_names: dict[str, str]) -> dict[str, Any]:
-    """Return the values of a table under the names of the record's fields."""
+def _by_field_name(table: dict[str, Any], field_names: dict[str, str]) -> dict[str, Any]:
+    """Return the values of a table, keyed by field name."""
     return {field_names.get(key, key): value for key, value in table.items()}
--- a/brackenlane/settings/loader.py
+++ b/brackenlane/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads an operator's file; a bad one gives a line for each of its faults, all at once."""
+"""Reads and validates an operator's file. All of its faults are reported at once, one line each."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 if TYPE_CHECKING:
     from pydantic_core import ErrorDetails
 
-MAX_SHOWN_VALUE = 60  # characters; a longer value is cut
-CUT_MARK = "..."
+MAX_SHOWN_VALUE = 60  # characters; a longer value is truncated
+TRUNCATION_MARK = "..."
 
-# Fault lines are an interface for operators: the tables keep the names that they have had there.
-MESSAGE_NAMES = {
+# Names of the table classes in fault lines. They stay when a class is renamed: operators' scripts may match
+# them.
+FAULT_LINE_TABLE_NAMES = {
     "SlowStartTable": "Cold",
     "SettingsTable": "Module",
     "ClassTable": "Class",
@@ -31,7 +32,7 @@
 
 
 def load_appliance(path: str) -> ApplianceFile:
-    """Return the operator's file at a path. Raises ConfigError."""
+    """Return the validated operator's file at a path. Raises ConfigError."""
     try:
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -41,7 +42,7 @@
 
 
 def read_appliance(text: str, path: str) -> ApplianceFile:
-    """Return the operator's file from its TOML text.
+    """Return the validated operator's file with this TOML text.
 
     Raises ConfigError with a line for each fault: file, path of the key, value, and what is allowed.
     """
@@ -62,7 +63,7 @@
 
 
 def _describe(error: ValidationError) -> list[str]:
-    """Return a line for each value with a fault; of a value that is wrong in two readings, the first."""
+    """Return a line for each invalid value. Of several faults of one value, only the first is reported."""
     lines: dict[str, str] = {}
     for fault in error.errors(include_url=False):
         key_path = _key_path(fault["loc"])
@@ -74,7 +75,7 @@
 def _key_path(location: tuple[int | str, ...]) -> str:
     """Return a path such as `box[2].port`.
 
-    For a value that may be of one of two types, pydantic adds the type it tried to the path.
+    For a value of a union type, pydantic adds the type that it tried to the location; that part is dropped.
     """
     path = ""
     for part in location:
@@ -92,9 +93,9 @@
         return f"{key_path}: not known"
     shown = repr(fault["input"])
     if len(shown) > MAX_SHOWN_VALUE:
-        shown = shown[: MAX_SHOWN_VALUE - len(CUT_MARK)] + CUT_MARK
+        shown = shown[: MAX_SHOWN_VALUE - len(TRUNCATION_MARK)] + TRUNCATION_MARK
     reason = fault["msg"].removeprefix("Value error, ")
     if fault["type"] == "model_type":
         class_name = fault["ctx"]["class_name"]
-        reason = reason.replace(class_name, MESSAGE_NAMES[class_name])
+        reason = reason.replace(class_name, FAULT_LINE_TABLE_NAMES[class_name])
     return f"{key_path}: {shown}: {reason}"
--- a/brackenlane/settings/value_types.py
+++ b/brackenlane/settings/value_types.py
@@ -1,4 +1,4 @@
-"""Types of the values in an operator's file, each with its check and the message for a bad value."""
+"""Types of the values in an operator's file, with their checks and error messages."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         name = dns.name.from_text(text)
     except (dns.exception.DNSException, UnicodeError) as error:
         raise ValueError(f"a DNS name is needed: {error}") from error
-    if len(name.labels) < 2:  # the last label is the root
+    if len(name.labels) < 2:  # the root label counts as one
         raise ValueError("a DNS name of one label at least is needed")
     return text
 
@@ -48,14 +48,15 @@
     return _check_dns_name(text)
 
 
-Address = Annotated[str, AfterValidator(_check_endpoint)]  # an IP address and a port
+AddressWithPort = Annotated[str, AfterValidator(_check_endpoint)]  # IP address and port
 DnsName = Annotated[str, AfterValidator(_check_dns_name)]
-Host = Annotated[str, AfterValidator(_check_host)]  # an IP address or a DNS name
-Service = Annotated[str, AfterValidator(_check_service)]  # an SRV owner name (RFC 2782)
+Host = Annotated[str, AfterValidator(_check_host)]  # IP address or DNS name
+SrvName = Annotated[str, AfterValidator(_check_service)]  # owner name of SRV records (RFC 2782)
 Seconds = Annotated[float, Field(ge=0, le=3600)]
 PositiveSeconds = Annotated[float, Field(gt=0, le=3600)]
 PerSecond = Annotated[float, Field(ge=0.1, le=1e6)]
-Value = Annotated[float, Field(ge=0, le=1e6)]  # of a response, beside those of other classes
+# The value of a response, relative to those of other classes.
+ResponseValue = Annotated[float, Field(ge=0, le=1e6)]
 Weight = Annotated[float, Field(gt=0, le=1e6)]
 Zone = Annotated[str, Field(min_length=1, max_length=64)]
 CacheRole = Literal["edge", "parent", "origin"]
