--- a/brackenlane/appliance/program.py
+++ b/brackenlane/appliance/program.py
@@ -15,7 +15,7 @@
 from brackenlane.config import ConfigError, Endpoint
 from brackenlane.console.admin_console import AdminConsole, ConsoleSources
 from brackenlane.console.cache_health import CacheHealth
-from brackenlane.console.server import open_listener, serve_terminal
+from brackenlane.console.server import open_listener, serve_client
 from brackenlane.core.engine import RequestEngine
 from brackenlane.core.engine_config import EngineConfig
 from brackenlane.discovery.dns_source import DnsSource
@@ -229,6 +229,6 @@
     console = AdminConsole(config.name, sources)
 
     async def serve_one(stream: trio.SocketStream) -> None:
-        await serve_terminal(stream, console.execute, limits)
+        await serve_client(stream, console.execute, limits)
 
     nursery.start_soon(trio.serve_listeners, serve_one, [open_listener(config.console)])
--- a/brackenlane/cli/__init__.py
+++ b/brackenlane/cli/__init__.py
@@ -1,4 +1,5 @@
-"""The command line. The platform's router is the bare call and never comes here.
+"""The command line: subcommands of `brackenlane`.
 
-It turns arguments into calls and errors into exit codes; it decides nothing. Entry point: `main.run`.
+Converts arguments to calls and errors to exit codes. A call without a subcommand starts the platform's router
+from `__main__` and doesn't use this package. Entry point: `main.run`.
 """
--- a/brackenlane/cli/main.py
+++ b/brackenlane/cli/main.py
@@ -1,4 +1,7 @@
-"""Subcommands, their help and exit codes, with click. Each command imports the heavy parts that it needs."""
+"""Subcommands with their help and exit codes, based on click.
+
+Each command imports heavy modules only when it runs.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,9 @@
 import click
 
 EXIT_FAILED = 1
-EXIT_UNUSABLE = 2
-EXIT_INTERRUPTED = 130  # 128 + SIGINT, as shells have it
-MIN_SOCKETS = 64  # descriptors without which an appliance does not work
+EXIT_INVALID_INPUT = 2
+EXIT_INTERRUPTED = 130  # 128 + SIGINT, by shell convention
+MIN_DESCRIPTORS = 64  # descriptors that an appliance needs at least, whatever the process limit
 
 EPILOG = """Exit codes: 0 done; 1 the doorman could not be reached, a look-up failed, or an invariant broke;
 2 the words or a file can't be used, with a line for each fault; 130 ended from the keyboard."""
@@ -49,11 +52,15 @@
     from brackenlane.appliance import config, program
     from brackenlane.limits import Limits
 
-    site = config.load(file)
+    appliance_config = config.load(file)
     limits = Limits()
-    max_sockets, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    sockets = max(MIN_SOCKETS, max_sockets - limits.appliance_reserved_descriptors)
-    trio.run(program.serve, site, limits.with_descriptors(sockets).with_settings(site.settings))
+    descriptor_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    available_descriptors = max(MIN_DESCRIPTORS, descriptor_limit - limits.appliance_reserved_descriptors)
+    trio.run(
+        program.serve,
+        appliance_config,
+        limits.with_descriptors(available_descriptors).with_settings(appliance_config.settings),
+    )
 
 
 @cli.command(context_settings={"ignore_unknown_options": True})
@@ -66,8 +73,8 @@
     from brackenlane.appliance import config
     from brackenlane.console import client
 
-    site = config.load(file)
-    sys.exit(trio.run(client.talk, str(site.console), list(command)))
+    appliance_config = config.load(file)
+    sys.exit(trio.run(client.run_session, str(appliance_config.console), list(command)))
 
 
 @cli.command()
@@ -76,10 +83,11 @@
     """Read the operator's FILE and say all that is wrong with it; nothing is started."""
     from brackenlane.appliance import config
 
-    site = config.load(file)
+    appliance_config = config.load(file)
     click.echo(
-        f"{file}: good: {len(site.discovery.caches)} boxes, {len(site.discovery.watches)} SRV entries, "
-        f"{len(site.settings.classes)} classes"
+        f"{file}: good: {len(appliance_config.discovery.caches)} boxes, "
+        f"{len(appliance_config.discovery.watches)} SRV entries, "
+        f"{len(appliance_config.settings.classes)} classes"
     )
 
 
@@ -94,9 +102,9 @@
     from brackenlane.cli import show
     from brackenlane.limits import Limits
 
-    view = trio.run(show.ask_once, config.load(file), Limits())
+    view = trio.run(show.query_once, config.load(file), Limits())
     click.echo(view.as_json() if as_json else view.as_table(), nl=False)
-    if view.failed:
+    if view.failed_names:
         sys.exit(EXIT_FAILED)
 
 
@@ -158,13 +166,13 @@
     """Print what makes SHELL complete these commands, for its start-up file."""
     from click.shell_completion import get_completion_class
 
-    found = get_completion_class(shell)
-    assert found is not None
-    click.echo(found(cli, {}, "brackenlane", "_BRACKENLANE_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None
+    click.echo(completion_class(cli, {}, "brackenlane", "_BRACKENLANE_COMPLETE").source())
 
 
 def version() -> str:
-    """Return this program's version, as installed, or as the pyproject.toml beside it says."""
+    """Return the version of the installed package, or of pyproject.toml in a source tree."""
     try:
         return metadata.version("brackenlane")
     except metadata.PackageNotFoundError:
@@ -175,13 +183,13 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Run one command line; return its exit code."""
+    """Run a command line and return its exit code."""
     try:
         return int(cli.main(arguments, prog_name="brackenlane", standalone_mode=False) or 0)
     except click.ClickException as error:
         error.show()
-        return EXIT_UNUSABLE
+        return EXIT_INVALID_INPUT
     except click.Abort:
         return EXIT_INTERRUPTED
-    except SystemExit as end:
-        return int(end.code or 0)
+    except SystemExit as system_exit:
+        return int(system_exit.code or 0)
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -1,6 +1,6 @@
-"""One query of all sources of caches from the shell: each answer, the merged list, and its reasons.
+"""Implements `discover`: queries all sources of caches once and shows the answers and the merged list.
 
-The JSON document and the table are an interface for operators.
+Operators' scripts may read the JSON document and the table, so their format has to stay stable.
 """
 
 from __future__ import annotations
@@ -28,41 +28,41 @@
 
 @dataclass(frozen=True, slots=True)
 class DnsAnswer:
-    """What DNS says of one name, or why it says nothing."""
+    """The DNS answer for one name, or the reason why the look-up failed."""
 
     name: str
-    kind: str  # SRV or A
+    record_type: str  # "SRV" or "A"
     upstream: str = ""
     records: tuple[str, ...] = ()
     fault: str = ""
 
     def as_json(self) -> dict[str, object]:
-        """Return the answer as the document shows it."""
+        """Return the answer as an object of the JSON document."""
         if self.fault:
-            return {"name": self.name, "kind": self.kind, "fault": self.fault}
+            return {"name": self.name, "kind": self.record_type, "fault": self.fault}
         return {
             "name": self.name,
-            "kind": self.kind,
+            "kind": self.record_type,
             "upstream": self.upstream,
             "records": list(self.records),
         }
 
     def as_line(self) -> str:
-        """Return the answer for a reader."""
+        """Return the answer as a line of text."""
         outcome = self.fault or f"from {self.upstream}: {'; '.join(self.records) or 'none'}"
-        return f"{self.name} {self.kind}: {outcome}\n"
+        return f"{self.name} {self.record_type}: {outcome}\n"
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryView:
-    """All answers, SRV entries first, and the caches that they come to, by id."""
+    """All DNS answers, SRV first, and the resulting caches, sorted by id."""
 
     answers: tuple[DnsAnswer, ...]
     caches: tuple[MergedCache, ...]
 
     @property
-    def failed(self) -> list[str]:
-        """The names that could not be looked up."""
+    def failed_names(self) -> list[str]:
+        """Names whose look-up failed."""
         return [answer.name for answer in self.answers if answer.fault]
 
     def as_json(self) -> str:
@@ -70,19 +70,23 @@
         document = {
             "answers": [answer.as_json() for answer in self.answers],
             "boxes": [_cache_as_json(cache) for cache in self.caches],
-            "failed": self.failed,
+            "failed": self.failed_names,
         }
         return orjson.dumps(document, option=orjson.OPT_INDENT_2).decode() + "\n"
 
     def as_table(self) -> str:
-        """Return the view for a reader."""
+        """Return the view as lines of text and a table."""
         lines = [answer.as_line() for answer in self.answers]
         rows = [HEADING, *(_cache_as_row(cache) for cache in self.caches)]
         return "".join(lines) + render_table(rows)
 
 
-async def ask_once(config: ApplianceConfig, limits: Limits) -> DiscoveryView:
-    """Look up every SRV entry and host name once, past the cache; a running router is not touched."""
+async def query_once(config: ApplianceConfig, limits: Limits) -> DiscoveryView:
+    """Look up every SRV entry and host name once.
+
+    Uses a resolver and a registry of its own, so the DNS cache of a running router is neither read nor
+    changed.
+    """
     logging.getLogger("brackenlane").setLevel(logging.ERROR)
     merge = MembershipMerge(config.discovery.policy, config.discovery.watches)
     registry = Registry(merge, lambda _: None, lambda *_: None)
@@ -95,18 +99,18 @@
             lifetimes=config.discovery.lifetimes,
             most=limits.max_lookups,
         )
-        query = _Query(registry, resolver)
+        query = _DiscoveryQuery(registry, resolver)
         await query.look_up_services()
         await query.look_up_hosts()
         nursery.cancel_scope.cancel()
     return DiscoveryView(
-        tuple(sorted(query.answers, key=lambda answer: (answer.kind != "SRV", answer.name))),
+        tuple(sorted(query.answers, key=lambda answer: (answer.record_type != "SRV", answer.name))),
         tuple(sorted(merge.caches.values(), key=lambda cache: cache.definition.id)),
     )
 
 
-class _Query:
-    """The look-ups of one query; each answer goes into the merge, too."""
+class _DiscoveryQuery:
+    """Looks up all names, records the answers and applies each of them to the merged list."""
 
     def __init__(self, registry: Registry, resolver: Resolver) -> None:
         self.answers: list[DnsAnswer] = []
@@ -115,41 +119,43 @@
         self._resolver = resolver
 
     async def look_up_services(self) -> None:
-        """Look up all SRV entries at once."""
+        """Look up all SRV entries concurrently."""
         async with trio.open_nursery() as nursery:
             for name in self._merge.entries:
                 nursery.start_soon(self._look_up_service, name)
 
     async def look_up_hosts(self) -> None:
-        """Look up all host names at once, those of the SRV targets included."""
+        """Look up all host names concurrently, including those of SRV targets."""
         async with trio.open_nursery() as nursery:
             for name in sorted(self._merge.sources.hosts):
                 nursery.start_soon(self._look_up_host, name)
 
     async def _look_up_service(self, name: str) -> None:
         try:
-            found = await self._resolver.look_up(name, RecordType.SRV)
+            result = await self._resolver.look_up(name, RecordType.SRV)
         except LookUpFailedError as error:
-            self._fail(name, "SRV", error)
+            self._record_failure(name, "SRV", error)
             return
-        self._registry.apply(self._merge.apply_srv_answer(name, found.targets, found.upstream, steady_time()))
+        self._registry.apply(
+            self._merge.apply_srv_answer(name, result.targets, result.upstream, steady_time())
+        )
         records = tuple(
-            f"{target.priority} {target.weight} {target.port} {target.host}" for target in found.targets
+            f"{target.priority} {target.weight} {target.port} {target.host}" for target in result.targets
         )
-        self.answers.append(DnsAnswer(name, "SRV", found.upstream, records))
+        self.answers.append(DnsAnswer(name, "SRV", result.upstream, records))
 
     async def _look_up_host(self, name: str) -> None:
         try:
-            found = await self._resolver.addresses(name)
+            result = await self._resolver.addresses(name)
         except LookUpFailedError as error:
-            self._fail(name, "A", error)
+            self._record_failure(name, "A", error)
             return
-        self._registry.apply(self._merge.apply_host_answer(name, found.addresses, steady_time()))
-        self.answers.append(DnsAnswer(name, "A", found.upstream, tuple(found.addresses)))
+        self._registry.apply(self._merge.apply_host_answer(name, result.addresses, steady_time()))
+        self.answers.append(DnsAnswer(name, "A", result.upstream, tuple(result.addresses)))
 
-    def _fail(self, name: str, kind: str, error: LookUpFailedError) -> None:
+    def _record_failure(self, name: str, record_type: str, error: LookUpFailedError) -> None:
         self._merge.sources.record_failure(name, str(error))
-        self.answers.append(DnsAnswer(name, kind, fault=str(error)))
+        self.answers.append(DnsAnswer(name, record_type, fault=str(error)))
 
 
 def _address(cache: MergedCache) -> str | None:
@@ -157,7 +163,7 @@
 
 
 def _host_name(cache: MergedCache) -> str | None:
-    """Return the host name of a cache; None if it is described by its address."""
+    """Return the host name of a cache; None if it is defined by an IP address."""
     host = cache.definition.host
     return host if ip_address_of(host) is None else None
 
--- a/brackenlane/console/admin_console.py
+++ b/brackenlane/console/admin_console.py
@@ -1,4 +1,4 @@
-"""The commands of the console: a line of words to its answer. The words are an interface for operators."""
+"""Executes the commands of the console. Operators' scripts may use the commands and match their answers."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 help                this text
 quit                leave
 """
-GROUP_COUNT = 256  # groups of objects are numbered from 0
-NO_GROUP = -1  # of a purge of one object
-MAX_SHOWN_COMMAND = 60  # characters of a command that was not understood
+GROUP_COUNT = 256  # number of object groups; they are numbered from 0
+NO_GROUP = -1  # group number in a purge of a single object
+MAX_SHOWN_COMMAND = 60  # characters; an unknown command is truncated to them in the answer
 
 
 @dataclass(frozen=True, slots=True)
 class ConsoleSources:
-    """The parts of the router that the console shows and orders."""
+    """The components of the router that the console shows and changes."""
 
     registry: Registry
     store: SharedStore | None
@@ -41,7 +41,7 @@
 
 
 class AdminConsole:
-    """Carries out the commands of one router's operator."""
+    """Executes the console commands of one router."""
 
     def __init__(self, router_name: str, sources: ConsoleSources) -> None:
         self._router_name = router_name
@@ -50,7 +50,7 @@
         self._store = sources.store
 
     async def execute(self, line: str) -> str:
-        """Carry out one command; return the lines of its answer."""
+        """Execute one command and return the lines of its answer."""
         words = line.split()
         answer = self._show(words)
         if answer is None:
@@ -61,7 +61,7 @@
         return answer
 
     def _show(self, words: list[str]) -> str | None:
-        """Answer a command that changes nothing; return None for any other."""
+        """Execute a command that only reads state; return None for any other command."""
         sources = self._sources
         now = steady_time()
         answer = None
@@ -69,9 +69,9 @@
             case ["boxes"]:
                 answer = views.show_caches(self._registry.merge, sources.health, now)
             case ["boxes", "-v"]:
-                answer = views.show_caches_verbosely(self._registry.merge, sources.health, now)
-            case ["why", server]:
-                answer = self._explain(server, now)
+                answer = views.show_caches_with_sources(self._registry.merge, sources.health, now)
+            case ["why", cache_id]:
+                answer = self._explain(cache_id, now)
             case ["load"]:
                 answer = views.show_load(sources.figures)
             case ["start"]:
@@ -81,12 +81,12 @@
         return answer
 
     async def _change(self, words: list[str]) -> str | None:
-        """Carry out a command that changes something; return None for any other."""
+        """Execute a command that changes state; return None for any other command."""
         match words:
-            case ["drain", server]:
-                return await self._order(server, drained=True)
-            case ["restore", server]:
-                return await self._order(server, drained=False)
+            case ["drain", cache_id]:
+                return await self._issue_order(cache_id, drained=True)
+            case ["restore", cache_id]:
+                return await self._issue_order(cache_id, drained=False)
             case ["purge", "object", obj]:
                 return await self._purge(obj, NO_GROUP, obj)
             case ["purge", "group", number] if _is_group(number):
@@ -94,34 +94,34 @@
                 return await self._purge("", group, f"group {group}")
         return None
 
-    def _explain(self, server: str, now: float) -> str:
-        lines = self._registry.merge.explain(server, now)
+    def _explain(self, cache_id: str, now: float) -> str:
+        lines = self._registry.merge.explain(cache_id, now)
         if not lines:
-            return _unknown_cache(server)
+            return _unknown_cache(cache_id)
         return "".join(f"{line}\n" for line in lines)
 
-    async def _order(self, server: str, drained: bool) -> str:
-        order = self._registry.drain(server, drained, f"the console of {self._router_name}")
+    async def _issue_order(self, cache_id: str, drained: bool) -> str:
+        order = self._registry.drain(cache_id, drained, f"the console of {self._router_name}")
         if order is None:
-            return _unknown_cache(server)
-        done = "drained" if drained else "restored"
-        return await self._share(f"{server} {done}\n", OrderGiven(server, order))
+            return _unknown_cache(cache_id)
+        action = "drained" if drained else "restored"
+        return await self._publish(f"{cache_id} {action}\n", OrderGiven(cache_id, order))
 
-    async def _purge(self, obj: str, group: int, what: str) -> str:
+    async def _purge(self, obj: str, group: int, target: str) -> str:
         now = steady_time()
         self._registry.purge(obj, group, now)
-        return await self._share(f"purged {what}\n", PurgeRequested(obj, group, now))
+        return await self._publish(f"purged {target}\n", PurgeRequested(obj, group, now))
 
-    async def _share(self, done: str, event: StoreEvent) -> str:
-        """Share what was done here with the other routers; return it with whether that succeeded."""
+    async def _publish(self, answer: str, event: StoreEvent) -> str:
+        """Publish a change to the other routers; return the answer, with a note if that failed."""
         if self._store and not await self._store.publisher.publish(event):
-            return done + "the store is away: the others hear of it when it is back\n"
-        return done
+            return answer + "the store is away: the others hear of it when it is back\n"
+        return answer
 
 
 def _is_group(text: str) -> bool:
     return text.isascii() and text.isdigit() and int(text) < GROUP_COUNT
 
 
-def _unknown_cache(server: str) -> str:
-    return f"no such box: {server}\n"
+def _unknown_cache(cache_id: str) -> str:
+    return f"no such box: {cache_id}\n"
--- a/brackenlane/console/cache_health.py
+++ b/brackenlane/console/cache_health.py
@@ -1,4 +1,4 @@
-"""The last result at each cache, as an operator sees it."""
+"""The last attempt result of each cache, as the console shows it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from brackenlane.routing.events import AttemptResult
 
-MAX_REMOVED = 64  # results kept for caches that are gone, besides as many as there are caches
+MAX_REMOVED_RESULTS = 64  # results of removed caches kept besides one per listed cache
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,33 +15,33 @@
     """The result of the last attempt at a cache."""
 
     result: AttemptResult
-    at: float  # Unix time
+    at: float  # Unix time at which the attempt ended
 
     @property
     def is_good(self) -> bool:
-        """Whether the cache answered as it should; a cache miss is such an answer."""
+        """Whether the cache works as it should; a cache miss is a valid answer."""
         return self.result in (AttemptResult.OK, AttemptResult.MISS)
 
 
 class CacheHealth:
-    """The last results of all caches."""
+    """The last attempt result of every cache."""
 
     def __init__(self) -> None:
         self._results: dict[str, LastResult] = {}
 
-    def record(self, server: str, result: AttemptResult, now: float) -> None:
-        """Keep the result of an attempt that ended at a Unix time."""
-        self._results[server] = LastResult(result, now)
+    def record(self, cache_id: str, result: AttemptResult, now: float) -> None:
+        """Record the result of an attempt that ended at `now` (Unix time)."""
+        self._results[cache_id] = LastResult(result, now)
 
     def forget_removed(self, listed: Collection[str]) -> None:
-        """Bound the memory: once many results are kept, forget those of caches that are listed no more."""
-        if len(self._results) > 2 * len(listed) + MAX_REMOVED:
-            for server in self._results.keys() - set(listed):
-                del self._results[server]
-
-    def describe(self, server: str, now: float) -> str:
-        """Return the health of a cache in a few words."""
-        last = self._results.get(server)
+        """Discard the results of removed caches once there are many of them, to limit memory."""
+        if len(self._results) > 2 * len(listed) + MAX_REMOVED_RESULTS:
+            for cache_id in self._results.keys() - set(listed):
+                del self._results[cache_id]
+
+    def describe(self, cache_id: str, now: float) -> str:
+        """Return the last result of a cache and its age as text."""
+        last = self._results.get(cache_id)
         if last is None:
             return "not asked yet"
         label = "well" if last.is_good else last.result.value
--- a/brackenlane/console/server.py
+++ b/brackenlane/console/server.py
@@ -1,4 +1,4 @@
-"""The router's end of the console: a Unix socket, a command per line, an empty line behind each answer."""
+"""Server of the console on a Unix socket: one command per line; an empty line ends each answer."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 BACKLOG = 8
 RECEIVE_BYTES = 1024
-OWNER_ONLY = 0o177  # umask: no rights for group and others
+OWNER_ONLY_UMASK = 0o177  # umask: no permissions for group and others
 
 
 def open_listener(path: Path) -> trio.SocketListener:
-    """Return a listener that only the owner of this process can use; replace a stale socket."""
+    """Return a listener that accepts only the user of this process; replace an existing socket."""
     path.unlink(missing_ok=True)
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    old_mask = os.umask(OWNER_ONLY)
+    old_mask = os.umask(OWNER_ONLY_UMASK)
     try:
         sock.bind(str(path))
     finally:
@@ -30,10 +30,10 @@
     return trio.SocketListener(trio.socket.from_stdlib_socket(sock))
 
 
-async def serve_terminal(
+async def serve_client(
     stream: trio.SocketStream, execute: Callable[[str], Awaitable[str]], limits: Limits
 ) -> None:
-    """Answer the commands of one terminal until it closes, sends an overlong line, or is idle too long."""
+    """Answer the commands of one client until it disconnects, sends an overlong line, or is idle too long."""
     try:
         async with stream:
             lines = _LineReader(stream, limits)
@@ -44,11 +44,11 @@
                 answer = await execute(line)
                 await stream.send_all(f"{answer}\n".encode())
     except (trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError):
-        return  # the terminal is gone or idle: there is nobody to tell
+        return  # the client is idle or has disconnected; no answer is due
 
 
 class _LineReader:
-    """Lines of a stream, with bounds on their length and on the wait for them."""
+    """Reads lines from a stream, with limits on their length and on the idle time."""
 
     def __init__(self, stream: trio.SocketStream, limits: Limits) -> None:
         self._stream = stream
@@ -57,7 +57,10 @@
         self._buffer = bytearray()
 
     async def read(self) -> str | None:
-        """Return the next line; None at the end or for an overlong line. Raises trio.TooSlowError."""
+        """Return the next line; None at the end of the stream or for an overlong line.
+
+        Raises trio.TooSlowError if no data arrives within the idle timeout.
+        """
         end = self._buffer.find(b"\n")
         while end < 0:
             if len(self._buffer) > self._max_line_bytes:
--- a/brackenlane/console/text_table.py
+++ b/brackenlane/console/text_table.py
@@ -1,4 +1,4 @@
-"""Tables of plain text for a terminal."""
+"""Formats tables as plain text for a terminal."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def render_table(rows: Sequence[Sequence[str]]) -> str:
-    """Return rows of equally many cells as lines with aligned columns; the first row is the heading."""
+    """Return rows as lines with aligned columns. All rows have the same number of cells."""
     widths = [max(len(cell) for cell in column) for column in zip(*rows, strict=True)]
     return "".join(_render_row(row, widths) for row in rows)
 
--- a/brackenlane/console/views.py
+++ b/brackenlane/console/views.py
@@ -1,4 +1,4 @@
-"""What the console shows: values of the other parts to text. The texts are an interface for operators."""
+"""Formats the state of other components as text for the console. Operators' scripts may match the texts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 HEADING = ("BOX", "ROLE", "ADDRESS", "STATE", "HEALTH")
 VERBOSE_HEADING = (*HEADING, "BY", "SINCE", "WHY")
-PHASE_MEANINGS = {
+PHASE_DESCRIPTIONS = {
     StartupPhase.EMPTY: "the file alone; what the store has is not known yet",
     StartupPhase.RECALLED: "the last list; drains and purges since it are not known yet",
     StartupPhase.LOADING: "the whole list is being read from the store",
@@ -25,21 +25,21 @@
 
 
 def show_caches(merge: MembershipMerge, health: CacheHealth, now: float) -> str:
-    """Return a table of the caches."""
+    """Return a table of the caches with state and health."""
     rows = [HEADING]
     rows += [_cache_row(cache, health, now) for cache in _sorted_caches(merge)]
     return render_table(rows)
 
 
-def show_caches_verbosely(merge: MembershipMerge, health: CacheHealth, now: float) -> str:
-    """Return a table of the caches with who names them and why, and the troubles of discovery."""
+def show_caches_with_sources(merge: MembershipMerge, health: CacheHealth, now: float) -> str:
+    """Return the table of the caches with sources and reasons, followed by problems of discovery."""
     rows: list[tuple[str, ...]] = [VERBOSE_HEADING]
     for cache in _sorted_caches(merge):
         sources = ", ".join(source.name.lower() for source in cache.sources)
         warmth = f"cold, {max(0.0, now - cache.cold_since):.0f} s" if cache.cold_since else "warm"
         rows.append((*_cache_row(cache, health, now), sources, warmth, cache.reason))
-    troubles = [line + "\n" for entry in merge.entries.values() for line in _srv_troubles(entry, now)]
-    return render_table(rows) + "".join(troubles)
+    problems = [line + "\n" for entry in merge.entries.values() for line in _srv_problems(entry, now)]
+    return render_table(rows) + "".join(problems)
 
 
 def _sorted_caches(merge: MembershipMerge) -> list[MergedCache]:
@@ -58,7 +58,7 @@
     )
 
 
-def _srv_troubles(entry: SrvEntry, now: float) -> Iterator[str]:
+def _srv_problems(entry: SrvEntry, now: float) -> Iterator[str]:
     name = entry.watch.srv
     if entry.last_error:
         yield f"{name}: the last look-up failed: {entry.last_error}"
@@ -72,7 +72,7 @@
 
 
 def show_load(figures: Figures) -> str:
-    """Return the load of the last second, and the counts since the start."""
+    """Return the load of the last second and the counts since startup."""
     rejected = ", ".join(f"{count} {REASON_NAMES[reason]}" for reason, count in figures.shed.items())
     return (
         f"last second: {figures.last.summary()}\n"
@@ -81,9 +81,9 @@
 
 
 def show_startup(phases: StartupPhases, store: SharedStore | None, now: float) -> str:
-    """Return the phase of the start, since when, and the state of the store."""
+    """Return the startup phase with its duration, and the state of the shared store."""
     phase = phases.phase
-    text = f"{phase.value} since {max(0.0, now - phases.since):.0f} s: {PHASE_MEANINGS[phase]}\n"
+    text = f"{phase.value} since {max(0.0, now - phases.since):.0f} s: {PHASE_DESCRIPTIONS[phase]}\n"
     if store is None:
         return text + "no store: what this doorman knows is all there is\n"
     pacing = store.pacing
--- a/brackenlane/settings/appliance.py
+++ b/brackenlane/settings/appliance.py
@@ -155,8 +155,7 @@
     asks: PerSecond = 500.0  # small requests per second that the store can serve
     loads: PerSecond = 20.0  # full loads per second that the store can serve
     look_ups: PerSecond = 1000.0  # queries per second that the resolver can serve
-    # Maximum age of a snapshot whose caches are used at once; an older one is used only if the store doesn't
-    # answer.
+    # Maximum age of a snapshot whose caches are used at once. An older one has to wait for the store.
     trust: Annotated[float, Field(ge=0, le=31 * DAY)] = DAY
     # How long to wait for the store's answer before a snapshot older than `trust` is used.
     patience: Annotated[float, Field(ge=0, le=600)] = 10.0
--- a/brackenlane/settings/loader.py
+++ b/brackenlane/settings/loader.py
@@ -18,8 +18,7 @@
 MAX_SHOWN_VALUE = 60  # characters; a longer value is truncated
 TRUNCATION_MARK = "..."
 
-# Names of the table classes in fault lines. They stay when a class is renamed: operators' scripts may match
-# them.
+# Names of the tables in fault lines, by class. Operators' scripts may match them, so they must not change.
 FAULT_LINE_TABLE_NAMES = {
     "SlowStartTable": "Cold",
     "SettingsTable": "Module",
