--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,7 +1,8 @@
-"""KNOWN-RED.txt at the root: tests known to fail, one line each: `TEST, CAUSE, issue N`; three at most.
+"""Handles KNOWN-RED.txt, the list of tests that are known to fail, at the root of the repository.
 
-As a program it prints them, and exits 1 for what such a file may not hold. As a plugin of pytest it deselects
-exactly them: `--deselect` would take every test whose name begins alike.
+Each line has the form `TEST, CAUSE, issue N`; at most three lines are allowed. Run as a program, this prints
+the list, and exits with 1 if the file is invalid. As a pytest plugin, it deselects exactly these tests, while
+pytest's `--deselect` would also deselect other tests whose names begin with one of these.
 """
 
 from __future__ import annotations
@@ -13,69 +14,69 @@
 
 import pytest
 
-MOST = 3
-LINE = re.compile(r"(\S+::\S.*?), (\S.*), (issue \d+)")
+MAX_ENTRIES = 3
+ENTRY_PATTERN = re.compile(r"(\S+::\S.*?), (\S.*), (issue \d+)")
 
 
 class KnownRedError(Exception):
-    """A file that can't be kept to."""
+    """KNOWN-RED.txt is invalid."""
 
 
-def read(root: Path) -> list[tuple[str, str, str]]:
-    """Test, cause and issue of each line; none without a file."""
+def read_entries(root: Path) -> list[tuple[str, str, str]]:
+    """Return test, cause and issue of each line; an empty list if there is no file."""
     path = root / "KNOWN-RED.txt"
     lines = path.read_text().splitlines() if path.exists() else []
-    if len(lines) > MOST:
-        raise KnownRedError(f"{len(lines)} lines, {MOST} are allowed")
-    found = [LINE.fullmatch(line) for line in lines]
+    if len(lines) > MAX_ENTRIES:
+        raise KnownRedError(f"{len(lines)} lines; at most {MAX_ENTRIES} are allowed")
+    found = [ENTRY_PATTERN.fullmatch(line) for line in lines]
     for line, match in zip(lines, found, strict=True):
         if match is None:
             raise KnownRedError(f"not 'TEST, CAUSE, issue N': {line!r}")
-    reported = [(match[1], match[2], match[3]) for match in found if match]
-    if len({test for test, _, _ in reported}) < len(reported):
-        raise KnownRedError("a test stands twice")
-    return reported
+    entries = [(match[1], match[2], match[3]) for match in found if match]
+    if len({test for test, _, _ in entries}) < len(entries):
+        raise KnownRedError("a test is listed twice")
+    return entries
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Pass over exactly these."""
-    red = {test for test, _, _ in read(config.rootpath)}
-    gone = [item for item in items if item.nodeid in red]
-    items[:] = [item for item in items if item.nodeid not in red]
-    config.hook.pytest_deselected(items=gone)
+    """Deselect the listed tests, by exact name."""
+    known_failures = {test for test, _, _ in read_entries(config.rootpath)}
+    deselected = [item for item in items if item.nodeid in known_failures]
+    items[:] = [item for item in items if item.nodeid not in known_failures]
+    config.hook.pytest_deselected(items=deselected)
 
 
 def check(root: Path) -> list[tuple[str, str, str]]:
-    """Return what the file lists; KnownRedError if it names a test that is not there."""
-    reported = read(root)
-    if reported:
-        known = collected_tests(root)
-        for test, _, _ in reported:
-            if test not in known:
+    """Return the entries of the file. Raises KnownRedError if it names a test that doesn't exist."""
+    entries = read_entries(root)
+    if entries:
+        test_ids = collect_test_ids(root)
+        for test, _, _ in entries:
+            if test not in test_ids:
                 raise KnownRedError(f"no such test: {test}")
-    return reported
+    return entries
 
 
-def collected_tests(root: Path) -> set[str]:
-    """Return the names of all tests."""
-    done = subprocess.run(
+def collect_test_ids(root: Path) -> set[str]:
+    """Return the node ids of all tests."""
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "--collect-only", "-q", "-n0"],
         cwd=root,
         capture_output=True,
         text=True,
         check=False,
     )
-    return set(done.stdout.splitlines())
+    return set(completed.stdout.splitlines())
 
 
 def main(root: Path) -> int:
-    """Check the file and print it."""
+    """Check the file and print its entries; return the exit code."""
     try:
-        reported = check(root)
+        entries = check(root)
     except KnownRedError as error:
         print(f"KNOWN-RED.txt: {error}", file=sys.stderr)
         return 1
-    for test, cause, issue in reported:
+    for test, cause, issue in entries:
         print(f"known red, not run: {test}: {cause} ({issue})")
     return 0
 
--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -1,10 +1,10 @@
-"""A toy site to try brackenlane with: the caches that a configuration names, and a resolver for their names.
+"""Runs a toy site to try out brackenlane: the caches of a configuration, and a resolver for their names.
 
     python example/toy_site.py example/config.json         the caches of the platform's router
     python example/toy_site.py deploy/appliance.toml       the caches and the resolver of an appliance
-    python example/toy_site.py deploy/appliance-srv.toml   the same with caches that SRV records name
+    python example/toy_site.py deploy/appliance-srv.toml   the same, with caches found by SRV records
 
-Every cache holds every object, some made-up bytes, and prints each request.
+Every cache has every object, with made-up content, and prints each request.
 """
 
 from __future__ import annotations
@@ -27,28 +27,36 @@
 
 
 def read_site(path: Path) -> tuple[dict[str, Endpoint], Endpoint | None, dict[str, list[int]]]:
-    """Return the caches by id, the resolver if there is one, and the cache ports of each SRV entry."""
+    """Return the caches by id, the resolver or None, and the cache ports of each SRV entry."""
     if path.suffix == ".json":
         known: list[dict[str, Any]] = json.loads(path.read_text())["known"]["results"]
-        ends = {t["uid"]: t["endpoint"].rsplit(":", 1) for e in known for t in e["fleet"]["targets"]}
-        return {uid: (host, int(port)) for uid, (host, port) in ends.items()}, None, {}
+        addresses = {
+            target["uid"]: target["endpoint"].rsplit(":", 1)
+            for change in known
+            for target in change["fleet"]["targets"]
+        }
+        return {uid: (host, int(port)) for uid, (host, port) in addresses.items()}, None, {}
     raw = tomllib.loads(path.read_text())
-    # A cache with a host name stands on this machine: the toy resolver says so.
-    caches = {b["id"]: (b["host"] if b["host"][0].isdigit() else "127.0.0.1", b["port"]) for b in raw["box"]}
+    # The toy resolver resolves all host names to this machine.
+    caches = {
+        cache["id"]: (cache["host"] if cache["host"][0].isdigit() else "127.0.0.1", cache["port"])
+        for cache in raw["box"]
+    }
     services = {
-        entry["srv"]: [7111 + 10 * n + i for i in range(3)] for n, entry in enumerate(raw.get("discover", ()))
+        entry["srv"]: [7111 + 10 * index + cache_index for cache_index in range(3)]
+        for index, entry in enumerate(raw.get("discover", ()))
     }
     caches |= {
-        f"cache-{i + 1} of {srv}": ("127.0.0.1", port)
+        f"cache-{cache_index + 1} of {srv}": ("127.0.0.1", port)
         for srv, ports in services.items()
-        for i, port in enumerate(ports)
+        for cache_index, port in enumerate(ports)
     }
     host, _, port = raw.get("resolver", "").rpartition(":")
     return caches, (host, int(port)) if host else None, services
 
 
-async def serve_cache(name: str, endpoint: Endpoint, nursery: trio.Nursery) -> None:
-    """Serve one cache, which holds every object and prints each request."""
+async def run_cache(name: str, endpoint: Endpoint, nursery: trio.Nursery) -> None:
+    """Run one cache, which has every object and prints each request."""
 
     def answer(requested: ReceivedRequest) -> bytes:
         reported = ",".join(f"{field}={value}" for field, value in requested.fields.items())
@@ -64,8 +72,8 @@
     await cache.open(nursery)
 
 
-async def serve_names(endpoint: Endpoint, services: dict[str, list[int]], nursery: trio.Nursery) -> None:
-    """Serve the resolver: each cache's name is this machine; each SRV entry names caches at some ports."""
+async def run_resolver(endpoint: Endpoint, services: dict[str, list[int]], nursery: trio.Nursery) -> None:
+    """Run the resolver: host names resolve to this machine, and SRV entries to the ports of their caches."""
     server = DnsServer()
     server.port = endpoint[1]
     server.default = "127.0.0.1"
@@ -74,20 +82,20 @@
         server.put(
             srv,
             "SRV",
-            *(f"{10 * (n > 1)} 8 {port} cache-{n + 1}.{domain}." for n, port in enumerate(ports)),
+            *(f"{10 * (index > 1)} 8 {port} cache-{index + 1}.{domain}." for index, port in enumerate(ports)),
             ttl=5,
         )
     await server.open(nursery)
 
 
 async def main(path: Path) -> None:
-    """Run the whole site."""
+    """Run the caches and the resolver of a configuration file."""
     caches, resolver, services = read_site(path)
     async with trio.open_nursery() as nursery:
         for name, endpoint in caches.items():
-            await serve_cache(name, endpoint, nursery)
+            await run_cache(name, endpoint, nursery)
         if resolver:
-            await serve_names(resolver, services, nursery)
+            await run_resolver(resolver, services, nursery)
         print(f"{len(caches)} boxes are up", flush=True)
 
 
