--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -1,4 +1,4 @@
-"""The DNS front: the real program, with clients, caches, a resolver and a Redis that these tests play."""
+"""The appliance as a process, with stand-ins for clients, caches, the resolver and the Redis store."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 async def query(
     port: int, name: str, kind: str = "A", tcp: bool = False, **more: object
 ) -> dns.message.Message:
-    """One query."""
+    """Send one DNS query and return the response."""
     message = dns.message.make_query(name, kind, **more)  # type: ignore[arg-type]
     request = dns.asyncquery.tcp if tcp else dns.asyncquery.udp
     return await request(message, "127.0.0.1", port=port, timeout=5)
 
 
 def texts(message: dns.message.Message) -> list[str]:
-    """The answer's records, each without its name."""
+    """Return the data of the answer's records, after checking that every TTL is 0."""
     assert all(rrset.ttl == 0 for rrset in message.answer)
     return [record.to_text() for rrset in message.answer for record in rrset]
 
 
 async def console(path: Path, *arguments: str) -> str:
-    """One command at the operator's terminal."""
+    """Run one console command from the command line and return its output."""
     done = await trio.run_process(
         [sys.executable, "-m", "brackenlane", "console", str(path), *arguments], capture_stdout=True, cwd=ROOT
     )
     return done.stdout.decode()
 
 
-async def caches_at(nursery: trio.Nursery, *ids: str) -> list[CacheStandIn]:
-    """Boxes by these ids, and the origin."""
+async def start_caches(nursery: trio.Nursery, *ids: str) -> list[CacheStandIn]:
+    """Start caches with these ids, and the origin."""
     return [
         await CacheStandIn(i, "origin" if i == "origin" else "type-a").open(nursery) for i in (*ids, "origin")
     ]
@@ -80,12 +80,13 @@
 )
 @with_trio
 async def test_answers(tmp_path: Path, name: str, kind: str, code: str, answer: list[str], tcp: bool) -> None:
-    """Every kind of question has its answer, none of which may be kept."""
+    """Checks code, records and authority section for each kind of name; no answer may be cached (TTL 0)."""
     async with trio.open_nursery() as nursery:
-        cache_stand_in, origin = await caches_at(nursery, "box-1")
+        cache_stand_in, origin = await start_caches(nursery, "box-1")
         async with appliance(tmp_path, [cache_stand_in, origin]) as (router_process, port, _):
             if kind == "AXFR" and tcp:
-                kind = "MAILB"  # the library asks for a transfer in its own way; another meta type will do
+                # dnspython would start a zone transfer for AXFR, so another meta type is queried instead.
+                kind = "MAILB"
             found = await query(port, name, kind, tcp)
             assert dns.rcode.to_text(found.rcode()) == code
             assert texts(found) == [
@@ -96,22 +97,25 @@
 
 
 @with_trio
-async def test_odd_queries(tmp_path: Path) -> None:
-    """FORMERR, NOTIMP, BADVERS and TC; what is no query has no answer, and the next one has."""
+async def test_malformed_and_unsupported_queries(tmp_path: Path) -> None:
+    """Malformed and unsupported queries get FORMERR, NOTIMP or BADVERS.
+
+    Packets that aren't queries get no response, and the server still answers the next query.
+    """
     async with trio.open_nursery() as nursery:
-        async with appliance(tmp_path, await caches_at(nursery, "box-1")) as (_, port, _path):
+        async with appliance(tmp_path, await start_caches(nursery, "box-1")) as (_, port, _path):
             sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
             await sock.connect(("127.0.0.1", port))
             good = dns.message.make_query(READ, "A")
-            update = dns.message.make_query(READ, "A")
-            update.set_opcode(dns.opcode.STATUS)
+            status_query = dns.message.make_query(READ, "A")
+            status_query.set_opcode(dns.opcode.STATUS)
             echo = dns.message.make_response(good).to_wire()
             for wire, code in (
                 (good.to_wire()[:20], dns.rcode.FORMERR),
                 (b"\x12\x34\x00", None),
                 (echo, None),
                 (bytes(12), dns.rcode.FORMERR),
-                (update.to_wire(), dns.rcode.NOTIMP),
+                (status_query.to_wire(), dns.rcode.NOTIMP),
                 (dns.message.make_query(READ, "A", use_edns=1).to_wire(), dns.rcode.BADVERS),
                 (good.to_wire(), dns.rcode.NOERROR),
             ):
@@ -123,23 +127,23 @@
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize(("records", "cut"), [(10, False), (100, True)])
-def test_too_long(records: int, cut: bool) -> None:
-    """An answer too long for its datagram asks for TCP."""
+@pytest.mark.parametrize(("records", "is_truncated"), [(10, False), (100, True)])
+def test_truncation(records: int, is_truncated: bool) -> None:
+    """A response that exceeds the datagram size is truncated, with the TC flag and no records."""
     response = dns.message.make_response(dns.message.make_query(READ, "A"))
     response.answer.append(dns.rrset.from_text(READ, 0, "IN", "A", *(f"127.0.0.{n}" for n in range(records))))
     wire = encode_response(response, 512)
     found = dns.message.from_wire(wire, ignore_trailing=False)
     assert len(wire) <= 512
-    assert bool(found.flags & dns.flags.TC) is cut
-    assert bool(found.answer) is not cut
+    assert bool(found.flags & dns.flags.TC) is is_truncated
+    assert bool(found.answer) is not is_truncated
 
 
 @with_trio
 async def test_drain(tmp_path: Path) -> None:
-    """No answer names a drained cache once 500 ms have passed; a restored one is named again."""
+    """Answers stop naming a drained cache within 500 ms, and name it again once it is restored."""
     async with trio.open_nursery() as nursery:
-        first, second, origin = await caches_at(nursery, "box-1", "box-2")
+        first, second, origin = await start_caches(nursery, "box-1", "box-2")
         async with appliance(tmp_path, [first, second, origin]) as (_, port, path):
 
             async def named() -> set[str]:
@@ -149,7 +153,7 @@
 
             assert await named() == {"box-1", "box-2"}
             assert await console(path, "drain", "box-1") == "box-1 drained\n"
-            # The 500 ms of the rule are not used: the first answer after the news keeps to it.
+            # The rule allows 500 ms, but the first answer after the drain already omits the cache.
             assert await named() == {"box-2"}
             assert not texts(await query(port, "box-1.boxes.caches.test."))
             assert "draining" in await console(path, "boxes")
@@ -162,10 +166,10 @@
 
 
 @with_trio
-async def test_give_up(tmp_path: Path) -> None:
-    """With no cache left to name the answer is SERVFAIL, at once."""
+async def test_no_reachable_cache(tmp_path: Path) -> None:
+    """If no cache and no origin is reachable, the response is SERVFAIL without records."""
     async with trio.open_nursery() as nursery:
-        cache_stand_in, origin = await caches_at(nursery, "box-1")
+        cache_stand_in, origin = await start_caches(nursery, "box-1")
         async with appliance(tmp_path, [cache_stand_in, origin]) as (_, port, _path):
             await cache_stand_in.close()
             await origin.close()
@@ -177,14 +181,14 @@
 
 @with_trio
 async def test_unreachable_cache(tmp_path: Path) -> None:
-    """A stale answer naming a dead cache: the next query names another, and a read at the router works."""
+    """After a cache has died, reads through the router succeed, and DNS answers name another cache."""
     async with trio.open_nursery() as nursery:
-        first, second, origin = await caches_at(nursery, "box-1", "box-2")
+        first, second, origin = await start_caches(nursery, "box-1", "box-2")
         async with appliance(tmp_path, [first, second, origin]) as (router_process, port, _):
             stale = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             dead, alive = (first, second) if stale.startswith("box-1") else (second, first)
             await dead.close()
-            # A client that ignores lifetimes finds nobody there; by the router it is served all the same.
+            # A client that uses the old answer beyond its TTL can't connect, but the router serves it.
             with pytest.raises(OSError):
                 await trio.open_tcp_stream("127.0.0.1", dead.port)
             assert (await router_process.ask(obj=OBJECT))[0] == 200
@@ -195,21 +199,23 @@
 
 
 @with_trio
-async def test_resolver(tmp_path: Path) -> None:
-    """A cache by host name is looked up; an answer that names a dead cache is dropped and asked anew."""
+async def test_cache_with_host_name(tmp_path: Path) -> None:
+    """A cache's host name is resolved, and looked up again before its TTL ends if the cache is down."""
     async with trio.open_nursery() as nursery:
         resolver = await DnsServer().open(nursery)
         resolver.put("named.branch.test", "A", "127.0.0.3", ttl=600)
-        cache_stand_in, origin = await caches_at(nursery, "box-1")
+        cache_stand_in, origin = await start_caches(nursery, "box-1")
         hosts = {"box-1": "named.branch.test."}
         async with appliance(tmp_path, [cache_stand_in, origin], resolver, hosts=hosts) as (_, port, path):
-            await resolver.until(3)  # nobody listens at 127.0.0.3: that answer is never used
+            # No cache listens on 127.0.0.3, so this answer is never used.
+            await resolver.until(3)
             assert "not found" in await console(path, "boxes")
             resolver.put("named.branch.test", "A", "127.0.0.1", ttl=600)
-            # Asked again and again: the good answer, kept for 600 s, may come before the console is asked.
+            # Look-ups are repeated; the new answer (TTL 600 s) may arrive before the first console command.
             while "not found" in await console(path, "boxes"):
                 await trio.sleep(0.05)
-            # The answer may be kept for 600 s, but the cache is dead: it is asked for again, not named.
+            # Although its address has a TTL of 600 s, a cache that is down is omitted from answers and its
+            # name is looked up again.
             await cache_stand_in.close()
             before = len(resolver.asked)
             assert texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3].startswith("origin")
@@ -217,56 +223,61 @@
         nursery.cancel_scope.cancel()
 
 
-async def submit(router_process: Program, txn: str) -> int:
-    """One try of a submit by HTTP."""
+async def send_submit(router_process: Program, txn: str) -> int:
+    """Send a submit once over HTTP and return the status."""
     return (await router_process.ask("sheet-submit", OBJECT, b"signed", txn=txn))[0]
 
 
 @with_trio
 async def test_submit_once(tmp_path: Path) -> None:
-    """A write's name is the doorman's own, and two routers run a submit once between them."""
+    """DNS answers for writes name the router itself, and two routers run the same submit only once."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        caches = await caches_at(nursery, "box-1")
+        caches = await start_caches(nursery, "box-1")
         async with (
-            appliance(tmp_path, caches, redis=redis) as (one, port, _),
-            appliance(tmp_path, caches, redis=redis, name="a2") as (two, _port, _path),
+            appliance(tmp_path, caches, redis=redis) as (first_router, port, _),
+            appliance(tmp_path, caches, redis=redis, name="a2") as (second_router, _port, _path),
         ):
-            assert texts(await query(port, f"_http._tcp.{WRITE}", "SRV"))[0].split()[2] == str(one.port)
+            assert texts(await query(port, f"_http._tcp.{WRITE}", "SRV"))[0].split()[2] == str(
+                first_router.port
+            )
             txn = "00000000000000a1"
-            assert [await submit(one, txn), await submit(two, txn), await submit(one, txn)] == [200, 409, 409]
-            ran = [requested.id for cache_stand_in in caches for requested in cache_stand_in.received]
-            assert ran == [txn]
-            # A submit that provably never ran may be sent again.
+            assert [
+                await send_submit(first_router, txn),
+                await send_submit(second_router, txn),
+                await send_submit(first_router, txn),
+            ] == [200, 409, 409]
+            executed = [requested.id for cache_stand_in in caches for requested in cache_stand_in.received]
+            assert executed == [txn]
+            # If the caches refuse a submit without running it, it may be sent again.
             for cache_stand_in in caches:
                 cache_stand_in.answer = lambda requested: data(requested, b"", "full")
-            assert await submit(one, "00000000000000a2") == 503
+            assert await send_submit(first_router, "00000000000000a2") == 503
             for cache_stand_in in caches:
                 cache_stand_in.answer = data
             while any(key.endswith("claim:00000000000000a2") for key in redis.keys):
-                await trio.sleep(0.01)  # the answer does not wait for the claim to be given back
-            assert await submit(two, "00000000000000a2") == 200
+                await trio.sleep(0.01)  # the response is sent before the claim is released
+            assert await send_submit(second_router, "00000000000000a2") == 200
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_left_while_its_submit_was_claimed(tmp_path: Path) -> None:
-    """The store's answer comes when the client has gone: the submit is not run."""
+async def test_client_disconnects_during_claim(tmp_path: Path) -> None:
+    """If the client disconnects before the store confirms the claim, the submit isn't run."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        caches = await caches_at(nursery, "box-1")
+        caches = await start_caches(nursery, "box-1")
         async with appliance(tmp_path, caches, redis=redis) as (router_process, _, _path):
-            assert await submit(router_process, "00000000000000b1") == 200
+            assert await send_submit(router_process, "00000000000000b1") == 200
             redis.late = 0.2
             async with trio.open_nursery() as client:
-                client.start_soon(submit, router_process, "00000000000000b2")
+                client.start_soon(send_submit, router_process, "00000000000000b2")
                 while not any(key.endswith("claim:00000000000000b2") for key in redis.keys):
                     await trio.sleep(0.005)
                 client.cancel_scope.cancel()
             redis.late = 0.0
-            assert (
-                await submit(router_process, "00000000000000b3") == 200
-            )  # claimed behind the one that has left
+            # This claim is answered after that of the client that has disconnected.
+            assert await send_submit(router_process, "00000000000000b3") == 200
             assert [
                 requested.id[-2:] for cache_stand_in in caches for requested in cache_stand_in.received
             ] == [
@@ -278,10 +289,10 @@
 
 @with_trio
 async def test_shared_drain(tmp_path: Path) -> None:
-    """A drain at one router reaches the other's answers; the store keeps it for a third."""
+    """A drain at one router takes effect at another; a router that starts later reads it from the store."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        first, second, origin = await caches_at(nursery, "box-1", "box-2")
+        first, second, origin = await start_caches(nursery, "box-1", "box-2")
         caches = [first, second, origin]
         async with (
             appliance(tmp_path, caches, redis=redis) as (_, _port, path),
@@ -291,23 +302,23 @@
             name = "box-1.boxes.caches.test."
             assert texts(await query(port, name)) == ["127.0.0.1"]
             await console(path, "drain", "box-1")
-            reported = time.monotonic()
+            ordered_at = time.monotonic()
             while texts(await query(port, name)):
-                assert time.monotonic() < reported + 10, "no news of the drain"
-            print(f"{(time.monotonic() - reported) * 1000:.0f} ms from the console's answer to the other's")
-            async with appliance(tmp_path, caches, redis=redis, name="a3") as (_third, late, third):
+                assert time.monotonic() < ordered_at + 10, "no news of the drain"
+            print(f"{(time.monotonic() - ordered_at) * 1000:.0f} ms from the console's answer to the other's")
+            async with appliance(tmp_path, caches, redis=redis, name="a3") as (_third, third_port, third):
                 while "draining" not in await console(third, "boxes"):
                     pass
-                assert not texts(await query(late, name))
+                assert not texts(await query(third_port, name))
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_redis_lost(tmp_path: Path) -> None:
-    """Without the store reads go on; a submit is refused before it runs; drains are shared later."""
+async def test_store_unavailable(tmp_path: Path) -> None:
+    """Without the store, reads succeed, submits are rejected unrun, and drains are published later."""
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
-        caches = await caches_at(nursery, "box-1", "box-2")
+        caches = await start_caches(nursery, "box-1", "box-2")
         async with appliance(tmp_path, caches, redis=redis) as (router_process, port, path):
             await redis.seen.wait()
             await redis.close()
@@ -324,12 +335,12 @@
             await redis.seen.wait()
             assert "draining" in (await console(path, "boxes")).split("box-2")[0]
             assert '"drained":true' in redis.keys["brackenlane:caches.test.:orders"]["box-1"]
-            assert await submit(router_process, "00000000000000b1") == 200
+            assert await send_submit(router_process, "00000000000000b1") == 200
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected_error"),
     [
         ('name = "branch-1"', "", "name: missing"),
         ('dns = "127.0.0.1:7053"', 'dns = "here"', "dns: 'here'"),
@@ -343,8 +354,8 @@
         ('effect = "unsafe"', 'effect = "odd"', "odd"),
     ],
 )
-def test_bad_file(tmp_path: Path, old: str, new: str, said: str) -> None:
-    """An operator's file that can't be used is one plain line and exit 2."""
+def test_invalid_file(tmp_path: Path, old: str, new: str, expected_error: str) -> None:
+    """An invalid operator's file leads to a single line on stderr and exit code 2."""
     text = (ROOT / "deploy" / "appliance.toml").read_text()
     assert old in text
     path = tmp_path / "a.toml"
@@ -358,5 +369,5 @@
         timeout=60,
     )
     assert done.returncode == 2
-    assert said in done.stderr
+    assert expected_error in done.stderr
     assert done.stderr.count("\n") == 1
