--- a/tests/slow_program.py
+++ b/tests/slow_program.py
@@ -1,4 +1,4 @@
-"""The program with its core slowed: every event costs some milliseconds of CPU more (SLOW_MS)."""
+"""Runs the program with a slowed routing core: each event takes SLOW_MS more milliseconds of CPU time."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from brackenlane.routing.actions import Action
 from brackenlane.routing.events import Event
 
-COST = float(os.environ["SLOW_MS"]) / 1000
-handle = Router.handle
+EXTRA_SECONDS_PER_EVENT = float(os.environ["SLOW_MS"]) / 1000
+original_handle = Router.handle
 
 
-def slowly(self: Router, event: Event, now: float) -> list[Action]:
-    """The same decision, at more cost."""
-    until = time.perf_counter() + COST
+def handle_slowly(self: Router, event: Event, now: float) -> list[Action]:
+    """Make the same decision after EXTRA_SECONDS_PER_EVENT of busy waiting."""
+    until = time.perf_counter() + EXTRA_SECONDS_PER_EVENT
     while time.perf_counter() < until:
         pass
-    return handle(self, event, now)
+    return original_handle(self, event, now)
 
 
 if __name__ == "__main__":
-    Router.handle = slowly  # type: ignore[method-assign]
+    Router.handle = handle_slowly  # type: ignore[method-assign]
     sys.exit(main(sys.argv[1:]))
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,6 +1,7 @@
-"""Every name that docs/ARCHITECTURE.md quotes exists: modules, members, metrics, variables, paths, log lines.
+"""Checks that every name quoted in docs/ARCHITECTURE.md exists.
 
-In backticks: `package.module.Class.member` relative to brackenlane, `Limits.field`, `gw_metric`, `VARIABLE`,
+These are modules, members, metrics, environment variables, paths and log lines. In backticks:
+`package.module.Class.member` relative to brackenlane, `Limits.field`, `gw_metric`, `VARIABLE`,
 `path/to/file`, or text of the source or the deploy files. In double quotes: a log line.
 """
 
@@ -32,8 +33,8 @@
 
 
 @cache
-def literals() -> tuple[frozenset[str], frozenset[str]]:
-    """Return the string literals of the programs in service, and those that begin a log call or an error."""
+def source_literals() -> tuple[frozenset[str], frozenset[str]]:
+    """Return all string literals outside the lab, and among them the texts of log calls and errors."""
     found: set[str] = set()
     messages: set[str] = set()
     for file in (ROOT / "brackenlane").rglob("*.py"):
@@ -50,29 +51,30 @@
 
 
 @cache
-def other_text() -> str:
-    """Return what operators type or read: the source's literals, the deploy files and the Makefile."""
+def operator_text() -> str:
+    """Return the text that operators type or read: string literals, the deploy files and the Makefile."""
     files = [*sorted((ROOT / "deploy").glob("*.toml")), ROOT / "Makefile"]
-    return "\n".join([*literals()[0], *(file.read_text() for file in files)])
+    return "\n".join([*source_literals()[0], *(file.read_text() for file in files)])
 
 
-OTHER_FAULTS = (
+# Fault counters that platform_router.build adds to the metrics.
+OTHER_FAULT_COUNTERS = (
     "clock_steps",
     "accept_shortages",
     "handover_write_failures",
     "handover_read_failures",
-)  # of platform_router.build
+)
 
 
 def has_member(owner: object, name: str) -> bool:
-    """Whether an object has a member, or its class's source sets an instance attribute of that name."""
+    """Return whether an object has a member, or its class sets an instance attribute of that name."""
     if hasattr(owner, name):
         return True
     return inspect.isclass(owner) and re.search(rf"\bself\.{name}\b", inspect.getsource(owner)) is not None
 
 
 def is_dotted_name(text: str) -> bool:
-    """Whether a dotted name leads from brackenlane (or Limits) to something that exists."""
+    """Return whether a dotted name, relative to brackenlane or Limits, exists."""
     owner: object = Limits if text.startswith("Limits.") else brackenlane
     for name in text.removeprefix("Limits.").split("."):
         if isinstance(owner, ModuleType) and hasattr(owner, "__path__"):
@@ -88,25 +90,25 @@
 
 
 def exists(text: str) -> bool:
-    """Whether one quoted name exists, by what its form says it is."""
+    """Return whether a quoted name exists; its form tells the kind of name."""
     if METRIC.fullmatch(text):
-        faults = {**ChangeLogCounters().by_name(), **dict.fromkeys(OTHER_FAULTS, 0)}
+        faults = {**ChangeLogCounters().by_name(), **dict.fromkeys(OTHER_FAULT_COUNTERS, 0)}
         samples = expose(RequestMetrics(["any"]), Gauges(), faults).decode()
         return re.search(rf"^{text}\b", samples, re.M) is not None
     if VARIABLE.fullmatch(text):
-        return text in literals()[0]
+        return text in source_literals()[0]
     if DOTTED.fullmatch(text):
-        return is_dotted_name(text) or text in literals()[0] or f"\n{text} = " in other_text()
+        return is_dotted_name(text) or text in source_literals()[0] or f"\n{text} = " in operator_text()
     if REPOSITORY_PATH.fullmatch(text) and not text.startswith("."):
         return (ROOT / text).exists()
-    return all(part in other_text() for part in PLACEHOLDERS.split(text))
+    return all(part in operator_text() for part in PLACEHOLDERS.split(text))
 
 
 def missing_names(page: str) -> list[str]:
-    """Return what a page quotes and what does not exist."""
+    """Return the quoted names and log lines of a page that don't exist."""
     names = re.findall(r"`([^`\n]+)`", page)
     lines = re.findall(r'"([^"]+)"', re.sub(r"`[^`\n]+`|\s+", " ", page))
-    unlogged = [line for line in lines if not any(line in message for message in literals()[1])]
+    unlogged = [line for line in lines if not any(line in message for message in source_literals()[1])]
     return [name for name in names if not exists(name)] + unlogged
 
 
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -1,4 +1,4 @@
-"""The example as a newcomer tries it: the toy site and the program, from the files that lie there."""
+"""Runs the toy site and the program with the example configuration files."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.stand_ins import ROOT, free_port, program, with_trio
 
 
-def moved(tmp_path: Path, name: str) -> tuple[Path, dict[str, int]]:
-    """A file of the example with free ports instead of its own."""
+def copy_with_free_ports(tmp_path: Path, name: str) -> tuple[Path, dict[str, int]]:
+    """Write a copy of a configuration file with free ports; return its path and the new port by old port."""
     text = (ROOT / name).read_text()
     ports = {old: free_port() for old in set(re.findall(r"\b7[01]\d\d\b", text))}
     path = tmp_path / Path(name).name
@@ -27,14 +27,14 @@
 )
 @with_trio
 async def test_example(tmp_path: Path, name: str, front: str) -> None:
-    """The toy caches answer through the router."""
-    path, ports = moved(tmp_path, name)
-    toy = await trio.lowlevel.open_process(
+    """A read and a submit through the router are answered by the toy caches."""
+    path, ports = copy_with_free_ports(tmp_path, name)
+    toy_site_process = await trio.lowlevel.open_process(
         [sys.executable, "example/toy_site.py", str(path)], cwd=ROOT, stdout=subprocess.PIPE
     )
     try:
-        assert toy.stdout
-        assert b"are up" in await toy.stdout.receive_some(4096)
+        assert toy_site_process.stdout
+        assert b"are up" in await toy_site_process.stdout.receive_some(4096)
         arguments = ("appliance", str(path)) if path.suffix == ".toml" else ()
         async with program(ports[front], *arguments, GW_CONFIG=str(path)) as router_process:
             status, _, body = await router_process.ask()
@@ -44,5 +44,5 @@
             assert status == 200
             assert body
     finally:
-        toy.kill()
-        await toy.wait()
+        toy_site_process.kill()
+        await toy_site_process.wait()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""CI passes over what KNOWN-RED.txt names, exactly that, and says so; any other content fails the run."""
+"""CI skips exactly the tests listed in KNOWN-RED.txt and reports them; an invalid file fails the run."""
 
 from __future__ import annotations
 
@@ -17,20 +17,22 @@
 @pytest.mark.parametrize("n", [1, 2])
 def test_some(n): assert n != RED
 """
-LINE = "tests/test_it.py::test_red, the link's clock runs back, issue 7"
+KNOWN_RED_LINE = "tests/test_it.py::test_red, the link's clock runs back, issue 7"
 
 
-def run(folder: Path, red: str | None, also: int = 0) -> subprocess.CompletedProcess[str]:
-    """What .ci/run does once all is installed, in a project of a few tests."""
+def run_ci_test(
+    folder: Path, red: str | None, failing_parameter: int = 0
+) -> subprocess.CompletedProcess[str]:
+    """Run .ci/test, as .ci/run does after installation, in a project with a few tests."""
     (folder / "tests").mkdir()
-    (folder / "tests" / "test_it.py").write_text(TESTS.replace("RED", str(also)))
+    (folder / "tests" / "test_it.py").write_text(TESTS.replace("RED", str(failing_parameter)))
     if red is not None:
         (folder / "KNOWN-RED.txt").write_text(red)
-    reported = {k: v for k, v in os.environ.items() if not k.startswith(("PYTEST", "PYTHONPATH"))}
+    environment = {k: v for k, v in os.environ.items() if not k.startswith(("PYTEST", "PYTHONPATH"))}
     return subprocess.run(
         ["bash", str(ROOT / ".ci" / "test"), sys.executable],
         cwd=folder,
-        env=reported,
+        env=environment,
         capture_output=True,
         text=True,
         check=False,
@@ -38,47 +40,49 @@
 
 
 @pytest.mark.parametrize(
-    ("red", "also", "passed"),
+    ("red", "failing_parameter", "passed"),
     [
-        (LINE, 0, 3),
-        (LINE + "\ntests/test_it.py::test_some[2], two is, one too many, issue 12\n", 2, 2),
+        (KNOWN_RED_LINE, 0, 3),
+        (KNOWN_RED_LINE + "\ntests/test_it.py::test_some[2], two is, one too many, issue 12\n", 2, 2),
     ],
 )
-def test_passes_over_just_these(tmp_path: Path, red: str, also: int, passed: int) -> None:
-    done = run(tmp_path, red, also)
-    assert done.returncode == 0, done.stdout + done.stderr
+def test_skips_exactly_the_listed_tests(
+    tmp_path: Path, red: str, failing_parameter: int, passed: int
+) -> None:
+    completed = run_ci_test(tmp_path, red, failing_parameter)
+    assert completed.returncode == 0, completed.stdout + completed.stderr
     lines = red.splitlines()
-    assert f"{passed} passed, {len(lines)} deselected" in done.stdout
+    assert f"{passed} passed, {len(lines)} deselected" in completed.stdout
     for line in lines:
-        assert f"known red, not run: {line.split(', ')[0]}: " in done.stdout
+        assert f"known red, not run: {line.split(', ')[0]}: " in completed.stdout
 
 
 @pytest.mark.parametrize(
     "red",
     [
         None,
-        "",  # nothing is known to be red: what fails, fails
+        "",  # an empty list: the failing test isn't skipped
         "tests/test_it.py::test_red_too, not this one, issue 7",
         "tests/test_it.py::test_re, a part of its name, issue 7",
         "tests/test_it.py::test_none, no such test, issue 7",
         "tests/test_it.py::test_red, no issue",
         "test_red, no file, issue 7",
-        LINE + "\n\n",
-        LINE + "\n" + LINE,
+        KNOWN_RED_LINE + "\n\n",
+        KNOWN_RED_LINE + "\n" + KNOWN_RED_LINE,
         "\n".join(
             [
-                LINE,
+                KNOWN_RED_LINE,
                 *(f"tests/test_it.py::test_some[{n}], more, issue 7" for n in (1, 2)),
                 "tests/test_it.py::test_red_too, a fourth, issue 7",
             ]
         ),
     ],
 )
-def test_anything_else_fails_the_run(tmp_path: Path, red: str | None) -> None:
-    assert run(tmp_path, red).returncode != 0
+def test_other_failures_and_invalid_files_fail_the_run(tmp_path: Path, red: str | None) -> None:
+    assert run_ci_test(tmp_path, red).returncode != 0
 
 
-def test_ci_calls_it() -> None:
-    """CI ends by just this."""
+def test_ci_run_ends_with_ci_test() -> None:
+    """The last command of .ci/run is .ci/test."""
     last = (ROOT / ".ci" / "run").read_text().strip().splitlines()[-1]
     assert last.startswith("bash .ci/test .venv-dev/bin/python ")
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports go down the house only: nobody reaches a room that stands above his own."""
+"""Checks the layers of packages: a package may import only packages of lower layers."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 import pytest
 
 ROOT = Path(__file__).parents[1]
-# Each room may import those of the rows above its own, and itself; rooms of one row don't know each other.
-ROWS = (
+# From the lowest layer to the highest. A package may import itself and packages of lower layers, but no other
+# package of its own layer.
+LAYERS = (
     ("routing", "clock"),
     ("limits", "config", "placement", "coldstart", "budgets", "observe"),
     ("core", "admission"),
@@ -21,55 +22,62 @@
     ("cli",),
     ("__main__",),
 )
-RANK = {package: n for n, row in enumerate(ROWS) for package in row}
-ALSO = {("appliance", "console"), ("dns", "admission")}  # within a row, told by name
+LAYER_INDEX = {subpackage: n for n, row in enumerate(LAYERS) for subpackage in row}
+# Exceptions: (importing package, imported package).
+ALLOWED_WITHIN_LAYER = {("appliance", "console"), ("dns", "admission")}
 
 
-def package(module: str) -> str:
-    """The room of a module of ours; "" for the package itself."""
+def subpackage(module: str) -> str:
+    """Return the subpackage of a brackenlane module; "" for brackenlane itself."""
     return module.split(".")[1] if "." in module else ""
 
 
-def upward(module: str, text: str) -> list[str]:
-    """What a module's text imports from a room that is not below its own."""
-    here, found = package(module), []
+def forbidden_imports(module: str, text: str) -> list[str]:
+    """Return the names that a module with this source may not import, by the layers."""
+    importer, found = subpackage(module), []
     for node in ast.walk(ast.parse(text)):
         names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
         if isinstance(node, ast.ImportFrom) and node.module:
             names = [f"{node.module}.{a.name}" for a in node.names]
         for name in names:
-            there = package(name) if name.startswith("brackenlane.") else here
-            below = RANK.get(there, 99) < RANK.get(here, 99)
-            if there != here and there != "__version__" and not below and (here, there) not in ALSO:
+            imported = subpackage(name) if name.startswith("brackenlane.") else importer
+            is_lower_layer = LAYER_INDEX.get(imported, 99) < LAYER_INDEX.get(importer, 99)
+            if (
+                imported != importer
+                and imported != "__version__"
+                and not is_lower_layer
+                and (importer, imported) not in ALLOWED_WITHIN_LAYER
+            ):
                 found.append(name)
     return found
 
 
-def sources() -> list[Path]:
-    """All of the product's own files; the laboratory stands beside the house."""
+def product_files() -> list[Path]:
+    """Return all source files except those of the lab, which is not subject to the layers."""
     files = sorted((ROOT / "brackenlane").rglob("*.py"))
     return [f for f in files if "lab" not in f.relative_to(ROOT).parts]
 
 
-def test_no_import_runs_up() -> None:
-    """Every import of every file, those inside functions and for types among them."""
-    modules = {f: ".".join(f.relative_to(ROOT).with_suffix("").parts) for f in sources()}
+def test_imports_only_lower_layers() -> None:
+    """Covers all imports, including those inside functions and under TYPE_CHECKING."""
+    modules = {f: ".".join(f.relative_to(ROOT).with_suffix("").parts) for f in product_files()}
     assert len(modules) > 50
-    found = {name: up for f, name in modules.items() if (up := upward(name, f.read_text()))}
+    found = {name: up for f, name in modules.items() if (up := forbidden_imports(name, f.read_text()))}
     assert not found
 
 
-def test_nobody_needs_the_laboratory() -> None:
-    """What is in service loads no stand-in, and decisions know nothing of the program round them."""
+def test_lab_is_imported_only_by_its_commands() -> None:
+    """Only the lab commands of the CLI import the lab; brackenlane.routing imports no other package."""
     found = [
         f
-        for f in sources()
+        for f in product_files()
         for line in f.read_text().splitlines()
         if "import" in line
         and "brackenlane.lab" in line
         and not (f.parent.name == "cli" and line.startswith("    "))
     ]
-    assert not found  # the shell's command of the laboratory loads it when it is called
+    # The lab commands of the CLI import it inside their functions, which the indent in the condition allows.
+    assert not found
     decisions = list((ROOT / "brackenlane" / "routing").glob("*.py"))
     assert len(decisions) > 15
     assert not [f for f in decisions if re.search(r"(import|from) brackenlane(?!\.routing\b)", f.read_text())]
@@ -83,6 +91,6 @@
         "def f():\n    from brackenlane import net",
     ],
 )
-def test_an_arrow_up_is_found(line: str) -> None:
-    """The check finds what it is there for."""
-    assert upward("brackenlane.core.engine", line)
+def test_forbidden_import_is_found(line: str) -> None:
+    """The check itself reports an import from a higher layer."""
+    assert forbidden_imports("brackenlane.core.engine", line)
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -1,4 +1,4 @@
-"""Names that operators and the platform use stay as they are, whatever modules and classes are called."""
+"""Guards the external interface: names that operators and the platform use survive renaming in the code."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from brackenlane.settings.loader import read_appliance
 
 ROOT = Path(__file__).parent.parent
-ENDS_WITHIN = 30.0  # seconds, on a busy machine too
+EXIT_TIMEOUT = 30.0  # seconds; long enough for a busy machine
 
 
 def test_metric_names() -> None:
-    """The operators' dashboards go by these."""
+    """Operators' dashboards use the metric names."""
     counts = RequestMetrics(["pages"])
     counts.count_answer("pages", 200)
     assert expose(counts, Gauges(14, 9, 1)).decode().splitlines() == [
@@ -56,21 +56,21 @@
     ],
 )
 def test_environment_names(settings: dict[str, str], fault: str) -> None:
-    """The platform sets the program up by these."""
+    """The platform configures the program by GW_CONFIG and GW_OPS; faults in them are reported by name."""
     arguments = [sys.executable, "-m", "brackenlane"]
-    ended = subprocess.run(
+    completed = subprocess.run(
         arguments,
         cwd=ROOT,
         env={**os.environ, **settings},
         capture_output=True,
         text=True,
-        timeout=ENDS_WITHIN,  # it would serve for good where it does not know a name
+        timeout=EXIT_TIMEOUT,  # the program would not exit if it ignored a variable
     )
-    assert (ended.returncode, ended.stderr) == (2, fault)
+    assert (completed.returncode, completed.stderr) == (2, fault)
 
 
 def test_command_names() -> None:
-    """Those of the shell and those of the console."""
+    """Commands and options of the command line, and commands of the console."""
     lab = cli.commands["lab"]
     assert isinstance(lab, click.Group)
     assert sorted(cli.commands) == ["appliance", "check", "completion", "console", "discover", "lab"]
@@ -94,7 +94,7 @@
     ],
 )
 def test_table_names_in_fault_lines(key: str, name: str) -> None:
-    """Operators' scripts may read the lines that `check` prints."""
+    """Operators' scripts may match the lines that `check` prints."""
     value, path = ("[1]", f"{key}[0]") if key in ("class", "box", "discover") else ("1", key)
     with pytest.raises(ConfigError) as fault:
         read_appliance(f"{key} = {value}", "site.toml")
@@ -133,5 +133,5 @@
     ],
 )
 def test_appliance_file_keys(table: type[BaseModel], keys: str) -> None:
-    """The operators' files go by these."""
+    """Operators' files use these keys."""
     assert " ".join(field.alias or name for name, field in table.model_fields.items()) == keys
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example of README runs and prints what it says."""
+"""The Python example in the README runs and prints the output that its last comment states."""
 
 from __future__ import annotations
 
