--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; none needs the bench."""
+"""The tests; none of them needs the benchmark machine."""
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -1,4 +1,4 @@
-"""A small fleet around one Router for the tests."""
+"""One Router with a small list of caches, for tests of routing decisions."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of a cache at hub-a with one router of its own."""
-    base: dict[str, Any] = {
+    """Return the settings of the only router at the location `depot`, which belongs to hub-a."""
+    defaults: dict[str, Any] = {
         "location": "depot",
         "locations": ZONES,
         "classes": (VIDEO, TILES),
@@ -50,37 +50,39 @@
         "tick": 0.002,
         "answer_slack": 0.008,
     }
-    return Settings(**{**base, **changes})
+    return Settings(**{**defaults, **changes})
 
 
 def members(
     edges: int = 3, parents: tuple[str, ...] = ("hub-a", "hub-a"), origin: bool = True
 ) -> list[Member]:
-    """Edge caches of the cache, a parent for each named hub, and the origin."""
-    found = [Member(f"edge-{n}", "depot", weight=8.0) for n in range(edges)]
-    found += [Member(f"parent-{n}", hub, Role.PARENT, weight=20.0) for n, hub in enumerate(parents)]
-    return found + [Member("origin", "hub-a", Role.ORIGIN)] * origin
+    """Return the edge caches of `depot`, a parent cache at each location in `parents`, and the origin."""
+    listed = [Member(f"edge-{n}", "depot", weight=8.0) for n in range(edges)]
+    listed += [Member(f"parent-{n}", hub, Role.PARENT, weight=20.0) for n, hub in enumerate(parents)]
+    return listed + [Member("origin", "hub-a", Role.ORIGIN)] * origin
 
 
 class RouterHarness:
-    """A Router, and the events that its tests send it."""
+    """A Router, with methods that send it events at the time `now` and return its actions."""
 
     def __init__(
         self, fleet: list[Member] | None = None, seed: int = 1, now: float = 0.0, **changes: Any
     ) -> None:
         self.router = Router(settings(**changes), seed)
         self.now = now
-        self.ids = itertools.count()
+        self.request_numbers = itertools.count()
         self.tell(members() if fleet is None else fleet, MembershipKind.REMEMBERED)
 
     def tell(self, fleet: list[Member], kind: MembershipKind = MembershipKind.CHANGES) -> list[Action]:
-        """A list from discovery."""
+        """Send a list of members, as discovery does."""
         return self.router.handle(Membership(kind, tuple(fleet)), self.now)
 
-    def ask(self, obj: str = "clip", cls: str = "video", **more: Any) -> list[Action]:
-        """One request."""
-        more = {"time_left": 5.0, "size_kb": 1600.0, **more}
-        return self.router.handle(Arrival(f"r{next(self.ids)}", cls=cls, obj=obj, **more), self.now)
+    def ask(self, obj: str = "clip", cls: str = "video", **arrival_fields: Any) -> list[Action]:
+        """Send the arrival of one request."""
+        arrival_fields = {"time_left": 5.0, "size_kb": 1600.0, **arrival_fields}
+        return self.router.handle(
+            Arrival(f"r{next(self.request_numbers)}", cls=cls, obj=obj, **arrival_fields), self.now
+        )
 
     def end(
         self,
@@ -90,7 +92,7 @@
         attempt: int = 0,
         wait: float = 0.4,
     ) -> list[Action]:
-        """The outcome of an attempt."""
+        """Send the outcome of an attempt."""
         return self.router.handle(
             Outcome(
                 fetch.request_id,
@@ -105,21 +107,25 @@
         )
 
     def serve(
-        self, obj: str = "clip", cls: str = "video", cache_status: CacheStatus = CacheStatus.HIT, **more: Any
+        self,
+        obj: str = "clip",
+        cls: str = "video",
+        cache_status: CacheStatus = CacheStatus.HIT,
+        **arrival_fields: Any,
     ) -> Fetch:
-        """One request that is answered well."""
-        fetch = only(self.ask(obj, cls, **more), Fetch)
+        """Send one request and the success of its attempt; return the Fetch of that attempt."""
+        fetch = only(self.ask(obj, cls, **arrival_fields), Fetch)
         self.end(fetch, cache_status=cache_status)
         return fetch
 
 
-def every(actions: list[Action], kind: type[A]) -> list[A]:
-    """The actions of one kind."""
-    return [a for a in actions if isinstance(a, kind)]
+def every(actions: list[Action], action_type: type[A]) -> list[A]:
+    """Return the actions of one type."""
+    return [a for a in actions if isinstance(a, action_type)]
 
 
-def only(actions: list[Action], kind: type[A]) -> A:
-    """The one action of a kind."""
-    found = every(actions, kind)
-    assert len(found) == 1, actions
-    return found[0]
+def only(actions: list[Action], action_type: type[A]) -> A:
+    """Return the one action of a type; AssertionError if there are none or several."""
+    matching = every(actions, action_type)
+    assert len(matching) == 1, actions
+    return matching[0]
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for all that the program talks to, and the program itself as a process, for the network tests."""
+"""Stand-ins for the peers of the router, and the router as a process, for the tests over the network."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 __all__ = ["CacheStandIn", "ReceivedRequest", "Redis", "ScriptedReply", "data"]
 
-FIRST_PORT, PORT_COUNT = 10_000, 10_000  # below the kernel's own range, and the rig's
-PORTS = itertools.count(os.getpid() * 97)  # each worker begins at a place of its own
-RESERVED = 64  # more than one test asks for
-HANGS_AFTER = 120.0  # seconds: far more than any test takes, also where its processes wait for a processor
-reserved: deque[socket.socket] = deque()
+FIRST_PORT, PORT_COUNT = 10_000, 10_000  # below the kernel's ephemeral ports and the ports of lab clusters
+PORT_OFFSETS = itertools.count(os.getpid() * 97)  # each pytest worker starts at an offset of its own
+MAX_RESERVED_PORTS = 64  # more than one test needs
+TEST_TIMEOUT = 120.0  # seconds; far longer than any test, even while its processes wait for a CPU
+reserved_sockets: deque[socket.socket] = deque()
 ROOT = Path(__file__).parent.parent
 P = ParamSpec("P")
 
 
 def with_trio(test: Callable[P, Awaitable[None]]) -> Callable[P, None]:
-    """Run a test in trio, for a bounded time."""
+    """Run an async test in trio; it fails after TEST_TIMEOUT."""
 
     @functools.wraps(test)
-    def run(*args: P.args, **more: P.kwargs) -> None:
+    def run(*args: P.args, **keywords: P.kwargs) -> None:
         async def bounded() -> None:
-            with trio.fail_after(HANGS_AFTER):
-                await test(*args, **more)
+            with trio.fail_after(TEST_TIMEOUT):
+                await test(*args, **keywords)
 
         trio.run(bounded)
 
@@ -52,18 +52,18 @@
 
 
 def free_port() -> int:
-    """A port that nobody listens on, ours for the next RESERVED calls, and none of the kernel's own."""
-    if len(reserved) == RESERVED:
-        reserved.popleft().close()
-    reserved.append(reserve_port(FIRST_PORT + n % PORT_COUNT for n in PORTS))
-    return int(reserved[-1].getsockname()[1])
+    """Return an unused port that is not ephemeral; it is reserved for the next MAX_RESERVED_PORTS calls."""
+    if len(reserved_sockets) == MAX_RESERVED_PORTS:
+        reserved_sockets.popleft().close()
+    reserved_sockets.append(reserve_port(FIRST_PORT + n % PORT_COUNT for n in PORT_OFFSETS))
+    return int(reserved_sockets[-1].getsockname()[1])
 
 
 class Log(CacheListener):
-    """The change log."""
+    """A stand-in for the change log, whose frames the test sends."""
 
     def __init__(self) -> None:
-        self.since: list[int] = []
+        self.since: list[int] = []  # the last event number that each connection reported
         self.updated = trio.Event()
         self._streams: list[trio.SocketStream] = []
 
@@ -73,16 +73,16 @@
         self.updated.set()
         await trio.sleep_forever()
 
-    async def tell(self, number: int, kind: int, payload: bytes) -> None:
-        """One frame on the latest connection."""
+    async def tell(self, event_number: int, kind: int, payload: bytes) -> None:
+        """Send one frame on the latest connection; wait for a connection if there is none."""
         while not self._streams:
             await self.updated.wait()
         await self._streams[-1].send_all(
-            (9 + len(payload)).to_bytes(4, "big") + number.to_bytes(8, "big") + bytes([kind]) + payload
+            (9 + len(payload)).to_bytes(4, "big") + event_number.to_bytes(8, "big") + bytes([kind]) + payload
         )
 
     async def cut(self) -> None:
-        """End the connection and wait for the next."""
+        """Close the latest connection and wait until the router connects again."""
         self.updated = trio.Event()
         await self._streams.pop().aclose()
         await self.updated.wait()
@@ -95,7 +95,7 @@
 
 
 def target(cache: CacheStandIn, state: str = "in_service") -> dict[str, Any]:
-    """A cache in the JSON list."""
+    """Return a cache as an entry of the JSON list in the configuration."""
     return {
         "uid": cache.id,
         "endpoint": f"127.0.0.1:{cache.port}",
@@ -109,31 +109,31 @@
 
 
 def record(cache: CacheStandIn, state: int) -> bytes:
-    """A cache in a frame."""
-    kind = SETTINGS["Skus"].index(cache.model)
+    """Return a cache as an entry of a change log frame."""
+    model_index = SETTINGS["Skus"].index(cache.model)
     return (
         int(cache.id[2:], 16).to_bytes(4, "big")
         + socket.inet_aton("127.0.0.1")
         + cache.port.to_bytes(2, "big")
-        + bytes([state, 1, kind, 0, 0, 0, 0, 31, 64])
+        + bytes([state, 1, model_index, 0, 0, 0, 0, 31, 64])
         + bytes(8)
     )
 
 
 @dataclass
 class Program:
-    """The program under test."""
+    """A running router process; `said` is its log."""
 
     process: trio.Process
     port: int
     said: bytearray
     updated: trio.Event = field(default_factory=trio.Event)
-    ended: bool = False
+    log_closed: bool = False
 
     async def says(self, text: bytes) -> None:
-        """Wait until its log holds a text."""
+        """Wait until the log contains `text`; AssertionError if the process closes its log before."""
         while text not in self.said:
-            assert not self.ended, self.said.decode()
+            assert not self.log_closed, self.said.decode()
             self.updated = trio.Event()
             await self.updated.wait()
 
@@ -146,44 +146,51 @@
         txn: str = "",
         **headers: str,
     ) -> tuple[int, dict[str, str], bytes]:
-        """One request on a connection of its own."""
-        reported = {"X-Txn": txn or os.urandom(8).hex(), "X-Ttl-Ms": str(ttl), "X-Shard": "17"}
-        reported |= {k.replace("_", "-"): v for k, v in headers.items()}
+        """Send one request for an object on a new connection; return status, headers and body."""
+        request_headers = {"X-Txn": txn or os.urandom(8).hex(), "X-Ttl-Ms": str(ttl), "X-Shard": "17"}
+        request_headers |= {k.replace("_", "-"): v for k, v in headers.items()}
         method = "PUT" if cls == "sheet-submit" else "GET"
-        return await self.send(method, f"/api/v2/{cls}/{obj}/n-3", reported, body)
+        return await self.send(method, f"/api/v2/{cls}/{obj}/n-3", request_headers, body)
 
     async def send(
         self, method: str, path: str, headers: dict[str, str], body: bytes = b""
     ) -> tuple[int, dict[str, str], bytes]:
-        """One request, whatever it is."""
+        """Send any one request on a new connection; return status, headers and body."""
         http = h11.Connection(h11.CLIENT)
         headers = {"Host": "api.internal", **headers} | ({"Content-Length": str(len(body))} if body else {})
         async with await trio.open_tcp_stream("127.0.0.1", self.port) as stream:
             parts = [http.send(h11.Request(method=method, target=path, headers=list(headers.items())))]
             parts += [http.send(h11.Data(data=body))] if body else []
             await stream.send_all(b"".join(part or b"" for part in [*parts, http.send(h11.EndOfMessage())]))
-            head, found = None, b""
+            response, response_body = None, b""
             while True:
                 event = http.next_event()
                 if event is h11.NEED_DATA:
                     http.receive_data(await stream.receive_some(65536))
                 elif isinstance(event, h11.Response):
-                    head = event
+                    response = event
                 elif isinstance(event, h11.Data):
-                    found += event.data
+                    response_body += event.data
                 else:
-                    assert head, event
-                    return head.status_code, {k.decode(): v.decode() for k, v in head.headers}, found
+                    assert response, event
+                    return (
+                        response.status_code,
+                        {k.decode(): v.decode() for k, v in response.headers},
+                        response_body,
+                    )
 
 
 @contextlib.asynccontextmanager
 async def program(
-    port: int, *arguments: str, module: str = "brackenlane", files: int = 0, **env: str
+    port: int, *arguments: str, module: str = "brackenlane", max_descriptors: int = 0, **env: str
 ) -> AsyncIterator[Program]:
-    """Start it, wait until it serves, end it; files: the descriptors that it may have at the most."""
-    bound = ["prlimit", f"--nofile={files}"] if files else []
+    """Start a router process, wait until it serves, and kill it at the end.
+
+    max_descriptors: its limit of file descriptors; 0 leaves the usual one.
+    """
+    limit_command = ["prlimit", f"--nofile={max_descriptors}"] if max_descriptors else []
     process = await trio.lowlevel.open_process(
-        [*bound, sys.executable, "-m", module, *arguments],
+        [*limit_command, sys.executable, "-m", module, *arguments],
         cwd=ROOT,
         env={**os.environ, **env},
         stderr=subprocess.PIPE,
@@ -191,22 +198,22 @@
     said = bytearray()
     running = Program(process, port, said)
 
-    async def listen() -> None:
+    async def read_log() -> None:
         assert process.stderr
-        while got := await process.stderr.receive_some(4096):
-            said.extend(got)
+        while chunk := await process.stderr.receive_some(4096):
+            said.extend(chunk)
             running.updated.set()
-        running.ended = True
+        running.log_closed = True
         running.updated.set()
 
     try:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(listen)
+            nursery.start_soon(read_log)
             await running.says(b"serves on")
             yield running
             nursery.cancel_scope.cancel()
             process.kill()
-    finally:  # also of a test that fails while it waits for the start
+    finally:  # reached as well if the test fails before the process serves
         process.kill()
         with trio.CancelScope(shield=True):
             await process.wait()
@@ -218,28 +225,34 @@
     tmp_path: Path,
     caches: list[CacheStandIn],
     log: Log | None = None,
-    purged: list[dict[str, Any]] | None = None,
+    purges: list[dict[str, Any]] | None = None,
     sockets: int = 1024,
-    probe: bool = False,
+    may_probe: bool = False,
     flow: float = 0.0,
     ops: int = 0,
     port: int = 0,
     settings: dict[str, Any] | None = None,
-    files: int = 0,
-    known: bool = True,
+    max_descriptors: int = 0,
+    include_known: bool = True,
     env: dict[str, str] | None = None,
-    **more: str,
+    **program_arguments: str,
 ) -> AsyncIterator[Program]:
-    """The program on the platform, with a list in its configuration; settings: what differs."""
+    """Run the router with a platform configuration that lists `caches`.
+
+    settings: those that differ from SETTINGS.
+    include_known: whether the configuration contains that list, or leaves it to the change log.
+    """
     port = port or free_port()
-    events = [{"seq": 1, "fleet": {"rev": 1, "all": True, "targets": [target(cache) for cache in caches]}}]
-    events += [{"seq": 2 + n, "invalidate": item} for n, item in enumerate(purged or [])]
+    known_events = [
+        {"seq": 1, "fleet": {"rev": 1, "all": True, "targets": [target(cache) for cache in caches]}}
+    ]
+    known_events += [{"seq": 2 + n, "invalidate": item} for n, item in enumerate(purges or [])]
     config = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
         "seed": "8c1f",
-        "settings": {**SETTINGS, "Limits": {**SETTINGS["Limits"], "MayProbe": probe}, **(settings or {})},
-        "known": {"seq": events[-1]["seq"], "results": events} if known else {},
+        "settings": {**SETTINGS, "Limits": {**SETTINGS["Limits"], "MayProbe": may_probe}, **(settings or {})},
+        "known": {"seq": known_events[-1]["seq"], "results": known_events} if include_known else {},
         "limits": {"sockets": sockets},
         "flow_bytes_per_s": flow,
         "link_bytes_per_s": 4 * flow,
@@ -250,7 +263,9 @@
         config["ops"] = f"127.0.0.1:{ops}"
     path = tmp_path / f"config{ops or ''}.json"
     path.write_bytes(orjson.dumps(config))
-    async with program(port, files=files, GW_CONFIG=str(path), **(env or {}), **more) as running:
+    async with program(
+        port, max_descriptors=max_descriptors, GW_CONFIG=str(path), **(env or {}), **program_arguments
+    ) as running:
         yield running
 
 
@@ -264,20 +279,23 @@
     hosts: dict[str, str] | None = None,
     extra: str = "",
 ) -> AsyncIterator[tuple[Program, int, Path]]:
-    """A small site's router, by an operator's file made from the one in deploy/."""
-    http, dns_port = free_port(), free_port()
+    """Run the router of a small site with a settings file derived from deploy/appliance.toml.
+
+    Yields the process, its DNS port and the path of the file.
+    """
+    http_port, dns_port = free_port(), free_port()
     text = (ROOT / "deploy" / "appliance.toml").read_text()
     settings = text[text.index("[settings]") : text.index("[[box]]")]
-    head = {
+    top_level = {
         "name": name,
-        "http": f"127.0.0.1:{http}",
+        "http": f"127.0.0.1:{http_port}",
         "dns": f"127.0.0.1:{dns_port}",
         "zone": "caches.test.",
         "console": f"{name}.sock",
     }
-    head |= {"resolver": f"127.0.0.1:{resolver.port}"} if resolver else {}
-    head |= {"redis": f"127.0.0.1:{redis.port}"} if redis else {}
-    lines = [f'{k} = "{v}"' for k, v in head.items()] + [settings]
+    top_level |= {"resolver": f"127.0.0.1:{resolver.port}"} if resolver else {}
+    top_level |= {"redis": f"127.0.0.1:{redis.port}"} if redis else {}
+    lines = [f'{k} = "{v}"' for k, v in top_level.items()] + [settings]
     for cache in caches:
         role = "origin" if cache.model == "origin" else "edge"
         zone = "head-office" if cache.model == "origin" else "branch"
@@ -287,5 +305,5 @@
         )
     path = tmp_path / f"{name}.toml"
     path.write_text("\n".join([*lines, extra]))
-    async with program(http, "appliance", str(path)) as running:
+    async with program(http_port, "appliance", str(path)) as running:
         yield running, dns_port, path
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each kept by one router alone."""
+"""The rules that each router keeps on its own: for deadlines, retries, drains, purges and cold servers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     assert not every(harness.end(fetch, AttemptResult.TIMEOUT), Fetch)
 
 
-def test_unknown_ids_and_empty_lists_do_no_harm() -> None:
+def test_unknown_ids_unknown_classes_and_an_empty_list_cause_no_error() -> None:
     harness = RouterHarness([])
     assert harness.router.handle(Outcome("never", 0, "edge-0", AttemptResult.OK), 1.0) == []
     assert harness.router.handle(TimerFired(99), 1.0) == []
@@ -33,12 +33,12 @@
     assert only(harness.ask(cls="unknown", size_kb=0.0), Reject)
 
 
-def keyed(scope: Scope) -> RequestClass:
+def keyed_class(scope: Scope) -> RequestClass:
     return replace(VIDEO, idempotency=Idempotency.IDEMPOTENT_WITH_KEY, scope=scope, repeat_window=1.0)
 
 
 @pytest.mark.parametrize("result", [AttemptResult.BROKEN, AttemptResult.TIMEOUT, AttemptResult.ERROR])
-def test_unsafe_effect_is_never_sent_again_once_it_may_have_run(result: AttemptResult) -> None:
+def test_non_idempotent_request_is_not_retried_once_it_may_have_run(result: AttemptResult) -> None:
     harness = RouterHarness(classes=(replace(VIDEO, idempotency=Idempotency.NON_IDEMPOTENT),))
     actions = harness.end(only(harness.ask(), Fetch), result)
     assert only(actions, Fail)
@@ -47,11 +47,11 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.BROKEN, AttemptResult.TIMEOUT, AttemptResult.ERROR])
-def test_keyed_effect_without_its_key_is_never_sent_again_once_it_may_have_run(
+def test_request_without_its_idempotency_key_is_not_retried_once_it_may_have_run(
     result: AttemptResult,
 ) -> None:
-    """No cache can drop the repeat."""
-    harness = RouterHarness(classes=(keyed(Scope.ALL),))
+    """Without the key, no cache can recognize the retry as a duplicate."""
+    harness = RouterHarness(classes=(keyed_class(Scope.ALL),))
     assert only(harness.end(only(harness.ask(), Fetch), result), Fetch)
     actions = harness.end(only(harness.ask(has_idempotency_key=False), Fetch), result)
     assert only(actions, Fail)
@@ -59,7 +59,7 @@
     assert not every(actions, Reject)
 
 
-def test_unsafe_effect_may_go_elsewhere_when_it_never_ran() -> None:
+def test_non_idempotent_request_is_retried_if_it_did_not_run() -> None:
     harness = RouterHarness(classes=(replace(VIDEO, idempotency=Idempotency.NON_IDEMPOTENT),))
     first = only(harness.ask(), Fetch)
     assert only(harness.end(first, AttemptResult.UNREACHABLE), Fetch).server != first.server
@@ -67,17 +67,17 @@
 
 def test_keyed_write_is_retried_only_within_scope_and_window() -> None:
     fleet = [replace(m, cell=n) for n, m in enumerate(members())]
-    harness = RouterHarness(fleet, classes=(keyed(Scope.CELL),))
+    harness = RouterHarness(fleet, classes=(keyed_class(Scope.CELL),))
     assert only(harness.end(only(harness.ask(), Fetch), AttemptResult.BROKEN), Fail)
-    harness = RouterHarness(fleet, classes=(keyed(Scope.ZONE),))
+    harness = RouterHarness(fleet, classes=(keyed_class(Scope.ZONE),))
     assert only(harness.end(only(harness.ask(), Fetch), AttemptResult.BROKEN), Fetch)
-    harness = RouterHarness(fleet, classes=(keyed(Scope.ALL),))
+    harness = RouterHarness(fleet, classes=(keyed_class(Scope.ALL),))
     fetch = only(harness.ask(), Fetch)
     harness.now = 1.5
     assert only(harness.end(fetch, AttemptResult.BROKEN), Reject)
 
 
-def test_draining_and_gone_servers_get_nothing_also_as_sources() -> None:
+def test_draining_servers_get_no_requests_and_are_no_fill_sources() -> None:
     harness = RouterHarness()
     harness.tell(
         [replace(m, state=ServerState.DRAINING) for m in members() if m.server in ("edge-0", "parent-0")]
@@ -104,69 +104,80 @@
 
 
 @pytest.mark.parametrize(("role", "hub_locations"), [("edge", 1), ("parent", 1), ("parent", 6)])
-def test_cold_server_is_not_pushed_over_and_not_shut_for_its_ramp(role: str, hub_locations: int) -> None:
-    """All routers together stay under the rule; half-way up the ramp the server has some work again."""
-    pools = [f"depot-{n}" for n in range(hub_locations)] + ["elsewhere"]
-    hubs = (0, 1, 2, *[0] * hub_locations, 1)
+def test_cold_server_is_neither_overloaded_nor_idle_during_its_ramp(role: str, hub_locations: int) -> None:
+    """The load of all routers together stays below the failure limit; half-way the server has some work."""
+    locations = [f"depot-{n}" for n in range(hub_locations)] + ["elsewhere"]
+    hub_of = (0, 1, 2, *[0] * hub_locations, 1)
     harnesses = [
         RouterHarness(
-            [replace(m, zone=cache if m.zone == "depot" else m.zone) for m in members()],
+            [replace(m, zone=location if m.zone == "depot" else m.zone) for m in members()],
             seed=n,
-            location=cache,
-            locations=("hub-a", "hub-b", "hub-c", *pools),
-            hub_of=hubs,
-            routers_by_location=(0, 0, 0, *[5] * len(pools)),
-            router_count=5 * len(pools),
+            location=location,
+            locations=("hub-a", "hub-b", "hub-c", *locations),
+            hub_of=hub_of,
+            routers_by_location=(0, 0, 0, *[5] * len(locations)),
+            router_count=5 * len(locations),
         )
-        for cache in pools
+        for location in locations
         for n in range(5)
     ]
-    spent: list[tuple[float, float]] = []
-    rule = (
+    work_sent: list[tuple[float, float]] = []
+    slow_start = (
         harnesses[0].router.settings.edge_cold if role == "edge" else harnesses[0].router.settings.parent_cold
     )
-    cold = [replace(m, started_at=100.0) for m in members() if m.server == f"{role}-0"]
-    weight = cold[0].weight
+    cold_members = [replace(m, started_at=100.0) for m in members() if m.server == f"{role}-0"]
+    weight = cold_members[0].weight
     for harness in harnesses:
         harness.now = 100.0
-        harness.tell([replace(cold[0], zone=harness.router.settings.location)] if role == "edge" else cold)
-    watched = harnesses if role == "parent" else harnesses[:5]  # each location has an edge cache of its own
+        harness.tell(
+            [replace(cold_members[0], zone=harness.router.settings.location)]
+            if role == "edge"
+            else cold_members
+        )
+    senders = harnesses if role == "parent" else harnesses[:5]  # each location has an edge cache of its own
     for n in range(500):
-        for harness in watched:
+        for harness in senders:
             harness.now += 0.04
             fetch = harness.serve(f"o{n}", cache_status=CacheStatus.FILLED)
             if f"{role}-0" in (fetch.server, fetch.source):
-                assert (
-                    role == "edge" or harness.router.settings.location != "elsewhere"
-                )  # its own hub's routers alone
-                spent.append((harness.now, 0.4))
-        now = watched[0].now
-        share = rule.share + (1 - rule.share) * min(1.0, (now - 100.0) / rule.ramp)
-        recent = sum(work for at, work in spent if at > now - rule.span)
-        assert now >= 100 + rule.ramp or recent <= rule.factor * weight * share * rule.span
-    assert sum(at < 100 + rule.ramp / 2 for at, _ in spent) > 10
+                # A parent serves only the routers of its own hub.
+                assert role == "edge" or harness.router.settings.location != "elsewhere"
+                work_sent.append((harness.now, 0.4))
+        now = senders[0].now
+        share = slow_start.share + (1 - slow_start.share) * min(1.0, (now - 100.0) / slow_start.ramp)
+        recent_work = sum(work for at, work in work_sent if at > now - slow_start.span)
+        assert (
+            now >= 100 + slow_start.ramp
+            or recent_work <= slow_start.factor * weight * share * slow_start.span
+        )
+    assert sum(at < 100 + slow_start.ramp / 2 for at, _ in work_sent) > 10
 
 
 def test_one_attempt_at_a_time_without_second_copies() -> None:
     harness = RouterHarness()
     fetch = only(harness.ask(), Fetch)
-    again = only(harness.end(fetch, AttemptResult.TIMEOUT, wait=1.0), Fetch)
-    assert again.server != fetch.server
+    retried = only(harness.end(fetch, AttemptResult.TIMEOUT, wait=1.0), Fetch)
+    assert retried.server != fetch.server
 
 
-def test_old_purges_are_forgotten() -> None:
+def test_old_purges_are_dropped() -> None:
     harness = RouterHarness()
     for n in range(2000):
         harness.now += 0.1
         harness.router.handle(Purged(f"o{n}", 1, 0.0), harness.now)
     assert len(harness.router.purges) < 200
-    harness.router.handle(Purged("o1999", 1, 5.0), harness.now)  # an older purge told late changes nothing
+    # An older purge that arrives late has no effect.
+    harness.router.handle(Purged("o1999", 1, 5.0), harness.now)
     assert harness.serve("o1999").max_age < 0.01
 
 
 @pytest.mark.parametrize("sharers", [9, 40])
 def test_routers_sharing_a_cold_cache_keep_its_budget(sharers: int) -> None:
-    """Widths learned from a guess at the others' crowds, in a jam of fills, were five times the link's."""
+    """A learned width of the cache does not raise the budget of routers that share it.
+
+    The transfers of the other routers are only estimated, so while fills overload the link, the learned width
+    was five times the width of the link.
+    """
     cold = Member("edge-0", "depot", started_at=100.0)
     harnesses = [
         RouterHarness(
@@ -180,14 +191,17 @@
     ]
     for harness in harnesses:
         harness.now, harness.router.slow_start_budget.narrow = 100.0, 40.0
-    rule, spent = harnesses[0].router.settings.edge_cold, []
+    slow_start, work_sent = harnesses[0].router.settings.edge_cold, []
     for n in range(4000):
         harness = harnesses[n % sharers]
         harness.now = 100.0 + n / 200
         fetch = harness.serve(f"o{n}")
         if fetch.server == "edge-0":
-            spent.append((harness.now, 0.4))
-        share = rule.share + (1 - rule.share) * min(1.0, (harness.now - 100.0) / rule.ramp)
-        recent = sum(work for at, work in spent if at > harness.now - rule.span)
-        assert harness.now >= 100 + rule.ramp or recent <= rule.factor * 4.0 * share * rule.span
-    assert spent
+            work_sent.append((harness.now, 0.4))
+        share = slow_start.share + (1 - slow_start.share) * min(1.0, (harness.now - 100.0) / slow_start.ramp)
+        recent_work = sum(work for at, work in work_sent if at > harness.now - slow_start.span)
+        assert (
+            harness.now >= 100 + slow_start.ramp
+            or recent_work <= slow_start.factor * 4.0 * share * slow_start.span
+        )
+    assert work_sent
