--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: the real program, with clients, caches and a change log that these tests play."""
+"""The router with a platform configuration, as a process among scripted clients, caches and change log."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 )
 
 EDGE, ORIGIN = "s-00000001", "s-00000009"
-TICK_MS = 1000 * SETTINGS["QuantumS"]  # the least time told apart
+TICK_MS = 1000 * SETTINGS["QuantumS"]  # resolution of the router's clock
 
 
 def fleet(answer: Callable[[ReceivedRequest], ScriptedReply] = data) -> list[CacheStandIn]:
-    """An edge cache and the origin."""
+    """Return an edge cache and the origin."""
     return [CacheStandIn(EDGE, answer=answer), CacheStandIn(ORIGIN, "origin", answer=answer)]
 
 
 @with_trio
 async def test_read(tmp_path: Path) -> None:
-    """Class, object, part and tag pass on unchanged; bytes and tag come back."""
+    """The cache gets class, object, part and ETag unchanged; the client gets the bytes and the ETag."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         async with platform(tmp_path, [edge, origin]) as router_process:
@@ -51,15 +51,15 @@
             assert (status, headers["etag"], body) == (200, '"e1"', b"bytes")
             [requested] = edge.received
             assert requested.id == "9b1f03aa5c7e2d41"
-            reported = requested.fields
-            assert (reported["queue"], reported["path"], reported["blk"]) == (
+            fields = requested.fields
+            assert (fields["queue"], fields["path"], fields["blk"]) == (
                 "video-parts",
                 "7f3a9c21e0b4d655",
                 "3",
             )
-            assert reported["miss"] == ORIGIN
-            assert 0 < int(reported["budget"]) <= 2000
-            assert "uniq" not in reported
+            assert fields["miss"] == ORIGIN
+            assert 0 < int(fields["budget"]) <= 2000
+            assert "uniq" not in fields
             await router_process.ask("sheet-submit", body=b"signed", X_Txn_Key="aad3d43f3c9565f6")
             assert (edge.received + origin.received)[-1].fields["uniq"] == "aad3d43f3c9565f6"
             assert (await router_process.ask(X_Txn_Key="a,b"))[0] == 400
@@ -72,14 +72,14 @@
 
 
 @with_trio
-async def test_only_a_tag_named_by_a_cache_is_current(tmp_path: Path) -> None:
-    """A client's copy is called current only if a cache named that copy to this router, not another one."""
-    named = "e2"
+async def test_tag_is_current_only_if_a_cache_confirmed_it(tmp_path: Path) -> None:
+    """A conditional request gets 304 only if a cache has reported exactly the client's ETag as current."""
+    current_tag = "e2"
     async with trio.open_nursery() as nursery:
 
         def answer(requested: ReceivedRequest) -> ScriptedReply:
             return (
-                data(requested, b"", "unchanged", entity=named)
+                data(requested, b"", "unchanged", entity=current_tag)
                 if "mine" in requested.fields
                 else data(requested)
             )
@@ -87,9 +87,9 @@
         edge, origin = [await cache.open(nursery) for cache in fleet(answer)]
         async with platform(tmp_path, [edge, origin], flow=1e6) as router_process:
             assert (await router_process.ask(If_None_Match='"made-up"'))[0] not in (200, 304)
-            named = "e1"
+            current_tag = "e1"
             assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
-            assert (await router_process.ask())[0] == 200  # a copy of our own from now on
+            assert (await router_process.ask())[0] == 200  # the router holds a copy from here on
             requested = len(edge.received) + len(origin.received)
             assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
             status, headers, body = await router_process.ask(If_None_Match='"made-up"')
@@ -98,43 +98,43 @@
         nursery.cancel_scope.cancel()
 
 
-def old(requested: ReceivedRequest) -> bytes:
-    """A copy past all that its class allows."""
+def outdated(requested: ReceivedRequest) -> bytes:
+    """Answer with a copy that is older than any class allows."""
     return data(requested, issued=str(int(time.time() * 1000) - 60_000))
 
 
 @pytest.mark.parametrize(
-    ("cls", "answer", "good"),
+    ("cls", "answer", "is_served"),
     [
-        ("sheet-pages", old, False),
-        ("sheet-pages", lambda a: data(a, b"", "unchanged"), False),  # nobody passed on a tag
-        ("video-parts", lambda a: data(a)[:-4], False),  # cut in its body
-        ("video-parts", lambda a: f"{a.id} data - 5\r\nbytes\r\n".encode(), False),  # neither tag nor time
+        ("sheet-pages", outdated, False),
+        ("sheet-pages", lambda a: data(a, b"", "unchanged"), False),  # the request had no ETag
+        ("video-parts", lambda a: data(a)[:-4], False),  # truncated body
+        ("video-parts", lambda a: f"{a.id} data - 5\r\nbytes\r\n".encode(), False),  # no ETag and no time
         ("video-parts", lambda a: data(a, issued="soon"), False),
         ("video-parts", lambda a: b"no answer at all\r\n", False),
         ("video-parts", lambda a: f"{a.id} data - 999999999\r\n".encode(), False),
         ("video-parts", lambda a: b"x" * 5000, False),
         ("video-parts", lambda a: data(a, bytes(240_000)), True),
-        ("video-parts", lambda a: b"else " + data(a).split(b" ", 1)[1] + data(a), True),  # of an id not ours
+        ("video-parts", lambda a: b"else " + data(a).split(b" ", 1)[1] + data(a), True),  # unknown id first
     ],
 )
 @with_trio
-async def test_bad_answers(
-    tmp_path: Path, cls: str, answer: Callable[[ReceivedRequest], bytes], good: bool
+async def test_invalid_and_outdated_responses_are_not_served(
+    tmp_path: Path, cls: str, answer: Callable[[ReceivedRequest], bytes], is_served: bool
 ) -> None:
-    """What can't be read, is cut or too old is never served; the largest object is."""
+    """A response that is malformed, truncated or too old is not served; one of the largest size is."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet(answer)]
         async with platform(tmp_path, caches) as router_process:
             status, headers, _ = await router_process.ask(cls)
-            assert (status == 200) is good
+            assert (status == 200) is is_served
             assert "retry-after" in headers or status != 503
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize(
-    ("command", "runs", "status"),
+    ("command", "max_attempts", "status"),
     [
         ("data", 1, 200),
         ("failed", 1, 502),
@@ -145,8 +145,10 @@
     ],
 )
 @with_trio
-async def test_submit(tmp_path: Path, command: str, runs: int, status: int) -> None:
-    """A submit is sent again, or refused, only after a proof that it never ran."""
+async def test_submit_is_retried_only_if_it_did_not_run(
+    tmp_path: Path, command: str, max_attempts: int, status: int
+) -> None:
+    """A submit is retried, or rejected with 503, only if it is certain that it did not run."""
 
     def answer(requested: ReceivedRequest) -> ScriptedReply:
         return (
@@ -160,30 +162,36 @@
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet(answer)]
         async with platform(tmp_path, caches) as router_process:
-            found, headers, _ = await router_process.ask("sheet-submit", body=b"signed" * 8000, ttl=700)
-            requested = caches[0].received + caches[1].received
-            assert found == (504 if not command else status)
-            assert len(requested) <= runs
-            assert requested[0].body == b"signed" * 8000
-            assert "retry-after" in headers or found != 503
-            # The same id again is another try of what was refused, and else a repeat that must not run.
-            again = await router_process.ask(
-                "sheet-submit", body=b"signed" * 8000, ttl=700, txn=requested[0].id
+            first_status, headers, _ = await router_process.ask(
+                "sheet-submit", body=b"signed" * 8000, ttl=700
+            )
+            received = caches[0].received + caches[1].received
+            assert first_status == (504 if not command else status)
+            assert len(received) <= max_attempts
+            assert received[0].body == b"signed" * 8000
+            assert "retry-after" in headers or first_status != 503
+            # The same id again is a retry if the first request was rejected, otherwise a duplicate that must
+            # not run.
+            repeated = await router_process.ask(
+                "sheet-submit", body=b"signed" * 8000, ttl=700, txn=received[0].id
             )
-            assert again[0] == (503 if found == 503 else 409)
-            assert found == 503 or len(caches[0].received + caches[1].received) == len(requested)
+            assert repeated[0] == (503 if first_status == 503 else 409)
+            assert first_status == 503 or len(caches[0].received + caches[1].received) == len(received)
         nursery.cancel_scope.cancel()
 
 
-GOOD = {"X-Txn": "1" * 16, "X-Ttl-Ms": "900", "X-Shard": "17"}
-READ, WRITE = "/api/v2/video-parts/7f3a9c21e0b4d655/n-0", "/api/v2/sheet-submit/7f3a9c21e0b4d655/n-0"
+VALID_HEADERS = {"X-Txn": "1" * 16, "X-Ttl-Ms": "900", "X-Shard": "17"}
+READ_PATH, WRITE_PATH = (
+    "/api/v2/video-parts/7f3a9c21e0b4d655/n-0",
+    "/api/v2/sheet-submit/7f3a9c21e0b4d655/n-0",
+)
 
 
 @pytest.mark.parametrize(
     ("method", "path", "headers", "body", "status"),
     [
         *[
-            ("GET", READ, {**GOOD, name: value}, b"", 400)
+            ("GET", READ_PATH, {**VALID_HEADERS, name: value}, b"", 400)
             for name, value in [
                 ("X-Txn", "12"),
                 ("X-Ttl-Ms", ""),
@@ -196,32 +204,32 @@
                 ("X-Second-Try", "maybe"),
             ]
         ],
-        ("GET", READ, {**GOOD, "x-ttl-ms": "901"}, b"", 400),
-        ("GET", READ, GOOD, b"x", 400),
-        ("PUT", WRITE, GOOD, b"", 400),
-        ("PUT", READ, GOOD, b"x", 405),
-        ("GET", WRITE, GOOD, b"", 405),
+        ("GET", READ_PATH, {**VALID_HEADERS, "x-ttl-ms": "901"}, b"", 400),
+        ("GET", READ_PATH, VALID_HEADERS, b"x", 400),
+        ("PUT", WRITE_PATH, VALID_HEADERS, b"", 400),
+        ("PUT", READ_PATH, VALID_HEADERS, b"x", 405),
+        ("GET", WRITE_PATH, VALID_HEADERS, b"", 405),
         ("DELETE", "/-/healthy", {}, b"", 405),
-        ("PUT", WRITE, GOOD, bytes(48_001), 413),
+        ("PUT", WRITE_PATH, VALID_HEADERS, bytes(48_001), 413),
         *[
-            ("GET", path, GOOD, b"", 404)
+            ("GET", path, VALID_HEADERS, b"", 404)
             for path in [
-                READ.replace("video", "no-such"),
-                READ.replace("7f", "7F"),
-                READ.replace("7f", "f"),
-                READ.replace("n-0", "n--1"),
-                READ.replace("n-0", "n-07"),
-                READ + "?x=1",
+                READ_PATH.replace("video", "no-such"),
+                READ_PATH.replace("7f", "7F"),
+                READ_PATH.replace("7f", "f"),
+                READ_PATH.replace("n-0", "n--1"),
+                READ_PATH.replace("n-0", "n-07"),
+                READ_PATH + "?x=1",
             ]
         ],
-        ("GET", READ, {"X-Long": "x" * 20_000}, b"", 431),
+        ("GET", READ_PATH, {"X-Long": "x" * 20_000}, b"", 431),
     ],
 )
 @with_trio
-async def test_bad_requests(
+async def test_invalid_requests_are_rejected(
     tmp_path: Path, method: str, path: str, headers: dict[str, str], body: bytes, status: int
 ) -> None:
-    """A fault of the client's has an answer of its own, and the next client is served."""
+    """Each invalid request gets its 4xx status, and the next client is served."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet()]
         async with platform(tmp_path, caches) as router_process:
@@ -234,8 +242,8 @@
 
 
 SMUGGLED = (
-    f"PUT {WRITE} HTTP/1.1\r\nHost: a\r\nX-Txn: {'1' * 16}\r\nX-Ttl-Ms: 900\r\nX-Shard: 1\r\n"
-    "%s\r\n\r\n" + f"GET {READ} HTTP/1.1\r\nHost: a\r\nX-Txn: {'2' * 16}\r\nX-Ttl-Ms: 900\r\n"
+    f"PUT {WRITE_PATH} HTTP/1.1\r\nHost: a\r\nX-Txn: {'1' * 16}\r\nX-Ttl-Ms: 900\r\nX-Shard: 1\r\n"
+    "%s\r\n\r\n" + f"GET {READ_PATH} HTTP/1.1\r\nHost: a\r\nX-Txn: {'2' * 16}\r\nX-Ttl-Ms: 900\r\n"
     "X-Shard: 1\r\n\r\n"
 )
 
@@ -249,50 +257,50 @@
         (SMUGGLED % "Content-Length: 63000000", b"413"),
         (SMUGGLED % f"Content-Length: {'9' * 5000}", b"400"),
         (SMUGGLED % "Content-Length: -5", b"400"),
-        (f"GET {READ} HTTP/1.1\r\nHost: a\r\nX-Txn: 1", b""),  # half a request
-        ("", b""),  # silence
+        (f"GET {READ_PATH} HTTP/1.1\r\nHost: a\r\nX-Txn: 1", b""),  # an incomplete request
+        ("", b""),  # no bytes at all
     ],
 )
 @with_trio
-async def test_bad_clients(tmp_path: Path, sent: str, status: bytes) -> None:
-    """Each gets its error or a close within 3 s of connecting, and nothing of it reaches a cache."""
+async def test_malformed_http_is_rejected(tmp_path: Path, sent: str, status: bytes) -> None:
+    """Each client gets a 4xx response or a close within 3 s of connecting; no cache receives anything."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         async with platform(tmp_path, [edge, origin]) as router_process:
             with trio.fail_after(3):
                 async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
                     await stream.send_all(sent.encode())
-                    found = b""
-                    while got := await stream.receive_some(65536):
-                        found += got
-            assert found.count(b"HTTP/1.1") == bool(status)
-            assert found[9:12] == status
+                    response = b""
+                    while chunk := await stream.receive_some(65536):
+                        response += chunk
+            assert response.count(b"HTTP/1.1") == bool(status)
+            assert response[9:12] == status
             assert not edge.received
             assert not origin.received
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_silent_crowd(tmp_path: Path) -> None:
-    """More silent connections than descriptors, and a usual client that stays keeps its connection."""
+async def test_idle_connections_above_the_descriptor_limit_are_closed(tmp_path: Path) -> None:
+    """With more idle connections than descriptors, new clients are served; an active one stays connected."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet()]
         async with platform(tmp_path, caches, sockets=64) as router_process:
-            usual = await trio.open_tcp_stream("127.0.0.1", router_process.port)
-            for _ in range(2):
-                await usual.send_all(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
-                assert (await usual.receive_some(1000)).startswith(b"HTTP/1.1 200")
-                silent = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(60)]
+            active = await trio.open_tcp_stream("127.0.0.1", router_process.port)
+            for round_number in range(2):
+                await active.send_all(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
+                assert (await active.receive_some(1000)).startswith(b"HTTP/1.1 200")
+                idle = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(60)]
                 assert (await router_process.ask())[0] == 200
-                assert await silent[0].receive_some(1) == b""
-                for stream in [*silent, *([] if _ == 0 else [usual])]:
+                assert await idle[0].receive_some(1) == b""
+                for stream in [*idle, *([] if round_number == 0 else [active])]:
                     await stream.aclose()
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_no_connection_free(tmp_path: Path) -> None:
-    """With work in hand on every connection that descriptors allow, one more is refused, not closed."""
+async def test_connection_above_the_limit_is_rejected_with_503(tmp_path: Path) -> None:
+    """If every allowed connection has an open request, one more gets a 503 response and not only a close."""
     async with trio.open_nursery() as nursery:
         caches = [
             await CacheStandIn(f"s-0000000{n}", answer=lambda requested: None).open(nursery)
@@ -311,8 +319,8 @@
 
 
 @with_trio
-async def test_client_leaves(tmp_path: Path) -> None:
-    """A client that leaves takes its work back from the cache."""
+async def test_disconnect_of_the_client_drops_its_request(tmp_path: Path) -> None:
+    """When a client disconnects, the router sends DROP for its open request to the cache."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
         async with platform(tmp_path, [edge, origin]) as router_process:
@@ -325,76 +333,83 @@
 
 
 @with_trio
-async def test_refused_connect(tmp_path: Path) -> None:
-    """A refused connection proves that nothing ran, also of a submit: another cache gets it."""
+async def test_refused_connection_is_retried_at_another_cache(tmp_path: Path) -> None:
+    """After a refused connection nothing can have run, so even a submit is sent to another cache."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         other = await CacheStandIn("s-00000002").open(nursery)
         await edge.close()
         async with platform(tmp_path, [edge, other, origin]) as router_process:
-            found = [await router_process.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)]
-            assert [status for status, _, _ in found] == [200] * 8
+            responses = [await router_process.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)]
+            assert [status for status, _, _ in responses] == [200] * 8
             assert len(other.received) + len(origin.received) == 8
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_unresponsive_machine(tmp_path: Path) -> None:
-    """A machine that is cut off lets no connection come up; another cache serves in time."""
+async def test_connect_timeout_is_retried_at_another_cache(tmp_path: Path) -> None:
+    """A connect to an unreachable machine times out; another cache serves the request in time."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
-        with socket.socket() as unresponsive, contextlib.ExitStack() as full:
+        with socket.socket() as unresponsive, contextlib.ExitStack() as stack:
             unresponsive.bind(("127.0.0.1", 0))
             unresponsive.listen(0)
-            for _ in range(4):  # more than its queue takes: no further handshake is answered
-                waiting = full.enter_context(socket.socket())
-                waiting.setblocking(False)
-                waiting.connect_ex(unresponsive.getsockname())
+            for _ in range(4):  # more than its accept queue holds: further handshakes get no answer
+                filler = stack.enter_context(socket.socket())
+                filler.setblocking(False)
+                filler.connect_ex(unresponsive.getsockname())
             silent = CacheStandIn("s-00000002")
             silent.port = unresponsive.getsockname()[1]
             async with platform(tmp_path, [edge, silent, origin]) as router_process:
-                found = [await router_process.ask(obj=f"{n:016x}", ttl=5000) for n in range(8)]
-                assert [status for status, _, _ in found] == [200] * 8
-                found = [await router_process.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)]
-                assert [status for status, _, _ in found] == [200] * 8
+                responses = [await router_process.ask(obj=f"{n:016x}", ttl=5000) for n in range(8)]
+                assert [status for status, _, _ in responses] == [200] * 8
+                responses = [
+                    await router_process.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)
+                ]
+                assert [status for status, _, _ in responses] == [200] * 8
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize(
-    ("cls", "part", "alive", "status"),
+    ("cls", "partial_response", "alive", "status"),
     [
         ("video-parts", b"", False, 200),
         ("video-parts", b"%b data - 900\r\nxyz\r\n", False, 200),
-        ("video-parts", b"", True, 504),  # a cache that lives may take its time
-        ("sheet-submit", b"", False, 502),  # it may have run
+        ("video-parts", b"", True, 504),  # a cache that answers PING may be slow
+        ("sheet-submit", b"", False, 502),  # the submit may have run
     ],
 )
 @with_trio
-async def test_unresponsive_connection(
-    tmp_path: Path, cls: str, part: bytes, alive: bool, status: int
+async def test_silent_connection_is_closed_after_an_unanswered_ping(
+    tmp_path: Path, cls: str, partial_response: bytes, alive: bool, status: int
 ) -> None:
-    """A connection that stays open and says nothing more is given up; a read goes by another, in time."""
+    """A connection without further bytes is closed after an unanswered PING; a read is retried in time."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         edge.alive = origin.alive = alive
 
-        def once(requested: ReceivedRequest) -> ScriptedReply:
+        def answer_later_requests(requested: ReceivedRequest) -> ScriptedReply:
             if len(edge.received) + len(origin.received) > 1 and not alive:
                 return data(requested)
-            return part % requested.id.encode() if part else None
-
-        edge.answer = origin.answer = once
-        # Only an unanswered PING ends the connection before the request's own end, however slow the machine:
-        # a connection that is not asked is given up after half of the longest time. It is asked after 2 s of
-        # silence, the least aim, and given up 2 s later: the next answer, and its PING, come sooner.
-        patient = {
+            return partial_response % requested.id.encode() if partial_response else None
+
+        edge.answer = origin.answer = answer_later_requests
+        # With these times only an unanswered PING closes the connection before the deadline of the request,
+        # even on a slow machine: without PING, a connection is closed after half of the longest time limit.
+        # PING is sent after 2 s of silence, the shortest latency objective, and the connection is closed 2 s
+        # later. The response of the next attempt, and the answer to its PING, arrive sooner.
+        long_deadlines = {
             "Limits": {**SETTINGS["Limits"], "MayProbe": True, "DialTimeoutS": 8.0},
             "Classes": [
-                {**known, "TargetS": 2.0 if known["Name"] == "sheet-pages" else 20.0, "GiveUpS": 60.0}
-                for known in SETTINGS["Classes"]
+                {
+                    **request_class,
+                    "TargetS": 2.0 if request_class["Name"] == "sheet-pages" else 20.0,
+                    "GiveUpS": 60.0,
+                }
+                for request_class in SETTINGS["Classes"]
             ],
         }
-        async with platform(tmp_path, [edge, origin], settings=patient) as router_process:
+        async with platform(tmp_path, [edge, origin], settings=long_deadlines) as router_process:
             body = b"signed" * (cls == "sheet-submit")
             assert (await router_process.ask(cls, body=body, ttl=2000 if alive else 20_000))[0] == status
             assert len(edge.received) + len(origin.received) == (2 if status == 200 else 1)
@@ -402,8 +417,8 @@
 
 
 @with_trio
-async def test_spread(tmp_path: Path) -> None:
-    """What is open at a cache stands on several connections: one that ends takes no more than its part."""
+async def test_open_requests_are_spread_over_connections(tmp_path: Path) -> None:
+    """Open requests to a cache use several connections, so that the loss of one affects only some of them."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
         async with platform(tmp_path, caches) as router_process, trio.open_nursery() as clients:
@@ -416,16 +431,16 @@
 
 
 @with_trio
-async def test_reused_address(tmp_path: Path) -> None:
-    """A new cache at a gone one's address is another cache."""
+async def test_new_cache_at_a_reused_address_is_a_different_cache(tmp_path: Path) -> None:
+    """A new cache at the address of a removed one gets requests under its own id."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
-        new = CacheStandIn("s-00000005")
-        new.port = edge.port
+        replacement = CacheStandIn("s-00000005")
+        replacement.port = edge.port
         async with platform(tmp_path, [edge, origin], log) as router_process:
             assert (await router_process.ask())[0] == 200
-            await log.tell(2, 2, record(edge, 2) + record(new, 0))
+            await log.tell(2, 2, record(edge, 2) + record(replacement, 0))
             await log.cut()
             assert log.since == [1, 2]
             assert (await router_process.ask())[0] == 200
@@ -435,14 +450,14 @@
 
 
 @with_trio
-async def test_drain_and_log(tmp_path: Path) -> None:
-    """A drained cache gets nothing new and is no source; the log is asked from the last number held."""
+async def test_drained_cache_gets_no_requests_and_the_change_log_resumes(tmp_path: Path) -> None:
+    """A drained cache gets no new requests; a reconnect resumes the change log after the last event."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         other = await CacheStandIn("s-00000002").open(nursery)
         async with platform(tmp_path, [edge, other, origin], log) as router_process:
-            # The answer to a purge shows that the frames before it were taken in.
+            # The reconnect after the purge frame shows that the frames before it were applied.
             await log.tell(2, 2, record(edge, 1))
             now = int(time.time() * 1000).to_bytes(8, "big")
             await log.tell(3, 3, bytes.fromhex("7f3a9c21e0b4d655") + now)
@@ -463,29 +478,28 @@
 
 @with_trio
 async def test_sighup(tmp_path: Path) -> None:
-    """SIGHUP moves to the new log address, numbers going on; a bad file leaves the old one in force."""
+    """SIGHUP applies a new change log address and keeps the event number; an invalid file changes nothing."""
     async with trio.open_nursery() as nursery:
-        log, other = await Log().open(nursery), await Log().open(nursery)
+        log, other_log = await Log().open(nursery), await Log().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         path = tmp_path / "config.json"
         async with platform(tmp_path, [edge, origin], log) as router_process:
             await log.tell(2, 2, record(edge, 0))
             await log.cut()
-            good = path.read_bytes()
-            path.write_bytes(good[:-1])
+            valid_config = path.read_bytes()
+            path.write_bytes(valid_config[:-1])
             router_process.process.send_signal(signal.SIGHUP)
             await router_process.says(b"the old configuration remains in force")
-            edge.answer = lambda requested: (
-                None
-            )  # a request stays open meanwhile; its answer fails if it is lost
+            # A request stays open during the reload; `ask` fails if its connection is lost.
+            edge.answer = lambda requested: None
             async with trio.open_nursery() as client:
                 client.start_soon(router_process.ask)
                 await edge.until(lambda: bool(edge.received))
-                path.write_bytes(good.replace(str(log.port).encode(), str(other.port).encode()))
+                path.write_bytes(valid_config.replace(str(log.port).encode(), str(other_log.port).encode()))
                 router_process.process.send_signal(signal.SIGHUP)
-                await other.tell(3, 2, record(edge, 1))
-                await other.cut()
-            assert other.since == [2, 3]
+                await other_log.tell(3, 2, record(edge, 1))
+                await other_log.cut()
+            assert other_log.since == [2, 3]
             assert log.since == [1, 2]
             assert (await router_process.ask())[0] == 200
             assert len(edge.received) == 1
@@ -494,8 +508,8 @@
 
 
 @with_trio
-async def test_known_purge(tmp_path: Path) -> None:
-    """A purge that is known from the start bounds the age of a copy, by object and by group."""
+async def test_purge_in_the_configuration_bounds_the_age_of_copies(tmp_path: Path) -> None:
+    """A purge of an object or group in the configuration bounds the age of copies from the start."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet()]
         now = int(time.time() * 1000)
@@ -503,46 +517,46 @@
             {"object": "00000000000000aa", "time": now - 500},
             {"bucket": 17, "time": now - 3000},
         ]
-        # However long the start takes, both purges still matter then.
-        lasting = {"FamilyInfo": {**SETTINGS["FamilyInfo"], "GoneEverywhereS": 60.0}}
-        async with platform(tmp_path, caches, purged=purges, settings=lasting) as router_process:
-            for obj, purged in (("00000000000000aa", now - 500), ("00000000000000bb", now - 3000)):
-                seen = len(caches[0].received)
+        # Long enough that both purges still apply, however long the start takes.
+        long_propagation = {"FamilyInfo": {**SETTINGS["FamilyInfo"], "GoneEverywhereS": 60.0}}
+        async with platform(tmp_path, caches, purges=purges, settings=long_propagation) as router_process:
+            for obj, purged_at in (("00000000000000aa", now - 500), ("00000000000000bb", now - 3000)):
+                before = len(caches[0].received)
                 await router_process.ask("video-parts", obj)
-                latest = time.time() * 1000 - purged
-                age = int(caches[0].received[seen].fields["within"])
-                # A purge known at the start may count as later by what the start took, never as earlier.
-                assert now - purged - TICK_MS - 1 <= age <= latest
+                max_age = time.time() * 1000 - purged_at
+                age = int(caches[0].received[before].fields["within"])
+                # The purge may count as later by the duration of the start, never as earlier.
+                assert now - purged_at - TICK_MS - 1 <= age <= max_age
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_sigterm(tmp_path: Path) -> None:
-    """After SIGTERM it answers what still comes, finishes what it has taken, and exits 0."""
+    """After SIGTERM the router still answers new requests, finishes open ones and exits with status 0."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
         async with platform(tmp_path, [edge, origin]) as router_process:
-            found: list[int] = []
+            statuses: list[int] = []
 
-            async def request() -> None:
-                found.append((await router_process.ask())[0])
+            async def send_request() -> None:
+                statuses.append((await router_process.ask())[0])
 
             async with trio.open_nursery() as clients:
-                clients.start_soon(request)
+                clients.start_soon(send_request)
                 await edge.until(lambda: bool(edge.received))
                 router_process.process.send_signal(signal.SIGTERM)
                 edge.answer = data
-                clients.start_soon(request)
+                clients.start_soon(send_request)
                 await edge.until(lambda: len(edge.received) > 1)
-                # The first one's client is served by the next attempt, or told that it failed: never cut off.
+                # The first client is served by the next attempt or gets an error response, not just a close.
             assert await router_process.process.wait() == 0
-            assert 200 in found
-            assert len(found) == 2
+            assert 200 in statuses
+            assert len(statuses) == 2
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_error"),
     [
         (b"{", "configuration is not JSON"),
         (b"[]", "an object is needed"),
@@ -580,11 +594,13 @@
         ),
     ],
 )
-def test_bad_config(tmp_path: Path, text: bytes, said: str) -> None:
-    """A configuration that can't be used is one plain line and exit 2."""
+def test_invalid_configuration_is_one_line_and_exit_status_2(
+    tmp_path: Path, text: bytes, expected_error: str
+) -> None:
+    """An invalid configuration ends the process with one line on stderr and exit status 2."""
     path = tmp_path / "config.json"
     path.write_bytes(text)
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "brackenlane"],
         cwd=ROOT,
         capture_output=True,
@@ -593,6 +609,6 @@
         check=False,
         timeout=60,
     )
-    assert done.returncode == 2
-    assert said in done.stderr
-    assert done.stderr.count("\n") == 1
+    assert result.returncode == 2
+    assert expected_error in result.stderr
+    assert result.stderr.count("\n") == 1
