--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -1,8 +1,8 @@
-"""The protocol of a site whose writes carry a key, whose caches report their load and may not be probed.
+"""The protocol at a site with keyed writes, with load reports from caches, and without probes.
 
-Each test stands for a sentence of the protocol that no other test holds (docs/design/protocol-tests.md): the
-real program with clients, caches and a change log that these tests play, or the codec alone where no peer can
-see it.
+Each test covers a sentence of the protocol that no other test covers (docs/design/protocol-tests.md). Most
+of them run the router among scripted clients, caches and change log; what no peer can observe is tested on
+the codec alone.
 """
 
 from __future__ import annotations
@@ -53,8 +53,8 @@
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
-def site(**limits: Any) -> dict[str, Any]:
-    """Settings of such a site: keyed writes, load reports, no probes, edge caches alone asked directly."""
+def site_settings(**limits: Any) -> dict[str, Any]:
+    """Return settings with keyed writes, load reports, no probes, and requests to edge caches only."""
     reads, write = SETTINGS["Classes"][:2], SETTINGS["Classes"][2]
     return {
         "Classes": [*reads, {**write, "Effect": "dedup", "Group": "all", "WindowS": 6.0}],
@@ -80,36 +80,38 @@
     }
 
 
-async def fleet(
-    nursery: trio.Nursery, *names: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data
+async def start_caches(
+    nursery: trio.Nursery, *ids: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data
 ) -> list[CacheStandIn]:
-    """Boxes that answer alike."""
-    return [await CacheStandIn(name, MODELS.get(name, "type-a"), answer).open(nursery) for name in names]
+    """Start caches that all use the same answer function."""
+    return [
+        await CacheStandIn(cache_id, MODELS.get(cache_id, "type-a"), answer).open(nursery) for cache_id in ids
+    ]
 
 
-def parse(text: bytes) -> RequestParser:
-    """A client's bytes as the front reads them."""
-    requests = RequestParser(Limits())
-    requests.feed(text)
-    return requests
+def parser_of(text: bytes) -> RequestParser:
+    """Return a request parser that was fed the bytes of a client."""
+    parser = RequestParser(Limits())
+    parser.feed(text)
+    return parser
 
 
-def arrival_of(*lines: str) -> Arrival:
-    """A read with further header lines, as the module is told of it."""
+def arrival_of(*header_lines: str) -> Arrival:
+    """Return the Arrival event of a read request with additional header lines."""
     head = ["GET /api/v2/video-parts/7f3a9c21e0b4d655/n-3 HTTP/1.1", "Host: a", f"X-Txn: {'1' * 16}"]
-    text = "\r\n".join([*head, "X-Ttl-Ms: 1500", "X-Shard: 17", *lines, "", ""])
-    reading = parse(text.encode()).next()
-    assert reading
+    text = "\r\n".join([*head, "X-Ttl-Ms: 1500", "X-Shard: 17", *header_lines, "", ""])
+    parsed = parser_of(text.encode()).next()
+    assert parsed
     settings, _ = read_settings(SETTINGS)
     classes = {c.name: c for c in settings.classes}
-    return read_request(reading, classes, Limits(), "q0", 100.0).arrival
+    return read_request(parsed, classes, Limits(), "q0", 100.0).arrival
 
 
 # Clients to the router
 
 
 @pytest.mark.parametrize(
-    ("lines", "size_kb"),
+    ("header_lines", "size_kb"),
     [
         (["X-Working-Set-Kb: 412.5"], 412.5),
         (["x-working-set-kb: 7"], 7.0),
@@ -120,24 +122,24 @@
         ],
     ],
 )
-def test_size_of_a_part_reaches_the_module(lines: list[str], size_kb: float) -> None:
-    """As told; a size that can't be read counts as untold, since a request is worth more than its size."""
-    assert arrival_of(*lines).size_kb == size_kb
+def test_size_of_a_part_reaches_the_router(header_lines: list[str], size_kb: float) -> None:
+    """An invalid size counts as unknown, since a wrong size is no reason to reject the request."""
+    assert arrival_of(*header_lines).size_kb == size_kb
 
 
-@pytest.mark.parametrize(("lines", "again"), [(["X-Second-Try: 1"], True), ([], False)])
-def test_request_fields_reach_the_router(lines: list[str], again: bool) -> None:
-    """Class, object, part, group, mark of a retry, and the time left: its own, less our way back."""
-    reported = arrival_of(*lines)
-    assert (reported.cls, reported.obj, reported.part, reported.group) == (
+@pytest.mark.parametrize(("header_lines", "is_retry"), [(["X-Second-Try: 1"], True), ([], False)])
+def test_request_fields_reach_the_router(header_lines: list[str], is_retry: bool) -> None:
+    """The router gets class, object, part, group, retry flag, and the time left less that of the way back."""
+    arrival = arrival_of(*header_lines)
+    assert (arrival.cls, arrival.obj, arrival.part, arrival.group) == (
         "video-parts",
         "7f3a9c21e0b4d655",
         3,
         17,
     )
-    assert reported.is_retry is again
-    assert not reported.is_write
-    assert 1.48 < reported.time_left < 1.5
+    assert arrival.is_retry is is_retry
+    assert not arrival.is_write
+    assert 1.48 < arrival.time_left < 1.5
 
 
 FIRST_TRY = (
@@ -148,14 +150,14 @@
 
 @pytest.mark.parametrize("restart", [None, signal.SIGKILL, signal.SIGTERM])
 @with_trio
-async def test_key_is_that_of_the_request_over_tries_and_restarts(
+async def test_idempotency_key_is_unchanged_across_retries_and_restarts(
     tmp_path: Path, restart: signal.Signals | None
 ) -> None:
-    """Every attempt at a write bears one key: repeats, the client's retry, and those of a new process."""
+    """All attempts at a write carry its key: retries by the router, by the client and after a restart."""
     port = free_port()
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        start = functools.partial(platform, tmp_path, [edge, origin], settings=site(), port=port)
+        edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
+        start = functools.partial(platform, tmp_path, [edge, origin], settings=site_settings(), port=port)
         async with start() as router:
             async with await trio.open_tcp_stream("127.0.0.1", port) as client:
                 await client.send_all(FIRST_TRY)
@@ -178,61 +180,59 @@
 
 
 async def retry(router: Program) -> tuple[int, dict[str, str], bytes]:
-    """The client's second try of its write: another id, the same key."""
+    """Send the client's retry of its write: a new id, the same key."""
     return await router.ask("sheet-submit", body=b"signed", txn="2" * 16, X_Txn_Key=KEY, X_Second_Try="1")
 
 
 @with_trio
-async def test_repeats_of_a_keyed_write_bear_its_key_and_stay_in_its_window(tmp_path: Path) -> None:
-    """A write that may have run is sent again with the same key and id, and not after its window."""
-    settings = site()
+async def test_keyed_write_is_retried_with_its_key_and_within_its_window(tmp_path: Path) -> None:
+    """A write that may have run is retried with the same key and id, and only within its repeat window."""
+    settings = site_settings()
     settings["Classes"][2] |= {"WindowS": 0.4}
-    sent: list[float] = []
+    sent_at: list[float] = []
 
     async with trio.open_nursery() as nursery:
 
         def fail(requested: ReceivedRequest) -> bytes:
-            sent.append(time.time())
-            time.sleep(0.1)  # this cache alone is slow: four sends would take 0.4 s
+            sent_at.append(time.time())
+            time.sleep(0.1)  # only this cache is slow: four attempts would take 0.4 s
             return data(requested, b"", "failed")
 
-        caches = await fleet(nursery, EDGE, OTHER, ORIGIN, answer=fail)
+        caches = await start_caches(nursery, EDGE, OTHER, ORIGIN, answer=fail)
         async with platform(tmp_path, caches, settings=settings) as router:
             status, _, _ = await router.ask("sheet-submit", body=b"signed", ttl=2500, X_Txn_Key=KEY)
-            requested = caches[0].received + caches[1].received
+            received = caches[0].received + caches[1].received
             assert status in (502, 503)
-            assert len(requested) > 1
-            assert {(a.id, a.fields["uniq"], a.body) for a in requested} == {
-                (requested[0].id, KEY, b"signed")
-            }
-            assert sent[-1] - sent[0] < 0.45
+            assert len(received) > 1
+            assert {(a.id, a.fields["uniq"], a.body) for a in received} == {(received[0].id, KEY, b"signed")}
+            assert sent_at[-1] - sent_at[0] < 0.45
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_a_keyed_write_without_its_key_is_sent_once(tmp_path: Path) -> None:
-    """No cache could drop a repeat: whatever may have run is over, and its client is told that it failed."""
+    """Without its key no cache can recognize a duplicate, so a write that may have run fails at once."""
     async with trio.open_nursery() as nursery:
-        caches = await fleet(
+        caches = await start_caches(
             nursery, EDGE, OTHER, ORIGIN, answer=lambda requested: data(requested, b"", "failed")
         )
-        async with platform(tmp_path, caches, settings=site()) as router:
+        async with platform(tmp_path, caches, settings=site_settings()) as router:
             status, _, _ = await router.ask("sheet-submit", body=b"signed", ttl=2500)
             assert status == 502
-            assert len([requested for cache_stand_in in caches for requested in cache_stand_in.received]) == 1
+            assert len([requested for cache in caches for requested in cache.received]) == 1
         nursery.cancel_scope.cancel()
 
 
-def throttle(headers: dict[str, str]) -> str | None:
-    """What a refusal says of the time to stay away."""
+def hold_off_header(headers: dict[str, str]) -> str | None:
+    """Return the header that tells a client how long to hold off, in milliseconds."""
     return headers.get("x-throttle-ms")
 
 
 @pytest.mark.parametrize(
-    ("limits", "cls", "reported"),
+    ("limits", "cls", "hold_off"),
     [
         ({}, "video-parts", "500"),
-        ({}, "sheet-pages", "300"),  # the module's own time, below the bound
+        ({}, "sheet-pages", "300"),  # the router's own hold-off, below the bound
         ({"MaxRetryAfterS": 0.2}, "video-parts", "200"),
         ({"RetryAfter": False}, "video-parts", None),
         ({"MaxRetryAfterS": 0.0}, "video-parts", None),
@@ -240,66 +240,69 @@
 )
 @with_trio
 async def test_rejection_carries_a_hold_off(
-    tmp_path: Path, limits: dict[str, Any], cls: str, reported: str | None
+    tmp_path: Path, limits: dict[str, Any], cls: str, hold_off: str | None
 ) -> None:
-    """In milliseconds, as the module says, bounded by what clients honour; nothing where they honour none."""
+    """The hold-off is bounded by the longest one that clients honour, and left out if they honour none."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(
+        edge, origin = await start_caches(
             nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, b"", "full")
         )
-        async with platform(tmp_path, [edge, origin], settings=site(**limits)) as router:
+        async with platform(tmp_path, [edge, origin], settings=site_settings(**limits)) as router:
             status, headers, _ = await router.ask(cls)
             assert status == 503
-            assert throttle(headers) == reported
+            assert hold_off_header(headers) == hold_off
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("allowed", [True, False])
+@pytest.mark.parametrize("has_hold_off", [True, False])
 @with_trio
-async def test_hold_off_of_admission_rejections_is_bounded(tmp_path: Path, allowed: bool) -> None:
-    """All connections have work in hand: who comes then is refused, with no more than clients honour."""
+async def test_hold_off_of_admission_rejections_is_bounded(tmp_path: Path, has_hold_off: bool) -> None:
+    """A request is rejected if all connections have open requests, with a hold-off that clients honour."""
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, *(f"s-0000000{n}" for n in range(1, 7)), answer=lambda requested: None)
-        settings = site(RetryAfter=allowed)
+        caches = await start_caches(
+            nursery, *(f"s-0000000{n}" for n in range(1, 7)), answer=lambda requested: None
+        )
+        settings = site_settings(RetryAfter=has_hold_off)
         async with (
             platform(tmp_path, caches, sockets=64, settings=settings) as router,
             trio.open_nursery() as clients,
         ):
             for n in range(25):
                 clients.start_soon(functools.partial(router.ask, obj=f"{n:016x}", ttl=5000))
-            while (
-                len({requested.id for cache_stand_in in caches for requested in cache_stand_in.received}) < 25
-            ):
+            while len({requested.id for cache in caches for requested in cache.received}) < 25:
                 await trio.sleep(0.01)
             status, headers, _ = await router.ask()
             assert status == 503
-            assert throttle(headers) == ("500" if allowed else None)
+            assert hold_off_header(headers) == ("500" if has_hold_off else None)
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize(("most", "reported"), [(0.5, True), (0.0, False)])
-@pytest.mark.parametrize("waits", [0.0, 0.123, 0.5, 7.0, 1e6])
+@pytest.mark.parametrize(("max_retry_after", "has_hold_off"), [(0.5, True), (0.0, False)])
+@pytest.mark.parametrize("hold_off", [0.0, 0.123, 0.5, 7.0, 1e6])
 def test_rejection_of_a_stalled_queue(
-    monkeypatch: pytest.MonkeyPatch, most: float, reported: bool, waits: float
+    monkeypatch: pytest.MonkeyPatch, max_retry_after: float, has_hold_off: bool, hold_off: float
 ) -> None:
-    """Worded without the request's being read: the time to stay away is bounded, and whole milliseconds."""
-    settings, _ = read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})
+    """A rejection prepared before the request is read has a bounded hold-off in whole milliseconds."""
+    settings, _ = read_settings({**SETTINGS, **site_settings(MaxRetryAfterS=max_retry_after)})
     front = HttpFront(
         RequestEngine(EngineConfig(settings, 1, Limits()), lambda _: False), Limits(), Poller(1)
     )
-    monkeypatch.setattr(front.queue.admission, "hold_off", lambda now: waits)
+    monkeypatch.setattr(front.queue.admission, "hold_off", lambda now: hold_off)
     head = front.queue.prepare_rejection(time.time()).partition(b"\r\n\r\n")[0].decode()
-    lines = dict(line.split(": ") for line in head.split("\r\n")[1:])
-    assert int(lines["Retry-After"]) >= 1
-    assert ("X-Throttle-Ms" in lines) is reported
-    assert not reported or min(1000 * waits, 500) <= int(lines["X-Throttle-Ms"]) <= 500
+    headers = dict(line.split(": ") for line in head.split("\r\n")[1:])
+    assert int(headers["Retry-After"]) >= 1
+    assert ("X-Throttle-Ms" in headers) is has_hold_off
+    assert not has_hold_off or min(1000 * hold_off, 500) <= int(headers["X-Throttle-Ms"]) <= 500
 
 
 def test_prepared_rejections_follow_new_settings() -> None:
-    """Clients that honour less from now on are told no longer time that was worded before."""
+    """A rejection that was prepared under the old settings is not sent after a change to a shorter limit."""
     limits = Limits()
-    settings = [read_settings({**SETTINGS, **site(MaxRetryAfterS=most)})[0] for most in (0.04, 0.02)]
+    settings = [
+        read_settings({**SETTINGS, **site_settings(MaxRetryAfterS=max_retry_after)})[0]
+        for max_retry_after in (0.04, 0.02)
+    ]
     core = RequestEngine(EngineConfig(settings[0], 1, limits), lambda _: False)
     front = HttpFront(core, limits, Poller(1))
     assert b"X-Throttle-Ms: 40\r\n" in front.queue.prepare_rejection(time.time())
@@ -313,27 +316,27 @@
     [("/api/v2/video-parts/7f3a9c21e0b4d655/n-3", 300, 504), ("/api/v2/none/7f3a9c21e0b4d655/n-3", 900, 404)],
 )
 @with_trio
-async def test_other_answers_carry_no_hold_off(tmp_path: Path, path: str, ttl: int, status: int) -> None:
-    """A failure is not harmless to try again, and no header of a refusal may say so."""
+async def test_error_responses_carry_no_hold_off(tmp_path: Path, path: str, ttl: int, status: int) -> None:
+    """A retry after a failure may do harm, so its response has none of the headers that invite one."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        async with platform(tmp_path, [edge, origin], settings=site()) as router:
-            found, headers, _ = await router.send(
+        edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
+        async with platform(tmp_path, [edge, origin], settings=site_settings()) as router:
+            received_status, headers, _ = await router.send(
                 "GET", path, {"X-Txn": "1" * 16, "X-Ttl-Ms": str(ttl), "X-Shard": "17"}
             )
-            assert found == status
-            assert throttle(headers) is None
+            assert received_status == status
+            assert hold_off_header(headers) is None
             assert "retry-after" not in headers
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_idle_client_connection_is_kept_for_its_allowed_time(tmp_path: Path) -> None:
-    """Clients end theirs after 4 s of rest: until then a next request is served on the same connection."""
+    """Clients close a connection after 4 s without a request; the router keeps it open for longer."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN)
+        edge, origin = await start_caches(nursery, EDGE, ORIGIN)
         async with (
-            platform(tmp_path, [edge, origin], settings=site()) as router,
+            platform(tmp_path, [edge, origin], settings=site_settings()) as router,
             await trio.open_tcp_stream("127.0.0.1", router.port) as client,
         ):
             for _ in range(2):
@@ -350,9 +353,9 @@
 
 
 @pytest.mark.parametrize(
-    ("fetch", "fields"),
+    ("fetch", "expected_fields"),
     [
-        (ATTEMPT, {}),  # no fill, no rank, no words, any age that the class allows
+        (ATTEMPT, {}),  # no source, no rank, no flags, any age that the class allows
         (replace(ATTEMPT, source=PARENT), {"miss": PARENT}),
         *[(replace(ATTEMPT, keep=rank), {"prio": str(rank)}) for rank in (1, 2, 3)],
         (replace(ATTEMPT, join=True), {"f": "coalesce"}),
@@ -365,23 +368,26 @@
     ],
 )
 @pytest.mark.parametrize(
-    ("age", "within"), [(0.0, {}), (1.2349, {"within": "1234"}), (1e-6, {"within": "1"})]
+    ("max_age", "expected_age"), [(0.0, {}), (1.2349, {"within": "1234"}), (1e-6, {"within": "1"})]
 )
-def test_fields_of_a_request(
-    fetch: Fetch, fields: dict[str, str], age: float, within: dict[str, str]
+def test_fields_of_a_get_command(
+    fetch: Fetch, expected_fields: dict[str, str], max_age: float, expected_age: dict[str, str]
 ) -> None:
-    """What is not wished is left out; times are cut to milliseconds, never up, nor to what means none."""
+    """Unset options are left out; times are rounded down to milliseconds, an age limit to no less than 1."""
     arrival = Arrival("q0", 1.0, "video-parts", "7f3a9c21e0b4d655", 3)
-    line = encode_get("1" * 16, arrival, fetch, 0.9999, age, "", b"")
-    command, name, reported, length = line.decode().split()
-    assert (command, name, length) == ("GET", "1" * 16, "0")
+    line = encode_get("1" * 16, arrival, fetch, 0.9999, max_age, "", b"")
+    command, request_id, sent_fields, length = line.decode().split()
+    assert (command, request_id, length) == ("GET", "1" * 16, "0")
     assert line.endswith(b" 0\r\n\r\n")
-    usual = {"queue": "video-parts", "path": "7f3a9c21e0b4d655", "blk": "3", "budget": "999"}
-    assert dict(pair.split("=") for pair in reported.split(",")) == usual | fields | within
+    common_fields = {"queue": "video-parts", "path": "7f3a9c21e0b4d655", "blk": "3", "budget": "999"}
+    assert (
+        dict(pair.split("=") for pair in sent_fields.split(","))
+        == common_fields | expected_fields | expected_age
+    )
 
 
-def answered(text: str) -> CacheResponse:
-    """One answer of a cache, by its fields."""
+def parse_response(text: str) -> CacheResponse:
+    """Parse a response of a cache that has these fields."""
     [answer] = Parser(Limits()).feed(f"a1 data {text} 0\r\n\r\n".encode())
     return answer
 
@@ -398,19 +404,22 @@
             (f"use=inflight:7;{x0}", (("inflight", 7.0),))
             for x0 in ("x0", "x0:", "x0:much", "x0:nan", "x0:inf", "x0:1e999", "x0:-0.1", "")
         ],
-        ("use=inflight:7;:0.5", (("inflight", 7.0),)),  # a name that is none is skipped
-        ("use=x0:7.5", (("x0", 7.5),)),  # beyond a share: what a value may mean is the module's to judge
+        ("use=inflight:7;:0.5", (("inflight", 7.0),)),  # an empty name is skipped
+        (
+            "use=x0:7.5",
+            (("x0", 7.5),),
+        ),  # more than a share can be: the router, not the parser, checks the range
     ],
 )
-def test_report_is_read_and_what_cannot_be_read_of_it_left_out(
+def test_invalid_values_of_a_load_report_are_skipped(
     text: str, report: tuple[tuple[str, float], ...]
 ) -> None:
-    """A value that is none costs neither the others nor the answer."""
-    assert answered(text).report == report
+    """An invalid value invalidates neither the other values nor the response."""
+    assert parse_response(text).report == report
 
 
 @pytest.mark.parametrize(
-    ("command", "cache_status"),
+    ("detail", "cache_status"),
     [
         ("hit", CacheStatus.HIT),
         ("filled", CacheStatus.FILLED),
@@ -426,24 +435,24 @@
         ("", CacheStatus.UNKNOWN),
     ],
 )
-def test_detail(command: str, cache_status: CacheStatus) -> None:
-    """Each word has the number that the simulator gives it; none, and one not known, tell nothing."""
-    assert answered(f"detail={command}").cache_status is cache_status
+def test_cache_status_is_parsed(detail: str, cache_status: CacheStatus) -> None:
+    """Each word has the code of the simulator; a missing or unknown word gives UNKNOWN."""
+    assert parse_response(f"detail={detail}").cache_status is cache_status
     assert list(CacheStatus).index(cache_status) == cache_status.value
 
 
 @pytest.mark.parametrize(
     ("text", "delay"),
     [("delay=120", 0.12), ("delay=0.5", 0.0005), ("entity=e1", 0.0)]
-    + [(f"delay={bad}", 0.0) for bad in ("", "-3", "nan", "inf", "long")],
+    + [(f"delay={invalid}", 0.0) for invalid in ("", "-3", "nan", "inf", "long")],
 )
-def test_delay(text: str, delay: float) -> None:
-    """The time that a fill waited for its source, in seconds; untold, or none, is 0."""
-    assert answered(text).delay == pytest.approx(delay)
+def test_fill_delay_is_parsed(text: str, delay: float) -> None:
+    """The time that a fill waited for its source, in seconds; 0 if it is missing or invalid."""
+    assert parse_response(text).delay == pytest.approx(delay)
 
 
 @pytest.mark.parametrize(
-    ("result", "reported"),
+    ("result", "reply_fields"),
     [
         (AttemptResult.OK, {"cache_status": CacheStatus.FILLED_BY_ORIGIN, "delay": 0.07}),
         (AttemptResult.ERROR, {"cache_status": CacheStatus.SOURCE_FAILED, "delay": 0.09}),
@@ -452,60 +461,62 @@
     ],
 )
 def test_response_fields_reach_the_router(
-    monkeypatch: pytest.MonkeyPatch, result: AttemptResult, reported: dict[str, Any]
+    monkeypatch: pytest.MonkeyPatch, result: AttemptResult, reply_fields: dict[str, Any]
 ) -> None:
-    """Cache status, time waited for the source and load report, with every verdict."""
-    settings, _ = read_settings({**SETTINGS, **site()})
-    placed: list[Attempt] = []
-    received: list[Outcome] = []
+    """Cache status, time that a fill waited for its source, and load report reach it with every result."""
+    settings, _ = read_settings({**SETTINGS, **site_settings()})
+    attempts: list[Attempt] = []
+    outcomes: list[Outcome] = []
 
     def place(attempt: Attempt) -> bool:
-        placed.append(attempt)
+        attempts.append(attempt)
         return True
 
     def decide(event: Event, now: float) -> list[Action]:
         if isinstance(event, Outcome):
-            received.append(event)
+            outcomes.append(event)
         return [Fetch("q0", EDGE, 1.0, ORIGIN)] if isinstance(event, Arrival) else []
 
     core = RequestEngine(EngineConfig(settings, 1, Limits()), place)
     monkeypatch.setattr(core.routers.current, "handle", decide)
     core.submit(PendingRequest(Arrival("q0", 1.0, "video-parts", "7f3a9c21e0b4d655"), time.time() + 1.0))
-    core.report(placed[0], AttemptReply(result, 0.1, **reported))
-    [outcome] = received
+    core.report(attempts[0], AttemptReply(result, 0.1, **reply_fields))
+    [outcome] = outcomes
     assert (outcome.result, outcome.wait) == (result, 0.1)
-    assert outcome.cache_status is reported.get("cache_status", CacheStatus.UNKNOWN)
-    assert outcome.first_byte == reported.get("delay", 0.0)
-    assert outcome.report == reported.get("report", ())
+    assert outcome.cache_status is reply_fields.get("cache_status", CacheStatus.UNKNOWN)
+    assert outcome.first_byte == reply_fields.get("delay", 0.0)
+    assert outcome.report == reply_fields.get("report", ())
 
 
 @pytest.mark.parametrize(
-    "use", ["", "x0", "x0:nan", "x0:-1", "x0:7.5", "x0:1e999", ":;:;", "inflight:1;x0:0.5"]
+    "report", ["", "x0", "x0:nan", "x0:-1", "x0:7.5", "x0:1e999", ":;:;", "inflight:1;x0:0.5"]
 )
 @pytest.mark.parametrize("command", ["data", "full"])
 @with_trio
-async def test_odd_report_spoils_no_answer(tmp_path: Path, use: str, command: str) -> None:
-    """Whatever the report says, what it came with counts, and its connection stays."""
+async def test_invalid_load_report_does_not_invalidate_the_response(
+    tmp_path: Path, report: str, command: str
+) -> None:
+    """Whatever the report contains, the rest of the response counts, and its connection stays open."""
     async with trio.open_nursery() as nursery:
 
-        def notify(requested: ReceivedRequest) -> bytes:
-            return data(requested, b"bytes" if command == "data" else b"", command, use=use)
+        def answer_with_report(requested: ReceivedRequest) -> bytes:
+            return data(requested, b"bytes" if command == "data" else b"", command, use=report)
 
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=notify)
-        async with platform(tmp_path, [edge, origin], settings=site()) as router:
-            found = [(await router.ask(obj=f"{n:016x}"))[0] for n in range(3)]
-            assert found == [200 if command == "data" else 503] * 3
+        edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=answer_with_report)
+        async with platform(tmp_path, [edge, origin], settings=site_settings()) as router:
+            statuses = [(await router.ask(obj=f"{n:016x}"))[0] for n in range(3)]
+            assert statuses == [200 if command == "data" else 503] * 3
             assert edge.links == 1
             assert edge.ended == 0
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_report_that_comes_too_late_is_passed_over(tmp_path: Path) -> None:
-    """An answer after its budget, with its report, serves nobody; the next is served on that connection."""
+async def test_response_after_its_deadline_is_ignored(tmp_path: Path) -> None:
+    """A response after its deadline is dropped with its report; the connection serves the next request."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        async with platform(tmp_path, [edge, origin], settings=site(MaxAttempts=1)) as router:
+        edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
+        async with platform(tmp_path, [edge, origin], settings=site_settings(MaxAttempts=1)) as router:
             assert (await router.ask(ttl=300))[0] == 504
             await edge.say(1, data(edge.received[0], use="inflight:1;x0:0.5"))
             edge.answer = functools.partial(data, use="inflight:1;x0:0.5")
@@ -515,12 +526,12 @@
 
 
 @with_trio
-async def test_no_more_streams_than_a_connection_carries(tmp_path: Path) -> None:
-    """A third request on a connection for two goes by another; past all connections it goes nowhere."""
+async def test_open_requests_per_connection_are_limited(tmp_path: Path) -> None:
+    """A connection carries two open requests here; a request is rejected if all connections are full."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
+        edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
         async with (
-            platform(tmp_path, [edge, origin], settings=site(StreamsPerConn=2)) as router,
+            platform(tmp_path, [edge, origin], settings=site_settings(StreamsPerConn=2)) as router,
             trio.open_nursery() as clients,
         ):
             for n in range(8):
@@ -535,66 +546,66 @@
 
 
 @with_trio
-async def test_answers_come_in_any_order(tmp_path: Path) -> None:
-    """Four requests on one connection, answered last first: each client gets the bytes meant for it."""
+async def test_responses_may_arrive_in_any_order(tmp_path: Path) -> None:
+    """Four requests on one connection are answered in reverse order; each client gets its own bytes."""
     async with trio.open_nursery() as nursery:
 
-        def hold(requested: ReceivedRequest) -> ScriptedReply:
+        def answer_in_reverse(requested: ReceivedRequest) -> ScriptedReply:
             if len(edge.received) < 4:
                 return None
-            return b"".join(data(one, one.fields["path"].encode()) for one in reversed(edge.received))
+            return b"".join(data(held, held.fields["path"].encode()) for held in reversed(edge.received))
 
-        edge, origin = await fleet(nursery, EDGE, ORIGIN, answer=hold)
-        found: dict[str, bytes] = {}
-        async with platform(tmp_path, [edge, origin], settings=site()) as router:
+        edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=answer_in_reverse)
+        bodies: dict[str, bytes] = {}
+        async with platform(tmp_path, [edge, origin], settings=site_settings()) as router:
 
-            async def request(obj: str) -> None:
-                found[obj] = (await router.ask(obj=obj))[2]
+            async def send_request(obj: str) -> None:
+                bodies[obj] = (await router.ask(obj=obj))[2]
 
             async with trio.open_nursery() as clients:
                 for n in range(4):
-                    clients.start_soon(request, f"{n:016x}")
-            assert len(found) == 4
-            assert all(body == obj.encode() for obj, body in found.items())
+                    clients.start_soon(send_request, f"{n:016x}")
+            assert len(bodies) == 4
+            assert all(body == obj.encode() for obj, body in bodies.items())
             assert edge.links == 1
         nursery.cancel_scope.cancel()
 
 
-class Tap:
-    """A connection whose incoming bytes are kept."""
+class RecordingStream:
+    """A connection that records the bytes it receives."""
 
     def __init__(self, stream: trio.SocketStream, received: bytearray) -> None:
-        self._stream, self._heard = stream, received
+        self._stream, self._received = stream, received
         self.send_all, self.aclose = stream.send_all, stream.aclose
 
-    async def receive_some(self, most: int) -> bytes:
-        """The next bytes."""
-        got = await self._stream.receive_some(most)
-        self._heard += got
-        return bytes(got)
+    async def receive_some(self, max_bytes: int) -> bytes:
+        """Receive and record the next bytes."""
+        chunk = await self._stream.receive_some(max_bytes)
+        self._received += chunk
+        return bytes(chunk)
 
 
-class Tapped(CacheStandIn):
-    """A cache that keeps all that it is sent."""
+class RecordingCache(CacheStandIn):
+    """A cache that records all bytes of its latest connection."""
 
-    heard = bytearray()
+    received_bytes = bytearray()
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        self.heard = bytearray()
-        await super()._serve(cast(trio.SocketStream, Tap(stream, self.heard)))
+        self.received_bytes = bytearray()
+        await super()._serve(cast(trio.SocketStream, RecordingStream(stream, self.received_bytes)))
 
 
 @pytest.mark.parametrize("allowed", [True, False])
 @with_trio
-async def test_probes_only_where_they_are_allowed(tmp_path: Path, allowed: bool) -> None:
-    """A cache silent for long is probed; where probes are not allowed, none is sent."""
+async def test_ping_is_sent_only_if_the_settings_allow_it(tmp_path: Path, allowed: bool) -> None:
+    """A cache that is silent for long gets a PING, but only if the settings allow probes."""
     async with trio.open_nursery() as nursery:
-        edge = await Tapped(EDGE, answer=lambda requested: None).open(nursery)
-        (origin,) = await fleet(nursery, ORIGIN)
-        async with platform(tmp_path, [edge, origin], settings=site(MayProbe=allowed)) as router:
+        edge = await RecordingCache(EDGE, answer=lambda requested: None).open(nursery)
+        (origin,) = await start_caches(nursery, ORIGIN)
+        async with platform(tmp_path, [edge, origin], settings=site_settings(MayProbe=allowed)) as router:
             assert (await router.ask(ttl=1800))[0] == 504
-            assert (b"PING" in edge.heard) is allowed
-            assert b"LOAD" not in edge.heard
+            assert (b"PING" in edge.received_bytes) is allowed
+            assert b"LOAD" not in edge.received_bytes
         nursery.cancel_scope.cancel()
 
 
@@ -602,12 +613,12 @@
 @pytest.mark.parametrize("how", ["full", "down", "drained"])
 @with_trio
 async def test_only_edge_caches_receive_requests_without_bypass(tmp_path: Path, cls: str, how: str) -> None:
-    """No cache takes anything: parent and origin hear nothing, and the request is refused."""
+    """If no edge cache takes requests, parent and origin get none, and the request is rejected."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
-        edge, parent, origin = await fleet(nursery, EDGE, PARENT, ORIGIN)
+        edge, parent, origin = await start_caches(nursery, EDGE, PARENT, ORIGIN)
         edge.answer = lambda requested: data(requested, b"", "full")
-        async with platform(tmp_path, [edge, parent, origin], log, settings=site()) as router:
+        async with platform(tmp_path, [edge, parent, origin], log, settings=site_settings()) as router:
             if how == "down":
                 await edge.close()
             if how == "drained":
@@ -623,10 +634,10 @@
 
 @with_trio
 async def test_write_runs_at_the_origin_and_is_not_cached(tmp_path: Path) -> None:
-    """It goes by a cache, the origin its source, at no rank."""
+    """A write goes through an edge cache with the origin as its source, and without a rank for storing it."""
     async with trio.open_nursery() as nursery:
-        edge, parent, origin = await fleet(nursery, EDGE, PARENT, ORIGIN)
-        async with platform(tmp_path, [edge, parent, origin], settings=site()) as router:
+        edge, parent, origin = await start_caches(nursery, EDGE, PARENT, ORIGIN)
+        async with platform(tmp_path, [edge, parent, origin], settings=site_settings()) as router:
             for n in range(4):
                 assert (await router.ask("sheet-submit", f"{n:016x}", b"signed", X_Txn_Key=KEY))[0] == 200
             assert {requested.fields["miss"] for requested in edge.received} == {ORIGIN}
@@ -638,85 +649,83 @@
 
 
 @pytest.mark.parametrize("boot_ms", [0, 1_764_576_000_123])
-def test_late_start(boot_ms: int) -> None:
-    """The moment of a late start means the same in a frame and in the configuration, in seconds."""
-    cache_stand_in = CacheStandIn(EDGE)
-    cache_stand_in.port = 7001
-    _, names = read_settings(SETTINGS)
-    frame = read_frame(Frame(7, 2, record(cache_stand_in, 0)[:-8] + boot_ms.to_bytes(8, "big")), names, 0.0)
-    item = {"seq": 7, "fleet": {"targets": [{**target(cache_stand_in), "boot_ms": boot_ms}]}}
-    [known] = read_known({"results": [item]}, names, 0.0)
-    assert frame == known
+def test_start_time_is_the_same_from_a_frame_and_the_configuration(boot_ms: int) -> None:
+    """The start time of a cache is the same from a frame and from the configuration, in seconds."""
+    cache = CacheStandIn(EDGE)
+    cache.port = 7001
+    _, record_names = read_settings(SETTINGS)
+    frame = read_frame(Frame(7, 2, record(cache, 0)[:-8] + boot_ms.to_bytes(8, "big")), record_names, 0.0)
+    entry = {"seq": 7, "fleet": {"targets": [{**target(cache), "boot_ms": boot_ms}]}}
+    [known_event] = read_known({"results": [entry]}, record_names, 0.0)
+    assert frame == known_event
     assert isinstance(frame.event, Membership)
     assert frame.event.members[0].started_at == boot_ms / 1000
 
 
-@pytest.mark.parametrize(("state", "name"), [(1, PARENT), (2, PARENT), (1, EDGE)])
+@pytest.mark.parametrize(("state", "drained_id"), [(1, PARENT), (2, PARENT), (1, EDGE)])
 @with_trio
 async def test_draining_cache_receives_no_new_requests_after_250_ms(
-    tmp_path: Path, state: int, name: str
+    tmp_path: Path, state: int, drained_id: str
 ) -> None:
-    """A parent of the hub, or a cache, drains or is gone while requests keep coming."""
+    """A parent or an edge cache drains or is removed while requests keep arriving."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
-        named: list[tuple[float, str, str]] = []
+        uses: list[tuple[float, str, str]] = []
 
-        def answer(requested: ReceivedRequest, cache_stand_in: str) -> bytes:
-            named.append((time.time(), cache_stand_in, requested.fields.get("miss", "")))
+        def answer(requested: ReceivedRequest, cache: str) -> bytes:
+            uses.append((time.time(), cache, requested.fields.get("miss", "")))
             return data(requested)
 
-        caches = await fleet(nursery, EDGE, OTHER, NEXT_PARENT, PARENT, ORIGIN)
-        for cache_stand_in in caches:
-            cache_stand_in.answer = functools.partial(answer, cache_stand_in=cache_stand_in.id)
-        async with platform(tmp_path, caches, log, settings=site()) as router:
+        caches = await start_caches(nursery, EDGE, OTHER, NEXT_PARENT, PARENT, ORIGIN)
+        for cache in caches:
+            cache.answer = functools.partial(answer, cache=cache.id)
+        async with platform(tmp_path, caches, log, settings=site_settings()) as router:
 
-            async def send_on(first: int, until: Callable[[], bool]) -> None:
+            async def send_requests(first: int, until: Callable[[], bool]) -> None:
                 n = first
                 while not until():
                     assert (await router.ask(obj=f"{n:016x}"))[0] == 200
                     n += 100
 
-            def uses(since: float, until: float) -> int:
+            def count_uses(since: float, until: float) -> int:
                 return sum(
-                    since <= at < until and name in (cache_stand_in, source)
-                    for at, cache_stand_in, source in named
+                    since <= at < until and drained_id in (cache, source) for at, cache, source in uses
                 )
 
-            reported = math.inf
+            drained_at = math.inf
             async with trio.open_nursery() as clients:
                 for first in range(4):
-                    clients.start_soon(send_on, first, lambda: time.time() > reported + 1.0)
-                while not uses(0.0, math.inf):
+                    clients.start_soon(send_requests, first, lambda: time.time() > drained_at + 1.0)
+                while not count_uses(0.0, math.inf):
                     await trio.sleep(0.01)
-                reported = time.time()
+                drained_at = time.time()
                 await log.tell(
                     2,
                     2,
-                    record(
-                        next(cache_stand_in for cache_stand_in in caches if cache_stand_in.id == name), state
-                    ),
+                    record(next(cache for cache in caches if cache.id == drained_id), state),
                 )
-            assert uses(reported + 0.25, math.inf) == 0
-            assert sum(at >= reported + 0.25 for at, _, _ in named) > 10
+            assert count_uses(drained_at + 0.25, math.inf) == 0
+            assert sum(at >= drained_at + 0.25 for at, _, _ in uses) > 10
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_group_purge_covers_caches_and_the_response_cache(tmp_path: Path) -> None:
-    """Told by a frame: copies of that group must be younger than the purge, those of others stay."""
+    """After a purge frame, copies of the group must be newer than the purge; other groups are unaffected."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
-        edge, origin = await fleet(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, [edge, origin], log, flow=1e6, settings=site()) as router:
+        edge, origin = await start_caches(nursery, EDGE, ORIGIN)
+        async with platform(tmp_path, [edge, origin], log, flow=1e6, settings=site_settings()) as router:
             for group in ("17", "18"):
                 assert (await router.ask(obj=f"{group:0>16}", X_Shard=group))[0] == 200
             before = len(edge.received)
-            at = time.time()
-            await log.tell(2, 4, (17).to_bytes(2, "big") + int(at * 1000).to_bytes(8, "big"))
+            purged_at = time.time()
+            await log.tell(2, 4, (17).to_bytes(2, "big") + int(purged_at * 1000).to_bytes(8, "big"))
             await log.cut()
             for group in ("18", "17"):
                 assert (await router.ask(obj=f"{group:0>16}", X_Shard=group))[0] == 200
-            [again] = edge.received[before:]  # of the other group we hold a copy that will do
-            assert again.fields["path"].endswith("17")
-            assert 0 < int(again.fields["within"]) <= 1000 * (time.time() - at)
+            # The router still holds a valid copy of the object in the other group.
+            [repeated] = edge.received[before:]
+            assert repeated.fields["path"].endswith("17")
+            assert 0 < int(repeated.fields["within"]) <= 1000 * (time.time() - purged_at)
         nursery.cancel_scope.cancel()
