--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,6 +1,7 @@
-"""What ends something, and who is owed what then: the real program, each race forced by the peers.
+"""Races at the end of requests, connections and the process: disconnects, deadlines, drains and shutdown.
 
-The router stands still (SIGSTOP) while a peer does two things that must meet, so that it finds both done.
+Most tests run the router as a process. To force a race they stop it with SIGSTOP while a peer does two things
+that have to coincide, so that the router finds both done when it continues.
 """
 
 from __future__ import annotations
@@ -58,20 +59,22 @@
 MODELS = {ORIGIN: "origin", PARENT: "parent"}
 
 
-async def fleet(
-    nursery: trio.Nursery, *names: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data
+async def start_caches(
+    nursery: trio.Nursery, *ids: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data
 ) -> list[CacheStandIn]:
-    """Boxes that answer alike."""
-    return [await CacheStandIn(name, MODELS.get(name, "type-a"), answer).open(nursery) for name in names]
+    """Start caches that all use the same answer function."""
+    return [
+        await CacheStandIn(cache_id, MODELS.get(cache_id, "type-a"), answer).open(nursery) for cache_id in ids
+    ]
 
 
-def limits(**reported: Any) -> dict[str, Any]:
-    """Settings whose limits differ from the usual ones."""
-    return {"Limits": {**SETTINGS["Limits"], **reported}}
+def limits(**changes: Any) -> dict[str, Any]:
+    """Return settings in which some limits differ from SETTINGS."""
+    return {"Limits": {**SETTINGS["Limits"], **changes}}
 
 
 def request(txn: str, cls: str = "video-parts", obj: str = "7f3a9c21e0b4d655") -> bytes:
-    """A read as its bytes."""
+    """Return a read request as bytes."""
     return (
         f"GET /api/v2/{cls}/{obj}/n-3 HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\nX-Ttl-Ms: 3000\r\n"
         "X-Shard: 17\r\n\r\n"
@@ -79,8 +82,8 @@
 
 
 @contextlib.asynccontextmanager
-async def still(router_process: Program) -> AsyncIterator[None]:
-    """The router stands still, and finds all that was done meanwhile at once."""
+async def stopped(router_process: Program) -> AsyncIterator[None]:
+    """Stop the router process, so that it finds everything done in the meantime at once."""
     router_process.process.send_signal(signal.SIGSTOP)
     try:
         yield
@@ -89,64 +92,66 @@
 
 
 @dataclass
-class Late:
-    """A listener whose queue is full."""
+class FullListener:
+    """A listener whose accept queue is full."""
 
     port: int
-    fillers: set[int]  # the ports of those who fill it
-    empty: Callable[[], socket.socket]  # gives out the first connection besides theirs
+    filler_ports: set[int]  # local ports of the connections that fill the queue
+    accept: Callable[[], socket.socket]  # empties the queue and returns the first other connection
 
-    async def tried(self) -> None:
-        """Wait until a connect to it has been tried and not answered (proc(5), state SYN_SENT)."""
+    async def wait_for_connect(self) -> None:
+        """Wait until a connect to the listener is unanswered (proc(5), state SYN_SENT)."""
 
-        def waits(at: str, to: str, state: str) -> bool:
-            mine, far = (int(end.partition(":")[2], 16) for end in (at, to))
-            return far == self.port and mine not in self.fillers and state == "02"
+        def is_connecting(local: str, remote: str, state: str) -> bool:
+            local_port, remote_port = (int(end.partition(":")[2], 16) for end in (local, remote))
+            return remote_port == self.port and local_port not in self.filler_ports and state == "02"
 
         while not any(
-            waits(*line.split()[1:4]) for line in Path("/proc/net/tcp").read_text().splitlines()[1:]
+            is_connecting(*line.split()[1:4]) for line in Path("/proc/net/tcp").read_text().splitlines()[1:]
         ):
             await trio.sleep(0.01)
 
 
 @contextlib.contextmanager
-def late_listener() -> Iterator[Late]:
-    """A port where no handshake is answered until its queue is emptied."""
-    with socket.socket() as unresponsive, contextlib.ExitStack() as full:
-        unresponsive.bind(("127.0.0.1", 0))
-        unresponsive.listen(0)
-        waiting = [full.enter_context(socket.socket()) for _ in range(4)]
-        for sock in waiting:
+def full_listener() -> Iterator[FullListener]:
+    """Listen on a port that answers no handshake until `accept` empties its queue."""
+    with socket.socket() as listener, contextlib.ExitStack() as stack:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        fillers = [stack.enter_context(socket.socket()) for _ in range(4)]
+        for sock in fillers:
             sock.setblocking(False)
-            sock.connect_ex(unresponsive.getsockname())
+            sock.connect_ex(listener.getsockname())
 
-        def empty() -> socket.socket:
-            for sock in waiting:
+        def accept_after_fillers() -> socket.socket:
+            for sock in fillers:
                 sock.close()
-            unresponsive.listen(16)
+            listener.listen(16)
             while True:
-                found, _ = unresponsive.accept()
-                found.settimeout(10)
-                if found.getpeername()[1] not in ports:
-                    return found
-                found.close()
+                accepted, _ = listener.accept()
+                accepted.settimeout(10)
+                if accepted.getpeername()[1] not in filler_ports:
+                    return accepted
+                accepted.close()
 
-        ports = {sock.getsockname()[1] for sock in waiting}
-        yield Late(unresponsive.getsockname()[1], ports, empty)
+        filler_ports = {sock.getsockname()[1] for sock in fillers}
+        yield FullListener(listener.getsockname()[1], filler_ports, accept_after_fillers)
 
 
 @with_trio
-async def test_last_answers_come_before_the_platform_kills(tmp_path: Path) -> None:
-    """Deadlines of 2 s: SIGKILL comes 2.7 s after SIGTERM, whatever a client's own patience."""
+async def test_shutdown_ends_before_the_platform_kills_the_process(tmp_path: Path) -> None:
+    """With time limits of 2 s, SIGKILL comes 2.7 s after SIGTERM, also if a client allows more time."""
     classes = [{**c, "GiveUpS": 2.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        async with platform(tmp_path, caches, probe=True, settings={"Classes": classes}) as router_process:
+        caches = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
+        async with platform(
+            tmp_path, caches, may_probe=True, settings={"Classes": classes}
+        ) as router_process:
             async with trio.open_nursery() as clients:
-                found: list[int] = []
+                statuses: list[int] = []
 
                 async def send_request() -> None:
-                    found.append((await router_process.ask(ttl=20_000))[0])
+                    statuses.append((await router_process.ask(ttl=20_000))[0])
 
                 clients.start_soon(send_request)
                 await caches[0].until(lambda: bool(caches[0].received))
@@ -154,21 +159,21 @@
                 with trio.move_on_after(2.7):
                     assert await router_process.process.wait() == 0
                 router_process.process.kill()
-            assert found == [503]
+            assert statuses == [503]
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("more", [b"", request("2" * 16), b"x" * 9_000])
+@pytest.mark.parametrize("following_bytes", [b"", request("2" * 16), b"x" * 9_000])
 @with_trio
-async def test_left_before_its_request_was_read(tmp_path: Path, more: bytes) -> None:
-    """Request, what may come behind it, and the client's end stand unread together: no cache hears of it."""
+async def test_request_of_a_disconnected_client_is_not_sent(tmp_path: Path, following_bytes: bytes) -> None:
+    """The router finds a request, bytes after it and the client's disconnect at once; no cache gets it."""
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, EDGE, ORIGIN)
+        caches = await start_caches(nursery, EDGE, ORIGIN)
         async with platform(tmp_path, caches) as router_process:
-            await router_process.ask()  # a connection to the cache is up
-            async with still(router_process):
+            await router_process.ask()  # opens a connection to the cache
+            async with stopped(router_process):
                 with socket.create_connection(("127.0.0.1", router_process.port)) as client:
-                    client.sendall(request("1" * 16) + more)
+                    client.sendall(request("1" * 16) + following_bytes)
             assert (await router_process.ask(txn="3" * 16))[0] == 200
             ids = [requested.id for cache in caches for requested in cache.received]
             assert ids[1:] == ["3" * 16]
@@ -176,30 +181,30 @@
 
 
 @with_trio
-async def test_left_before_the_next_attempt(tmp_path: Path) -> None:
-    """A box's failure and the client's end come together: caches are heard first, yet none is tried again."""
+async def test_request_of_a_disconnected_client_is_not_retried(tmp_path: Path) -> None:
+    """A failure response and the client's disconnect arrive together; the response is read first."""
     async with trio.open_nursery() as nursery:
-        first: list[ReceivedRequest] = []
+        held_requests: list[ReceivedRequest] = []
 
         def hold(requested: ReceivedRequest) -> ScriptedReply:
-            first.append(requested)
+            held_requests.append(requested)
             received.set()
             return None
 
         received = trio.Event()
-        caches = await fleet(nursery, EDGE, OTHER, ORIGIN)
+        caches = await start_caches(nursery, EDGE, OTHER, ORIGIN)
         async with platform(tmp_path, caches) as router_process:
-            for n in range(8):  # connections are up
+            for n in range(8):  # opens connections to the caches
                 await router_process.ask(obj=f"{n:016x}")
             for cache in caches:
                 cache.answer = hold
             with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                 client.sendall(request("1" * 16))
                 await received.wait()
-                holder = next(cache for cache in caches if first[0] in cache.received)
-                async with still(router_process):
+                holder = next(cache for cache in caches if held_requests[0] in cache.received)
+                async with stopped(router_process):
                     client.close()
-                    await holder.say(first[0].link, data(first[0], b"", "failed"))
+                    await holder.say(held_requests[0].link, data(held_requests[0], b"", "failed"))
             for cache in caches:
                 cache.answer = data
             assert (await router_process.ask(txn="3" * 16))[0] == 200
@@ -209,60 +214,63 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 @with_trio
-async def test_left_while_a_connect_was_under_way(tmp_path: Path, cancel: bool) -> None:
-    """What waits for a connect is not sent once its client has left, also where nothing may be cancelled."""
+async def test_request_of_a_disconnected_client_is_not_sent_after_a_slow_connect(
+    tmp_path: Path, cancel: bool
+) -> None:
+    """A request that waits for a connect is not sent once its client left, even if cancelling is disabled."""
     async with trio.open_nursery() as nursery:
-        (origin,) = await fleet(nursery, ORIGIN)
-        slow = CacheStandIn(EDGE)
-        with late_listener() as late:
-            slow.port = late.port
+        (origin,) = await start_caches(nursery, ORIGIN)
+        unanswered = CacheStandIn(EDGE)
+        with full_listener() as listener:
+            unanswered.port = listener.port
             async with platform(
-                tmp_path, [slow, origin], settings=limits(Cancel=cancel, DialTimeoutS=8.0)
+                tmp_path, [unanswered, origin], settings=limits(Cancel=cancel, DialTimeoutS=8.0)
             ) as router_process:
-                gone = await trio.open_tcp_stream("127.0.0.1", router_process.port)
-                await gone.send_all(request("1" * 16))
-                stays = await trio.open_tcp_stream("127.0.0.1", router_process.port)
-                await stays.send_all(request("2" * 16).replace(b"3000", b"9000"))
-                await router_process.ask("sheet-submit", body=b"x", ttl=300)  # both have been read by now
-                await late.tried()
-                await gone.aclose()
-                cache = await trio.to_thread.run_sync(late.empty)
-                with cache:
-                    found = await trio.to_thread.run_sync(cache.recv, 65536)
-            assert found.startswith(b"GET " + b"2" * 16)
-            assert b"1" * 16 not in found
+                leaving_client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
+                await leaving_client.send_all(request("1" * 16))
+                staying_client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
+                await staying_client.send_all(request("2" * 16).replace(b"3000", b"9000"))
+                # After this response the router has read both requests.
+                await router_process.ask("sheet-submit", body=b"x", ttl=300)
+                await listener.wait_for_connect()
+                await leaving_client.aclose()
+                accepted = await trio.to_thread.run_sync(listener.accept)
+                with accepted:
+                    received = await trio.to_thread.run_sync(accepted.recv, 65536)
+            assert received.startswith(b"GET " + b"2" * 16)
+            assert b"1" * 16 not in received
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_second_answer_is_none_to_the_next_attempt(tmp_path: Path) -> None:
-    """A cache says twice that a write did not run, the second time after a retry: it runs once."""
-    runs: list[ReceivedRequest] = []
-    came: list[ReceivedRequest] = []
+async def test_duplicate_response_does_not_count_for_the_next_attempt(tmp_path: Path) -> None:
+    """A cache reports twice that a write did not run, the second time after the retry; it runs once."""
+    retried: list[ReceivedRequest] = []
+    received: list[ReceivedRequest] = []
 
     def answer(requested: ReceivedRequest) -> ScriptedReply:
-        came.append(requested)
-        if len(came) == 1:
+        received.append(requested)
+        if len(received) == 1:
             return data(requested, b"", "full")
-        runs.append(requested)
-        if len(came) > 2:
+        retried.append(requested)
+        if len(received) > 2:
             return data(requested) + data(requested)
-        return data(requested, b"", "full" if requested.link == came[0].link else "data")
+        return data(requested, b"", "full" if requested.link == received[0].link else "data")
 
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, ORIGIN, answer=answer)
+        caches = await start_caches(nursery, ORIGIN, answer=answer)
         async with platform(tmp_path, caches) as router_process:
             status, _, _ = await router_process.ask("sheet-submit", body=b"signed")
-            assert len(runs) == 1
+            assert len(retried) == 1
             assert status == 200
-            await router_process.ask("sheet-submit", body=b"signed")  # answered twice, for nothing
+            await router_process.ask("sheet-submit", body=b"signed")  # answered twice, without effect
             await router_process.says(b"a cache answered a request a second time")
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_answer_that_never_ends(tmp_path: Path) -> None:
-    """A connection on which an answer drips on for longer than any client waits is given up."""
+async def test_connection_with_an_endless_response_is_closed(tmp_path: Path) -> None:
+    """A connection is closed if a response on it takes longer than any client waits."""
     classes = [{**c, "GiveUpS": 1.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
         ended = trio.Event()
@@ -270,10 +278,10 @@
         def answer(requested: ReceivedRequest) -> ScriptedReply:
             if requested.id != "1" * 16:
                 return data(requested)
-            nursery.start_soon(drip, requested)
+            nursery.start_soon(send_slowly, requested)
             return None
 
-        async def drip(requested: ReceivedRequest) -> None:
+        async def send_slowly(requested: ReceivedRequest) -> None:
             with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 await caches[0].say(requested.link, data(requested, bytes(200_000))[:-190_000])
                 while True:
@@ -281,139 +289,149 @@
                     await trio.sleep(0.02)
             ended.set()
 
-        caches = await fleet(nursery, EDGE, answer=answer)
+        caches = await start_caches(nursery, EDGE, answer=answer)
         async with platform(tmp_path, caches, settings={"Classes": classes}) as router_process:
             assert (await router_process.ask(txn="1" * 16, ttl=400))[0] in (503, 504)
-            assert (await router_process.ask(ttl=900))[0] == 200  # not behind what drips
+            assert (await router_process.ask(ttl=900))[0] == 200  # not queued behind the slow response
             await ended.wait()
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_repeat_is_not_sent_past_its_window(tmp_path: Path) -> None:
-    """A keyed write may have run; its repeat waits for a connect until the window is over: unsent."""
+async def test_retry_is_not_sent_after_its_repeat_window(tmp_path: Path) -> None:
+    """A keyed write may have run; its retry waits for a connect until its window is over, and is not sent."""
     classes = [
         *SETTINGS["Classes"][:2],
         {**SETTINGS["Classes"][2], "Effect": "dedup", "WindowS": 0.5, "GiveUpS": 9.0},
     ]
 
-    def rank(server: str, obj: str) -> bytes:  # rendezvous hash, as the module ranks caches of one weight
+    def hash_of(server: str, obj: str) -> bytes:  # rendezvous hash, as the router ranks caches of one weight
         return blake2b(f"{obj}/3/{server}".encode(), digest_size=8).digest()
 
-    obj = next(o for o in (f"{n:016x}" for n in range(99)) if rank(EDGE, o) > rank(OTHER, o))
+    obj = next(
+        candidate
+        for candidate in (f"{n:016x}" for n in range(99))
+        if hash_of(EDGE, candidate) > hash_of(OTHER, candidate)
+    )
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(
+        edge, origin = await start_caches(
             nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, b"", "failed")
         )
-        slow = CacheStandIn(OTHER)
-        with late_listener() as late:
-            slow.port = late.port
+        unanswered = CacheStandIn(OTHER)
+        with full_listener() as listener:
+            unanswered.port = listener.port
             async with platform(
-                tmp_path, [edge, slow, origin], settings={**limits(DialTimeoutS=8.0), "Classes": classes}
+                tmp_path,
+                [edge, unanswered, origin],
+                settings={**limits(DialTimeoutS=8.0), "Classes": classes},
             ) as router_process:
                 status, received = 0, b""
 
                 async def send_request() -> None:
                     nonlocal status
-                    requested = router_process.ask(
+                    pending_response = router_process.ask(
                         "sheet-submit", obj, b"signed", ttl=8000, X_Txn_Key="2" * 16
                     )
-                    status = (await requested)[0]
+                    status = (await pending_response)[0]
 
                 async with trio.open_nursery() as client:
                     client.start_soon(send_request)
                     await edge.until(lambda: bool(edge.received))
-                    await late.tried()
-                    cache = await trio.to_thread.run_sync(late.empty)  # after TCP's first wait, 1 s
+                    await listener.wait_for_connect()
+                    # Accepts after TCP's first retransmission, 1 s.
+                    accepted = await trio.to_thread.run_sync(listener.accept)
                 assert status in (502, 503)
-                cache.setblocking(False)
-                with cache, contextlib.suppress(BlockingIOError):
-                    received = cache.recv(65536)
+                accepted.setblocking(False)
+                with accepted, contextlib.suppress(BlockingIOError):
+                    received = accepted.recv(65536)
                 assert not received
                 assert len(edge.received) == 1
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_log_is_reached_though_idle_clients_fill_the_descriptors(tmp_path: Path) -> None:
-    """The change log is away while clients rest on all they can get; back, its list is followed at once."""
+async def test_change_log_is_reached_while_idle_clients_use_all_descriptors(tmp_path: Path) -> None:
+    """The change log is down while idle clients hold all descriptors; once it is up, its list is applied."""
     async with trio.open_nursery() as nursery:
-        edge, other, origin = await fleet(nursery, EDGE, OTHER, ORIGIN)
+        edge, other, origin = await start_caches(nursery, EDGE, OTHER, ORIGIN)
         log = Log()
         log.port = free_port()
-        async with platform(tmp_path, [edge, other, origin], log, files=64) as router_process:
-            resting = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(80)]
+        async with platform(tmp_path, [edge, other, origin], log, max_descriptors=64) as router_process:
+            idle_clients = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(80)]
             router_process.said.clear()
-            await router_process.says(b"change log")  # it was tried while they rest
+            await router_process.says(b"change log")  # a connect was tried while they are idle
             await log.open(nursery)
             await log.tell(2, 2, record(edge, 1) + record(other, 0))
-            await log.cut()  # what was told has been taken in
+            await log.cut()  # the frame has been applied
             assert log.since[-1] == 2
             assert [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(8)] == [200] * 8
             assert not edge.received
             assert other.received
-            for stream in resting:
+            for stream in idle_clients:
                 await stream.aclose()
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_clients_accepted_before_shutdown_are_answered(tmp_path: Path) -> None:
-    """Forty connect, and ask, between the last look and the moment in which the door shuts."""
-    # However slow the machine, none waits so long in the queue that it is refused for that.
-    patient = [{**c, "TargetS": 20.0, "GiveUpS": 25.0} for c in SETTINGS["Classes"]]
+    """Forty clients connect and send requests between the last accept and the close of the listener."""
+    # Even on a slow machine no request waits in the queue so long that it is rejected for that.
+    long_deadlines = [{**c, "TargetS": 20.0, "GiveUpS": 25.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, caches, settings={"Classes": patient}) as router_process:
+        caches = await start_caches(nursery, EDGE, ORIGIN)
+        async with platform(tmp_path, caches, settings={"Classes": long_deadlines}) as router_process:
             await router_process.ask()
             router_process.process.send_signal(signal.SIGTERM)
             await router_process.says(b"leaves")
             with contextlib.ExitStack() as clients:
-                async with still(router_process):
-                    requested = []
+                async with stopped(router_process):
+                    streams = []
                     for n in range(40):
                         client = clients.enter_context(
                             socket.create_connection(("127.0.0.1", router_process.port))
                         )
                         client.sendall(request(f"{n:016x}").replace(b"3000", b"25000"))
-                        requested.append(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
-                    await trio.sleep(
-                        Limits().shutdown_accept_time
-                    )  # by the doorman's clock it is time to shut
-                found = [await stream.receive_some(12) for stream in requested]
-            assert found == [b"HTTP/1.1 200"] * 40
+                        streams.append(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
+                    # By the clock of the router it is then time to close the listener.
+                    await trio.sleep(Limits().shutdown_accept_time)
+                responses = [await stream.receive_some(12) for stream in streams]
+            assert responses == [b"HTTP/1.1 200"] * 40
             assert await router_process.process.wait() == 0
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_requests_after_the_last_answers_are_rejected(tmp_path: Path) -> None:
-    """A request whose rest comes after all in hand was answered unserved is refused, and not sent on."""
+async def test_requests_completed_after_the_last_responses_are_rejected(tmp_path: Path) -> None:
+    """A request that is completed after all open ones were rejected is rejected too; no cache gets it."""
     classes = [{**c, "GiveUpS": 1.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        async with platform(tmp_path, caches, probe=True, settings={"Classes": classes}) as router_process:
-            complete, half = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(2)]
+        caches = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
+        async with platform(
+            tmp_path, caches, may_probe=True, settings={"Classes": classes}
+        ) as router_process:
+            complete, incomplete = [
+                await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(2)
+            ]
             router_process.process.send_signal(signal.SIGTERM)
             await router_process.says(b"leaves")
             text = request("1" * 16).replace(b"3000", b"9000")
-            await half.send_all(text[:40])
+            await incomplete.send_all(text[:40])
             await complete.send_all(text.replace(b"1" * 16, b"2" * 16))
             assert (await complete.receive_some(12)) == b"HTTP/1.1 503"
-            requested = sum(len(cache.received) for cache in caches)
-            await half.send_all(text[40:])
-            assert (await half.receive_some(12)) == b"HTTP/1.1 503"
+            received_count = sum(len(cache.received) for cache in caches)
+            await incomplete.send_all(text[40:])
+            assert (await incomplete.receive_some(12)) == b"HTTP/1.1 503"
             assert await router_process.process.wait() == 0
-            assert sum(len(cache.received) for cache in caches) == requested
+            assert sum(len(cache.received) for cache in caches) == received_count
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("how", ["leave", "idle"])
 @with_trio
-async def test_bytes_in_the_moment_of_a_close_reset_nothing(how: str) -> None:
-    """Bytes come between the last look at a resting connection and its end: the answer before stays whole.
+async def test_bytes_that_arrive_during_a_close_cause_no_reset(how: str) -> None:
+    """Bytes arrive between the last read of an idle connection and its close; the response stays whole.
 
-    In one process, since the moment lies between two calls: nothing has come, then something has.
+    The test runs in one process, because the bytes have to arrive between two calls.
     """
     limits = Limits()
     core = RequestEngine(
@@ -423,13 +441,13 @@
     front = HttpFront(core, limits, poller)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         peer = socket.create_connection(listener.getsockname())
-        mine, _ = listener.accept()
+        accepted, _ = listener.accept()
 
-    class Crossed(socket.socket):
-        """Bytes come just after it has said that none are there."""
+    class SocketWithLateBytes(socket.socket):
+        """A socket to which bytes arrive just after `recv` found none."""
 
         def recv(self, *args: Any) -> bytes:
-            """As the usual one."""
+            """Receive; if there are no bytes, let the peer send some before the error is raised."""
             try:
                 return super().recv(*args)
             except BlockingIOError:
@@ -437,7 +455,7 @@
                 raise
 
     with peer:
-        front.listener.admit(Crossed(fileno=mine.detach()))
+        front.listener.admit(SocketWithLateBytes(fileno=accepted.detach()))
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
         while not front.table.in_state(ClientState.IDLE):
             poller.turn()
@@ -446,63 +464,66 @@
             front.leave()
         else:
             client.expire()
-        found = b""
-        while got := peer.recv(4096):  # no reset
-            found += got
-        assert found.startswith(b"HTTP/1.1 503")
-        assert found.count(b"HTTP/1.1") == 1
+        received = b""
+        while chunk := peer.recv(4096):  # a reset would raise
+            received += chunk
+        assert received.startswith(b"HTTP/1.1 503")
+        assert received.count(b"HTTP/1.1") == 1
         poller.turn()
-        assert not core.open_request_count  # what came after the end is not sent on
+        assert not core.open_request_count  # the bytes after the close are not sent to a cache
         peer.close()
         while client.is_open:
             poller.turn()
 
 
 @with_trio
-async def test_flood_behind_a_request_costs_it_nothing_but_the_connection(tmp_path: Path) -> None:
-    """Two megabytes come behind a request in hand: none is kept, the one answer is given, then the end."""
+async def test_excess_bytes_after_a_request_only_close_its_connection(tmp_path: Path) -> None:
+    """Two megabytes after an open request are discarded; the client gets one response, then a close."""
     async with trio.open_nursery() as nursery:
-        (edge,) = await fleet(nursery, EDGE, answer=lambda requested: None)
+        (edge,) = await start_caches(nursery, EDGE, answer=lambda requested: None)
         async with platform(tmp_path, [edge]) as router_process:
-            before = resident(router_process)
+            before = resident_bytes(router_process)
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                 await client.send_all(request("1" * 16))
                 await edge.until(lambda: bool(edge.received))
-                await client.send_all(request("2" * 16) * 16_000)  # 2.2 MB: read, or this does not end
+                # 2.2 MB; this blocks unless the router reads them.
+                await client.send_all(request("2" * 16) * 16_000)
                 await edge.say(1, data(edge.received[0]))
-                got = b""
+                response = b""
                 with contextlib.suppress(trio.BrokenResourceError):
-                    while more := await client.receive_some(65536):
-                        got += more
-            assert got.startswith(b"HTTP/1.1 200")
-            assert b"Connection: close" in got
-            assert got.count(b"HTTP/1.1") == 1
-            assert got.endswith(b"bytes")
+                    while chunk := await client.receive_some(65536):
+                        response += chunk
+            assert response.startswith(b"HTTP/1.1 200")
+            assert b"Connection: close" in response
+            assert response.count(b"HTTP/1.1") == 1
+            assert response.endswith(b"bytes")
             edge.answer = data
             assert (await router_process.ask())[0] == 200
             assert [requested.id for requested in edge.received].count("2" * 16) == 0
-            assert resident(router_process) - before < 1_000_000
+            assert resident_bytes(router_process) - before < 1_000_000
             assert router_process.said.count(b"sends on and on behind its request") == 1
         nursery.cancel_scope.cancel()
 
 
-def resident(router_process: Program) -> int:
-    """Bytes of memory (proc(5))."""
+def resident_bytes(router_process: Program) -> int:
+    """Return the resident memory of the process in bytes (proc(5))."""
     pages = int(Path(f"/proc/{router_process.process.pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
 @with_trio
-async def test_bad_answers_fill_no_log(tmp_path: Path) -> None:
-    """Each of two hundred spoilt answers is no line of its own; how many were not told is."""
+async def test_log_lines_about_invalid_responses_are_limited(tmp_path: Path) -> None:
+    """Two hundred invalid responses give at most a hundred log lines."""
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, issued="soon"))
+        caches = await start_caches(
+            nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, issued="soon")
+        )
         async with platform(tmp_path, caches) as router_process:
             for n in range(200):
                 await router_process.ask(obj=f"{n:016x}", ttl=300)
-            reported = router_process.said.count(b"answered with what can't be served")
+            logged_count = router_process.said.count(b"answered with what can't be served")
             assert sum(len(cache.received) for cache in caches) >= 200
-            assert 0 < reported <= 100
+            assert 0 < logged_count <= 100
         nursery.cancel_scope.cancel()
 
 
@@ -510,8 +531,8 @@
     throttle, passed = Throttle(2, 1.0, max_kinds=3), []
     for n in range(50):
         record = logging.LogRecord("a", logging.WARNING, "", 0, "%s is bad", (f"box {n}",), None)
-        monkeypatch.setattr(time, "monotonic", lambda n=n: n / 10)  # five spans of ten lines
-        record.created = -n  # the wall clock has no part in it
+        monkeypatch.setattr(time, "monotonic", lambda n=n: n / 10)  # five periods of ten lines
+        record.created = -n  # the wall clock has no effect
         if throttle.filter(record):
             passed.append(record.getMessage())
     assert passed[:3] == ["box 0 is bad", "box 1 is bad", "box 10 is bad (and 8 more like it)"]
@@ -521,8 +542,8 @@
     assert len(throttle._windows) <= 3
 
 
-class SlowLog(Log):
-    """Says nothing for a while; then that the caches are there."""
+class SlowChangeLog(Log):
+    """A change log that sends the list of caches only after a delay."""
 
     def __init__(self, seconds: float, caches: list[CacheStandIn]) -> None:
         super().__init__()
@@ -538,48 +559,48 @@
 
 
 @with_trio
-async def test_slow_change_log_is_not_reconnected_for_ever(tmp_path: Path) -> None:
-    """Its first word takes 4 s on any connection, longer than a silence: the router is ready in 10 s."""
+async def test_slow_change_log_is_not_reconnected_endlessly(tmp_path: Path) -> None:
+    """The first frame takes 4 s on any connection, longer than the timeout; the router is ready in 10 s."""
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, EDGE)
-        log = await SlowLog(4.0, caches).open(nursery)
-        async with platform(tmp_path, [], log, known=False) as router_process:
+        caches = await start_caches(nursery, EDGE)
+        log = await SlowChangeLog(4.0, caches).open(nursery)
+        async with platform(tmp_path, [], log, include_known=False) as router_process:
             with trio.fail_after(10):
-                await ready(router_process)
+                await wait_until_ready(router_process)
             assert (await router_process.ask())[0] == 200
             assert len(log.since) == 2
         nursery.cancel_scope.cancel()
 
 
-async def ready(router_process: Program) -> None:
-    """Wait until it says so."""
+async def wait_until_ready(router_process: Program) -> None:
+    """Wait until the health check succeeds."""
     while (await router_process.send("GET", "/-/healthy", {}))[0] != 200:
         await trio.sleep(0.05)
 
 
 @with_trio
-async def test_restarts_at_once_are_ready_in_time(tmp_path: Path) -> None:
-    """Ten end and start together, discovery takes 2 s for its first word: nine are ready within 10 s."""
+async def test_simultaneous_restarts_are_ready_in_time(tmp_path: Path) -> None:
+    """Ten routers restart together and the first frame takes 2 s; at least nine are ready within 10 s."""
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, EDGE)
-        log = await SlowLog(2.0, caches).open(nursery)
+        caches = await start_caches(nursery, EDGE)
+        log = await SlowChangeLog(2.0, caches).open(nursery)
         in_time: list[int] = []
 
-        async def restart(place: int, folder: Path) -> None:
+        async def restart(index: int, folder: Path) -> None:
             port = free_port()
-            for life in range(2):
-                begun = trio.current_time()
-                async with platform(folder, [], log, known=False, port=port) as router_process:
-                    await ready(router_process)
-                    if life:
-                        in_time.append(trio.current_time() - begun < 10)
+            for start_number in range(2):
+                started_at = trio.current_time()
+                async with platform(folder, [], log, include_known=False, port=port) as router_process:
+                    await wait_until_ready(router_process)
+                    if start_number:
+                        in_time.append(trio.current_time() - started_at < 10)
                     router_process.process.send_signal(signal.SIGTERM)
                     assert await router_process.process.wait() == 0
 
         async with trio.open_nursery() as starts:
-            for place in range(10):
-                (folder := tmp_path / str(place)).mkdir()
-                starts.start_soon(restart, place, folder)
+            for index in range(10):
+                (folder := tmp_path / str(index)).mkdir()
+                starts.start_soon(restart, index, folder)
         assert len(in_time) == 10
         assert sum(in_time) >= 9
         nursery.cancel_scope.cancel()
@@ -587,9 +608,9 @@
 
 @with_trio
 async def test_client_leaves_before_its_request_is_complete(tmp_path: Path) -> None:
-    """Half a head, then the end or a reset: nothing is sent on, and the next client is served."""
+    """After an incomplete head, a FIN or a reset, no cache gets anything and the next client is served."""
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, EDGE, ORIGIN)
+        caches = await start_caches(nursery, EDGE, ORIGIN)
         async with platform(tmp_path, caches) as router_process:
             for reset in (False, True):
                 with socket.create_connection(("127.0.0.1", router_process.port)) as client:
@@ -605,76 +626,76 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 @with_trio
-async def test_left_while_its_answer_was_written(tmp_path: Path, reset: bool) -> None:
-    """The largest answers for clients who take next to nothing and go; the others get theirs whole."""
+async def test_disconnect_while_the_response_is_written(tmp_path: Path, reset: bool) -> None:
+    """Clients read little of the largest response and disconnect; the next client gets its response whole."""
     body = bytes(range(256)) * 937
     async with trio.open_nursery() as nursery:
-        caches = await fleet(nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, body))
+        caches = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, body))
         async with platform(tmp_path, caches) as router_process:
             for n in range(1, 9):
                 with socket.socket() as client:
                     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
                     client.connect(("127.0.0.1", router_process.port))
                     client.sendall(request(f"{n:016x}"))
-                    one = trio.socket.from_stdlib_socket(client.dup())
-                    assert (await one.recv(100)).startswith(b"HTTP/1.1 200")
-                    one.close()
+                    receiver = trio.socket.from_stdlib_socket(client.dup())
+                    assert (await receiver.recv(100)).startswith(b"HTTP/1.1 200")
+                    receiver.close()
                     if reset:
                         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 assert (await router_process.ask())[2] == body
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("how", ["time", "drained", "gone", "source"])
+@pytest.mark.parametrize("reason", ["time", "drained", "gone", "source"])
 @with_trio
-async def test_connect_that_comes_too_late_brings_no_request(tmp_path: Path, how: str) -> None:
-    """Meanwhile the client's time is up, or the cache or the fill's source was told to drain, or is gone."""
+async def test_request_is_not_sent_on_a_connection_that_came_too_late(tmp_path: Path, reason: str) -> None:
+    """During the connect the deadline passes, or the cache or the fill's source drains or is removed."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
-        parent, origin, other = await fleet(nursery, PARENT, ORIGIN, OTHER)
-        slow = CacheStandIn(EDGE)
-        with late_listener() as late:
-            slow.port = late.port
-            listed = [slow, parent, origin] if how == "source" else [slow, origin]
+        parent, origin, other = await start_caches(nursery, PARENT, ORIGIN, OTHER)
+        unanswered = CacheStandIn(EDGE)
+        with full_listener() as listener:
+            unanswered.port = listener.port
+            listed = [unanswered, parent, origin] if reason == "source" else [unanswered, origin]
             async with platform(tmp_path, listed, log, settings=limits(DialTimeoutS=8.0)) as router_process:
-                found: list[int] = []
+                statuses: list[int] = []
 
                 async def send_request() -> None:
-                    ttl = 400 if how == "time" else 6000
-                    found.append((await router_process.ask(txn="1" * 16, ttl=ttl))[0])
+                    ttl = 400 if reason == "time" else 6000
+                    statuses.append((await router_process.ask(txn="1" * 16, ttl=ttl))[0])
 
                 async with trio.open_nursery() as client:
                     client.start_soon(send_request)
-                    await late.tried()
-                    if how != "time":
-                        reported = {
-                            "drained": record(slow, 1),
-                            "gone": record(slow, 2),
+                    await listener.wait_for_connect()
+                    if reason != "time":
+                        entries = {
+                            "drained": record(unanswered, 1),
+                            "gone": record(unanswered, 2),
                             "source": record(parent, 1) + record(origin, 1),
-                        }[how]
-                        await log.tell(2, 2, reported + record(other, 0))
-                        await log.cut()  # it has been taken in
+                        }[reason]
+                        await log.tell(2, 2, entries + record(other, 0))
+                        await log.cut()  # the frame has been applied
                     else:
-                        while not found:
+                        while not statuses:
                             await trio.sleep(0.01)
-                    cache = await trio.to_thread.run_sync(late.empty)
-                with cache:
-                    cache.setblocking(False)
+                    accepted = await trio.to_thread.run_sync(listener.accept)
+                with accepted:
+                    accepted.setblocking(False)
                     with contextlib.suppress(BlockingIOError):
-                        assert b"GET" not in cache.recv(65536)
-                assert found == [504 if how == "time" else 200 if how != "source" else found[0]]
+                        assert b"GET" not in accepted.recv(65536)
+                assert statuses == [504 if reason == "time" else 200 if reason != "source" else statuses[0]]
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_resting_connections_give_way_to_those_needed(tmp_path: Path) -> None:
-    """More caches than descriptors kept for them: all are used in turn."""
+async def test_idle_connections_are_closed_for_those_needed(tmp_path: Path) -> None:
+    """With more caches than descriptors for connections to them, all caches are still used."""
     async with trio.open_nursery() as nursery:
-        names = [f"s-000001{n:02x}" for n in range(24)]
-        caches = await fleet(nursery, *names, ORIGIN)
-        async with platform(tmp_path, caches, files=64) as router_process:
-            found = [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(200)]
-            assert found == [200] * 200
+        ids = [f"s-000001{n:02x}" for n in range(24)]
+        caches = await start_caches(nursery, *ids, ORIGIN)
+        async with platform(tmp_path, caches, max_descriptors=64) as router_process:
+            statuses = [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(200)]
+            assert statuses == [200] * 200
             assert all(cache.received for cache in caches[:-1])
             assert sum(cache.links for cache in caches) > 30
         nursery.cancel_scope.cancel()
@@ -682,9 +703,9 @@
 
 @with_trio
 async def test_idle_connections_close_before_the_cache_closes_them(tmp_path: Path) -> None:
-    """The settings tell after how long a cache closes them; we close sooner, and ask on a new one."""
+    """The router closes an idle connection before the cache's keep-alive time ends, then opens a new one."""
     async with trio.open_nursery() as nursery:
-        (edge,) = await fleet(nursery, EDGE)
+        (edge,) = await start_caches(nursery, EDGE)
         async with platform(tmp_path, [edge], settings=limits(KeepaliveS=0.6)) as router_process:
             assert (await router_process.ask())[0] == 200
             with trio.fail_after(5):
@@ -695,16 +716,16 @@
 
 
 @with_trio
-async def test_submit_crosses_the_end_of_a_connection_that_rested(tmp_path: Path) -> None:
-    """The cache ends what rests in the moment in which a submit comes: it goes by another, and runs once."""
+async def test_submit_is_sent_again_if_the_idle_connection_was_just_closed(tmp_path: Path) -> None:
+    """The cache closes the idle connection just as a submit arrives; it runs once, on another connection."""
     async with trio.open_nursery() as nursery:
-        (origin,) = await fleet(nursery, ORIGIN)
+        (origin,) = await start_caches(nursery, ORIGIN)
         async with platform(tmp_path, [origin]) as router_process:
             for n in range(1, 6):
                 assert (await router_process.ask("sheet-submit", body=b"signed"))[0] == 200
                 text = request(f"{n:016x}", "sheet-submit").replace(b"GET", b"PUT")
                 async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
-                    async with still(router_process):
+                    async with stopped(router_process):
                         await origin.end(origin.links)
                         await client.send_all(text[:-2] + b"Content-Length: 6\r\n\r\nsigned")
                     assert (await client.receive_some(12)) == b"HTTP/1.1 200"
@@ -714,9 +735,9 @@
 
 @with_trio
 async def test_silent_change_log_is_reconnected(tmp_path: Path) -> None:
-    """The change log's connection stays open and says nothing: what was missed comes on the next."""
+    """The change log connection stays open without bytes; the next connection gets the missed events."""
     async with trio.open_nursery() as nursery:
-        edge, origin = await fleet(nursery, EDGE, ORIGIN)
+        edge, origin = await start_caches(nursery, EDGE, ORIGIN)
         log = await Log().open(nursery)
         async with platform(tmp_path, [edge, origin], log) as router_process:
             await log.tell(2, 0, b"")
@@ -733,105 +754,115 @@
 
 @with_trio
 async def test_moved_cache_is_reached_at_its_new_address(tmp_path: Path) -> None:
-    """A connect to its old address is under way: what waits for it goes to the new one, at once."""
+    """A request that waits for a connect to the old address is sent to the new one at once."""
     async with trio.open_nursery() as nursery:
         log = await Log().open(nursery)
-        (edge,) = await fleet(nursery, EDGE)
-        slow = CacheStandIn(EDGE)
-        with late_listener() as late:
-            slow.port = late.port
-            async with platform(tmp_path, [slow], log, settings=limits(DialTimeoutS=8.0)) as router_process:
-                found: list[int] = []
+        (edge,) = await start_caches(nursery, EDGE)
+        unanswered = CacheStandIn(EDGE)
+        with full_listener() as listener:
+            unanswered.port = listener.port
+            async with platform(
+                tmp_path, [unanswered], log, settings=limits(DialTimeoutS=8.0)
+            ) as router_process:
+                statuses: list[int] = []
 
                 async def send_request() -> None:
-                    found.append((await router_process.ask())[0])
+                    statuses.append((await router_process.ask())[0])
 
                 async with trio.open_nursery() as client:
                     client.start_soon(send_request)
-                    await late.tried()
+                    await listener.wait_for_connect()
                     await log.tell(2, 2, record(edge, 0))
-                assert found == [200]
+                assert statuses == [200]
         nursery.cancel_scope.cancel()
 
 
 @with_trio
 async def test_descriptor_shortage_is_not_attributed_to_the_cache(tmp_path: Path) -> None:
-    """The system lets us open no more: a request is refused, not cut off; the cache is asked once it does."""
+    """Without a free descriptor a request gets a 503 response; the cache is used again once there is one."""
     async with trio.open_nursery() as nursery:
-        (edge,) = await fleet(nursery, EDGE)
+        (edge,) = await start_caches(nursery, EDGE)
         async with platform(tmp_path, [edge]) as router_process:
             client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
-            health = b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n"
-            await client.send_all(health)
+            health_request = b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n"
+            await client.send_all(health_request)
             assert (await client.receive_some(100)).startswith(b"HTTP/1.1 200")
-            process, open_now = (
+            pid, open_count = (
                 router_process.process.pid,
                 len(os.listdir(f"/proc/{router_process.process.pid}/fd")),
             )
-            usual = resource.prlimit(process, resource.RLIMIT_NOFILE)
-            resource.prlimit(process, resource.RLIMIT_NOFILE, (open_now, usual[1]))
+            limits_before = resource.prlimit(pid, resource.RLIMIT_NOFILE)
+            resource.prlimit(pid, resource.RLIMIT_NOFILE, (open_count, limits_before[1]))
             await client.send_all(request("1" * 16))
             assert (await client.receive_some(1000)).startswith(b"HTTP/1.1 503")
             assert not edge.received
-            resource.prlimit(process, resource.RLIMIT_NOFILE, usual)
+            resource.prlimit(pid, resource.RLIMIT_NOFILE, limits_before)
             await client.send_all(request("2" * 16))
             assert (await client.receive_some(1000)).startswith(b"HTTP/1.1 200")
         nursery.cancel_scope.cancel()
 
 
 @with_trio
-async def test_an_attempt_that_ends_as_its_turn_comes_spoils_no_other() -> None:
-    """A connection takes bytes again: the next in turn is out of time, and what follows from that is written
-    there in part, in the midst of the turn. In one process, since the order is that of calls."""
+async def test_attempt_that_expires_in_the_queue_does_not_corrupt_the_next() -> None:
+    """The next queued attempt has expired once its connection is writable, and its end queues another one.
+
+    That one is partly written while the queue is still being processed. The test runs in one process, because
+    the order of calls matters.
+    """
     settings = Settings("here", ("here",), (RequestClass("a", 0.5, 9.0, uncached=True),))
-    limits, poller, fleet_, now = Limits(), Poller(512), MembershipView(settings), time.time()
-    fleet_.apply(Membership(MembershipKind.FULL, (Member("box", "here"),)), now)
+    limits, poller, membership, now = Limits(), Poller(512), MembershipView(settings), time.time()
+    membership.apply(Membership(MembershipKind.FULL, (Member("box", "here"),)), now)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        mine = socket.socket()
-        mine.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        mine.connect(listener.getsockname())
+        router_socket = socket.socket()
+        router_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
+        router_socket.connect(listener.getsockname())
         peer, _ = listener.accept()
-    mine.setblocking(False)
-    ended: list[str] = []
+    router_socket.setblocking(False)
+    ended_attempts: list[str] = []
 
-    def slot(name: str, left: float, then: Callable[[], None] = lambda: None) -> DispatchedAttempt:
+    def make_attempt(
+        name: str, time_left: float, on_end: Callable[[], None] = lambda: None
+    ) -> DispatchedAttempt:
         def report(attempt: Attempt, reply: AttemptReply) -> None:
             attempt.reply = reply
-            ended.append(name)
-            then()
+            ended_attempts.append(name)
+            on_end()
 
         body = name.encode() * 2_000_000
-        send_request = PendingRequest(
+        pending_request = PendingRequest(
             Arrival(name, 9.0, "a", "thing", is_write=True), now + 9, name, body=body
         )
-        return DispatchedAttempt(Attempt(send_request, 0, Fetch(name, "box", left, "box"), now), report)
+        return DispatchedAttempt(
+            Attempt(pending_request, 0, Fetch(name, "box", time_left, "box"), now), report
+        )
 
     timers = Timers()
     context = ConnectionContext(
-        fleet_, limits, poller, timers, lambda *_: None, lambda _: None, ConnectionQuota(9), settings
+        membership, limits, poller, timers, lambda *_: None, lambda _: None, ConnectionQuota(9), settings
     )
-    link = CacheConnection(mine, context, lambda _: None)
-    link.send(slot("x", 9.0))  # more than the connection takes at once
-    link.send(slot("y", -1.0, lambda: link.send(slot("z", 9.0))))
+    connection = CacheConnection(router_socket, context, lambda _: None)
+    connection.send(make_attempt("x", 9.0))  # more than the send buffer holds
+    connection.send(make_attempt("y", -1.0, lambda: connection.send(make_attempt("z", 9.0))))
     with peer:
         peer.setblocking(False)
-        got = b""
-        while not got.endswith(b"z" * 2_000_000 + b"\r\n"):
+        received = b""
+        while not received.endswith(b"z" * 2_000_000 + b"\r\n"):
             with contextlib.suppress(BlockingIOError):
-                got += peer.recv(65_536)
+                received += peer.recv(65_536)
             poller.turn()
-            assert time.time() < now + 8, f"{len(got)} bytes came"
-        assert ended == ["y"]
-        assert got.count(b"GET ") == 2
-        assert b"x" * 2_000_000 + b"\r\nGET z " in got
-    link.close()
+            assert time.time() < now + 8, f"{len(received)} bytes came"
+        assert ended_attempts == ["y"]
+        assert received.count(b"GET ") == 2
+        assert b"x" * 2_000_000 + b"\r\nGET z " in received
+    connection.close()
 
 
 @with_trio
-async def test_flood_while_an_answer_is_taken_is_no_next_request() -> None:
-    """What was let go of a flood leaves a gap: what comes behind it is not read on as if there were none.
+async def test_excess_bytes_while_a_response_is_written_are_not_parsed() -> None:
+    """Discarded bytes leave a gap in the input, so the bytes after them are not parsed as a request.
 
-    In one process: the answer is larger than the connection takes at once."""
+    The test runs in one process; the response is larger than the send buffer.
+    """
     core = RequestEngine(
         EngineConfig(Settings("here", ("here",), (RequestClass("a", 0.5, 1.0),)), 1, Limits()),
         lambda _: False,
@@ -840,10 +871,10 @@
     front = HttpFront(core, Limits(), poller)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         peer = socket.create_connection(listener.getsockname())
-        mine, _ = listener.accept()
+        accepted, _ = listener.accept()
     with peer:
-        mine.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        front.listener.admit(mine)
+        accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
+        front.listener.admit(accepted)
         [client] = front.table.in_state(ClientState.NEW)
         client.wait(ClientState.ACTIVE)
         client._input.bytes_allowed = Limits().max_head_size
@@ -852,13 +883,13 @@
         peer.sendall(b"x" * 20_000)
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n" * 1000)
         peer.setblocking(False)
-        got, end, latest = b"", False, time.time() + 20
-        while not end:
-            assert time.time() < latest, f"{got.count(b'HTTP/1.1')} answers"
+        received, is_closed, give_up_at = b"", False, time.time() + 20
+        while not is_closed:
+            assert time.time() < give_up_at, f"{received.count(b'HTTP/1.1')} answers"
             poller.turn()
             with contextlib.suppress(BlockingIOError):
-                more = peer.recv(1_000_000)
-                got, end = got + more, not more
-        assert got.count(b"HTTP/1.1") == 1
-        assert len(got) > 8_000_000
-        front.poller.remove(mine.fileno())
+                chunk = peer.recv(1_000_000)
+                received, is_closed = received + chunk, not chunk
+        assert received.count(b"HTTP/1.1") == 1
+        assert len(received) > 8_000_000
+        front.poller.remove(accepted.fileno())
