--- a/brackenlane/lab/simulation/clients.py
+++ b/brackenlane/lab/simulation/clients.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING
 
 from brackenlane.lab.simulation.record import Disposition, Operation, Request
-from brackenlane.lab.simulation.workload import FirstTry
+from brackenlane.lab.simulation.workload import PlannedOperation
 from brackenlane.routing.events import Arrival, CacheStatus
 from brackenlane.routing.settings import Idempotency, Scope
 
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import World
 
-LEAST_TRY = 0.05  # seconds left, below which no client tries again
+MIN_REQUEST_TIME = 0.05  # seconds left, below which no client tries again
 
 
 @dataclass(slots=True)
@@ -22,8 +22,8 @@
     """One operation and the tries made for it."""
 
     operation: Operation
-    first: FirstTry
-    tries: int = 0
+    planned: PlannedOperation
+    request_count: int = 0
 
 
 class Clients:
@@ -32,53 +32,55 @@
     def __init__(self, world: World) -> None:
         self._world = world
         self._by_location: dict[int, list[int]] = {}
-        for router, home in enumerate(world.site.router_homes):
-            self._by_location.setdefault(home, []).append(router)
+        for router, location in enumerate(world.site.router_homes):
+            self._by_location.setdefault(location, []).append(router)
 
-    def schedule(self, tries: list[FirstTry]) -> None:
+    def schedule(self, operations: list[PlannedOperation]) -> None:
         """Ask for all of these at their times."""
-        for n, first in enumerate(tries):
-            self._world.queue.at(first.at, partial(self._begin, n, first))
+        for n, planned in enumerate(operations):
+            self._world.queue.at(planned.at, partial(self._begin, n, planned))
 
-    def _begin(self, number: int, first: FirstTry) -> None:
-        operation = Operation(f"op-{number}", first.cls, first.at, first.obj.work)
+    def _begin(self, number: int, planned: PlannedOperation) -> None:
+        operation = Operation(f"op-{number}", planned.cls, planned.at, planned.obj.work)
         self._world.record.operations[operation.name] = operation
-        self._try(Client(operation, first))
+        self._send_request(Client(operation, planned))
 
-    def _try(self, client: Client) -> None:
+    def _send_request(self, client: Client) -> None:
         world = self._world
         site = self._world.site
         now = self._world.queue.now
-        cls = client.first.cls
-        obj = client.first.obj
-        left = min(cls.time_limit * site.try_share, client.operation.born + cls.time_limit - now)
-        if left < LEAST_TRY:
+        cls = client.planned.cls
+        obj = client.planned.obj
+        remaining_time = min(
+            cls.time_limit * site.request_time_share, client.operation.started_at + cls.time_limit - now
+        )
+        if remaining_time < MIN_REQUEST_TIME:
             return
-        client.tries += 1
-        name = f"{client.operation.name}-try-{client.tries}"
-        router = world.routers[world.random.choice(self._by_location[client.first.location])]
-        send_request = Arrival(
+        client.request_count += 1
+        name = f"{client.operation.name}-try-{client.request_count}"
+        router = world.routers[world.random.choice(self._by_location[client.planned.location])]
+        arrival = Arrival(
             name,
-            left,
+            remaining_time,
             cls.name,
             obj.name,
-            client.first.part,
+            client.planned.part,
             obj.group,
             obj.work * site.pace_kb_per_s if site.sizes_known else 0.0,
             cls.uncached,
-            client.tries > 1,
+            client.request_count > 1,
         )
         request = Request(
-            name, client.operation.name, router.number, cls, now, now + left, obj.name, obj.group
+            name, client.operation.name, router.number, cls, now, now + remaining_time, obj.name, obj.group
         )
-        router.take(
+        router.handle_request(
             request,
-            send_request,
+            arrival,
             obj.work,
-            lambda disposition, cache_status: self._ended(client, disposition, cache_status),
+            lambda disposition, cache_status: self._on_answer(client, disposition, cache_status),
         )
 
-    def _ended(self, client: Client, disposition: Disposition, cache_status: CacheStatus) -> None:
+    def _on_answer(self, client: Client, disposition: Disposition, cache_status: CacheStatus) -> None:
         operation = client.operation
         site = self._world.site
         if disposition is Disposition.SERVED:
@@ -86,10 +88,12 @@
                 operation.answered_at = self._world.queue.now
                 operation.stale = cache_status is CacheStatus.STALE
             return
-        if client.tries > site.client_retries or not _may_retry(client, disposition, self._world.queue.now):
+        if client.request_count > site.client_retries or not _may_retry(
+            client, disposition, self._world.queue.now
+        ):
             return
-        wait = site.backoff * 2 ** (client.tries - 1) * self._world.random.uniform(0.5, 1.5)
-        self._world.queue.after(wait, lambda: self._try(client))
+        delay = site.retry_backoff * 2 ** (client.request_count - 1) * self._world.random.uniform(0.5, 1.5)
+        self._world.queue.after(delay, lambda: self._send_request(client))
 
 
 def _may_retry(client: Client, disposition: Disposition, now: float) -> bool:
@@ -97,5 +101,5 @@
     cls = client.operation.cls
     if cls.idempotency is Idempotency.IDEMPOTENT or disposition is Disposition.REJECTED:
         return True
-    within = now < client.operation.born + cls.repeat_window
-    return cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL and within
+    in_window = now < client.operation.started_at + cls.repeat_window
+    return cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL and in_window
--- a/brackenlane/lab/simulation/comparison.py
+++ b/brackenlane/lab/simulation/comparison.py
@@ -9,8 +9,8 @@
 from brackenlane.lab.simulation.plain_policy import PlainPolicy
 from brackenlane.lab.simulation.record import Disposition
 from brackenlane.lab.simulation.site import Site
-from brackenlane.lab.simulation.value import worth
-from brackenlane.lab.simulation.world import PolicyFactory, World, play
+from brackenlane.lab.simulation.value import served_value
+from brackenlane.lab.simulation.world import PolicyFactory, World, run_site
 from brackenlane.routing import Router
 from brackenlane.routing.members import ServerState
 
@@ -21,7 +21,7 @@
 
     site: Site
     broken: dict[str, Any]
-    put_to_the_test: frozenset[str]  # what the rules are about, as far as it came up in this day
+    exercised: frozenset[str]  # what the rules are about, as far as it came up in this day
     module: float
     plain: float
 
@@ -35,11 +35,11 @@
     """Play a day under a policy and under the plain one."""
     world = World(site, policy)
     record = world.run()
-    plain = worth(play(site, PlainPolicy))
-    return Result(site, violations(site, record), came_up(world), worth(record), plain)
+    plain = served_value(run_site(site, PlainPolicy))
+    return Result(site, violations(site, record), exercised_conditions(world), served_value(record), plain)
 
 
-def came_up(world: World) -> frozenset[str]:
+def exercised_conditions(world: World) -> frozenset[str]:
     """What the rules are about, as far as it came up: else that they hold says nothing."""
     record = world.record
     cold = {listed.server for listed in record.listed if listed.started_at}
--- a/brackenlane/lab/simulation/edge.py
+++ b/brackenlane/lab/simulation/edge.py
@@ -7,22 +7,22 @@
 from brackenlane.lab.simulation.memory import RankedMemory, StoredCopy
 from brackenlane.lab.simulation.servers import (
     CacheRequest,
+    Environment,
     Fetch,
     Reply,
     Server,
-    Surroundings,
-    collect,
-    fetch_work,
-    oldest_allowed,
+    fill_work,
+    min_issue_time,
+    store_when_complete,
 )
-from brackenlane.lab.simulation.streams import Failure, Stream, held, relay
+from brackenlane.lab.simulation.streams import Failure, Stream, complete_stream, relay
 from brackenlane.routing.events import CacheStatus
 
-RENEW_FROM = 0.8  # of its fresh time, from which a copy may be renewed behind
-LEAST_NEWER = 1e-6  # seconds by which a renewed copy is newer than the one before
-HIT_SHARE_WEIGHT = 1 / 32  # of the latest answer in the reported share of hits
+REVALIDATE_FROM = 0.8  # of its fresh time, from which a copy may be renewed behind
+MIN_ISSUE_STEP = 1e-6  # seconds by which a renewed copy is newer than the one before
+HIT_RATIO_WEIGHT = 1 / 32  # of the latest answer in the reported share of hits
 # What a fill's end means for the requests that wait for it.
-FROM_SOURCE = {
+SOURCE_FAILURES = {
     Failure.FULL: Failure.SOURCE_REFUSED,
     Failure.UNREACHABLE: Failure.SOURCE_UNREACHABLE,
     Failure.LACKING: Failure.SOURCE_LACKING,
@@ -34,11 +34,11 @@
 class EdgeCache(Server):
     """One edge cache."""
 
-    def __init__(self, name: str, zone: str, width: float, memory: float, world: Surroundings) -> None:
+    def __init__(self, name: str, zone: str, width: float, memory: float, world: Environment) -> None:
         super().__init__(name, zone, width, world)
         self.memory = RankedMemory(memory)
         self.slots = max(2, int(width * world.site.slots_per_width))
-        self.hit_share = 0.5
+        self.recent_hit_ratio = 0.5
         self._active: dict[Reply, None] = {}
         self._waiting: deque[tuple[CacheRequest, Reply]] = deque()
         self._fills: dict[Fetch, str] = {}
@@ -53,7 +53,7 @@
         self._waiting.clear()
         super().stop()
 
-    def take(self, request: CacheRequest, reply: Reply) -> None:
+    def handle_request(self, request: CacheRequest, reply: Reply) -> None:
         """One attempt."""
         if not self.admit(request, reply):
             return
@@ -64,13 +64,13 @@
         else:
             reply.fail(Failure.FULL)
 
-    def provide(self, request: CacheRequest, oldest: float, stream: Stream) -> None:
+    def serve_copy(self, request: CacheRequest, min_issued: float, stream: Stream) -> None:
         """A sibling asks: it is given what is held, or what is on its way if it may join."""
         if not self.admit(request, stream):
             return
         copy = self.memory.get(request.copy)
-        fill = self._joinable(request, oldest)
-        if copy and copy.issued >= oldest:
+        fill = self._joinable(request, min_issued)
+        if copy and copy.issued >= min_issued:
             stream.start(copy.issued, False)
             stream.finish()
         elif fill:
@@ -87,7 +87,7 @@
         self._active.pop(reply, None)
         if reply.complete:
             hit = reply.cache_status in (CacheStatus.HIT, CacheStatus.STALE)
-            self.hit_share += (hit - self.hit_share) * HIT_SHARE_WEIGHT
+            self.recent_hit_ratio += (hit - self.recent_hit_ratio) * HIT_RATIO_WEIGHT
         while self._waiting and len(self._active) < self.slots:
             request, waiting = self._waiting.popleft()
             if not waiting.ended:
@@ -95,11 +95,11 @@
 
     def _look_up(self, request: CacheRequest, reply: Reply) -> None:
         now = self.world.queue.now
-        oldest = oldest_allowed(request, now)
+        min_issued = min_issue_time(request, now)
         copy = None if request.cls.uncached else self.memory.get(request.copy)
-        if copy and copy.issued >= oldest:
+        if copy and copy.issued >= min_issued:
             return self._hit(request, reply, copy, now - copy.issued)
-        fill = self._joinable(request, oldest)
+        fill = self._joinable(request, min_issued)
         if request.source == self.name:
             reply.cache_status = CacheStatus.JOINED if fill else CacheStatus.UNKNOWN
             return reply.fail(Failure.LACKING)
@@ -109,23 +109,25 @@
         if len(self._fills) >= self.world.site.fills_per_cache:
             return reply.fail(Failure.NO_PLACE)
         reply.cache_status = CacheStatus.FILLED
-        self._deliver(self._fill(request, oldest), request, reply)
+        self._deliver(self._fill(request, min_issued), request, reply)
 
     def _hit(self, request: CacheRequest, reply: Reply, copy: StoredCopy, age: float) -> None:
-        self.memory.use(copy, request.keep)
+        self.memory.touch(copy, request.keep)
         fresh = request.cls.fresh_for
         reply.cache_status = CacheStatus.STALE if fresh and age > fresh else CacheStatus.HIT
-        relay(self.world.queue, held(copy.issued), reply, [self.link], request.work, 1.0)
-        ageing = request.renew and fresh and age > RENEW_FROM * fresh and request.source != self.name
+        relay(self.world.queue, complete_stream(copy.issued), reply, [self.link], request.work, 1.0)
+        ageing = (
+            request.revalidate and fresh and age > REVALIDATE_FROM * fresh and request.source != self.name
+        )
         capacity = len(self._fills) < self.world.site.fills_per_cache
         if ageing and capacity and request.copy not in self._fills.values():
-            self._fill(request, copy.issued + LEAST_NEWER)
+            self._fill(request, copy.issued + MIN_ISSUE_STEP)
 
-    def _joinable(self, request: CacheRequest, oldest: float) -> Fetch | None:
+    def _joinable(self, request: CacheRequest, min_issued: float) -> Fetch | None:
         if request.cls.uncached:
             return None
         fills = (fill for fill, name in self._fills.items() if name == request.copy)
-        return next((fill for fill in fills if fill.may_join(oldest)), None)
+        return next((fill for fill in fills if fill.may_join(min_issued)), None)
 
     def _deliver(self, fill: Fetch, request: CacheRequest, reply: Reply) -> None:
         def started() -> None:
@@ -140,15 +142,15 @@
         if self.world.site.abort_fill and not fill.stream.consumers and not fill.stream.ended:
             fill.stream.fail(Failure.CANCELLED)
 
-    def _fill(self, request: CacheRequest, oldest: float) -> Fetch:
-        fill = Fetch(Stream(), oldest)
+    def _fill(self, request: CacheRequest, min_issued: float) -> Fetch:
+        fill = Fetch(Stream(), min_issued)
         self._fills[fill] = request.copy
-        collect(self.memory, request, fill.stream, request.keep, lambda: self._done(fill))
-        self.carry(fill.stream)
+        store_when_complete(self.memory, request, fill.stream, request.keep, lambda: self._done(fill))
+        self.track_stream(fill.stream)
         arriving = Stream()
-        work = fetch_work(self.world, self.memory, request)
-        _translate(arriving, fill.stream)
-        self.world.fill(self, request, oldest, arriving, work)
+        work = fill_work(self.world, self.memory, request)
+        _forward_from_source(arriving, fill.stream)
+        self.world.fill(self, request, min_issued, arriving, work)
         self.world.queue.after(
             self.world.site.fill_timeout,
             lambda: None if fill.stream.started else fill.stream.fail(Failure.SLOW),
@@ -159,12 +161,12 @@
         self._fills.pop(fill, None)
 
 
-def _translate(arriving: Stream, stream: Stream) -> None:
+def _forward_from_source(arriving: Stream, stream: Stream) -> None:
     """Pass on what arrives from a source; its failures become those of a source."""
 
     def ended() -> None:
         if arriving.failure:
-            stream.fail(FROM_SOURCE.get(arriving.failure, arriving.failure))
+            stream.fail(SOURCE_FAILURES.get(arriving.failure, arriving.failure))
         else:
             stream.finish()
 
--- a/brackenlane/lab/simulation/faults.py
+++ b/brackenlane/lab/simulation/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a day: each trouble strikes at its time and ends by itself."""
+"""What goes wrong in a day: each fault strikes at its time and ends by itself."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from brackenlane.lab.simulation.servers import Health, Server
-from brackenlane.lab.simulation.site import Trouble, TroubleKind
-from brackenlane.lab.simulation.workload import GROUPS
+from brackenlane.lab.simulation.site import Fault, FaultKind
+from brackenlane.lab.simulation.workload import GROUP_COUNT
 from brackenlane.routing.members import ServerState
 
 if TYPE_CHECKING:
@@ -17,51 +17,51 @@
 DRAIN_SECONDS = 3.0  # that a server drains before it is gone
 
 
-def begin_troubles(world: World) -> None:
+def schedule_faults(world: World) -> None:
     """Schedule all troubles of the day."""
-    for trouble in world.site.troubles:
-        at = world.queue.now + trouble.at
-        world.queue.at(at, partial(_strike, world, trouble))
-
-
-def _strike(world: World, trouble: Trouble) -> None:
-    match trouble.kind:
-        case TroubleKind.ORIGIN_SLOW:
-            world.origin.set_slowdown(trouble.size)
-            world.queue.after(trouble.seconds, lambda: world.origin.set_slowdown(1.0))
-        case TroubleKind.PURGE_GROUPS:
-            for group in world.random.sample(range(GROUPS), max(1, round(trouble.part * GROUPS))):
+    for fault in world.site.faults:
+        at = world.queue.now + fault.at
+        world.queue.at(at, partial(_begin_fault, world, fault))
+
+
+def _begin_fault(world: World, fault: Fault) -> None:
+    match fault.kind:
+        case FaultKind.ORIGIN_SLOW:
+            world.origin.set_slowdown(fault.magnitude)
+            world.queue.after(fault.seconds, lambda: world.origin.set_slowdown(1.0))
+        case FaultKind.PURGE_GROUPS:
+            for group in world.random.sample(range(GROUP_COUNT), max(1, round(fault.share * GROUP_COUNT))):
                 world.purge(group)
-        case TroubleKind.OVERSIZE:
+        case FaultKind.OVERSIZE:
             pass  # the workload was drawn with it
         case _:
-            for server in _struck(world, trouble):
-                _strike_server(world, trouble, server)
+            for server in _affected_servers(world, fault):
+                _begin_server_fault(world, fault, server)
 
 
-def _struck(world: World, trouble: Trouble) -> list[Server]:
+def _affected_servers(world: World, fault: Fault) -> list[Server]:
     """Some servers, at least one; parents if there are any and they are meant."""
-    tier: list[Server] = [*world.parents.values()] if trouble.parents else []
+    tier: list[Server] = [*world.parents.values()] if fault.parents else []
     tier = tier or [*world.caches.values()]
     up = [server for server in tier if server.health is Health.UP]
-    return world.random.sample(up, min(len(up), max(1, math.floor(trouble.part * len(tier)))))
+    return world.random.sample(up, min(len(up), max(1, math.floor(fault.share * len(tier)))))
 
 
-def _strike_server(world: World, trouble: Trouble, server: Server) -> None:
-    match trouble.kind:
-        case TroubleKind.FAST_ERRORS:
-            server.error_share = trouble.size
-            world.queue.after(trouble.seconds, lambda: _heal(server))
-        case TroubleKind.HANG:
+def _begin_server_fault(world: World, fault: Fault, server: Server) -> None:
+    match fault.kind:
+        case FaultKind.FAST_ERRORS:
+            server.error_share = fault.magnitude
+            world.queue.after(fault.seconds, lambda: _end_server_fault(server))
+        case FaultKind.HANG:
             server.health = Health.HUNG
-            world.queue.after(trouble.seconds, lambda: _heal(server))
-        case TroubleKind.CRASH:
-            _crash(world, server, trouble.seconds)
-        case TroubleKind.REPLACE:
+            world.queue.after(fault.seconds, lambda: _end_server_fault(server))
+        case FaultKind.CRASH:
+            _crash(world, server, fault.seconds)
+        case FaultKind.REPLACE:
             _replace(world, server)
 
 
-def _heal(server: Server) -> None:
+def _end_server_fault(server: Server) -> None:
     server.error_share = 0.0
     if server.health is Health.HUNG:
         server.health = Health.UP
--- a/brackenlane/lab/simulation/invariants.py
+++ b/brackenlane/lab/simulation/invariants.py
@@ -6,14 +6,14 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable
 
-from brackenlane.lab.simulation.record import Disposition, Ended, Record, Request, Sent
+from brackenlane.lab.simulation.record import AttemptEnded, AttemptSent, Disposition, Record, Request
 from brackenlane.lab.simulation.site import ORIGIN, Site
 from brackenlane.routing.events import AttemptResult
 from brackenlane.routing.members import ServerState
 from brackenlane.routing.settings import Idempotency, Scope, SiblingSources
 
-SLACK = 1e-5  # seconds, of the clock
-NOTIFIED_SHARE = 2 / 3  # of the work that pushed a cold server over, from routers told of its start
+CLOCK_TOLERANCE = 1e-5  # seconds, of the clock
+MIN_NOTIFIED_SHARE = 2 / 3  # of the work that pushed a cold server over, from routers told of its start
 Violations = list[str]
 
 
@@ -37,27 +37,27 @@
 
 def drains_respected(site: Site, record: Record) -> Violations:
     """No new attempt or source at a server for longer than the grace after its drain was told."""
-    reported: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
+    notices: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
     for listed in record.listed:
-        reported[listed.router, listed.server].append((listed.at, listed.state is ServerState.SERVING))
+        notices[listed.router, listed.server].append((listed.at, listed.state is ServerState.SERVING))
     found = []
     for sent in record.sent:
         for server in sorted({sent.server, sent.source}):
-            since = _out_since(reported[sent.router, server], sent.at)
-            if since is not None and sent.at > since + site.drain_grace + SLACK:
+            since = _not_serving_since(notices[sent.router, server], sent.at)
+            if since is not None and sent.at > since + site.drain_grace + CLOCK_TOLERANCE:
                 found.append(
                     f"{sent.request_id}: {server} named {sent.at - since:.3f} s after its drain was told"
                 )
     return found
 
 
-def _out_since(reported: list[tuple[float, bool]], now: float) -> float | None:
+def _not_serving_since(notices: list[tuple[float, bool]], now: float) -> float | None:
     """Since when a router knows that a server does not serve; None if it serves for all it knows."""
     since: float | None = None
-    for at, serves in reported:
+    for at, is_serving in notices:
         if at > now:
             break
-        if serves:
+        if is_serving:
             since = None
         elif since is None:
             since = at
@@ -66,9 +66,9 @@
 
 def purges_respected(site: Site, record: Record) -> Violations:
     """No answer from a copy older than a purge that the router had been told of for the grace."""
-    reported: dict[tuple[int, str | int], list[tuple[float, float]]] = defaultdict(list)
+    notices: dict[tuple[int, str | int], list[tuple[float, float]]] = defaultdict(list)
     for purge in record.purges_notified:
-        reported[purge.router, purge.key].append((purge.at, purge.purged_at))
+        notices[purge.router, purge.key].append((purge.at, purge.purged_at))
     sent_at = {(sent.request_id, sent.number): sent.at for sent in record.sent}
     found = []
     for ended in record.ended:
@@ -77,20 +77,23 @@
         request = record.requests[ended.request_id]
         at = sent_at[ended.request_id, ended.number]
         for key in (request.obj, request.group):
-            for received, purged in reported[request.router, key]:
-                if at > received + site.purge_grace + SLACK and ended.issued < purged - SLACK:
+            for notified_at, purged_at in notices[request.router, key]:
+                if (
+                    at > notified_at + site.purge_grace + CLOCK_TOLERANCE
+                    and ended.issued < purged_at - CLOCK_TOLERANCE
+                ):
                     found.append(
-                        f"{ended.request_id}: a copy older than a purge told {at - received:.3f} s before"
+                        f"{ended.request_id}: a copy older than a purge told {at - notified_at:.3f} s before"
                     )
     return found
 
 
 def no_repeated_writes(site: Site, record: Record) -> Violations:
     """Unsafe requests run once; keyed ones are repeated within their window and scope only."""
-    sent: dict[str, list[Sent]] = defaultdict(list)
-    ended: dict[tuple[str, int], Ended] = {(e.request_id, e.number): e for e in record.ended}
-    for one in record.sent:
-        sent[one.request_id].append(one)
+    sent: dict[str, list[AttemptSent]] = defaultdict(list)
+    ended: dict[tuple[str, int], AttemptEnded] = {(e.request_id, e.number): e for e in record.ended}
+    for attempt in record.sent:
+        sent[attempt.request_id].append(attempt)
     found = []
     for name, attempts in sent.items():
         request = record.requests[name]
@@ -107,15 +110,15 @@
     return found + _refusals(record, sent, ended)
 
 
-def _may_have_run(ended: Ended | None, now: float) -> bool:
-    return ended is None or ended.at > now + SLACK or not ended.result.is_proven_not_run
+def _may_have_run(ended: AttemptEnded | None, now: float) -> bool:
+    return ended is None or ended.at > now + CLOCK_TOLERANCE or not ended.result.is_proven_not_run
 
 
-def _repeat(request: Request, earlier: Sent, later: Sent) -> Violations:
+def _repeat(request: Request, earlier: AttemptSent, later: AttemptSent) -> Violations:
     cls = request.cls
     if cls.idempotency is Idempotency.NON_IDEMPOTENT:
         return [f"{request.name}: sent again though it may have run"]
-    if later.at > earlier.at + cls.repeat_window + SLACK:
+    if later.at > earlier.at + cls.repeat_window + CLOCK_TOLERANCE:
         return [f"{request.name}: sent again after its window"]
     if cls.scope is not Scope.ALL and _zone(later.server) != _zone(earlier.server):
         return [f"{request.name}: sent again where repeats are not dropped"]
@@ -128,18 +131,22 @@
     return f"{kind}-{rest.split('-')[0]}" if kind == "cache" else server
 
 
-def _refusals(record: Record, sent: dict[str, list[Sent]], ended: dict[tuple[str, int], Ended]) -> Violations:
+def _refusals(
+    record: Record, sent: dict[str, list[AttemptSent]], ended: dict[tuple[str, int], AttemptEnded]
+) -> Violations:
     """A refusal says that a repeat does no harm."""
     found = []
     for answer in record.answered:
         cls = record.requests[answer.request_id].cls
-        harmless = cls.idempotency is Idempotency.IDEMPOTENT or (
+        safe_to_repeat = cls.idempotency is Idempotency.IDEMPOTENT or (
             cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL
         )
-        if answer.disposition is not Disposition.REJECTED or harmless:
+        if answer.disposition is not Disposition.REJECTED or safe_to_repeat:
             continue
         tries = sent.get(answer.request_id, [])
-        if any(_may_have_run(ended.get((one.request_id, one.number)), answer.at) for one in tries):
+        if any(
+            _may_have_run(ended.get((attempt.request_id, attempt.number)), answer.at) for attempt in tries
+        ):
             found.append(f"{answer.request_id}: refused though it may have run")
     return found
 
@@ -148,13 +155,15 @@
     """No more attempts for one request than allowed, nor two at once where that is not allowed."""
     ended = {(e.request_id, e.number): e.at for e in record.ended}
     found = []
-    last: dict[str, Sent] = {}
+    last: dict[str, AttemptSent] = {}
     for sent in record.sent:
         if sent.number >= site.max_attempts:
             found.append(f"{sent.request_id}: attempt {sent.number + 1} of {site.max_attempts}")
         before = last.get(sent.request_id)
-        out = before and ended.get((before.request_id, before.number), math.inf) > sent.at + SLACK
-        if out and not site.may_hedge:
+        is_outstanding = (
+            before and ended.get((before.request_id, before.number), math.inf) > sent.at + CLOCK_TOLERANCE
+        )
+        if is_outstanding and not site.may_hedge:
             found.append(f"{sent.request_id}: two attempts at once")
         last[sent.request_id] = sent
     return found
@@ -179,27 +188,27 @@
     return found
 
 
-def _server_allowed(site: Site, sent: Sent, home: str) -> bool:
+def _server_allowed(site: Site, sent: AttemptSent, home: str) -> bool:
     return _zone(sent.server) == home if sent.server.startswith("cache") else site.may_bypass_caches
 
 
-def _source_allowed(site: Site, sent: Sent, home: str) -> bool:
+def _source_allowed(site: Site, sent: AttemptSent, home: str) -> bool:
     if sent.source in (sent.server, ORIGIN):
         return True
     if not sent.server.startswith("cache"):
         return False
     if sent.source.startswith("parent"):
         return True
-    near = site.siblings is SiblingSources.LOCATION and _zone(sent.source) == home
-    return near or site.siblings is SiblingSources.ANY
+    same_location = site.siblings is SiblingSources.LOCATION and _zone(sent.source) == home
+    return same_location or site.siblings is SiblingSources.ANY
 
 
-def no_cold_server_pushed_over(site: Site, record: Record) -> Violations:
+def no_cold_server_overloaded(site: Site, record: Record) -> Violations:
     """No server that started lately falls over by the work of routers that were told of its start."""
     return [
-        f"{fell.server}: pushed over, {fell.notified_share:.2f} of the work by routers told of its start"
-        for fell in record.fell_over
-        if fell.notified_share >= NOTIFIED_SHARE
+        f"{overloaded.server}: pushed over, {overloaded.notified_share:.2f} of the work by routers told of its start"
+        for overloaded in record.overloaded_servers
+        if overloaded.notified_share >= MIN_NOTIFIED_SHARE
     ]
 
 
@@ -210,7 +219,7 @@
     no_repeated_writes,
     attempts_bounded,
     servers_allowed,
-    no_cold_server_pushed_over,
+    no_cold_server_overloaded,
 )
 
 
--- a/brackenlane/lab/simulation/links.py
+++ b/brackenlane/lab/simulation/links.py
@@ -11,9 +11,9 @@
 
 from brackenlane.lab.simulation.clock import EventQueue, ScheduledCall
 
-FASTEST = 5.0  # times a client's pace, above which no transfer runs
-NOTHING = 1e-9  # transfer-seconds left that count as none: rounding
-LEAST_WIDTH = 1e-3  # so that a rate never is zero
+MAX_SHARE = 5.0  # times a client's pace, above which no transfer runs
+NEGLIGIBLE_WORK = 1e-9  # transfer-seconds left that count as none: rounding
+MIN_WIDTH = 1e-3  # so that a rate never is zero
 
 
 class FairLink:
@@ -21,9 +21,9 @@
 
     def __init__(self, width: float) -> None:
         """width: transfers at full pace."""
-        self._width = max(width, LEAST_WIDTH)
+        self._width = max(width, MIN_WIDTH)
         self._transfers: dict[Transfer, None] = {}
-        self.share = FASTEST  # of each transfer, in paces
+        self.share = MAX_SHARE  # of each transfer, in paces
 
     def __len__(self) -> int:
         return len(self._transfers)
@@ -35,21 +35,21 @@
 
     def set_width(self, width: float) -> None:
         """Widen or narrow the link."""
-        self._width = max(width, LEAST_WIDTH)
-        self._divide()
+        self._width = max(width, MIN_WIDTH)
+        self._update_share()
 
     def add(self, transfer: Transfer) -> None:
         """One transfer more."""
         self._transfers[transfer] = None
-        self._divide()
+        self._update_share()
 
     def remove(self, transfer: Transfer) -> None:
         """One transfer less."""
         self._transfers.pop(transfer, None)
-        self._divide()
+        self._update_share()
 
-    def _divide(self) -> None:
-        share = min(FASTEST, self._width / max(1, len(self._transfers)))
+    def _update_share(self) -> None:
+        share = min(MAX_SHARE, self._width / max(1, len(self._transfers)))
         if share == self.share:
             return
         self.share = share
@@ -66,18 +66,18 @@
         links: Sequence[FairLink],
         work: float,
         pace: float,
-        done: Callable[[], None],
+        on_done: Callable[[], None],
     ) -> None:
         """work: transfer-seconds; pace: the highest rate; done: called when the last byte has passed."""
         self._queue = queue
         self._links = links
         self._remaining = work
         self._pace = pace
-        self._done = done
+        self._on_done = on_done
         self._rate = 0.0
-        self._stamp = queue.now
-        self._check: ScheduledCall | None = None
-        self._check_at = math.inf  # never later than the last byte
+        self._updated_at = queue.now
+        self._completion_check: ScheduledCall | None = None
+        self._completion_check_at = math.inf  # never later than the last byte
         for link in links:
             link.add(self)
         self.update()
@@ -90,33 +90,33 @@
                 rate = link.share
         if rate == self._rate:
             return
-        self._settle()
+        self._update_remaining()
         self._rate = rate
         finish = self._queue.now + self._remaining / rate
-        if finish < self._check_at:  # one that has become slower is found unfinished at its check
+        if finish < self._completion_check_at:  # one that has become slower is found unfinished at its check
             self._schedule(finish)
 
     def cancel(self) -> None:
         """Stop; `done` is not called."""
-        if self._check:
-            self._check.cancel()
+        if self._completion_check:
+            self._completion_check.cancel()
         for link in self._links:
             link.remove(self)
 
-    def _settle(self) -> None:
+    def _update_remaining(self) -> None:
         now = self._queue.now
-        self._remaining = max(0.0, self._remaining - self._rate * (now - self._stamp))
-        self._stamp = now
+        self._remaining = max(0.0, self._remaining - self._rate * (now - self._updated_at))
+        self._updated_at = now
 
     def _schedule(self, at: float) -> None:
-        if self._check:
-            self._check.cancel()
-        self._check = self._queue.at(at, self._end_if_passed)
-        self._check_at = at
+        if self._completion_check:
+            self._completion_check.cancel()
+        self._completion_check = self._queue.at(at, self._end_if_passed)
+        self._completion_check_at = at
 
     def _end_if_passed(self) -> None:
-        self._settle()
-        if self._remaining > NOTHING:
+        self._update_remaining()
+        if self._remaining > NEGLIGIBLE_WORK:
             return self._schedule(self._queue.now + self._remaining / self._rate)
         self.cancel()
-        self._done()
+        self._on_done()
--- a/brackenlane/lab/simulation/memory.py
+++ b/brackenlane/lab/simulation/memory.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-RANKS = 3
+RANK_COUNT = 3
 
 
 @dataclass(slots=True)
@@ -26,11 +26,13 @@
     def __init__(self, capacity: float) -> None:
         """capacity: in transfer-seconds, as sizes are."""
         self._capacity = capacity
-        self._used = dict.fromkeys(range(1, RANKS + 1), 0.0)  # by rank
+        self._used = dict.fromkeys(range(1, RANK_COUNT + 1), 0.0)  # by rank
         self._ranks: dict[int, OrderedDict[str, StoredCopy]] = {
-            rank: OrderedDict() for rank in range(1, RANKS + 1)
+            rank: OrderedDict() for rank in range(1, RANK_COUNT + 1)
         }
-        self._dropped: dict[str | int, float] = {}  # by object or group: when its older copies were purged
+        self._purge_times: dict[
+            str | int, float
+        ] = {}  # by object or group: when its older copies were purged
 
     def __len__(self) -> int:
         return sum(map(len, self._ranks.values()))
@@ -44,7 +46,7 @@
         """The copy of this name."""
         return next((copies[name] for copies in self._ranks.values() if name in copies), None)
 
-    def use(self, copy: StoredCopy, rank: int) -> None:
+    def touch(self, copy: StoredCopy, rank: int) -> None:
         """Note a hit; rank 0 leaves the copy's rank."""
         self._remove(copy)
         copy.rank = rank or copy.rank
@@ -52,7 +54,7 @@
 
     def store(self, copy: StoredCopy) -> bool:
         """Keep a copy, if there is room or what ranks no higher makes room for it."""
-        if copy.issued < max(self._dropped.get(copy.obj, 0.0), self._dropped.get(copy.group, 0.0)):
+        if copy.issued < max(self._purge_times.get(copy.obj, 0.0), self._purge_times.get(copy.group, 0.0)):
             return False
         older = self.get(copy.name)
         if older:
@@ -68,7 +70,7 @@
 
     def purge(self, key: str | int, purged_at: float) -> None:
         """Drop the copies of an object (text) or group (number) that left the origin before a moment."""
-        self._dropped[key] = purged_at
+        self._purge_times[key] = purged_at
         for copies in self._ranks.values():
             for copy in list(copies.values()):
                 if key in (copy.obj, copy.group) and copy.issued < purged_at:
--- a/brackenlane/lab/simulation/plain_policy.py
+++ b/brackenlane/lab/simulation/plain_policy.py
@@ -22,19 +22,19 @@
 from brackenlane.routing.rendezvous_hash import score
 from brackenlane.routing.settings import Idempotency, RequestClass, Scope, Settings
 
-ATTEMPTS = 2
+MAX_ATTEMPTS = 2
 
 
 @dataclass(slots=True)
 class PlainRequest:
     """One request in hand."""
 
-    ask: Arrival
+    arrival: Arrival
     cls: RequestClass
     deadline: float
-    tried: list[str] = field(default_factory=list)
+    tried_servers: list[str] = field(default_factory=list)
     may_have_run: bool = False
-    ran_since: float = 0.0
+    may_have_run_since: float = 0.0
 
 
 class PlainPolicy:
@@ -57,7 +57,7 @@
             case Outcome():
                 return self._outcome(event, now)
             case Membership():
-                return self._list(event)
+                return self._update_members(event)
             case TimerFired():
                 request = self._requests.get(self._deadlines.pop(event.token, ""))
                 return self._give_up(request) if request else []
@@ -67,69 +67,69 @@
                 self._requests.pop(event.request_id, None)
         return []
 
-    def _list(self, event: Membership) -> list[Action]:
+    def _update_members(self, event: Membership) -> list[Action]:
         if event.kind in (MembershipKind.FULL, MembershipKind.REMEMBERED):
             self._members = {}
         self._members.update({m.server: m for m in event.members})
-        requests = self._settings.must_subscribe and event.kind in (
+        must_subscribe = self._settings.must_subscribe and event.kind in (
             MembershipKind.REMEMBERED,
             MembershipKind.REJECTED,
         )
-        return [Subscribe()] if requests else []
+        return [Subscribe()] if must_subscribe else []
 
     def _serving(self, role: Role) -> list[Member]:
         return [m for m in self._members.values() if m.role is role and m.state is ServerState.SERVING]
 
-    def _arrive(self, send_request: Arrival, now: float) -> list[Action]:
-        request = PlainRequest(send_request, self._classes[send_request.cls], now + send_request.time_left)
-        self._requests[send_request.request_id] = request
+    def _arrive(self, arrival: Arrival, now: float) -> list[Action]:
+        request = PlainRequest(arrival, self._classes[arrival.cls], now + arrival.time_left)
+        self._requests[arrival.request_id] = request
         token = len(self._deadlines) + 1
         while token in self._deadlines:
             token += 1
-        self._deadlines[token] = send_request.request_id
+        self._deadlines[token] = arrival.request_id
         return [SetTimer(token, request.deadline), *self._send(request, now)]
 
     def _send(self, request: PlainRequest, now: float) -> list[Action]:
         edge = self._edge(request)
-        source = self._source(request.ask.obj)
+        source = self._source(request.arrival.obj)
         if edge is None or source is None:
             return self._give_up(request)
-        request.tried.append(edge.server)
+        request.tried_servers.append(edge.server)
         return [
             Fetch(
-                request.ask.request_id,
+                request.arrival.request_id,
                 edge.server,
                 request.deadline - now,
                 source.server,
                 0 if request.cls.uncached else 1,
-                self._purges.max_age(request.ask, request.cls, now, False),
+                self._purges.max_age(request.arrival, request.cls, now, False),
                 self._settings.may_join_fills,
             )
         ]
 
     def _edge(self, request: PlainRequest) -> Member | None:
-        here = [
+        candidates = [
             m
             for m in self._serving(Role.EDGE)
-            if m.zone == self._settings.location and m.server not in request.tried
+            if m.zone == self._settings.location and m.server not in request.tried_servers
         ]
-        return min(here, key=lambda m: (score(request.ask.cache_key, m), m.server), default=None)
+        return min(candidates, key=lambda m: (score(request.arrival.cache_key, m), m.server), default=None)
 
     def _source(self, obj: str) -> Member | None:
         """The parent that the object's hash prefers at the nearest hub that has one, else the origin."""
         zones = self._settings.locations
-        hubs = self._settings.hub_of
-        hub = hubs[zones.index(self._settings.location)]
-        ring = len(set(hubs))
+        hub_of = self._settings.hub_of
+        hub = hub_of[zones.index(self._settings.location)]
+        hub_count = len(set(hub_of))
 
-        def steps(member: Member) -> int:
-            away = (zones.index(member.zone) - hub) % ring
-            return min(away, ring - away)
+        def hops(member: Member) -> int:
+            distance = (zones.index(member.zone) - hub) % hub_count
+            return min(distance, hub_count - distance)
 
         parents = self._serving(Role.PARENT)
-        nearest = min(map(steps, parents), default=0)
-        near = [m for m in parents if steps(m) == nearest] or self._serving(Role.ORIGIN)
-        return min(near, key=lambda m: (score(obj, m), m.server), default=None)
+        fewest_hops = min(map(hops, parents), default=0)
+        sources = [m for m in parents if hops(m) == fewest_hops] or self._serving(Role.ORIGIN)
+        return min(sources, key=lambda m: (score(obj, m), m.server), default=None)
 
     def _outcome(self, event: Outcome, now: float) -> list[Action]:
         request = self._requests.get(event.request_id)
@@ -140,9 +140,9 @@
             return []
         if not event.result.is_proven_not_run and not request.may_have_run:
             request.may_have_run = True
-            request.ran_since = now - event.wait
-        again = len(request.tried) < min(ATTEMPTS, self._settings.max_attempts)
-        if event.result is AttemptResult.MISS or not again or now >= request.deadline:
+            request.may_have_run_since = now - event.wait
+        may_retry = len(request.tried_servers) < min(MAX_ATTEMPTS, self._settings.max_attempts)
+        if event.result is AttemptResult.MISS or not may_retry or now >= request.deadline:
             return self._give_up(request)
         return self._send(request, now) if self._may_repeat(request, now) else self._give_up(request)
 
@@ -150,13 +150,15 @@
         cls = request.cls
         if cls.idempotency is Idempotency.IDEMPOTENT or not request.may_have_run:
             return True
-        within = now <= request.ran_since + cls.repeat_window
-        return cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is not Scope.CELL and within
+        in_window = now <= request.may_have_run_since + cls.repeat_window
+        return (
+            cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is not Scope.CELL and in_window
+        )
 
     def _give_up(self, request: PlainRequest) -> list[Action]:
-        name = request.ask.request_id
+        name = request.arrival.request_id
         cls = request.cls
         self._requests.pop(name, None)
-        repeats = cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL
-        harmless = cls.idempotency is Idempotency.IDEMPOTENT or repeats
-        return [Reject(name) if harmless else Fail(name)]
+        repeats_dropped = cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL
+        safe_to_repeat = cls.idempotency is Idempotency.IDEMPOTENT or repeats_dropped
+        return [Reject(name) if safe_to_repeat else Fail(name)]
--- a/brackenlane/lab/simulation/record.py
+++ b/brackenlane/lab/simulation/record.py
@@ -24,7 +24,7 @@
 
     name: str
     cls: RequestClass
-    born: float
+    started_at: float
     work: float
     answered_at: float | None = None
     stale: bool = False
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Sent:
+class AttemptSent:
     """An attempt as the router asked for it; answered: whether its request had its final answer before."""
 
     request_id: str
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class AttemptEnded:
     """An attempt's outcome as the router was told of it."""
 
     request_id: str
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
+class RequestAnswered:
     """A request's final answer."""
 
     request_id: str
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ServerListed:
     """Discovery told a router of a server."""
 
     router: int
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Executed:
+class WriteExecuted:
     """The origin ran a write."""
 
     operation: str
@@ -108,7 +108,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FellOver:
+class ServerOverloaded:
     """A cold server was pushed over; told_share: of that work, from routers told of its start."""
 
     server: str
@@ -122,12 +122,12 @@
 
     operations: dict[str, Operation] = field(default_factory=dict)
     requests: dict[str, Request] = field(default_factory=dict)
-    sent: list[Sent] = field(default_factory=list)
-    ended: list[Ended] = field(default_factory=list)
-    answered: list[Answered] = field(default_factory=list)
-    listed: list[Listed] = field(default_factory=list)
+    sent: list[AttemptSent] = field(default_factory=list)
+    ended: list[AttemptEnded] = field(default_factory=list)
+    answered: list[RequestAnswered] = field(default_factory=list)
+    listed: list[ServerListed] = field(default_factory=list)
     purges_notified: list[PurgeNotified] = field(default_factory=list)
-    executed: list[Executed] = field(default_factory=list)
-    fell_over: list[FellOver] = field(default_factory=list)
+    executed: list[WriteExecuted] = field(default_factory=list)
+    overloaded_servers: list[ServerOverloaded] = field(default_factory=list)
     origin_stops: int = 0
     overdue: list[str] = field(default_factory=list)  # requests withdrawn for want of a final answer
--- a/brackenlane/lab/simulation/reports.py
+++ b/brackenlane/lab/simulation/reports.py
@@ -8,8 +8,8 @@
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import World
 
-REFRESH = 0.3  # seconds
-NOISE = 0.1  # of a value, at most
+REFRESH_INTERVAL = 0.3  # seconds
+MAX_NOISE = 0.1  # of a value, at most
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,12 +30,15 @@
     def latest(self, server: str) -> tuple[tuple[str, float], ...]:
         """What a cache's answers carry now; nothing where reports are off or the server is no cache."""
         cache = self._world.caches.get(server)
-        if cache is None or not self._world.site.report_x0:
+        if cache is None or not self._world.site.load_reports:
             return ()
         now = self._world.queue.now
         report = self._latest.get(server)
-        if report is None or now > report.at + REFRESH:
-            noise = 1 + self._world.random.uniform(-NOISE, NOISE)
-            values = (("inflight", float(round(cache.inflight * noise))), ("x0", cache.hit_share * noise))
+        if report is None or now > report.at + REFRESH_INTERVAL:
+            noise = 1 + self._world.random.uniform(-MAX_NOISE, MAX_NOISE)
+            values = (
+                ("inflight", float(round(cache.inflight * noise))),
+                ("x0", cache.recent_hit_ratio * noise),
+            )
             report = self._latest[server] = Report(now, values)
         return report.values
--- a/brackenlane/lab/simulation/routers.py
+++ b/brackenlane/lab/simulation/routers.py
@@ -7,8 +7,8 @@
 
 from brackenlane.lab.simulation.clock import ScheduledCall
 from brackenlane.lab.simulation.edge import EdgeCache
-from brackenlane.lab.simulation.record import Answered, Disposition, Ended, Request, Sent
-from brackenlane.lab.simulation.servers import CacheRequest, Reply, Server, oldest_allowed
+from brackenlane.lab.simulation.record import AttemptEnded, AttemptSent, Disposition, Request, RequestAnswered
+from brackenlane.lab.simulation.servers import CacheRequest, Reply, Server, min_issue_time
 from brackenlane.lab.simulation.site import StatusReports
 from brackenlane.lab.simulation.streams import Failure, Stream, relay
 from brackenlane.routing.actions import Action, Cancel, Fail, Fetch, Reject, SetTimer
@@ -26,9 +26,9 @@
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import Policy, World
 
-SLACK = 1e-6  # of the clock
+CLOCK_TOLERANCE = 1e-6  # of the clock
 # How an attempt ends that failed so, and the note that a cache gives.
-DISPOSITIONS = {
+ATTEMPT_RESULTS = {
     Failure.FULL: (AttemptResult.FULL, CacheStatus.UNKNOWN),
     Failure.NO_PLACE: (AttemptResult.FULL, CacheStatus.NO_PLACE),
     Failure.UNREACHABLE: (AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN),
@@ -43,7 +43,7 @@
     Failure.ORIGIN: (AttemptResult.ERROR, CacheStatus.ORIGIN_FAILED),
     Failure.CANCELLED: (AttemptResult.CANCELLED, CacheStatus.UNKNOWN),
 }
-REPORTED_OF_HITS = (CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED, CacheStatus.STALE)
+HIT_STATUSES = (CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED, CacheStatus.STALE)
 
 
 class OpenRequest:
@@ -52,31 +52,31 @@
     def __init__(
         self,
         request: Request,
-        send_request: Arrival,
+        arrival: Arrival,
         work: float,
-        ended: Callable[[Disposition, CacheStatus], None],
+        on_answer: Callable[[Disposition, CacheStatus], None],
     ) -> None:
         """ended: told of the final answer."""
         self.request = request
-        self.arrival = send_request
+        self.arrival = arrival
         self.work = work
-        self.ended = ended
+        self.on_answer = on_answer
         self.attempts: list[Attempt] = []
-        self.over = False
+        self.finished = False
         self.streaming: Attempt | None = None
 
 
 class Attempt:
     """One attempt and its answer."""
 
-    def __init__(self, opened: OpenRequest, number: int, server: str, sent_at: float) -> None:
-        self.opened = opened
+    def __init__(self, open_request: OpenRequest, number: int, server: str, sent_at: float) -> None:
+        self.open_request = open_request
         self.number = number
         self.server = server
         self.sent_at = sent_at
         self.reply = Reply()
         self.timer: ScheduledCall | None = None
-        self.over = False
+        self.finished = False
 
 
 class RouterHost:
@@ -87,29 +87,29 @@
         self.number = number
         self.policy = policy
         self.zone = world.site.zones[world.site.hubs + home]
-        self.on_list = 0.0  # when the latest change of the list that is on its way is heard
+        self.last_notice_at = 0.0  # when the latest change of the list that is on its way is heard
         self._requests: dict[str, OpenRequest] = {}
 
-    def take(
+    def handle_request(
         self,
         request: Request,
-        send_request: Arrival,
+        arrival: Arrival,
         work: float,
-        ended: Callable[[Disposition, CacheStatus], None],
+        on_answer: Callable[[Disposition, CacheStatus], None],
     ) -> None:
         """A client's try."""
-        self._requests[request.name] = OpenRequest(request, send_request, work, ended)
+        self._requests[request.name] = OpenRequest(request, arrival, work, on_answer)
         self.world.record.requests[request.name] = request
-        latest = request.deadline + self.world.site.answer_slack + SLACK
-        self.world.queue.at(latest, lambda: self._overdue(self._requests[request.name]))
-        self.deliver(send_request)
+        expires_at = request.deadline + self.world.site.answer_slack + CLOCK_TOLERANCE
+        self.world.queue.at(expires_at, lambda: self._expire(self._requests[request.name]))
+        self.deliver(arrival)
 
     def deliver(self, event: Event) -> None:
         """Tell the policy of an event and carry out what it wants."""
         for action in self.policy.handle(event, self.world.queue.now):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Fetch():
                 self._fetch(action)
@@ -126,20 +126,26 @@
     def _fetch(self, action: Fetch) -> None:
         world = self.world
         now = world.queue.now
-        opened = self._requests[action.request_id]
-        attempt = Attempt(opened, len(opened.attempts), action.server, now)
-        opened.attempts.append(attempt)
+        open_request = self._requests[action.request_id]
+        attempt = Attempt(open_request, len(open_request.attempts), action.server, now)
+        open_request.attempts.append(attempt)
         world.record.sent.append(
-            Sent(
-                action.request_id, attempt.number, self.number, action.server, action.source, now, opened.over
+            AttemptSent(
+                action.request_id,
+                attempt.number,
+                self.number,
+                action.server,
+                action.source,
+                now,
+                open_request.finished,
             )
         )
         attempt.reply.listen(lambda: self._started(attempt), lambda: self._replied(attempt))
-        if opened.over or attempt.number >= world.site.max_attempts:
+        if open_request.finished or attempt.number >= world.site.max_attempts:
             world.queue.after(0.0, lambda: self._end(attempt, AttemptResult.NEVER_SENT))
             return
-        left = opened.request.deadline - now
-        timeout = min(action.timeout, left) if action.timeout else left
+        remaining_time = open_request.request.deadline - now
+        timeout = min(action.timeout, remaining_time) if action.timeout else remaining_time
         attempt.timer = world.queue.after(max(0.0, timeout), lambda: self._time_out(attempt))
         server = world.server(action.server)
         if server is None:
@@ -147,21 +153,21 @@
                 world.site.connect_timeout, lambda: self._end(attempt, AttemptResult.UNREACHABLE)
             )
             return
-        send_request = self._send_request(opened, action)
+        cache_request = self._cache_request(open_request, action)
         world.queue.after(
-            world.latency(self.zone, server), lambda: self._reach(server, send_request, attempt)
+            world.latency(self.zone, server), lambda: self._deliver_attempt(server, cache_request, attempt)
         )
 
-    def _send_request(self, opened: OpenRequest, action: Fetch) -> CacheRequest:
-        send_request = opened.arrival
+    def _cache_request(self, open_request: OpenRequest, action: Fetch) -> CacheRequest:
+        arrival = open_request.arrival
         return CacheRequest(
-            opened.request.operation,
+            open_request.request.operation,
             self.number,
-            opened.request.cls,
-            send_request.cache_key,
-            send_request.obj,
-            send_request.group,
-            opened.work,
+            open_request.request.cls,
+            arrival.cache_key,
+            arrival.obj,
+            arrival.group,
+            open_request.work,
             action.source,
             action.keep,
             action.max_age,
@@ -170,129 +176,131 @@
             action.only_if_cached,
         )
 
-    def _reach(self, server: Server, send_request: CacheRequest, attempt: Attempt) -> None:
-        if attempt.over:
+    def _deliver_attempt(self, server: Server, cache_request: CacheRequest, attempt: Attempt) -> None:
+        if attempt.finished:
             return
         if isinstance(server, EdgeCache):
-            return server.take(send_request, attempt.reply)
-        self._direct(server, send_request, attempt.reply)
+            return server.handle_request(cache_request, attempt.reply)
+        self._request_directly(server, cache_request, attempt.reply)
 
-    def _direct(self, server: Server, send_request: CacheRequest, reply: Reply) -> None:
+    def _request_directly(self, server: Server, cache_request: CacheRequest, reply: Reply) -> None:
         """Straight to a parent or the origin, over the location's link."""
         upstream = Stream()
         links = [server.link, self.world.location_links[self.zone]]
-        server.carry(reply)
+        server.track_stream(reply)
         latency = self.world.latency(self.zone, server)
-        relay(self.world.queue, upstream, reply, links, send_request.work, 1.0, latency)
+        relay(self.world.queue, upstream, reply, links, cache_request.work, 1.0, latency)
 
         def started() -> None:
-            fetched = upstream.from_origin and server is not self.world.origin
-            reply.cache_status = CacheStatus.FILLED_BY_ORIGIN if fetched else CacheStatus.HIT
+            from_origin = upstream.from_origin and server is not self.world.origin
+            reply.cache_status = CacheStatus.FILLED_BY_ORIGIN if from_origin else CacheStatus.HIT
 
         upstream.listen(started, lambda: None)
-        server.provide(send_request, oldest_allowed(send_request, self.world.queue.now), upstream)
+        server.serve_copy(cache_request, min_issue_time(cache_request, self.world.queue.now), upstream)
 
     def _started(self, attempt: Attempt) -> None:
         """A streamed answer belongs to the client from its first byte on."""
-        opened = attempt.opened
+        open_request = attempt.open_request
         attempt.reply.started_at = self.world.queue.now
-        if attempt.over or opened.over or not self.world.is_streamed(opened.request.cls):
+        if attempt.finished or open_request.finished or not self.world.is_streamed(open_request.request.cls):
             return
-        if opened.streaming is None:
-            opened.streaming = attempt
+        if open_request.streaming is None:
+            open_request.streaming = attempt
             if attempt.timer:
                 attempt.timer.cancel()
             wait = self.world.queue.now - attempt.sent_at
-            self.deliver(ResponseStarted(opened.request.name, attempt.number, attempt.server, wait))
+            self.deliver(ResponseStarted(open_request.request.name, attempt.number, attempt.server, wait))
 
     def _replied(self, attempt: Attempt) -> None:
-        if attempt.over:
+        if attempt.finished:
             return
         if attempt.reply.complete:
             return self._end(attempt, AttemptResult.OK, attempt.reply.cache_status, attempt.reply.issued)
-        verdict, cache_status = DISPOSITIONS[attempt.reply.failure or Failure.BROKEN]
+        result, cache_status = ATTEMPT_RESULTS[attempt.reply.failure or Failure.BROKEN]
         self._end(
             attempt,
-            verdict,
+            result,
             cache_status if cache_status is not CacheStatus.UNKNOWN else attempt.reply.cache_status,
         )
 
     def _time_out(self, attempt: Attempt) -> None:
-        if not attempt.over and attempt.opened.streaming is not attempt:
+        if not attempt.finished and attempt.open_request.streaming is not attempt:
             self._end(attempt, AttemptResult.TIMEOUT)
 
     def _cancel(self, attempt: Attempt) -> None:
-        if not attempt.over and attempt.opened.streaming is not attempt:
+        if not attempt.finished and attempt.open_request.streaming is not attempt:
             self.world.queue.after(0.0, lambda: self._end(attempt, AttemptResult.CANCELLED))
 
     def _end(
         self,
         attempt: Attempt,
-        verdict: AttemptResult,
+        result: AttemptResult,
         cache_status: CacheStatus = CacheStatus.UNKNOWN,
         issued: float = 0.0,
     ) -> None:
-        if attempt.over:
+        if attempt.finished:
             return
-        attempt.over = True
+        attempt.finished = True
         if attempt.timer:
             attempt.timer.cancel()
         attempt.reply.fail(Failure.CANCELLED)
-        opened = attempt.opened
+        open_request = attempt.open_request
         now = self.world.queue.now
-        name = opened.request.name
-        self.world.record.ended.append(Ended(name, attempt.number, verdict, cache_status, issued, now))
-        if not opened.over and (verdict is AttemptResult.OK or opened.streaming is attempt):
+        name = open_request.request.name
+        self.world.record.ended.append(AttemptEnded(name, attempt.number, result, cache_status, issued, now))
+        if not open_request.finished and (result is AttemptResult.OK or open_request.streaming is attempt):
             self._answer(
-                opened,
-                Disposition.SERVED if verdict is AttemptResult.OK else Disposition.FAILED,
+                open_request,
+                Disposition.SERVED if result is AttemptResult.OK else Disposition.FAILED,
                 cache_status,
             )
-        self.deliver(self._outcome(attempt, verdict, cache_status))
+        self.deliver(self._outcome(attempt, result, cache_status))
 
-    def _outcome(self, attempt: Attempt, verdict: AttemptResult, cache_status: CacheStatus) -> Outcome:
+    def _outcome(self, attempt: Attempt, result: AttemptResult, cache_status: CacheStatus) -> Outcome:
         site = self.world.site
-        opened = attempt.opened
-        seen = site.sizes_seen and verdict is AttemptResult.OK
-        filled = site.status_reports is StatusReports.ALL and cache_status in (
+        open_request = attempt.open_request
+        has_size = site.sizes_seen and result is AttemptResult.OK
+        has_first_byte = site.status_reports is StatusReports.ALL and cache_status in (
             CacheStatus.FILLED,
             CacheStatus.FILLED_BY_ORIGIN,
         )
         return Outcome(
-            opened.request.name,
+            open_request.request.name,
             attempt.number,
             attempt.server,
-            verdict,
+            result,
             self.world.queue.now - attempt.sent_at,
-            opened.over,
-            reported_status(site.status_reports, cache_status, verdict),
-            first_byte=self._first_byte(attempt) if filled else 0.0,
+            open_request.finished,
+            reported_status(site.status_reports, cache_status, result),
+            first_byte=self._first_byte(attempt) if has_first_byte else 0.0,
             report=self.world.reports.latest(attempt.server),
-            size_kb=opened.work * site.pace_kb_per_s if seen else 0.0,
+            size_kb=open_request.work * site.pace_kb_per_s if has_size else 0.0,
         )
 
     def _first_byte(self, attempt: Attempt) -> float:
         """Until the source's first byte, as the cache counts it: from when it asked the source."""
         return max(0.0, attempt.reply.started_at - attempt.sent_at)
 
-    def _answer(self, opened: OpenRequest, disposition: Disposition, cache_status: CacheStatus) -> None:
-        if opened.over:
+    def _answer(self, open_request: OpenRequest, disposition: Disposition, cache_status: CacheStatus) -> None:
+        if open_request.finished:
             return
-        opened.over = True
-        self.world.record.answered.append(Answered(opened.request.name, disposition, self.world.queue.now))
-        opened.ended(disposition, cache_status)
+        open_request.finished = True
+        self.world.record.answered.append(
+            RequestAnswered(open_request.request.name, disposition, self.world.queue.now)
+        )
+        open_request.on_answer(disposition, cache_status)
 
-    def _overdue(self, opened: OpenRequest) -> None:
-        if opened.over or opened.streaming:
+    def _expire(self, open_request: OpenRequest) -> None:
+        if open_request.finished or open_request.streaming:
             return
-        self.world.record.overdue.append(opened.request.name)
-        opened.over = True
-        opened.ended(Disposition.FAILED, CacheStatus.UNKNOWN)
-        self.deliver(ClientDisconnected(opened.request.name))
+        self.world.record.overdue.append(open_request.request.name)
+        open_request.finished = True
+        open_request.on_answer(Disposition.FAILED, CacheStatus.UNKNOWN)
+        self.deliver(ClientDisconnected(open_request.request.name))
 
 
 def reported_status(
-    reporting: StatusReports, cache_status: CacheStatus, verdict: AttemptResult
+    reporting: StatusReports, cache_status: CacheStatus, result: AttemptResult
 ) -> CacheStatus:
     """What the router is told of how an answer came about."""
     if reporting is StatusReports.ALL:
@@ -303,6 +311,6 @@
         return CacheStatus.FILLED
     return (
         cache_status
-        if cache_status in REPORTED_OF_HITS and verdict in (AttemptResult.OK, AttemptResult.MISS)
+        if cache_status in HIT_STATUSES and result in (AttemptResult.OK, AttemptResult.MISS)
         else CacheStatus.UNKNOWN
     )
--- a/brackenlane/lab/simulation/servers.py
+++ b/brackenlane/lab/simulation/servers.py
@@ -14,20 +14,20 @@
 from brackenlane.lab.simulation.links import FairLink
 from brackenlane.lab.simulation.memory import RankedMemory, StoredCopy
 from brackenlane.lab.simulation.site import Site
-from brackenlane.lab.simulation.slow_start import ColdBudget
+from brackenlane.lab.simulation.slow_start import ColdCapacity
 from brackenlane.lab.simulation.streams import Failure, Stream
 from brackenlane.routing.events import CacheStatus
 from brackenlane.routing.settings import RequestClass
 
-QUICK_ERROR = 0.003  # seconds until a server that fails a request says so
-WARMING_STEP = 0.5  # seconds between two steps of a cold server's width
-RENEWAL = 0.05  # part of its bytes that a copy costs that is only too old
-PARENT_FETCHES = 60  # places for fetches at a parent
+FAST_ERROR_DELAY = 0.003  # seconds until a server that fails a request says so
+WARM_UP_STEP = 0.5  # seconds between two steps of a cold server's width
+REVALIDATION_COST = 0.05  # part of its bytes that a copy costs that is only too old
+MAX_PARENT_FETCHES = 60  # places for fetches at a parent
 PARENT_FETCH_TIMEOUT = 4.0
-ORIGIN_SPAN = 3.0  # seconds of overload after which the origin stops
-ORIGIN_MULTIPLE = 2.5
-ORIGIN_DOWN = 5.0
-ORIGIN_STOPS = 2  # a day, at most
+ORIGIN_OVERLOAD_WINDOW = 3.0  # seconds of overload after which the origin stops
+ORIGIN_OVERLOAD_FACTOR = 2.5
+ORIGIN_DOWNTIME = 5.0
+MAX_ORIGIN_STOPS = 2  # a day, at most
 
 
 class Health(Enum):
@@ -53,7 +53,7 @@
     keep: int
     max_age: float
     join: bool
-    renew: bool
+    revalidate: bool
     only_if_cached: bool
 
 
@@ -66,7 +66,7 @@
         self.started_at = 0.0
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """What a server needs of the world around it."""
 
     site: Site
@@ -86,15 +86,15 @@
         """The mean sending time of a class."""
 
     def fill(
-        self, requester: Server, request: CacheRequest, oldest: float, into: Stream, work: float
+        self, requester: Server, request: CacheRequest, min_issued: float, downstream: Stream, work: float
     ) -> None:
         """Get a copy from the source that an ask names."""
 
-    def pressed(self, server: Server, router: int, work: float) -> None:
+    def record_cold_load(self, server: Server, router: int, work: float) -> None:
         """Work reached a server that started lately."""
 
 
-def oldest_allowed(request: CacheRequest, now: float) -> float:
+def min_issue_time(request: CacheRequest, now: float) -> float:
     """The moment before which no copy may have left the origin."""
     cls = request.cls
     if cls.fresh_for:
@@ -105,7 +105,7 @@
 class Server:
     """A link out, a state of health, and a cold start."""
 
-    def __init__(self, name: str, zone: str, width: float, world: Surroundings) -> None:
+    def __init__(self, name: str, zone: str, width: float, world: Environment) -> None:
         self.name = name
         self.zone = zone
         self.full_width = width
@@ -113,18 +113,18 @@
         self.link = FairLink(width)
         self.health = Health.UP
         self.error_share = 0.0
-        self.cold: ColdBudget | None = None
+        self.cold: ColdCapacity | None = None
         self.memory = RankedMemory(0.0)
-        self.outgoing: dict[Stream, None] = {}  # that end when the server does
+        self.open_streams: dict[Stream, None] = {}  # that end when the server does
 
     def stop(self) -> None:
         """The process ends and what it held is lost."""
         self.health = Health.DOWN
         self.memory.clear()
-        while self.outgoing:
-            next(iter(self.outgoing)).fail(Failure.BROKEN)
+        while self.open_streams:
+            next(iter(self.open_streams)).fail(Failure.BROKEN)
 
-    def start_cold(self, cold: ColdBudget) -> None:
+    def start_cold(self, cold: ColdCapacity) -> None:
         """The process starts, empty."""
         self.health = Health.UP
         self.cold = cold
@@ -135,32 +135,32 @@
         share = self.cold.share(self.world.queue.now) if self.cold else 1.0
         self.link.set_width(self.full_width * share)
         if share < 1 and self.health is not Health.DOWN:
-            self.world.queue.after(WARMING_STEP, self._warm)
+            self.world.queue.after(WARM_UP_STEP, self._warm)
 
-    def carry(self, stream: Stream) -> None:
+    def track_stream(self, stream: Stream) -> None:
         """Break off a stream if this server stops."""
-        self.outgoing[stream] = None
-        stream.listen(_nothing, lambda: self._drop(stream))
+        self.open_streams[stream] = None
+        stream.listen(_nothing, lambda: self._untrack_stream(stream))
 
-    def _drop(self, stream: Stream) -> None:
-        self.outgoing.pop(stream, None)
+    def _untrack_stream(self, stream: Stream) -> None:
+        self.open_streams.pop(stream, None)
 
     def admit(self, request: CacheRequest, stream: Stream) -> bool:
         """Whether a request is to be worked on; if not, how it ends is settled."""
         if self.cold and self.health is not Health.DOWN:
-            self.world.pressed(self, request.router, self.world.mean_work(request.cls))
+            self.world.record_cold_load(self, request.router, self.world.mean_work(request.cls))
         if self.health is Health.DOWN:
             stream.fail(Failure.UNREACHABLE)
             return False
-        self.carry(stream)
+        self.track_stream(stream)
         if self.health is Health.HUNG:
             return False
         if self.error_share and self.world.random.random() < self.error_share:
-            self.world.queue.after(QUICK_ERROR, lambda: stream.fail(Failure.ERROR))
+            self.world.queue.after(FAST_ERROR_DELAY, lambda: stream.fail(Failure.ERROR))
             return False
         return True
 
-    def provide(self, request: CacheRequest, oldest: float, stream: Stream) -> None:
+    def serve_copy(self, request: CacheRequest, min_issued: float, stream: Stream) -> None:
         """Be the source of a fill; the stream holds the bytes as they are here, before the link."""
         raise NotImplementedError
 
@@ -174,14 +174,14 @@
     """A fill or fetch under way."""
 
     stream: Stream
-    oldest: float
+    min_issued: float
 
-    def may_join(self, oldest: float) -> bool:
+    def may_join(self, min_issued: float) -> bool:
         """Whether what comes will surely do."""
-        return (self.stream.issued if self.stream.started else self.oldest) >= oldest
+        return (self.stream.issued if self.stream.started else self.min_issued) >= min_issued
 
 
-def collect(
+def store_when_complete(
     memory: RankedMemory, request: CacheRequest, stream: Stream, rank: int, done: Callable[[], None]
 ) -> None:
     """Keep what a fill brings once it is whole, and call back at its end."""
@@ -196,40 +196,40 @@
     stream.listen(_nothing, ended)
 
 
-def fetch_work(world: Surroundings, memory: RankedMemory, request: CacheRequest) -> float:
+def fill_work(world: Environment, memory: RankedMemory, request: CacheRequest) -> float:
     """The work of a fill: little where a copy that was not purged only has to be renewed."""
     copy = memory.get(request.copy)
-    return request.work * (RENEWAL if copy and world.is_current(copy) else 1.0)
+    return request.work * (REVALIDATION_COST if copy and world.is_current(copy) else 1.0)
 
 
 class Parent(Server):
     """A hub's cache: it keeps what it fetches, and fetches an object once for all who wait."""
 
-    def __init__(self, name: str, zone: str, width: float, memory: float, world: Surroundings) -> None:
+    def __init__(self, name: str, zone: str, width: float, memory: float, world: Environment) -> None:
         super().__init__(name, zone, width, world)
         self.memory = RankedMemory(memory)
         self._fetches: dict[str, Fetch] = {}
 
-    def provide(self, request: CacheRequest, oldest: float, stream: Stream) -> None:
+    def serve_copy(self, request: CacheRequest, min_issued: float, stream: Stream) -> None:
         """Give a copy, fetched from the origin if need be."""
         if not self.admit(request, stream):
             return
         copy = self.memory.get(request.copy)
-        if copy and copy.issued >= oldest and not request.cls.uncached:
-            self.memory.use(copy, 0)
+        if copy and copy.issued >= min_issued and not request.cls.uncached:
+            self.memory.touch(copy, 0)
             stream.start(copy.issued, False)
             return stream.finish()
         if request.only_if_cached:
             return stream.fail(Failure.LACKING)
         fetch = self._fetches.get(request.copy)
-        if fetch is None or request.cls.uncached or not fetch.may_join(oldest):
-            if len(self._fetches) >= PARENT_FETCHES:
+        if fetch is None or request.cls.uncached or not fetch.may_join(min_issued):
+            if len(self._fetches) >= MAX_PARENT_FETCHES:
                 return stream.fail(Failure.FULL)
-            fetch = self._fetch(request, oldest)
-        _follow(fetch.stream, stream)
+            fetch = self._fetch(request, min_issued)
+        _forward_in_place(fetch.stream, stream)
 
-    def _fetch(self, request: CacheRequest, oldest: float) -> Fetch:
-        fetch = Fetch(Stream(), oldest)
+    def _fetch(self, request: CacheRequest, min_issued: float) -> Fetch:
+        fetch = Fetch(Stream(), min_issued)
         key = request.operation if request.cls.uncached else request.copy
         self._fetches[key] = fetch
 
@@ -237,16 +237,16 @@
             if self._fetches.get(key) is fetch:
                 del self._fetches[key]
 
-        collect(self.memory, request, fetch.stream, 1, done)
-        self.carry(fetch.stream)
-        self.world.fill(self, request, oldest, fetch.stream, fetch_work(self.world, self.memory, request))
+        store_when_complete(self.memory, request, fetch.stream, 1, done)
+        self.track_stream(fetch.stream)
+        self.world.fill(self, request, min_issued, fetch.stream, fill_work(self.world, self.memory, request))
         self.world.queue.after(
             PARENT_FETCH_TIMEOUT, lambda: None if fetch.stream.started else fetch.stream.fail(Failure.SLOW)
         )
         return fetch
 
 
-def _follow(upstream: Stream, stream: Stream) -> None:
+def _forward_in_place(upstream: Stream, stream: Stream) -> None:
     """Pass on a stream as it is at one place."""
 
     def ended() -> None:
@@ -262,13 +262,13 @@
 class Origin(Server):
     """It has all objects, few workers and a queue."""
 
-    def __init__(self, name: str, zone: str, world: Surroundings) -> None:
+    def __init__(self, name: str, zone: str, world: Environment) -> None:
         site = world.site
         super().__init__(name, zone, site.origin_width, world)
         self.slowdown = 1.0
         self._busy = 0
         self._queue: deque[tuple[CacheRequest, Stream]] = deque()
-        self._places = int(site.origin_workers * site.origin_queue_seconds / site.origin_seconds)
+        self._queue_limit = int(site.origin_workers * site.origin_queue_seconds / site.origin_seconds)
         self._recent: deque[float] = deque()
         self._stops = 0
 
@@ -277,12 +277,12 @@
         self.slowdown = factor
         self.link.set_width(self.full_width / factor)
 
-    def provide(self, request: CacheRequest, oldest: float, stream: Stream) -> None:
+    def serve_copy(self, request: CacheRequest, min_issued: float, stream: Stream) -> None:
         """Work on a request when a worker is free."""
         self._watch_overload()
         if not self.admit(request, stream):
             return
-        if len(self._queue) >= self._places:
+        if len(self._queue) >= self._queue_limit:
             return stream.fail(Failure.FULL)
         self._queue.append((request, stream))
         self._next()
@@ -295,8 +295,10 @@
             self._busy += 1
             if request.cls.uncached:
                 self.world.executed(request.operation)
-            mean = self.world.site.origin_seconds * self.slowdown
-            self.world.queue.after(mean * self.world.random.uniform(0.5, 1.5), partial(self._done, stream))
+            mean_seconds = self.world.site.origin_seconds * self.slowdown
+            self.world.queue.after(
+                mean_seconds * self.world.random.uniform(0.5, 1.5), partial(self._done, stream)
+            )
 
     def _done(self, stream: Stream) -> None:
         self._busy -= 1
@@ -307,18 +309,22 @@
     def _watch_overload(self) -> None:
         site = self.world.site
         now = self.world.queue.now
-        if not site.origin_falls or self._stops >= ORIGIN_STOPS or self.health is not Health.UP:
+        if (
+            not site.origin_stops_on_overload
+            or self._stops >= MAX_ORIGIN_STOPS
+            or self.health is not Health.UP
+        ):
             return
         self._recent.append(now)
-        while self._recent[0] < now - ORIGIN_SPAN:
+        while self._recent[0] < now - ORIGIN_OVERLOAD_WINDOW:
             self._recent.popleft()
-        bears = site.origin_workers / (site.origin_seconds * self.slowdown)
-        if len(self._recent) > ORIGIN_MULTIPLE * bears * ORIGIN_SPAN:
+        capacity_per_s = site.origin_workers / (site.origin_seconds * self.slowdown)
+        if len(self._recent) > ORIGIN_OVERLOAD_FACTOR * capacity_per_s * ORIGIN_OVERLOAD_WINDOW:
             self._stops += 1
             self._queue.clear()
             self.stop()
             self.world.origin_stopped()
-            self.world.queue.after(ORIGIN_DOWN, self._restart)
+            self.world.queue.after(ORIGIN_DOWNTIME, self._restart)
 
     def _restart(self) -> None:
         self.health = Health.UP
--- a/brackenlane/lab/simulation/site.py
+++ b/brackenlane/lab/simulation/site.py
@@ -17,10 +17,10 @@
 )
 
 ORIGIN = "origin"
-USUAL_LOAD = 0.6  # for which the origin is sized
-PARENT_MISSES = 0.35  # share of what well-used parents are asked for that they lack
-LEAST_ORIGIN = 2.0  # fills of one location that the origin bears on top
-LINK_FOR = 6  # caches; the link of a location with fewer is wider than in proportion
+ORIGIN_SIZING_LOAD = 0.6  # for which the origin is sized
+PARENT_MISS_RATIO = 0.35  # share of what well-used parents are asked for that they lack
+ORIGIN_RESERVE_FILLS = 2.0  # fills of one location that the origin bears on top
+LINK_SCALING_CACHES = 6  # caches; the link of a location with fewer is wider than in proportion
 
 
 class StatusReports(Enum):
@@ -31,7 +31,7 @@
     SILENT = "silent"
 
 
-class Weights(Enum):
+class WeightAccuracy(Enum):
     """What the list says of a server's link."""
 
     EXACT = "exact"
@@ -39,7 +39,7 @@
     SILENT = "silent"
 
 
-class TroubleKind(Enum):
+class FaultKind(Enum):
     """What goes wrong."""
 
     FAST_ERRORS = "fast errors"
@@ -52,14 +52,14 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class Fault:
     """One trouble of the day."""
 
-    kind: TroubleKind
+    kind: FaultKind
     at: float  # seconds after the start of the day
     seconds: float
-    part: float = 0.1  # of the servers, groups or requests concerned
-    size: float = 2.0  # errors: share of requests; origin: slowdown; oversize: times the usual size
+    share: float = 0.1  # of the servers, groups or requests concerned
+    magnitude: float = 2.0  # errors: share of requests; origin: slowdown; oversize: times the usual size
     parents: bool = False  # whether it strikes parents, else caches
 
 
@@ -74,9 +74,9 @@
     zipf: float = 1.0
     objects: int = 200
     parts: int = 1
-    gap: float = 0.5  # seconds between two parts
+    part_interval: float = 0.5  # seconds between two parts
     local: float = 0.2  # share of requests for objects wanted at one location only
-    once: float = 0.02  # share of requests for objects never asked for again
+    one_time_share: float = 0.02  # share of requests for objects never asked for again
     streamed: bool = False
 
 
@@ -100,25 +100,25 @@
     parents: tuple[int, ...] = (0,)  # the hub of each
     load: float = 0.5
     seconds: float = 15.0
-    hits: float = 0.7  # share of the bytes asked for that a location's caches keep
+    hit_ratio: float = 0.7  # share of the bytes asked for that a location's caches keep
     pace_kb_per_s: float = 5000.0
     fill_pace: float = 2.8  # of a fill, times a client's
     link_capacity: float = 1.3
     parent_capacity: float = 1.3
-    per_parent: float = 3.0  # locations whose fills one parent is sized for, however many there are
+    locations_per_parent: float = 3.0  # locations whose fills one parent is sized for, however many there are
     origin_capacity: float = 2.0
     origin_seconds: float = 0.04
     origin_queue_seconds: float = 1.0
-    origin_falls: bool = False
-    near: float = 0.008  # seconds to the servers of the own hub, one way
-    far: float = 0.03  # seconds for each hub further
+    origin_stops_on_overload: bool = False
+    near_latency: float = 0.008  # seconds to the servers of the own hub, one way
+    latency_per_hub: float = 0.03  # seconds for each hub further
     fills_per_cache: int = 16
     fill_timeout: float = 2.0
     abort_fill: bool = False
     slots_per_width: float = 4.0
     status_reports: StatusReports = StatusReports.ALL
-    report_x0: bool = False
-    weights: Weights = Weights.EXACT
+    load_reports: bool = False
+    weights: WeightAccuracy = WeightAccuracy.EXACT
     links_known: bool = False
     peers_known: bool = False
     sizes_known: bool = True  # with requests
@@ -137,14 +137,14 @@
     purge_propagation_time: float = 6.0
     purge_notice_delay: float = 0.2  # seconds until routers are notified, on average
     purges_per_second: float = 0.4
-    list_notice: float = 1.5  # seconds until routers hear of a change, on average
+    list_notice_delay: float = 1.5  # seconds until routers hear of a change, on average
     client_retries: int = 2
-    try_share: float = 0.75  # of the give-up time, that one try is given
-    backoff: float = 0.2
+    request_time_share: float = 0.75  # of the give-up time, that one try is given
+    retry_backoff: float = 0.2
     answer_slack: float = 0.008
     tick: float = 0.002
     connect_timeout: float = 0.4
-    troubles: tuple[Trouble, ...] = ()
+    faults: tuple[Fault, ...] = ()
 
     @cached_property
     def zones(self) -> tuple[str, ...]:
@@ -155,13 +155,13 @@
     @cached_property
     def router_homes(self) -> list[int]:
         """The location of each router."""
-        return [n for n, place in enumerate(self.locations) for _ in range(place.routers)]
+        return [n for n, location in enumerate(self.locations) for _ in range(location.routers)]
 
     @property
     def mean_work(self) -> float:
         """Of one request, in transfer-seconds."""
-        complete = sum(load.share for load in self.classes)
-        return sum(load.share * load.mean_work for load in self.classes) / complete
+        total_share = sum(load.share for load in self.classes)
+        return sum(load.share * load.mean_work for load in self.classes) / total_share
 
     def request_rate(self, location: int) -> float:
         """Requests a second at one location."""
@@ -170,33 +170,36 @@
     def link_width(self, location: int) -> float:
         """Transfers at pace on the link in of one location."""
         widths = self.locations[location].widths
-        few = math.sqrt(max(1.0, LINK_FOR / len(widths)))
-        return sum(widths) * (1 - self.hits) * self.link_capacity * few
+        few_caches_factor = math.sqrt(max(1.0, LINK_SCALING_CACHES / len(widths)))
+        return sum(widths) * (1 - self.hit_ratio) * self.link_capacity * few_caches_factor
 
     @property
     def fills_at_full_load(self) -> float:
         """Transfers that all fills take at load 1."""
-        return sum(sum(place.widths) for place in self.locations) * (1 - self.hits)
+        return sum(sum(location.widths) for location in self.locations) * (1 - self.hit_ratio)
 
     @property
     def parent_width(self) -> float:
         """Transfers at pace on the link of one parent."""
-        served = max(self.per_parent, len(self.locations) / max(1, len(self.parents)))
-        return self.fills_at_full_load / len(self.locations) * served * self.parent_capacity
+        served_locations = max(self.locations_per_parent, len(self.locations) / max(1, len(self.parents)))
+        return self.fills_at_full_load / len(self.locations) * served_locations * self.parent_capacity
 
     @property
     def origin_width(self) -> float:
         """Transfers at pace on the link of the origin."""
-        misses = PARENT_MISSES if self.parents else 1.0
-        largest = max(sum(place.widths) for place in self.locations) * (1 - self.hits)
-        return self.origin_capacity * USUAL_LOAD * self.fills_at_full_load * misses + LEAST_ORIGIN * largest
+        miss_ratio = PARENT_MISS_RATIO if self.parents else 1.0
+        largest = max(sum(location.widths) for location in self.locations) * (1 - self.hit_ratio)
+        return (
+            self.origin_capacity * ORIGIN_SIZING_LOAD * self.fills_at_full_load * miss_ratio
+            + ORIGIN_RESERVE_FILLS * largest
+        )
 
     @property
     def origin_workers(self) -> int:
         """Requests that the origin works on at once, enough for those that its link carries."""
         return max(2, math.ceil(self.origin_width / self.mean_work * self.origin_seconds))
 
-    def steps(self, hub: int, other: int) -> int:
+    def hops(self, hub: int, other: int) -> int:
         """Hubs on the way between two; they form a ring."""
         return min((hub - other) % self.hubs, (other - hub) % self.hubs)
 
@@ -212,8 +215,8 @@
             classes=tuple(load.cls for load in self.classes),
             router_index=router,
             router_count=len(homes),
-            hub_of=(*range(self.hubs), *(place.hub for place in self.locations)),
-            routers_by_location=(*[0] * self.hubs, *(place.routers for place in self.locations)),
+            hub_of=(*range(self.hubs), *(location.hub for location in self.locations)),
+            routers_by_location=(*[0] * self.hubs, *(location.routers for location in self.locations)),
             peer_index=router - homes.index(home) if self.peers_known else -1,
             link_kb_per_s=tuple(links) if self.links_known else (0.0,) * len(links),
             pace_kb_per_s=self.pace_kb_per_s,
@@ -226,7 +229,7 @@
             purge_propagation_time=self.purge_propagation_time,
             max_attempts=self.max_attempts,
             max_hold_off=self.max_hold_off,
-            weights_known=self.weights is not Weights.SILENT,
+            weights_known=self.weights is not WeightAccuracy.SILENT,
             may_cancel=self.may_cancel,
             may_hedge=self.may_hedge,
             may_bypass_caches=self.may_bypass_caches,
@@ -237,12 +240,12 @@
 
     def listed_weight(self, server: str, width: float) -> float:
         """What the list says of a server's link."""
-        if self.weights is Weights.EXACT:
+        if self.weights is WeightAccuracy.EXACT:
             return width
-        if self.weights is Weights.SILENT:
+        if self.weights is WeightAccuracy.SILENT:
             return 1.0
         return width * 2 ** random.Random(f"{self.seed}/{server}").uniform(-1, 1)
 
-    def calm(self) -> Site:
+    def without_faults(self) -> Site:
         """The same day without its troubles."""
-        return replace(self, troubles=())
+        return replace(self, faults=())
--- a/brackenlane/lab/simulation/slow_start.py
+++ b/brackenlane/lab/simulation/slow_start.py
@@ -7,10 +7,12 @@
 
 from brackenlane.routing.settings import SlowStart
 
-CHANCE = 2.0  # roots of the budget, in mean requests, and as many requests, that are put down to chance
+RANDOM_MARGIN = (
+    2.0  # roots of the budget, in mean requests, and as many requests, that are put down to chance
+)
 
 
-class ColdBudget:
+class ColdCapacity:
     """Work that reaches one cold server, in windows of the rule's span."""
 
     def __init__(
@@ -29,19 +31,19 @@
         warmed = min(1.0, max(0.0, now - self.started_at) / self._warm_after)
         return self._start_share + (1 - self._start_share) * warmed
 
-    def add(self, now: float, work: float, reported: bool, unit: float) -> float | None:
+    def add(self, now: float, work: float, notified: bool, mean_work: float) -> float | None:
         """Count work that arrives; if that pushes the server over, the share from routers told of its start.
 
-        unit: the mean work of the largest class, by which chance is judged.
+        mean_work: the mean work of the largest class, by which chance is judged.
         """
         share = self.share(now)
         if share >= 1:
             return None
-        self._recent.append((now, work, reported))
+        self._recent.append((now, work, notified))
         while self._recent[0][0] < now - self._rule.span:
             self._recent.popleft()
-        requested = sum(work for _, work, _ in self._recent)
+        received = sum(work for _, work, _ in self._recent)
         budget = self._rule.factor * self._width * share * self._rule.span
-        if requested <= budget + CHANCE * (math.sqrt(budget * unit) + unit):
+        if received <= budget + RANDOM_MARGIN * (math.sqrt(budget * mean_work) + mean_work):
             return None
-        return sum(work for _, work, reported in self._recent if reported) / requested
+        return sum(work for _, work, notified in self._recent if notified) / received
--- a/brackenlane/lab/simulation/streams.py
+++ b/brackenlane/lab/simulation/streams.py
@@ -63,8 +63,8 @@
         self.started = True
         self.issued = issued
         self.from_origin = from_origin
-        for call in self._on_start:
-            call()
+        for callback in self._on_start:
+            callback()
 
     def finish(self) -> None:
         """The last byte."""
@@ -79,12 +79,12 @@
             self._end()
 
     def _end(self) -> None:
-        calls, self._on_end = self._on_end, []
-        for call in calls:
-            call()
+        callbacks, self._on_end = self._on_end, []
+        for callback in callbacks:
+            callback()
 
 
-def held(issued: float) -> Stream:
+def complete_stream(issued: float) -> Stream:
     """A copy that is all there."""
     stream = Stream()
     stream.start(issued, False)
@@ -103,14 +103,14 @@
 ) -> None:
     """Pass on a stream through links while it comes; its end ends the transfer, and the reverse."""
     transfers: list[Transfer] = []
-    passed: list[bool] = []
+    finished_transfers: list[bool] = []
 
     def check() -> None:
-        if passed and upstream.complete:
+        if finished_transfers and upstream.complete:
             downstream.finish()
 
     def transferred() -> None:
-        passed.append(True)
+        finished_transfers.append(True)
         check()
 
     def begin() -> None:
@@ -129,7 +129,7 @@
 
     def stop() -> None:
         upstream.consumers -= 1
-        if not passed:
+        if not finished_transfers:
             for transfer in transfers:
                 transfer.cancel()
 
--- a/brackenlane/lab/simulation/value.py
+++ b/brackenlane/lab/simulation/value.py
@@ -5,12 +5,12 @@
 from brackenlane.lab.simulation.record import Operation, Record
 
 
-def earned(operation: Operation) -> float:
+def operation_value(operation: Operation) -> float:
     """What one operation brought: its worth within the aim, less after it, nothing past the give-up time."""
     cls = operation.cls
     if operation.answered_at is None:
         return 0.0
-    took = operation.answered_at - operation.born
+    took = operation.answered_at - operation.started_at
     aim = min(cls.time_limit, cls.latency_objective + cls.objective_stretch * operation.work)
     if took > cls.time_limit:
         return 0.0
@@ -18,7 +18,7 @@
     return share * cls.value_weight * (cls.stale_value if operation.stale else 1.0)
 
 
-def worth(record: Record) -> float:
+def served_value(record: Record) -> float:
     """The share of all worth asked for that was served."""
     requested = sum(operation.cls.value_weight for operation in record.operations.values())
-    return sum(map(earned, record.operations.values())) / requested if requested else 1.0
+    return sum(map(operation_value, record.operations.values())) / requested if requested else 1.0
--- a/brackenlane/lab/simulation/world.py
+++ b/brackenlane/lab/simulation/world.py
@@ -10,29 +10,35 @@
 from brackenlane.lab.simulation.clients import Clients
 from brackenlane.lab.simulation.clock import EventQueue
 from brackenlane.lab.simulation.edge import EdgeCache
-from brackenlane.lab.simulation.faults import begin_troubles
+from brackenlane.lab.simulation.faults import schedule_faults
 from brackenlane.lab.simulation.links import FairLink
 from brackenlane.lab.simulation.memory import StoredCopy
-from brackenlane.lab.simulation.record import Executed, FellOver, Listed, PurgeNotified, Record
+from brackenlane.lab.simulation.record import (
+    PurgeNotified,
+    Record,
+    ServerListed,
+    ServerOverloaded,
+    WriteExecuted,
+)
 from brackenlane.lab.simulation.reports import Reports
 from brackenlane.lab.simulation.routers import RouterHost
 from brackenlane.lab.simulation.servers import CacheRequest, Origin, Parent, Server
 from brackenlane.lab.simulation.site import ORIGIN, Site
-from brackenlane.lab.simulation.slow_start import ColdBudget
+from brackenlane.lab.simulation.slow_start import ColdCapacity
 from brackenlane.lab.simulation.streams import Failure, Stream, relay
-from brackenlane.lab.simulation.workload import Wanted, Workload
+from brackenlane.lab.simulation.workload import ContentObject, Workload
 from brackenlane.routing.actions import Action
 from brackenlane.routing.events import Event, Membership, MembershipKind, Purged
 from brackenlane.routing.members import Member, Role, ServerState
 from brackenlane.routing.rendezvous_hash import score
 from brackenlane.routing.settings import RequestClass, Settings
 
-START = 1000.0  # the clock at the start of a day; started_at 0 means long ago
-LAST = 60.0  # seconds after the last arrival until all has ended, also a long streamed answer
-PARENT_KEEPS = 0.93  # share of the bytes asked for that a parent keeps
-MEMORY_SIZE = 1.3  # of caches, over what is popular: hashes are uneven, and what is asked for once passes
-WEAKEST = (1.0, 1.7)  # a cold server's true start share, times the least that the rule tells
-WARMEST = (0.4, 1.0)  # its true time until warm, of the longest that the rule tells
+START_TIME = 1000.0  # the clock at the start of a day; started_at 0 means long ago
+SETTLE_TIME = 60.0  # seconds after the last arrival until all has ended, also a long streamed answer
+PARENT_KEPT_SHARE = 0.93  # share of the bytes asked for that a parent keeps
+MEMORY_FACTOR = 1.3  # of caches, over what is popular: hashes are uneven, and what is asked for once passes
+START_SHARE_RANGE = (1.0, 1.7)  # a cold server's true start share, times the least that the rule tells
+WARM_UP_RANGE = (0.4, 1.0)  # its true time until warm, of the longest that the rule tells
 NO_GROUP = -1
 
 
@@ -52,10 +58,10 @@
     def __init__(self, site: Site, policy: PolicyFactory) -> None:
         """policy: builds the decisions of one router from its settings and a seed."""
         self.site = site
-        self.queue = EventQueue(START)
+        self.queue = EventQueue(START_TIME)
         self.random = random.Random(f"{site.seed}/world")
         self.record = Record()
-        self.workload = Workload(site, START)
+        self.workload = Workload(site, START_TIME)
         self.location_links = {
             site.zones[site.hubs + n]: FairLink(site.link_width(n)) for n in range(len(site.locations))
         }
@@ -65,7 +71,7 @@
         self.members: dict[str, Member] = {}
         self._purged: dict[str | int, float] = {}
         self._known_starts: dict[tuple[int, str], float] = {}
-        self._build()
+        self._create_servers()
         self._means = {load.cls.name: load.mean_work for load in site.classes}
         self._streamed = {load.cls.name for load in site.classes if load.streamed}
         self.routers = [
@@ -79,10 +85,10 @@
         """Play the day."""
         for router in self.routers:
             self._notify(router, MembershipKind.REMEMBERED, tuple(self.members.values()))
-        self.clients.schedule(self.workload.first_tries())
+        self.clients.schedule(self.workload.planned_operations())
         self._schedule_purges()
-        begin_troubles(self)
-        self.queue.run(START + self.site.seconds + LAST)
+        schedule_faults(self)
+        self.queue.run(START_TIME + self.site.seconds + SETTLE_TIME)
         return self.record
 
     def server(self, name: str) -> Server | None:
@@ -99,7 +105,7 @@
 
     def executed(self, operation: str) -> None:
         """The origin ran a write."""
-        self.record.executed.append(Executed(operation, self.queue.now))
+        self.record.executed.append(WriteExecuted(operation, self.queue.now))
 
     def origin_stopped(self) -> None:
         """The origin was overloaded and stops for some seconds."""
@@ -114,12 +120,12 @@
         return cls.name in self._streamed
 
     def fill(
-        self, requester: Server, request: CacheRequest, oldest: float, into: Stream, work: float
+        self, requester: Server, request: CacheRequest, min_issued: float, downstream: Stream, work: float
     ) -> None:
         """Get a copy from the source that an ask names; a parent asks the origin."""
         source = self.origin if isinstance(requester, Parent) else self.server(request.source)
         if source is None:
-            self.queue.after(self.site.connect_timeout, lambda: into.fail(Failure.UNREACHABLE))
+            self.queue.after(self.site.connect_timeout, lambda: downstream.fail(Failure.UNREACHABLE))
             return
         upstream = Stream()
         latency = self.latency(requester.zone, source)
@@ -127,24 +133,24 @@
         pace = self.site.fill_pace
         if requester.zone in self.location_links and source.zone != requester.zone:
             links.append(self.location_links[requester.zone])
-            pace = max(1.0, pace / (1 + self._steps(requester.zone, source.zone)))
+            pace = max(1.0, pace / (1 + self._hops(requester.zone, source.zone)))
 
         def reach() -> None:
-            if not into.ended:
-                source.carry(into)
-                source.provide(request, oldest, upstream)
+            if not downstream.ended:
+                source.track_stream(downstream)
+                source.serve_copy(request, min_issued, upstream)
 
-        relay(self.queue, upstream, into, links, work, pace, latency)
+        relay(self.queue, upstream, downstream, links, work, pace, latency)
         self.queue.after(latency, reach)
 
-    def pressed(self, server: Server, router: int, work: float) -> None:
+    def record_cold_load(self, server: Server, router: int, work: float) -> None:
         """Work reached a server that started lately; too much pushes it over for good."""
         if server.cold is None:
             return
-        reported = self._known_starts.get((router, server.name), 0.0) >= server.cold.started_at
-        share = server.cold.add(self.queue.now, work, reported, max(self._means.values()))
+        notified = self._known_starts.get((router, server.name), 0.0) >= server.cold.started_at
+        share = server.cold.add(self.queue.now, work, notified, max(self._means.values()))
         if share is not None:
-            self.record.fell_over.append(FellOver(server.name, share, self.queue.now))
+            self.record.overloaded_servers.append(ServerOverloaded(server.name, share, self.queue.now))
             server.stop()
             server.cold = None
             self.announce(server.name, ServerState.GONE)
@@ -153,7 +159,7 @@
         """Seconds to a server, one way."""
         if zone == server.zone:
             return 0.0003
-        return self.site.near + self.site.far * self._steps(zone, server.zone)
+        return self.site.near_latency + self.site.latency_per_hub * self._hops(zone, server.zone)
 
     # What changes the world.
 
@@ -163,15 +169,15 @@
         if server is None or server is self.origin:
             return
         rule = self.site.parent_cold if name in self.parents else self.site.edge_cold
-        share = min(1.0, rule.share * self.random.uniform(*WEAKEST))
-        warm = rule.ramp * self.random.uniform(*WARMEST)
-        server.start_cold(ColdBudget(rule, server.full_width, share, warm, self.queue.now))
+        share = min(1.0, rule.share * self.random.uniform(*START_SHARE_RANGE))
+        warm = rule.ramp * self.random.uniform(*WARM_UP_RANGE)
+        server.start_cold(ColdCapacity(rule, server.full_width, share, warm, self.queue.now))
         self.announce(name, ServerState.SERVING, self.queue.now)
 
     def announce(self, name: str, state: ServerState, started_at: float | None = None) -> None:
         """Routers hear of a change, each after its own delay."""
         known = self.members[name]
-        reported = Member(
+        updated = Member(
             name,
             known.zone,
             known.role,
@@ -179,18 +185,18 @@
             weight=known.weight,
             started_at=known.started_at if started_at is None else started_at,
         )
-        self.members[name] = reported
+        self.members[name] = updated
         for router in self.routers:
-            delay = self.site.list_notice * self.random.uniform(0.5, 1.5)
+            delay = self.site.list_notice_delay * self.random.uniform(0.5, 1.5)
             # Delivery is ordered: what was announced later is heard later.
-            at = max(self.queue.now + delay, router.on_list)
-            router.on_list = at
-            self.queue.at(at, partial(self._notify, router, MembershipKind.CHANGES, (reported,)))
+            at = max(self.queue.now + delay, router.last_notice_at)
+            router.last_notice_at = at
+            self.queue.at(at, partial(self._notify, router, MembershipKind.CHANGES, (updated,)))
 
-    def add_cache(self, name: str, like: str) -> None:
+    def add_cache(self, name: str, replaced: str) -> None:
         """A new machine stands in for another."""
-        old = self.caches[like]
-        memory = self._memory(self.members[like].zone, old.full_width)
+        old = self.caches[replaced]
+        memory = self._memory(self.members[replaced].zone, old.full_width)
         self.caches[name] = EdgeCache(name, old.zone, old.full_width, memory, self)
         self.members[name] = Member(name, old.zone, weight=self.site.listed_weight(name, old.full_width))
 
@@ -206,18 +212,18 @@
 
     # The parts of these.
 
-    def _steps(self, zone: str, other: str) -> int:
-        return self.site.steps(self._hub(zone), self._hub(other))
+    def _hops(self, zone: str, other: str) -> int:
+        return self.site.hops(self._hub(zone), self._hub(other))
 
     def _hub(self, zone: str) -> int:
-        place = self.site.zones.index(zone)
-        return place if place < self.site.hubs else self.site.locations[place - self.site.hubs].hub
+        index = self.site.zones.index(zone)
+        return index if index < self.site.hubs else self.site.locations[index - self.site.hubs].hub
 
     def _notify(self, router: RouterHost, kind: MembershipKind, members: tuple[Member, ...]) -> None:
         for member in members:
             self._known_starts[router.number, member.server] = member.started_at
             self.record.listed.append(
-                Listed(router.number, member.server, member.state, member.started_at, self.queue.now)
+                ServerListed(router.number, member.server, member.state, member.started_at, self.queue.now)
             )
         router.deliver(Membership(kind, members))
 
@@ -230,16 +236,16 @@
             router.deliver(Purged("", key, now - purged_at))
 
     def _schedule_purges(self) -> None:
-        objects = [obj for obj, _ in self.workload.popular(None, 0.8)]
-        at = START
+        objects = [obj for obj, _ in self.workload.most_popular(None, 0.8)]
+        at = START_TIME
         while objects and self.site.purges_per_second:
             at += self.random.expovariate(self.site.purges_per_second)
-            if at > START + self.site.seconds:
+            if at > START_TIME + self.site.seconds:
                 return
             name = self.random.choice(objects).name
             self.queue.at(at, partial(self.purge, name))
 
-    def _build(self) -> None:
+    def _create_servers(self) -> None:
         site = self.site
         self.members[ORIGIN] = Member(ORIGIN, site.zones[0], Role.ORIGIN)
         for n, hub in enumerate(site.parents):
@@ -247,9 +253,9 @@
             self.parents[name] = Parent(name, site.zones[hub], site.parent_width, self._parent_memory(), self)
             weight = site.listed_weight(name, site.parent_width)
             self.members[name] = Member(name, site.zones[hub], Role.PARENT, weight=weight)
-        for n, place in enumerate(site.locations):
+        for n, location in enumerate(site.locations):
             zone = site.zones[site.hubs + n]
-            for number, width in enumerate(place.widths):
+            for number, width in enumerate(location.widths):
                 name = f"cache-{n}-{number}"
                 self.caches[name] = EdgeCache(name, zone, width, self._memory(zone, width), self)
                 self.members[name] = Member(name, zone, cell=n, weight=site.listed_weight(name, width))
@@ -260,32 +266,32 @@
     def _memory(self, zone: str, width: float) -> float:
         """What one cache holds, its part of what its location's caches need for the site's share of hits."""
         location = self.site.zones.index(zone) - self.site.hubs
-        retained = self.workload.popular(location, self.site.hits)
-        complete = sum(obj.work * obj.parts for obj, _ in retained)
-        return MEMORY_SIZE * complete * width / sum(self.site.locations[location].widths)
+        popular = self.workload.most_popular(location, self.site.hit_ratio)
+        total = sum(obj.work * obj.parts for obj, _ in popular)
+        return MEMORY_FACTOR * total * width / sum(self.site.locations[location].widths)
 
     def _parent_memory(self) -> float:
-        return sum(obj.work * obj.parts for obj, _ in self.workload.popular(None, PARENT_KEEPS))
+        return sum(obj.work * obj.parts for obj, _ in self.workload.most_popular(None, PARENT_KEPT_SHARE))
 
     def _warm_caches(self, location: int, zone: str) -> None:
         """Caches begin the day with what they were asked for lately, placed by rendezvous hash."""
         members = [m for m in self.members.values() if m.zone == zone]
-        for obj, cls in reversed(self.workload.popular(location, self.site.hits)):
+        for obj, cls in reversed(self.workload.most_popular(location, self.site.hit_ratio)):
             for part in range(obj.parts):
                 copy = self._copy(obj, part, cls)
                 best = min(members, key=lambda m: (score(copy.name, m), m.server))
                 self.caches[best.server].memory.store(copy)
 
     def _warm_parent(self, parent: Parent) -> None:
-        for obj, cls in reversed(self.workload.popular(None, PARENT_KEEPS)):
+        for obj, cls in reversed(self.workload.most_popular(None, PARENT_KEPT_SHARE)):
             for part in range(obj.parts):
                 parent.memory.store(self._copy(obj, part, cls))
 
-    def _copy(self, obj: Wanted, part: int, cls: RequestClass) -> StoredCopy:
+    def _copy(self, obj: ContentObject, part: int, cls: RequestClass) -> StoredCopy:
         age = self.random.uniform(0.0, cls.fresh_for or 60.0)
-        return StoredCopy(f"{obj.name}/{part}", obj.name, obj.group, START - age, obj.work)
+        return StoredCopy(f"{obj.name}/{part}", obj.name, obj.group, START_TIME - age, obj.work)
 
 
-def play(site: Site, policy: PolicyFactory) -> Record:
+def run_site(site: Site, policy: PolicyFactory) -> Record:
     """Play one day under a policy."""
     return World(site, policy).run()
--- a/tests/test_drawn_sites.py
+++ b/tests/test_drawn_sites.py
@@ -18,7 +18,7 @@
 from brackenlane.routing.events import Arrival
 
 EXAMPLES = (*range(28), 30, 52)  # seeds; with 30, cold parents come up in both groups; 52 streams for long
-GROUPS = 2  # of examples, for as many processes
+GROUP_COUNT = 2  # of examples, for as many processes
 EASY = (2, 7, 14)  # draws that the plain policy serves almost whole
 PUT_TO_THE_TEST = frozenset(
     {
@@ -44,14 +44,14 @@
     return f"draw {number}: {figures}, broken {result.broken}: {result.site}"
 
 
-@pytest.mark.parametrize("group", range(GROUPS))
+@pytest.mark.parametrize("group", range(GROUP_COUNT))
 def test_rules_hold_and_worth_is_not_under_that_of_a_plain_policy(group: int) -> None:
     """On every drawn site; a group's mean is bound as that of all is."""
-    results = {number: compare(drawn(number)) for number in EXAMPLES[group::GROUPS]}
+    results = {number: compare(drawn(number)) for number in EXAMPLES[group::GROUP_COUNT]}
     complaints = [complaint(number, result) for number, result in results.items()]
     assert not any(complaints), "\n\n".join(filter(None, complaints))
     assert mean(result.gain for result in results.values()) >= -MEAN_LOSS
-    assert frozenset().union(*(result.put_to_the_test for result in results.values())) == PUT_TO_THE_TEST
+    assert frozenset().union(*(result.exercised for result in results.values())) == PUT_TO_THE_TEST
 
 
 def test_a_policy_that_serves_less_is_found() -> None:
--- a/tests/test_purge_wave.py
+++ b/tests/test_purge_wave.py
@@ -10,56 +10,61 @@
 from brackenlane.lab.simulation import invariants
 from brackenlane.lab.simulation.record import Record
 from brackenlane.lab.simulation.servers import CacheRequest
-from brackenlane.lab.simulation.site import ClassLoad, Location, Site, StatusReports, Trouble, TroubleKind
+from brackenlane.lab.simulation.site import ClassLoad, Fault, FaultKind, Location, Site, StatusReports
 from brackenlane.lab.simulation.streams import Stream
-from brackenlane.lab.simulation.value import worth
-from brackenlane.lab.simulation.world import START, PolicyFactory, World
+from brackenlane.lab.simulation.value import served_value
+from brackenlane.lab.simulation.world import START_TIME, PolicyFactory, World
 from brackenlane.routing import Router
 from brackenlane.routing.actions import Action, Fetch
 from brackenlane.routing.events import Event
 from tests.test_simulated_caches import KEYED, PAGE, VIDEO
 
-PURGE_AT, WATCHED = 5.0, 6.0  # seconds after the day's start; seconds in which older copies are dropped
-AGAIN = 2.0  # times that a copy is fetched from the origin in these, on average, at most: by each parent
-SERVED = 0.95  # of the day's worth, at least
+PURGE_AT, WATCHED_SECONDS = (
+    5.0,
+    6.0,
+)  # seconds after the day's start; seconds in which older copies are dropped
+MAX_FETCHES_PER_COPY = (
+    2.0  # times that a copy is fetched from the origin in these, on average, at most: by each parent
+)
+MIN_SERVED_VALUE = 0.95  # of the day's worth, at least
 
 
-def purge_day(seed: int, status_reports: StatusReports) -> Site:
+def purge_site(seed: int, status_reports: StatusReports) -> Site:
     """Two hubs with a parent each, eight locations, an origin that stops when it is pushed."""
     return Site(
         seed=seed,
         hubs=2,
         locations=tuple(Location(hub, (4.0, 4.0)) for hub in (0, 0, 0, 0, 1, 1, 1, 1)),
         classes=(
-            ClassLoad(VIDEO, 0.5, 0.4, objects=12, parts=6, local=0.0, once=0.0),
-            ClassLoad(PAGE, 0.4, 0.07, objects=40, local=0.0, once=0.0),
+            ClassLoad(VIDEO, 0.5, 0.4, objects=12, parts=6, local=0.0, one_time_share=0.0),
+            ClassLoad(PAGE, 0.4, 0.07, objects=40, local=0.0, one_time_share=0.0),
             ClassLoad(replace(KEYED, repeat_window=6.0), 0.1, 0.02),
         ),
         parents=(0, 1),
         load=0.6,
         status_reports=status_reports,
-        origin_falls=True,
+        origin_stops_on_overload=True,
         may_bypass_caches=False,
         purges_per_second=0.0,
-        troubles=(Trouble(TroubleKind.PURGE_GROUPS, PURGE_AT, 1.0, part=0.5),),
+        faults=(Fault(FaultKind.PURGE_GROUPS, PURGE_AT, 1.0, share=0.5),),
     )
 
 
 def fetched(site: Site, policy: PolicyFactory) -> tuple[Record, Counter[str]]:
     """The day's record, and how often each copy was asked of the origin after the purge."""
     world, copies = World(site, policy), Counter[str]()
-    provide = world.origin.provide
+    serve_copy = world.origin.serve_copy
 
-    def count(request: CacheRequest, oldest: float, stream: Stream) -> None:
-        if request.cls is VIDEO and PURGE_AT <= world.queue.now - START < PURGE_AT + WATCHED:
+    def count(request: CacheRequest, min_issued: float, stream: Stream) -> None:
+        if request.cls is VIDEO and PURGE_AT <= world.queue.now - START_TIME < PURGE_AT + WATCHED_SECONDS:
             copies[request.copy] += 1
-        provide(request, oldest, stream)
+        serve_copy(request, min_issued, stream)
 
-    world.origin.provide = count  # type: ignore[method-assign]
+    world.origin.serve_copy = count  # type: ignore[method-assign]
     return world.run(), copies
 
 
-class Unladdered(Router):
+class FillsFromOrigin(Router):
     """A planted fault: every fill comes from the origin."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
@@ -72,16 +77,16 @@
 @pytest.mark.parametrize("seed", [3, 4, 5])
 def test_each_copy_is_fetched_about_once(seed: int, status_reports: StatusReports) -> None:
     """No copy more often than by each parent and once beside them; the origin stands, the day is served."""
-    site = purge_day(seed, status_reports)
+    site = purge_site(seed, status_reports)
     record, copies = fetched(site, Router)
     assert max(copies.values()) <= len(site.parents) + 1
-    assert sum(copies.values()) <= AGAIN * len(copies)
+    assert sum(copies.values()) <= MAX_FETCHES_PER_COPY * len(copies)
     assert record.origin_stops == 0
-    assert worth(record) >= SERVED
+    assert served_value(record) >= MIN_SERVED_VALUE
     assert invariants.violations(site, record) == {}
 
 
 def test_a_wave_is_found() -> None:
     """Were each cache to fetch for itself, the counts above would tell."""
-    _, copies = fetched(purge_day(3, StatusReports.ALL), Unladdered)
-    assert sum(copies.values()) > AGAIN * len(copies)
+    _, copies = fetched(purge_site(3, StatusReports.ALL), FillsFromOrigin)
+    assert sum(copies.values()) > MAX_FETCHES_PER_COPY * len(copies)
--- a/tests/test_simulated_caches.py
+++ b/tests/test_simulated_caches.py
@@ -12,15 +12,15 @@
 from brackenlane.lab.simulation.record import Operation, Record
 from brackenlane.lab.simulation.site import (
     ClassLoad,
+    Fault,
+    FaultKind,
     Location,
     Site,
     StatusReports,
-    Trouble,
-    TroubleKind,
-    Weights,
+    WeightAccuracy,
 )
-from brackenlane.lab.simulation.value import earned, worth
-from brackenlane.lab.simulation.world import PolicyFactory, World, play
+from brackenlane.lab.simulation.value import operation_value, served_value
+from brackenlane.lab.simulation.world import PolicyFactory, World, run_site
 from brackenlane.routing.actions import Action, Fail, Fetch, Reject
 from brackenlane.routing.events import Arrival, AttemptResult, CacheStatus, Event, Outcome, Purged
 from brackenlane.routing.members import Member, Role, ServerState
@@ -66,15 +66,15 @@
             ClassLoad(write, 0.1, 0.02),
         ),
         "parents": (0, 0),
-        "per_parent": 1.0,
+        "locations_per_parent": 1.0,
         "seconds": 10.0,
     }
     return Site(**{**base, **changes})
 
 
-def trouble(kind: TroubleKind, **more: Any) -> Trouble:
+def make_fault(kind: FaultKind, **more: Any) -> Fault:
     """One trouble two seconds after the start."""
-    return Trouble(kind, **{"at": 2.0, "seconds": 5.0, "part": 0.4, **more})
+    return Fault(kind, **{"at": 2.0, "seconds": 5.0, "share": 0.4, **more})
 
 
 def verdicts(record: Record) -> set[AttemptResult]:
@@ -84,64 +84,64 @@
 
 def test_worth_falls_after_the_aim_and_with_stale_copies() -> None:
     operation = Operation("op", PAGE, 10.0, 0.1, answered_at=10.4)
-    assert earned(operation) == 1.0
-    assert earned(replace(operation, stale=True)) == 0.5
-    assert earned(replace(operation, answered_at=11.0)) == 0.0
-    assert earned(replace(operation, cls=VIDEO, answered_at=11.0)) == pytest.approx(2.0 * 0.15)
-    assert earned(replace(operation, answered_at=None)) == 0.0
+    assert operation_value(operation) == 1.0
+    assert operation_value(replace(operation, stale=True)) == 0.5
+    assert operation_value(replace(operation, answered_at=11.0)) == 0.0
+    assert operation_value(replace(operation, cls=VIDEO, answered_at=11.0)) == pytest.approx(2.0 * 0.15)
+    assert operation_value(replace(operation, answered_at=None)) == 0.0
 
 
 def test_a_day_is_the_same_by_its_seed() -> None:
-    day = site(troubles=(trouble(TroubleKind.CRASH),))
-    first, second = play(day, PlainPolicy), play(day, PlainPolicy)
+    scenario = site(faults=(make_fault(FaultKind.CRASH),))
+    first, second = run_site(scenario, PlainPolicy), run_site(scenario, PlainPolicy)
     assert first.ended == second.ended
     assert first.sent == second.sent
-    assert play(replace(day, seed=4), PlainPolicy).ended != first.ended
+    assert run_site(replace(scenario, seed=4), PlainPolicy).ended != first.ended
 
 
 def test_calm_day_is_served_and_breaks_no_invariant() -> None:
-    day = site()
-    record = play(day, PlainPolicy)
+    scenario = site()
+    record = run_site(scenario, PlainPolicy)
     assert len(record.operations) > 200
-    assert worth(record) > 0.95
-    assert invariants.violations(day, record) == {}
+    assert served_value(record) > 0.95
+    assert invariants.violations(scenario, record) == {}
     notes = {ended.cache_status for ended in record.ended}
     assert {CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN} <= notes
 
 
 @pytest.mark.parametrize(
-    ("found", "strikes"),
+    ("expected_result", "fault"),
     [
-        (AttemptResult.ERROR, trouble(TroubleKind.FAST_ERRORS, size=0.8)),
-        (AttemptResult.ERROR, trouble(TroubleKind.FAST_ERRORS, size=0.8, parents=True)),
-        (AttemptResult.TIMEOUT, trouble(TroubleKind.HANG)),
-        (AttemptResult.ERROR, trouble(TroubleKind.HANG, parents=True)),
-        (AttemptResult.BROKEN, trouble(TroubleKind.CRASH)),
-        (AttemptResult.UNREACHABLE, trouble(TroubleKind.CRASH)),
-        (AttemptResult.FULL, trouble(TroubleKind.CRASH, parents=True)),
+        (AttemptResult.ERROR, make_fault(FaultKind.FAST_ERRORS, magnitude=0.8)),
+        (AttemptResult.ERROR, make_fault(FaultKind.FAST_ERRORS, magnitude=0.8, parents=True)),
+        (AttemptResult.TIMEOUT, make_fault(FaultKind.HANG)),
+        (AttemptResult.ERROR, make_fault(FaultKind.HANG, parents=True)),
+        (AttemptResult.BROKEN, make_fault(FaultKind.CRASH)),
+        (AttemptResult.UNREACHABLE, make_fault(FaultKind.CRASH)),
+        (AttemptResult.FULL, make_fault(FaultKind.CRASH, parents=True)),
     ],
 )
-def test_troubles_show_in_outcomes_and_cost_worth(found: AttemptResult, strikes: Trouble) -> None:
-    day = site(troubles=(strikes,))
-    record = play(day, PlainPolicy)
-    assert found in verdicts(record)
-    assert found not in verdicts(play(day.calm(), PlainPolicy))
+def test_troubles_show_in_outcomes_and_cost_worth(expected_result: AttemptResult, fault: Fault) -> None:
+    scenario = site(faults=(fault,))
+    record = run_site(scenario, PlainPolicy)
+    assert expected_result in verdicts(record)
+    assert expected_result not in verdicts(run_site(scenario.without_faults(), PlainPolicy))
 
 
 def test_a_slow_origin_and_a_purge_of_groups_cost_worth() -> None:
-    calm = worth(play(site(load=0.7), PlainPolicy))
-    for strikes in (
-        trouble(TroubleKind.ORIGIN_SLOW, size=30.0),
-        trouble(TroubleKind.PURGE_GROUPS, part=1.0),
-        trouble(TroubleKind.OVERSIZE, part=0.5, size=20.0),
+    value_without_fault = served_value(run_site(site(load=0.7), PlainPolicy))
+    for fault in (
+        make_fault(FaultKind.ORIGIN_SLOW, magnitude=30.0),
+        make_fault(FaultKind.PURGE_GROUPS, share=1.0),
+        make_fault(FaultKind.OVERSIZE, share=0.5, magnitude=20.0),
     ):
-        assert worth(play(site(load=0.7, troubles=(strikes,)), PlainPolicy)) < calm
+        assert served_value(run_site(site(load=0.7, faults=(fault,)), PlainPolicy)) < value_without_fault
 
 
 def test_an_origin_that_falls_stops_for_some_seconds_twice_at_most() -> None:
-    slow = trouble(TroubleKind.ORIGIN_SLOW, size=30.0, seconds=8.0, at=0.5)
-    day = site(parents=(), hits=0.3, load=1.0, origin_falls=True, troubles=(slow,))
-    assert 1 <= play(day, PlainPolicy).origin_stops <= 2
+    slow = make_fault(FaultKind.ORIGIN_SLOW, magnitude=30.0, seconds=8.0, at=0.5)
+    scenario = site(parents=(), hit_ratio=0.3, load=1.0, origin_stops_on_overload=True, faults=(slow,))
+    assert 1 <= run_site(scenario, PlainPolicy).origin_stops <= 2
 
 
 class Listener(PlainPolicy):
@@ -192,19 +192,19 @@
 def test_routers_see_the_notes_that_the_site_gives(
     listener: type[Listener], status_reports: StatusReports, notes: set[CacheStatus]
 ) -> None:
-    strikes = trouble(TroubleKind.FAST_ERRORS, parents=True, size=0.9)
-    play(site(status_reports=status_reports, troubles=(strikes,), load=0.8), listener)
+    fault = make_fault(FaultKind.FAST_ERRORS, parents=True, magnitude=0.9)
+    run_site(site(status_reports=status_reports, faults=(fault,), load=0.8), listener)
     seen = {outcome.cache_status for outcome in listener.outcomes}
     assert seen <= notes | {CacheStatus.UNKNOWN}
     assert len(seen) >= min(3, len(notes))
 
 
 def test_reports_sizes_and_weights_follow_the_site(listener: type[Listener]) -> None:
-    play(site(report_x0=True, sizes_known=False, weights=Weights.SILENT), listener)
+    run_site(site(load_reports=True, sizes_known=False, weights=WeightAccuracy.SILENT), listener)
     assert any(dict(outcome.report).keys() == {"inflight", "x0"} for outcome in listener.outcomes)
     assert {arrival.size_kb for arrival in listener.arrivals} == {0.0}
     assert listener.weights == {1.0}
-    play(site(sizes_seen=True, weights=Weights.ROUGH), listener)
+    run_site(site(sizes_seen=True, weights=WeightAccuracy.ROUGH), listener)
     assert any(outcome.size_kb for outcome in listener.outcomes)
     assert any(arrival.size_kb for arrival in listener.arrivals)
     assert len(listener.weights) > 5
@@ -212,7 +212,7 @@
 
 def test_a_streamed_answer_outlasts_its_deadline() -> None:
     load = ClassLoad(replace(VIDEO, time_limit=0.5), 0.5, 2.0, objects=50, streamed=True)
-    record = play(site(classes=(load,)), PlainPolicy)
+    record = run_site(site(classes=(load,)), PlainPolicy)
     late = [r for r in record.ended if r.at > record.requests[r.request_id].deadline + 0.1]
     assert any(ended.result is AttemptResult.OK for ended in late)
     assert not record.overdue
@@ -263,8 +263,8 @@
     """Refuses what may have run."""
 
     def _give_up(self, request: PlainRequest) -> list[Action]:
-        self._requests.pop(request.ask.request_id, None)
-        return [Reject(request.ask.request_id)]
+        self._requests.pop(request.arrival.request_id, None)
+        return [Reject(request.arrival.request_id)]
 
 
 class Stubborn(PlainPolicy):
@@ -277,7 +277,7 @@
             and event.result is AttemptResult.ERROR
             and request.cls.idempotency is Idempotency.IDEMPOTENT
         ):
-            request.tried = []
+            request.tried_servers = []
             return self._send(request, now)
         return super()._outcome(event, now)
 
@@ -320,9 +320,9 @@
         return Member("parent-99", "hub-0", Role.PARENT)
 
 
-REPLACED = {"troubles": (trouble(TroubleKind.REPLACE),), "list_notice": 0.5}
-ERRORS = {"troubles": (trouble(TroubleKind.FAST_ERRORS, size=0.9),)}
-CRASHED_PARENTS = {"troubles": (trouble(TroubleKind.CRASH, parents=True, part=1.0, seconds=2.0),)}
+REPLACED = {"faults": (make_fault(FaultKind.REPLACE),), "list_notice_delay": 0.5}
+ERRORS = {"faults": (make_fault(FaultKind.FAST_ERRORS, magnitude=0.9),)}
+CRASHED_PARENTS = {"faults": (make_fault(FaultKind.CRASH, parents=True, share=1.0, seconds=2.0),)}
 
 
 @pytest.mark.parametrize(
@@ -334,17 +334,17 @@
             SourceDrainBlind,
             "drains_respected",
             {
-                "troubles": (trouble(TroubleKind.REPLACE, parents=True),),
-                "list_notice": 0.5,
+                "faults": (make_fault(FaultKind.REPLACE, parents=True),),
+                "list_notice_delay": 0.5,
                 "parent_cold": SlowStart(),  # warm at once
             },
         ),
-        (PurgeBlind, "purges_respected", {"troubles": (trouble(TroubleKind.PURGE_GROUPS, part=1.0),)}),
+        (PurgeBlind, "purges_respected", {"faults": (make_fault(FaultKind.PURGE_GROUPS, share=1.0),)}),
         (Repeater, "no_repeated_writes", ERRORS),
         (
             Repeater,
             "no_repeated_writes",
-            {"write": KEYED, "troubles": (trouble(TroubleKind.HANG, parents=True, part=1.0),)},
+            {"write": KEYED, "faults": (make_fault(FaultKind.HANG, parents=True, share=1.0),)},
         ),
         (Refuser, "no_repeated_writes", ERRORS),
         (Stubborn, "attempts_bounded", {**ERRORS, "max_attempts": 3}),
@@ -355,21 +355,21 @@
         (Inventive, "servers_allowed", {}),
         (
             PlainPolicy,
-            "no_cold_server_pushed_over",
+            "no_cold_server_overloaded",
             {
                 "load": 1.0,
-                "list_notice": 0.3,
+                "list_notice_delay": 0.3,
                 "edge_cold": SlowStart(0.05, 20.0, 2.0, 1.0),
-                "troubles": (trouble(TroubleKind.REPLACE, at=0.5),),
+                "faults": (make_fault(FaultKind.REPLACE, at=0.5),),
             },
         ),
         (
             PlainPolicy,
-            "no_cold_server_pushed_over",
+            "no_cold_server_overloaded",
             {
                 **CRASHED_PARENTS,
                 "load": 1.0,
-                "list_notice": 0.3,
+                "list_notice_delay": 0.3,
                 "parents": (0,),
                 "parent_cold": SlowStart(0.02, 20.0, 1.2, 1.0),
             },
@@ -379,9 +379,9 @@
 def test_each_check_finds_a_fault_planted_in_a_policy(
     policy: PolicyFactory, rule: str, changes: dict[str, Any]
 ) -> None:
-    day = site(**changes)
-    found = invariants.violations(day, World(day, policy).run())
-    assert list(found) == [rule], found
+    scenario = site(**changes)
+    expected_result = invariants.violations(scenario, World(scenario, policy).run())
+    assert list(expected_result) == [rule], expected_result
 
 
 def test_an_attempt_after_the_final_answer_is_found() -> None:
@@ -396,5 +396,5 @@
                 else [Fail(send_request.request_id), *fetches]
             )
 
-    day = site()
-    assert list(invariants.violations(day, play(day, Late))) == ["answered_once"]
+    scenario = site()
+    assert list(invariants.violations(scenario, run_site(scenario, Late))) == ["answered_once"]
--- a/tests/test_simulation_parts.py
+++ b/tests/test_simulation_parts.py
@@ -54,7 +54,7 @@
 def test_memory_drops_the_lowest_rank_first_and_in_a_rank_what_was_used_longest_ago() -> None:
     memory = RankedMemory(3.0)
     assert all(memory.store(copy(name, rank)) for name, rank in (("a", 2), ("b", 1), ("c", 1)))
-    memory.use(memory.get("b") or copy(""), 0)
+    memory.touch(memory.get("b") or copy(""), 0)
     assert memory.store(copy("d"))
     assert memory.get("c") is None
     assert memory.store(copy("e", 3))
