--- a/brackenlane/lab/bounds.py
+++ b/brackenlane/lab/bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on the figures of a measurement, and its closing lines: what was missed, then one JSON object."""
+"""Bounds on the figures of a measurement, and its final output: missed bounds, then one JSON object."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Side(Enum):
-    """On which side of its bound a figure has to stay."""
+    """Whether a bound is a lower or an upper one."""
 
     AT_LEAST = "at least"
     AT_MOST = "at most"
@@ -19,30 +19,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """The bound of one figure, in the figure's own unit."""
+    """The bound of one figure, in the unit of the figure."""
 
     side: Side
     value: float
 
     def holds(self, figure: float) -> bool:
-        """Whether a figure keeps to it."""
+        """Whether a figure is within the bound."""
         return figure >= self.value if self.side is Side.AT_LEAST else figure <= self.value
 
 
 def at_least(value: float) -> Bound:
-    """A figure may not be less."""
+    """Return a lower bound."""
     return Bound(Side.AT_LEAST, value)
 
 
 def at_most(value: float) -> Bound:
-    """A figure may not be more."""
+    """Return an upper bound."""
     return Bound(Side.AT_MOST, value)
 
 
 def conclude(result: Mapping[str, Any], bounds: Mapping[str, Bound], check: bool) -> int:
-    """Print the bounds that are missed and the result; the exit status: 1 if any is and check is set.
+    """Print the missed bounds and the result; return the exit status, 1 if `check` is set and one is missed.
 
-    Raises KeyError for a bound whose figure was not measured.
+    Raise KeyError for a bound whose figure was not measured.
     """
     missed = [name for name, bound in bounds.items() if not bound.holds(result[name])]
     for name in missed:
--- a/brackenlane/lab/simulation/clients.py
+++ b/brackenlane/lab/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Clients: open-loop first tries, and retries after failures where these are allowed."""
+"""Clients: they start operations at planned times (open loop) and retry failed requests where permitted."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import World
 
-MIN_REQUEST_TIME = 0.05  # seconds left, below which no client tries again
+MIN_REQUEST_TIME = 0.05  # seconds; with less time before its deadline, a client sends no further request
 
 
 @dataclass(slots=True)
 class Client:
-    """One operation and the tries made for it."""
+    """One operation and the number of requests sent for it so far."""
 
     operation: Operation
     planned: PlannedOperation
@@ -27,7 +27,7 @@
 
 
 class Clients:
-    """All clients of one day."""
+    """All clients of one run."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -36,7 +36,7 @@
             self._by_location.setdefault(location, []).append(router)
 
     def schedule(self, operations: list[PlannedOperation]) -> None:
-        """Ask for all of these at their times."""
+        """Schedule the first request of each operation at its planned time."""
         for n, planned in enumerate(operations):
             self._world.queue.at(planned.at, partial(self._begin, n, planned))
 
@@ -97,7 +97,7 @@
 
 
 def _may_retry(client: Client, disposition: Disposition, now: float) -> bool:
-    """Whether a client repeats: writes only where that does no harm."""
+    """Whether the client may retry: a request that may have been executed, only if a repeat is safe."""
     cls = client.operation.cls
     if cls.idempotency is Idempotency.IDEMPOTENT or disposition is Disposition.REJECTED:
         return True
--- a/brackenlane/lab/simulation/clock.py
+++ b/brackenlane/lab/simulation/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: calls that are due at a moment, made in order."""
+"""The virtual clock and its queue of scheduled calls."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ScheduledCall:
-    """A call that is due at a moment and may be cancelled before it."""
+    """Handle of a scheduled call, by which it can be cancelled."""
 
     __slots__ = ("call",)
 
@@ -16,31 +16,31 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Never make the call."""
+        """Cancel the call if it has not been made yet."""
         self.call = None
 
 
 class EventQueue:
-    """Scheduled calls; those due at one moment are made in the order in which they were scheduled."""
+    """Scheduled calls in order of time; calls due at the same time run in the order they were scheduled."""
 
     def __init__(self, start: float) -> None:
-        """start: the clock at first, in seconds."""
+        """start: initial time of the clock, in seconds."""
         self.now = start
         self._order = itertools.count()
         self._heap: list[tuple[float, int, ScheduledCall]] = []
 
     def at(self, when: float, call: Callable[[], None]) -> ScheduledCall:
-        """Make a call at a moment, or as soon as possible if that has passed."""
+        """Schedule a call at a time, or as soon as possible if that time has passed."""
         scheduled = ScheduledCall(call)
         heapq.heappush(self._heap, (max(when, self.now), next(self._order), scheduled))
         return scheduled
 
     def after(self, delay: float, call: Callable[[], None]) -> ScheduledCall:
-        """Make a call some seconds from now."""
+        """Schedule a call after a delay in seconds."""
         return self.at(self.now + delay, call)
 
     def run(self, until: float) -> None:
-        """Make all calls that are due up to a moment."""
+        """Run all calls that are due up to a time, then set the clock to that time."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, scheduled = heapq.heappop(self._heap)
             if scheduled.call:
--- a/brackenlane/lab/simulation/comparison.py
+++ b/brackenlane/lab/simulation/comparison.py
@@ -1,4 +1,4 @@
-"""One day of the virtual caches under a policy and under the plain one, and what came up in it."""
+"""Runs one site under the tested policy and under the plain one, and compares the value served."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """One day under both policies."""
+    """Outcome of one site under both policies."""
 
     site: Site
     broken: dict[str, Any]
-    exercised: frozenset[str]  # what the rules are about, as far as it came up in this day
+    exercised: frozenset[str]  # conditions that the invariants cover and that occurred in this run
     module: float
     plain: float
 
     @property
     def gain(self) -> float:
-        """Worth served above that of the plain policy."""
+        """Share of value served by the tested policy, minus that of the plain policy."""
         return self.module - self.plain
 
 
 def compare(site: Site, policy: PolicyFactory = Router) -> Result:
-    """Play a day under a policy and under the plain one."""
+    """Run a site under a policy and under the plain policy."""
     world = World(site, policy)
     record = world.run()
     plain = served_value(run_site(site, PlainPolicy))
@@ -40,7 +40,7 @@
 
 
 def exercised_conditions(world: World) -> frozenset[str]:
-    """What the rules are about, as far as it came up: else that they hold says nothing."""
+    """Conditions that occurred in a run; an invariant has been tested only if its condition occurred."""
     record = world.record
     cold = {listed.server for listed in record.listed if listed.started_at}
     found = {
--- a/brackenlane/lab/simulation/drawn_sites.py
+++ b/brackenlane/lab/simulation/drawn_sites.py
@@ -1,4 +1,4 @@
-"""Whole sites drawn at random, inside and outside the ranges of all sites known so far."""
+"""Random sites, with parameters inside and outside the ranges of all sites known so far."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 )
 from brackenlane.routing.settings import Idempotency, RequestClass, Scope, SiblingSources, SlowStart
 
-REQUESTS_PER_RUN = 1000  # of one day, about
+REQUESTS_PER_RUN = 1000  # approximate
 MIN_RUN_SECONDS = 4.0
-MAX_RUN_SECONDS = 16.0  # seconds of one day
-SMALL_ONLY_SIZE_FACTOR = 3.0  # times the usual size of small objects where there are no others
+MAX_RUN_SECONDS = 16.0
+SMALL_ONLY_SIZE_FACTOR = 3.0  # multiplies the mean size of small objects at a site without large ones
 
 
 def draw_slow_start(rng: Random, min_share: float) -> SlowStart:
-    """A rule for servers that started lately."""
+    """Draw the slow-start settings of recently started servers."""
     return SlowStart(
         rng.uniform(min_share, 0.5), rng.uniform(4.0, 25.0), rng.uniform(1.5, 5.0), rng.uniform(0.5, 2.0)
     )
 
 
 def draw_large_objects(rng: Random, name: str) -> ClassLoad:
-    """Objects in parts or whole, good until purged or for some time, now and then streamed."""
+    """Draw a class of large objects: whole or in parts, fresh until purged or for a time; some streamed."""
     parts = rng.choice([1, 4, 12, 20])
     fresh = rng.choice([0.0, 0.0, 20.0])
     cls = RequestClass(
@@ -60,7 +60,7 @@
 
 
 def draw_small_objects(rng: Random, name: str) -> ClassLoad:
-    """Small objects, often with a fresh time."""
+    """Draw a class of small objects, most of them with a freshness lifetime."""
     fresh = rng.choice([0.0, 3.0, 8.0, 15.0])
     cls = RequestClass(
         name,
@@ -85,7 +85,7 @@
 
 
 def draw_writes(rng: Random, name: str) -> ClassLoad:
-    """Writes that must not run twice, or only within a window, or as often as one likes."""
+    """Draw a class of writes: not idempotent, idempotent with a key within a time window, or idempotent."""
     cls = RequestClass(
         name,
         latency_objective=rng.uniform(0.4, 1.0),
@@ -100,18 +100,18 @@
 
 
 def draw_class_loads(rng: Random) -> tuple[ClassLoad, ...]:
-    """One to four classes in any order; one at least is kept."""
+    """Draw one to four classes in random order; at least one of them is cached."""
     makers = [rng.choice([draw_large_objects, draw_small_objects])]
     makers += rng.choices([draw_large_objects, draw_small_objects, draw_writes], k=rng.randint(0, 3))
     rng.shuffle(makers)
     loads = [make(rng, f"class-{n}") for n, make in enumerate(makers)]
-    if draw_large_objects not in makers:  # else a day holds too many requests
+    if draw_large_objects not in makers:  # keeps the number of requests in a run small
         loads = [replace(load, mean_work=load.mean_work * SMALL_ONLY_SIZE_FACTOR) for load in loads]
     return tuple(loads)
 
 
 def draw_faults(rng: Random, seconds: float) -> tuple[Fault, ...]:
-    """One or two troubles, within the day."""
+    """Draw one or two faults that begin within the run."""
     kinds = rng.sample(list(FaultKind), rng.randint(1, 2))
     shares = {FaultKind.PURGE_GROUPS: (0.3, 0.8), FaultKind.OVERSIZE: (0.005, 0.03)}
     magnitudes = {
@@ -133,7 +133,7 @@
 
 
 def draw_site(rng: Random) -> Site:
-    """A whole site and a day on it."""
+    """Draw a site with its load, faults and length of the run."""
     hubs = rng.randint(1, 4)
     locations = tuple(
         Location(
@@ -199,5 +199,9 @@
 
 
 def drawn(number: int) -> Site:
-    """The site of a seed. Not by Hypothesis: it draws constants of this code too, so any change moved all."""
+    """Return the random site of a seed.
+
+    Hypothesis does not draw these sites: it also picks up constants from this code, so that any change of the
+    code would change all sites.
+    """
     return draw_site(Random(number))
--- a/brackenlane/lab/simulation/edge.py
+++ b/brackenlane/lab/simulation/edge.py
@@ -1,4 +1,4 @@
-"""Edge caches: places for requests and for fills, a ranked memory, and one link out."""
+"""Edge caches: limited concurrency of requests and fills, a ranked memory, and one outgoing link."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from brackenlane.lab.simulation.servers import (
     CacheRequest,
     Environment,
-    Fetch,
+    FillInProgress,
     Reply,
     Server,
     fill_work,
@@ -18,10 +18,11 @@
 from brackenlane.lab.simulation.streams import Failure, Stream, complete_stream, relay
 from brackenlane.routing.events import CacheStatus
 
-REVALIDATE_FROM = 0.8  # of its fresh time, from which a copy may be renewed behind
-MIN_ISSUE_STEP = 1e-6  # seconds by which a renewed copy is newer than the one before
-HIT_RATIO_WEIGHT = 1 / 32  # of the latest answer in the reported share of hits
-# What a fill's end means for the requests that wait for it.
+# Age from which a hit may revalidate the copy in the background, as a share of the freshness lifetime.
+REVALIDATE_FROM = 0.8
+MIN_ISSUE_STEP = 1e-6  # seconds by which a revalidated copy must be newer than the stored one
+HIT_RATIO_WEIGHT = 1 / 32  # weight of the latest answer in the moving average of hits
+# How a failure at the source is reported to the requests that wait for the fill.
 SOURCE_FAILURES = {
     Failure.FULL: Failure.SOURCE_REFUSED,
     Failure.UNREACHABLE: Failure.SOURCE_UNREACHABLE,
@@ -32,7 +33,7 @@
 
 
 class EdgeCache(Server):
-    """One edge cache."""
+    """An edge cache that serves routers, and other caches of its location or beyond (siblings)."""
 
     def __init__(self, name: str, zone: str, width: float, memory: float, world: Environment) -> None:
         super().__init__(name, zone, width, world)
@@ -41,20 +42,20 @@
         self.recent_hit_ratio = 0.5
         self._active: dict[Reply, None] = {}
         self._waiting: deque[tuple[CacheRequest, Reply]] = deque()
-        self._fills: dict[Fetch, str] = {}
+        self._fills: dict[FillInProgress, str] = {}
 
     @property
     def inflight(self) -> int:
-        """Requests that it holds."""
+        """Number of requests in service or queued."""
         return len(self._active) + len(self._waiting)
 
     def stop(self) -> None:
-        """The process ends; what waits is lost with it."""
+        """Stop the process; queued requests are lost."""
         self._waiting.clear()
         super().stop()
 
     def handle_request(self, request: CacheRequest, reply: Reply) -> None:
-        """One attempt."""
+        """Serve one attempt of a router, queue it, or refuse it if the queue is full."""
         if not self.admit(request, reply):
             return
         if len(self._active) < self.slots:
@@ -65,7 +66,7 @@
             reply.fail(Failure.FULL)
 
     def serve_copy(self, request: CacheRequest, min_issued: float, stream: Stream) -> None:
-        """A sibling asks: it is given what is held, or what is on its way if it may join."""
+        """Serve a sibling cache from a stored copy or a fill in progress; never start a fill."""
         if not self.admit(request, stream):
             return
         copy = self.memory.get(request.copy)
@@ -123,13 +124,13 @@
         if ageing and capacity and request.copy not in self._fills.values():
             self._fill(request, copy.issued + MIN_ISSUE_STEP)
 
-    def _joinable(self, request: CacheRequest, min_issued: float) -> Fetch | None:
+    def _joinable(self, request: CacheRequest, min_issued: float) -> FillInProgress | None:
         if request.cls.uncached:
             return None
         fills = (fill for fill, name in self._fills.items() if name == request.copy)
         return next((fill for fill in fills if fill.may_join(min_issued)), None)
 
-    def _deliver(self, fill: Fetch, request: CacheRequest, reply: Reply) -> None:
+    def _deliver(self, fill: FillInProgress, request: CacheRequest, reply: Reply) -> None:
         def started() -> None:
             if fill.stream.from_origin and reply.cache_status is CacheStatus.FILLED:
                 reply.cache_status = CacheStatus.FILLED_BY_ORIGIN
@@ -138,12 +139,12 @@
         relay(self.world.queue, fill.stream, reply, [self.link], request.work, 1.0)
         reply.listen(lambda: None, lambda: self._abandon(fill))
 
-    def _abandon(self, fill: Fetch) -> None:
+    def _abandon(self, fill: FillInProgress) -> None:
         if self.world.site.abort_fill and not fill.stream.consumers and not fill.stream.ended:
             fill.stream.fail(Failure.CANCELLED)
 
-    def _fill(self, request: CacheRequest, min_issued: float) -> Fetch:
-        fill = Fetch(Stream(), min_issued)
+    def _fill(self, request: CacheRequest, min_issued: float) -> FillInProgress:
+        fill = FillInProgress(Stream(), min_issued)
         self._fills[fill] = request.copy
         store_when_complete(self.memory, request, fill.stream, request.keep, lambda: self._done(fill))
         self.track_stream(fill.stream)
@@ -157,12 +158,12 @@
         )
         return fill
 
-    def _done(self, fill: Fetch) -> None:
+    def _done(self, fill: FillInProgress) -> None:
         self._fills.pop(fill, None)
 
 
 def _forward_from_source(arriving: Stream, stream: Stream) -> None:
-    """Pass on what arrives from a source; its failures become those of a source."""
+    """Forward a stream from a source, with its failures translated to failures of a source."""
 
     def ended() -> None:
         if arriving.failure:
--- a/brackenlane/lab/simulation/faults.py
+++ b/brackenlane/lab/simulation/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a day: each fault strikes at its time and ends by itself."""
+"""Injection of a site's faults: each begins at its time and ends after its duration."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import World
 
-DRAIN_SECONDS = 3.0  # that a server drains before it is gone
+DRAIN_SECONDS = 3.0  # time from the notice of a drain until the server stops
 
 
 def schedule_faults(world: World) -> None:
-    """Schedule all troubles of the day."""
+    """Schedule all faults of the site."""
     for fault in world.site.faults:
         at = world.queue.now + fault.at
         world.queue.at(at, partial(_begin_fault, world, fault))
@@ -33,14 +33,14 @@
             for group in world.random.sample(range(GROUP_COUNT), max(1, round(fault.share * GROUP_COUNT))):
                 world.purge(group)
         case FaultKind.OVERSIZE:
-            pass  # the workload was drawn with it
+            pass  # the workload contains the oversize objects
         case _:
             for server in _affected_servers(world, fault):
                 _begin_server_fault(world, fault, server)
 
 
 def _affected_servers(world: World, fault: Fault) -> list[Server]:
-    """Some servers, at least one; parents if there are any and they are meant."""
+    """Choose servers at random, at least one; caches if the site has no parents."""
     tier: list[Server] = [*world.parents.values()] if fault.parents else []
     tier = tier or [*world.caches.values()]
     up = [server for server in tier if server.health is Health.UP]
@@ -68,14 +68,14 @@
 
 
 def _crash(world: World, server: Server, seconds: float) -> None:
-    """The process ends at once and comes back, cold and empty."""
+    """Stop a server at once and restart it later, cold and with an empty memory."""
     server.stop()
     world.announce(server.name, ServerState.GONE)
     world.queue.after(seconds, lambda: world.start_server(server.name))
 
 
 def _replace(world: World, server: Server) -> None:
-    """A server drains and another takes its place; a parent comes back under its own name."""
+    """Drain a server and replace it; a cache gets a new name, a parent restarts under its own."""
     world.announce(server.name, ServerState.DRAINING)
 
     def leave() -> None:
--- a/brackenlane/lab/simulation/invariants.py
+++ b/brackenlane/lab/simulation/invariants.py
@@ -1,4 +1,4 @@
-"""The rules that must hold in every run, checked by its record alone."""
+"""Invariants that every run must satisfy, checked on its record only."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 from brackenlane.routing.members import ServerState
 from brackenlane.routing.settings import Idempotency, Scope, SiblingSources
 
-CLOCK_TOLERANCE = 1e-5  # seconds, of the clock
-MIN_NOTIFIED_SHARE = 2 / 3  # of the work that pushed a cold server over, from routers told of its start
+CLOCK_TOLERANCE = 1e-5  # seconds
+# An overload of a cold server counts as a violation if at least this share of the work came from routers that
+# had been notified of its start.
+MIN_NOTIFIED_SHARE = 2 / 3
 Violations = list[str]
 
 
 def answered_once(site: Site, record: Record) -> Violations:
-    """One final answer in time for each request; nothing is sent after it."""
+    """Each request has exactly one final answer, in time, and no attempt is sent after it."""
     found = [f"{name}: no final answer in time" for name in record.overdue]
     answers = Counter(answer.request_id for answer in record.answered)
     found += [f"{name}: {n} final answers" for name, n in answers.items() if n > 1]
@@ -36,7 +38,7 @@
 
 
 def drains_respected(site: Site, record: Record) -> Violations:
-    """No new attempt or source at a server for longer than the grace after its drain was told."""
+    """A router stops using a server, also as a source, within `drain_grace` of the notice of its drain."""
     notices: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
     for listed in record.listed:
         notices[listed.router, listed.server].append((listed.at, listed.state is ServerState.SERVING))
@@ -52,7 +54,7 @@
 
 
 def _not_serving_since(notices: list[tuple[float, bool]], now: float) -> float | None:
-    """Since when a router knows that a server does not serve; None if it serves for all it knows."""
+    """Time of the notice that a server stopped serving; None if the latest notice says that it serves."""
     since: float | None = None
     for at, is_serving in notices:
         if at > now:
@@ -65,7 +67,7 @@
 
 
 def purges_respected(site: Site, record: Record) -> Violations:
-    """No answer from a copy older than a purge that the router had been told of for the grace."""
+    """Attempts sent later than `purge_grace` after a notice of a purge get no copy older than the purge."""
     notices: dict[tuple[int, str | int], list[tuple[float, float]]] = defaultdict(list)
     for purge in record.purges_notified:
         notices[purge.router, purge.key].append((purge.at, purge.purged_at))
@@ -89,7 +91,7 @@
 
 
 def no_repeated_writes(site: Site, record: Record) -> Violations:
-    """Unsafe requests run once; keyed ones are repeated within their window and scope only."""
+    """Non-idempotent writes run once; those with a key are repeated only within their window and scope."""
     sent: dict[str, list[AttemptSent]] = defaultdict(list)
     ended: dict[tuple[str, int], AttemptEnded] = {(e.request_id, e.number): e for e in record.ended}
     for attempt in record.sent:
@@ -126,7 +128,7 @@
 
 
 def _zone(server: str) -> str:
-    """Caches are named for their location; others stand alone."""
+    """Location of a cache as the first two parts of its name; for another server, its whole name."""
     kind, _, rest = server.partition("-")
     return f"{kind}-{rest.split('-')[0]}" if kind == "cache" else server
 
@@ -134,7 +136,7 @@
 def _refusals(
     record: Record, sent: dict[str, list[AttemptSent]], ended: dict[tuple[str, int], AttemptEnded]
 ) -> Violations:
-    """A refusal says that a repeat does no harm."""
+    """Find refusals of writes that may have run; a refusal tells the client that a repeat is safe."""
     found = []
     for answer in record.answered:
         cls = record.requests[answer.request_id].cls
@@ -143,16 +145,16 @@
         )
         if answer.disposition is not Disposition.REJECTED or safe_to_repeat:
             continue
-        tries = sent.get(answer.request_id, [])
+        attempts = sent.get(answer.request_id, [])
         if any(
-            _may_have_run(ended.get((attempt.request_id, attempt.number)), answer.at) for attempt in tries
+            _may_have_run(ended.get((attempt.request_id, attempt.number)), answer.at) for attempt in attempts
         ):
             found.append(f"{answer.request_id}: refused though it may have run")
     return found
 
 
 def attempts_bounded(site: Site, record: Record) -> Violations:
-    """No more attempts for one request than allowed, nor two at once where that is not allowed."""
+    """No request has more attempts than allowed, or concurrent ones where hedging is not allowed."""
     ended = {(e.request_id, e.number): e.at for e in record.ended}
     found = []
     last: dict[str, AttemptSent] = {}
@@ -170,7 +172,7 @@
 
 
 def servers_allowed(site: Site, record: Record) -> Violations:
-    """Only caches of the router's own location, and sources that the site allows, all of them listed."""
+    """Routers use only listed servers, caches of their own location, and sources that the site allows."""
     listed = {(listed.router, listed.server): listed.at for listed in reversed(record.listed)}
     homes = site.router_homes
     found = []
@@ -204,9 +206,10 @@
 
 
 def no_cold_server_overloaded(site: Site, record: Record) -> Violations:
-    """No server that started lately falls over by the work of routers that were told of its start."""
+    """No recently started server is overloaded by routers that had been notified of its start."""
     return [
-        f"{overloaded.server}: pushed over, {overloaded.notified_share:.2f} of the work by routers told of its start"
+        f"{overloaded.server}: pushed over, "
+        f"{overloaded.notified_share:.2f} of the work by routers told of its start"
         for overloaded in record.overloaded_servers
         if overloaded.notified_share >= MIN_NOTIFIED_SHARE
     ]
@@ -224,6 +227,6 @@
 
 
 def violations(site: Site, record: Record) -> dict[str, Violations]:
-    """All that was broken, by rule; empty if all hold."""
+    """Return all violations by the name of the invariant; empty if all hold."""
     found = {rule.__name__: rule(site, record) for rule in INVARIANTS}
     return {name: broken for name, broken in found.items() if broken}
--- a/brackenlane/lab/simulation/links.py
+++ b/brackenlane/lab/simulation/links.py
@@ -1,7 +1,7 @@
-"""Links that are divided evenly among their transfers (processor sharing).
+"""Links whose bandwidth is divided evenly among their transfers (processor sharing).
 
-Work is in transfer-seconds: the time that a transfer takes alone at the pace of one client. A link's width is
-the number of such transfers that it carries at full pace.
+The pace of one client is the unit of transfer rates. Work is in transfer-seconds: the time that a transfer
+takes at that pace. A link's width is its bandwidth: the number of transfers that it carries at that pace.
 """
 
 from __future__ import annotations
@@ -11,40 +11,40 @@
 
 from brackenlane.lab.simulation.clock import EventQueue, ScheduledCall
 
-MAX_SHARE = 5.0  # times a client's pace, above which no transfer runs
-NEGLIGIBLE_WORK = 1e-9  # transfer-seconds left that count as none: rounding
-MIN_WIDTH = 1e-3  # so that a rate never is zero
+MAX_SHARE = 5.0  # highest rate of a transfer, in multiples of a client's pace
+NEGLIGIBLE_WORK = 1e-9  # transfer-seconds; less remaining work counts as none, because of rounding errors
+MIN_WIDTH = 1e-3  # keeps rates above zero
 
 
 class FairLink:
-    """One link, in which each transfer has an equal share."""
+    """A link that gives each transfer an equal share of its width."""
 
     def __init__(self, width: float) -> None:
-        """width: transfers at full pace."""
+        """width: bandwidth, as the number of transfers at a client's pace."""
         self._width = max(width, MIN_WIDTH)
         self._transfers: dict[Transfer, None] = {}
-        self.share = MAX_SHARE  # of each transfer, in paces
+        self.share = MAX_SHARE  # rate of each transfer, in multiples of a client's pace
 
     def __len__(self) -> int:
         return len(self._transfers)
 
     @property
     def width(self) -> float:
-        """Transfers at full pace."""
+        """Bandwidth, as the number of transfers at a client's pace."""
         return self._width
 
     def set_width(self, width: float) -> None:
-        """Widen or narrow the link."""
+        """Change the bandwidth."""
         self._width = max(width, MIN_WIDTH)
         self._update_share()
 
     def add(self, transfer: Transfer) -> None:
-        """One transfer more."""
+        """Add a transfer and update the rates."""
         self._transfers[transfer] = None
         self._update_share()
 
     def remove(self, transfer: Transfer) -> None:
-        """One transfer less."""
+        """Remove a transfer and update the rates."""
         self._transfers.pop(transfer, None)
         self._update_share()
 
@@ -58,7 +58,7 @@
 
 
 class Transfer:
-    """Bytes on their way through one or more links, as fast as the narrowest share allows."""
+    """A transfer over one or more links, at the smallest of their shares."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         pace: float,
         on_done: Callable[[], None],
     ) -> None:
-        """work: transfer-seconds; pace: the highest rate; done: called when the last byte has passed."""
+        """work: transfer-seconds; pace: highest rate; on_done: called after the last byte."""
         self._queue = queue
         self._links = links
         self._remaining = work
@@ -77,13 +77,13 @@
         self._rate = 0.0
         self._updated_at = queue.now
         self._completion_check: ScheduledCall | None = None
-        self._completion_check_at = math.inf  # never later than the last byte
+        self._completion_check_at = math.inf  # at the latest when the transfer ends
         for link in links:
             link.add(self)
         self.update()
 
     def update(self) -> None:
-        """Follow a change of the shares."""
+        """Adapt the rate after a change of a link's share."""
         rate = self._pace
         for link in self._links:
             if link.share < rate:
@@ -93,11 +93,12 @@
         self._update_remaining()
         self._rate = rate
         finish = self._queue.now + self._remaining / rate
-        if finish < self._completion_check_at:  # one that has become slower is found unfinished at its check
+        # A transfer that has become slower keeps its check, which finds it unfinished and schedules the next.
+        if finish < self._completion_check_at:
             self._schedule(finish)
 
     def cancel(self) -> None:
-        """Stop; `done` is not called."""
+        """Stop the transfer without calling `on_done`."""
         if self._completion_check:
             self._completion_check.cancel()
         for link in self._links:
--- a/brackenlane/lab/simulation/memory.py
+++ b/brackenlane/lab/simulation/memory.py
@@ -1,4 +1,4 @@
-"""The memory of a cache: copies by rank, and in a rank by latest use."""
+"""The memory of a cache: copies are evicted by rank, and within a rank by least recent use."""
 
 from __future__ import annotations
 
@@ -10,50 +10,48 @@
 
 @dataclass(slots=True)
 class StoredCopy:
-    """One part of an object as kept by a cache."""
+    """A stored copy of one part of an object."""
 
     name: str
     obj: str
     group: int
-    issued: float  # when the origin gave it out
-    size: float  # in transfer-seconds
+    issued: float  # time at which the origin sent it
+    size: float  # transfer-seconds
     rank: int = 1
 
 
 class RankedMemory:
-    """Drops the lowest rank first, in a rank what was used longest ago, and nothing of a higher rank."""
+    """Evicts the lowest rank first and, within a rank, the least recently used copy; never a higher rank."""
 
     def __init__(self, capacity: float) -> None:
-        """capacity: in transfer-seconds, as sizes are."""
+        """capacity: in transfer-seconds, like sizes."""
         self._capacity = capacity
-        self._used = dict.fromkeys(range(1, RANK_COUNT + 1), 0.0)  # by rank
+        self._used = dict.fromkeys(range(1, RANK_COUNT + 1), 0.0)  # transfer-seconds by rank
         self._ranks: dict[int, OrderedDict[str, StoredCopy]] = {
             rank: OrderedDict() for rank in range(1, RANK_COUNT + 1)
         }
-        self._purge_times: dict[
-            str | int, float
-        ] = {}  # by object or group: when its older copies were purged
+        self._purge_times: dict[str | int, float] = {}  # time of the latest purge, by object or group
 
     def __len__(self) -> int:
         return sum(map(len, self._ranks.values()))
 
     @property
     def used(self) -> float:
-        """The size of all copies."""
+        """Total size of all copies."""
         return sum(self._used.values())
 
     def get(self, name: str) -> StoredCopy | None:
-        """The copy of this name."""
+        """Return the copy of this name, if stored."""
         return next((copies[name] for copies in self._ranks.values() if name in copies), None)
 
     def touch(self, copy: StoredCopy, rank: int) -> None:
-        """Note a hit; rank 0 leaves the copy's rank."""
+        """Mark a copy as used and set its rank; rank 0 keeps the present one."""
         self._remove(copy)
         copy.rank = rank or copy.rank
         self._add(copy)
 
     def store(self, copy: StoredCopy) -> bool:
-        """Keep a copy, if there is room or what ranks no higher makes room for it."""
+        """Store a copy if it fits, evicting copies of its rank or lower; return whether it was stored."""
         if copy.issued < max(self._purge_times.get(copy.obj, 0.0), self._purge_times.get(copy.group, 0.0)):
             return False
         older = self.get(copy.name)
@@ -69,7 +67,7 @@
         return True
 
     def purge(self, key: str | int, purged_at: float) -> None:
-        """Drop the copies of an object (text) or group (number) that left the origin before a moment."""
+        """Remove the copies of an object (string) or group (number) that the origin sent before a time."""
         self._purge_times[key] = purged_at
         for copies in self._ranks.values():
             for copy in list(copies.values()):
@@ -77,7 +75,7 @@
                     self._remove(copy)
 
     def clear(self) -> None:
-        """Forget all."""
+        """Remove all copies."""
         for copies in self._ranks.values():
             copies.clear()
         self._used = dict.fromkeys(self._used, 0.0)
--- a/brackenlane/lab/simulation/plain_policy.py
+++ b/brackenlane/lab/simulation/plain_policy.py
@@ -1,4 +1,4 @@
-"""A plain policy for comparison: hash to a cache, fill from the own hub's parent, one retry, no limits."""
+"""A simple baseline policy: hashes to a cache, fills from a parent of the nearest hub, retries once."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class PlainRequest:
-    """One request in hand."""
+    """A request without a final answer yet."""
 
     arrival: Arrival
     cls: RequestClass
@@ -38,10 +38,10 @@
 
 
 class PlainPolicy:
-    """Rendezvous hash at the edge and at the parents; no health, no limits, no cold start."""
+    """Rendezvous hashing of caches and parents, without health checks, limits or slow start."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """seed: not used, as nothing is drawn."""
+        """seed: unused, since the policy makes no random choices."""
         self._settings = settings
         self._classes = {cls.name: cls for cls in settings.classes}
         self._purges = Purges(settings.purge_propagation_time, settings.tick)
@@ -50,7 +50,7 @@
         self._deadlines: dict[int, str] = {}
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """What to do about one event."""
+        """Return the actions for one event."""
         match event:
             case Arrival():
                 return self._arrive(event, now)
@@ -116,7 +116,7 @@
         return min(candidates, key=lambda m: (score(request.arrival.cache_key, m), m.server), default=None)
 
     def _source(self, obj: str) -> Member | None:
-        """The parent that the object's hash prefers at the nearest hub that has one, else the origin."""
+        """Best-scored parent for the object at the nearest hub that has a serving one, else the origin."""
         zones = self._settings.locations
         hub_of = self._settings.hub_of
         hub = hub_of[zones.index(self._settings.location)]
--- a/brackenlane/lab/simulation/record.py
+++ b/brackenlane/lab/simulation/record.py
@@ -1,4 +1,4 @@
-"""What happened in one run, in the order of time: all that the checks may read."""
+"""Record of one run in order of time: the only input of the invariants and of the value computation."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Disposition(Enum):
-    """How a router ended a request."""
+    """Final answer of a router to a request."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Operation:
-    """What a client wants: one first try and its retries."""
+    """One logical operation of a client: its first request and the retries."""
 
     name: str
     cls: RequestClass
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """One try of an operation, as a router took it."""
+    """One request of an operation (the first or a retry), as received by a router."""
 
     name: str
     operation: str
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptSent:
-    """An attempt as the router asked for it; answered: whether its request had its final answer before."""
+    """An attempt that a router sent; answered: whether its request already had its final answer."""
 
     request_id: str
     number: int
@@ -59,19 +59,19 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt's outcome as the router was told of it."""
+    """The outcome of an attempt, as reported to the router."""
 
     request_id: str
     number: int
     result: AttemptResult
-    cache_status: CacheStatus  # as it was, told or not
-    issued: float  # of the copy that answered; 0 if none did
+    cache_status: CacheStatus  # true status, also where the site does not report it to routers
+    issued: float  # time at which the origin sent the copy; 0 without a copy
     at: float
 
 
 @dataclass(slots=True, frozen=True)
 class RequestAnswered:
-    """A request's final answer."""
+    """The final answer to a request."""
 
     request_id: str
     disposition: Disposition
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerListed:
-    """Discovery told a router of a server."""
+    """A router was notified of a server's state."""
 
     router: int
     server: str
@@ -94,14 +94,14 @@
     """A router was notified of a purge."""
 
     router: int
-    key: str | int  # object (text) or group (number)
+    key: str | int  # object (string) or group (number)
     purged_at: float
     at: float
 
 
 @dataclass(slots=True, frozen=True)
 class WriteExecuted:
-    """The origin ran a write."""
+    """The origin executed a write."""
 
     operation: str
     at: float
@@ -109,7 +109,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerOverloaded:
-    """A cold server was pushed over; told_share: of that work, from routers told of its start."""
+    """A cold server failed from overload.
+
+    notified_share: share of the recent work that came from routers notified of the server's start.
+    """
 
     server: str
     notified_share: float
@@ -118,7 +121,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """One run."""
+    """Everything that happened in one run."""
 
     operations: dict[str, Operation] = field(default_factory=dict)
     requests: dict[str, Request] = field(default_factory=dict)
@@ -130,4 +133,6 @@
     executed: list[WriteExecuted] = field(default_factory=list)
     overloaded_servers: list[ServerOverloaded] = field(default_factory=list)
     origin_stops: int = 0
-    overdue: list[str] = field(default_factory=list)  # requests withdrawn for want of a final answer
+    overdue: list[str] = field(
+        default_factory=list
+    )  # requests that the client abandoned without a final answer
--- a/brackenlane/lab/simulation/reports.py
+++ b/brackenlane/lab/simulation/reports.py
@@ -1,4 +1,4 @@
-"""Load reports that caches attach to answers: refreshed now and then, and a little noisy."""
+"""Load reports that caches attach to their answers: refreshed at intervals, with random noise."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
     from brackenlane.lab.simulation.world import World
 
 REFRESH_INTERVAL = 0.3  # seconds
-MAX_NOISE = 0.1  # of a value, at most
+MAX_NOISE = 0.1  # largest relative error of a reported value
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What one cache said of itself at a moment."""
+    """The load that one cache reported, and when."""
 
     at: float
     values: tuple[tuple[str, float], ...]
@@ -28,7 +28,7 @@
         self._latest: dict[str, Report] = {}
 
     def latest(self, server: str) -> tuple[tuple[str, float], ...]:
-        """What a cache's answers carry now; nothing where reports are off or the server is no cache."""
+        """Return the report in a cache's answers; empty if reports are off or the server is not a cache."""
         cache = self._world.caches.get(server)
         if cache is None or not self._world.site.load_reports:
             return ()
--- a/brackenlane/lab/simulation/routers.py
+++ b/brackenlane/lab/simulation/routers.py
@@ -1,4 +1,4 @@
-"""Hosts of routers: they hand events to a policy, carry out its actions and record both."""
+"""Router hosts: each passes events to its policy, executes the resulting actions and records both."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import Policy, World
 
-CLOCK_TOLERANCE = 1e-6  # of the clock
-# How an attempt ends that failed so, and the note that a cache gives.
+CLOCK_TOLERANCE = 1e-6  # seconds
+# Result of an attempt and cache status in its answer, by the failure of its stream.
 ATTEMPT_RESULTS = {
     Failure.FULL: (AttemptResult.FULL, CacheStatus.UNKNOWN),
     Failure.NO_PLACE: (AttemptResult.FULL, CacheStatus.NO_PLACE),
@@ -43,11 +43,12 @@
     Failure.ORIGIN: (AttemptResult.ERROR, CacheStatus.ORIGIN_FAILED),
     Failure.CANCELLED: (AttemptResult.CANCELLED, CacheStatus.UNKNOWN),
 }
+# The cache statuses that a site with StatusReports.HIT reports.
 HIT_STATUSES = (CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED, CacheStatus.STALE)
 
 
 class OpenRequest:
-    """A request that a router has taken."""
+    """A request that a router has received."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         work: float,
         on_answer: Callable[[Disposition, CacheStatus], None],
     ) -> None:
-        """ended: told of the final answer."""
+        """on_answer: called with the final answer and the status of the copy."""
         self.request = request
         self.arrival = arrival
         self.work = work
@@ -67,7 +68,7 @@
 
 
 class Attempt:
-    """One attempt and its answer."""
+    """One attempt and its reply."""
 
     def __init__(self, open_request: OpenRequest, number: int, server: str, sent_at: float) -> None:
         self.open_request = open_request
@@ -80,14 +81,14 @@
 
 
 class RouterHost:
-    """One router."""
+    """One router: its policy and its open requests."""
 
     def __init__(self, world: World, number: int, home: int, policy: Policy) -> None:
         self.world = world
         self.number = number
         self.policy = policy
         self.zone = world.site.zones[world.site.hubs + home]
-        self.last_notice_at = 0.0  # when the latest change of the list that is on its way is heard
+        self.last_notice_at = 0.0  # delivery time of the last scheduled notice of a server's state
         self._requests: dict[str, OpenRequest] = {}
 
     def handle_request(
@@ -97,7 +98,7 @@
         work: float,
         on_answer: Callable[[Disposition, CacheStatus], None],
     ) -> None:
-        """A client's try."""
+        """Receive a client's request; withdraw it if it has no final answer by its deadline."""
         self._requests[request.name] = OpenRequest(request, arrival, work, on_answer)
         self.world.record.requests[request.name] = request
         expires_at = request.deadline + self.world.site.answer_slack + CLOCK_TOLERANCE
@@ -105,7 +106,7 @@
         self.deliver(arrival)
 
     def deliver(self, event: Event) -> None:
-        """Tell the policy of an event and carry out what it wants."""
+        """Pass an event to the policy and execute the actions it returns."""
         for action in self.policy.handle(event, self.world.queue.now):
             self._execute(action)
 
@@ -184,7 +185,7 @@
         self._request_directly(server, cache_request, attempt.reply)
 
     def _request_directly(self, server: Server, cache_request: CacheRequest, reply: Reply) -> None:
-        """Straight to a parent or the origin, over the location's link."""
+        """Request a copy directly from a parent or the origin, over the location's link."""
         upstream = Stream()
         links = [server.link, self.world.location_links[self.zone]]
         server.track_stream(reply)
@@ -199,7 +200,7 @@
         server.serve_copy(cache_request, min_issue_time(cache_request, self.world.queue.now), upstream)
 
     def _started(self, attempt: Attempt) -> None:
-        """A streamed answer belongs to the client from its first byte on."""
+        """Commit a streamed answer to the client at its first byte: no timeout or retry after that."""
         open_request = attempt.open_request
         attempt.reply.started_at = self.world.queue.now
         if attempt.finished or open_request.finished or not self.world.is_streamed(open_request.request.cls):
@@ -278,7 +279,7 @@
         )
 
     def _first_byte(self, attempt: Attempt) -> float:
-        """Until the source's first byte, as the cache counts it: from when it asked the source."""
+        """Time to the first byte, reported as the cache's own measurement from its request to the source."""
         return max(0.0, attempt.reply.started_at - attempt.sent_at)
 
     def _answer(self, open_request: OpenRequest, disposition: Disposition, cache_status: CacheStatus) -> None:
@@ -302,7 +303,7 @@
 def reported_status(
     reporting: StatusReports, cache_status: CacheStatus, result: AttemptResult
 ) -> CacheStatus:
-    """What the router is told of how an answer came about."""
+    """Reduce a cache status to what the site reports to its routers."""
     if reporting is StatusReports.ALL:
         return cache_status
     if reporting is StatusReports.SILENT:
--- a/brackenlane/lab/simulation/servers.py
+++ b/brackenlane/lab/simulation/servers.py
@@ -1,4 +1,4 @@
-"""What edge caches, hub parents and the origin have in common, and the hub parents and the origin."""
+"""Base class of all simulated servers, the parent caches and the origin."""
 
 from __future__ import annotations
 
@@ -19,28 +19,29 @@
 from brackenlane.routing.events import CacheStatus
 from brackenlane.routing.settings import RequestClass
 
-FAST_ERROR_DELAY = 0.003  # seconds until a server that fails a request says so
-WARM_UP_STEP = 0.5  # seconds between two steps of a cold server's width
-REVALIDATION_COST = 0.05  # part of its bytes that a copy costs that is only too old
-MAX_PARENT_FETCHES = 60  # places for fetches at a parent
-PARENT_FETCH_TIMEOUT = 4.0
-ORIGIN_OVERLOAD_WINDOW = 3.0  # seconds of overload after which the origin stops
+FAST_ERROR_DELAY = 0.003  # seconds from a request to the error answer of a faulty server
+WARM_UP_STEP = 0.5  # seconds between increases of a cold server's link width
+REVALIDATION_COST = 0.05  # work of revalidating a copy, as a share of transferring it
+MAX_PARENT_FETCHES = 60  # concurrent fetches of one parent
+PARENT_FETCH_TIMEOUT = 4.0  # seconds to the first byte
+# The origin stops when the requests within the window exceed this multiple of its capacity.
+ORIGIN_OVERLOAD_WINDOW = 3.0  # seconds
 ORIGIN_OVERLOAD_FACTOR = 2.5
-ORIGIN_DOWNTIME = 5.0
-MAX_ORIGIN_STOPS = 2  # a day, at most
+ORIGIN_DOWNTIME = 5.0  # seconds
+MAX_ORIGIN_STOPS = 2  # per run
 
 
 class Health(Enum):
-    """What a server does with a request."""
+    """How a server reacts to a request."""
 
     UP = "up"
-    HUNG = "hung"  # takes it and never answers
-    DOWN = "down"  # refuses the connection
+    HUNG = "hung"  # accepts requests and never answers
+    DOWN = "down"  # refuses connections
 
 
 @dataclass(frozen=True, slots=True)
 class CacheRequest:
-    """A request as it reaches a server."""
+    """A request as received by a server."""
 
     operation: str
     router: int
@@ -58,7 +59,7 @@
 
 
 class Reply(Stream):
-    """The answer to one attempt, and how it came about."""
+    """The answer to one attempt and its cache status."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -67,35 +68,35 @@
 
 
 class Environment(Protocol):
-    """What a server needs of the world around it."""
+    """The parts of the simulation that servers use."""
 
     site: Site
     queue: EventQueue
     random: random.Random
 
     def is_current(self, copy: StoredCopy) -> bool:
-        """Whether nothing newer than the copy was purged."""
+        """Whether no purge has been issued since the origin sent the copy."""
 
     def executed(self, operation: str) -> None:
-        """The origin ran a write."""
+        """Record that the origin executed a write."""
 
     def origin_stopped(self) -> None:
-        """The origin was overloaded and stops for some seconds."""
+        """Record that the origin stopped because of overload."""
 
     def mean_work(self, cls: RequestClass) -> float:
-        """The mean sending time of a class."""
+        """Mean work of a request of a class, in transfer-seconds."""
 
     def fill(
         self, requester: Server, request: CacheRequest, min_issued: float, downstream: Stream, work: float
     ) -> None:
-        """Get a copy from the source that an ask names."""
+        """Fetch a copy from the source that the request names."""
 
     def record_cold_load(self, server: Server, router: int, work: float) -> None:
-        """Work reached a server that started lately."""
+        """Account for work that arrives at a recently started server."""
 
 
 def min_issue_time(request: CacheRequest, now: float) -> float:
-    """The moment before which no copy may have left the origin."""
+    """Earliest time at which the origin may have sent a copy that satisfies the request."""
     cls = request.cls
     if cls.fresh_for:
         return now - min(request.max_age or cls.fresh_for, cls.fresh_for + cls.grace)
@@ -103,7 +104,7 @@
 
 
 class Server:
-    """A link out, a state of health, and a cold start."""
+    """A server with an outgoing link, a health state and a cold start."""
 
     def __init__(self, name: str, zone: str, width: float, world: Environment) -> None:
         self.name = name
@@ -115,17 +116,17 @@
         self.error_share = 0.0
         self.cold: ColdCapacity | None = None
         self.memory = RankedMemory(0.0)
-        self.open_streams: dict[Stream, None] = {}  # that end when the server does
+        self.open_streams: dict[Stream, None] = {}  # streams that break off when the server stops
 
     def stop(self) -> None:
-        """The process ends and what it held is lost."""
+        """Stop the process: its memory is lost and its streams break off."""
         self.health = Health.DOWN
         self.memory.clear()
         while self.open_streams:
             next(iter(self.open_streams)).fail(Failure.BROKEN)
 
     def start_cold(self, cold: ColdCapacity) -> None:
-        """The process starts, empty."""
+        """Start the process with an empty memory and reduced capacity."""
         self.health = Health.UP
         self.cold = cold
         self.error_share = 0.0
@@ -138,7 +139,7 @@
             self.world.queue.after(WARM_UP_STEP, self._warm)
 
     def track_stream(self, stream: Stream) -> None:
-        """Break off a stream if this server stops."""
+        """Make a stream break off if this server stops."""
         self.open_streams[stream] = None
         stream.listen(_nothing, lambda: self._untrack_stream(stream))
 
@@ -146,7 +147,7 @@
         self.open_streams.pop(stream, None)
 
     def admit(self, request: CacheRequest, stream: Stream) -> bool:
-        """Whether a request is to be worked on; if not, how it ends is settled."""
+        """Whether to serve a request; if not, its stream fails or, at a hung server, never ends."""
         if self.cold and self.health is not Health.DOWN:
             self.world.record_cold_load(self, request.router, self.world.mean_work(request.cls))
         if self.health is Health.DOWN:
@@ -161,30 +162,30 @@
         return True
 
     def serve_copy(self, request: CacheRequest, min_issued: float, stream: Stream) -> None:
-        """Be the source of a fill; the stream holds the bytes as they are here, before the link."""
+        """Serve a copy into a stream, which has the bytes as they are available here, before the link."""
         raise NotImplementedError
 
 
 def _nothing() -> None:
-    """No callback."""
+    """Callback that does nothing."""
 
 
 @dataclass(slots=True, eq=False)
-class Fetch:
-    """A fill or fetch under way."""
+class FillInProgress:
+    """A fill of an edge cache or a fetch of a parent, in progress."""
 
     stream: Stream
     min_issued: float
 
     def may_join(self, min_issued: float) -> bool:
-        """Whether what comes will surely do."""
+        """Whether the arriving copy is certain to be new enough."""
         return (self.stream.issued if self.stream.started else self.min_issued) >= min_issued
 
 
 def store_when_complete(
     memory: RankedMemory, request: CacheRequest, stream: Stream, rank: int, done: Callable[[], None]
 ) -> None:
-    """Keep what a fill brings once it is whole, and call back at its end."""
+    """Store the copy of a fill when it is complete, and call `done` when the fill ends."""
 
     def ended() -> None:
         if stream.complete and rank and not request.cls.uncached:
@@ -197,21 +198,21 @@
 
 
 def fill_work(world: Environment, memory: RankedMemory, request: CacheRequest) -> float:
-    """The work of a fill: little where a copy that was not purged only has to be renewed."""
+    """Work of a fill in transfer-seconds: small if a stored copy that was not purged is only revalidated."""
     copy = memory.get(request.copy)
     return request.work * (REVALIDATION_COST if copy and world.is_current(copy) else 1.0)
 
 
 class Parent(Server):
-    """A hub's cache: it keeps what it fetches, and fetches an object once for all who wait."""
+    """A parent cache: it stores what it fetches, and concurrent requests for a copy share one fetch."""
 
     def __init__(self, name: str, zone: str, width: float, memory: float, world: Environment) -> None:
         super().__init__(name, zone, width, world)
         self.memory = RankedMemory(memory)
-        self._fetches: dict[str, Fetch] = {}
+        self._fetches: dict[str, FillInProgress] = {}
 
     def serve_copy(self, request: CacheRequest, min_issued: float, stream: Stream) -> None:
-        """Give a copy, fetched from the origin if need be."""
+        """Serve a stored copy, or fetch it from the origin unless the request forbids that."""
         if not self.admit(request, stream):
             return
         copy = self.memory.get(request.copy)
@@ -228,8 +229,8 @@
             fetch = self._fetch(request, min_issued)
         _forward_in_place(fetch.stream, stream)
 
-    def _fetch(self, request: CacheRequest, min_issued: float) -> Fetch:
-        fetch = Fetch(Stream(), min_issued)
+    def _fetch(self, request: CacheRequest, min_issued: float) -> FillInProgress:
+        fetch = FillInProgress(Stream(), min_issued)
         key = request.operation if request.cls.uncached else request.copy
         self._fetches[key] = fetch
 
@@ -247,7 +248,7 @@
 
 
 def _forward_in_place(upstream: Stream, stream: Stream) -> None:
-    """Pass on a stream as it is at one place."""
+    """Forward a stream within one server, without a link."""
 
     def ended() -> None:
         if upstream.complete:
@@ -260,7 +261,7 @@
 
 
 class Origin(Server):
-    """It has all objects, few workers and a queue."""
+    """The origin: it has all objects, a limited number of workers and a bounded queue."""
 
     def __init__(self, name: str, zone: str, world: Environment) -> None:
         site = world.site
@@ -273,12 +274,12 @@
         self._stops = 0
 
     def set_slowdown(self, factor: float) -> None:
-        """Work so many times slower from now on."""
+        """Multiply service times and divide the link width by a factor."""
         self.slowdown = factor
         self.link.set_width(self.full_width / factor)
 
     def serve_copy(self, request: CacheRequest, min_issued: float, stream: Stream) -> None:
-        """Work on a request when a worker is free."""
+        """Queue a request until a worker is free."""
         self._watch_overload()
         if not self.admit(request, stream):
             return
--- a/brackenlane/lab/simulation/slow_start.py
+++ b/brackenlane/lab/simulation/slow_start.py
@@ -1,4 +1,4 @@
-"""How much a server that started lately can do, and when it is pushed over."""
+"""Capacity of a recently started server, and detection of the overload that makes it fail."""
 
 from __future__ import annotations
 
@@ -7,18 +7,21 @@
 
 from brackenlane.routing.settings import SlowStart
 
-RANDOM_MARGIN = (
-    2.0  # roots of the budget, in mean requests, and as many requests, that are put down to chance
-)
+# Tolerance above the budget for random variation of the load: this many standard deviations of the work in a
+# window (square root of the budget in mean requests), plus as many mean requests.
+RANDOM_MARGIN = 2.0
 
 
 class ColdCapacity:
-    """Work that reaches one cold server, in windows of the rule's span."""
+    """Capacity of one cold server, and the work that arrives within the span of its slow-start settings."""
 
     def __init__(
         self, rule: SlowStart, width: float, start_share: float, warm_after: float, started_at: float
     ) -> None:
-        """start_share and warm_after: as the server truly is; the rule tells the least and the latest."""
+        """start_share, warm_after: true values of the server.
+
+        The settings that routers have state the lowest start share and the longest time until warm.
+        """
         self._rule = rule
         self._width = width
         self._start_share = start_share
@@ -27,14 +30,15 @@
         self._recent: deque[tuple[float, float, bool]] = deque()
 
     def share(self, now: float) -> float:
-        """The part of its width that the server can use now."""
+        """Share of its full width that the server has now."""
         warmed = min(1.0, max(0.0, now - self.started_at) / self._warm_after)
         return self._start_share + (1 - self._start_share) * warmed
 
     def add(self, now: float, work: float, notified: bool, mean_work: float) -> float | None:
-        """Count work that arrives; if that pushes the server over, the share from routers told of its start.
+        """Add arriving work; return None unless it overloads the server.
 
-        mean_work: the mean work of the largest class, by which chance is judged.
+        After an overload, return the share of the recent work from routers notified of the server's start.
+        mean_work: mean work of a request of the largest class, which sets the tolerance for random variation.
         """
         share = self.share(now)
         if share >= 1:
--- a/brackenlane/lab/simulation/streams.py
+++ b/brackenlane/lab/simulation/streams.py
@@ -1,4 +1,4 @@
-"""Bytes of one copy as they become available at one place, and how one place feeds the next."""
+"""Streams: the bytes of a copy as they become available at one server, and their relay to the next."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 
 
 class Stream:
-    """A copy's bytes at one place: none yet, flowing, all there, or failed."""
+    """The bytes of a copy at one server: not started, started, complete or failed."""
 
     def __init__(self) -> None:
         self.started = False
         self.complete = False
         self.failure: Failure | None = None
-        self.issued = 0.0  # when the origin gave the copy out, once started
-        self.from_origin = False  # whether the origin took part
+        self.issued = 0.0  # time at which the origin sent the copy; set at the start
+        self.from_origin = False  # whether the copy was fetched from the origin for this stream
         self.consumers = 0
         self._on_start: list[Callable[[], None]] = []
         self._on_end: list[Callable[[], None]] = []
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more happens."""
+        """Whether the stream is complete or has failed."""
         return self.complete or self.failure is not None
 
     def listen(self, on_start: Callable[[], None], on_end: Callable[[], None]) -> None:
-        """Call back at the first byte and at the end; at once if they have been."""
+        """Register callbacks for the first byte and the end; those of past events are called at once."""
         if self.started:
             on_start()
         else:
@@ -57,7 +57,7 @@
             self._on_end.append(on_end)
 
     def start(self, issued: float, from_origin: bool) -> None:
-        """The first byte."""
+        """Mark the first byte as available."""
         if self.started or self.ended:
             return
         self.started = True
@@ -67,13 +67,13 @@
             callback()
 
     def finish(self) -> None:
-        """The last byte."""
+        """Mark the last byte as available."""
         if not self.ended:
             self.complete = True
             self._end()
 
     def fail(self, failure: Failure) -> None:
-        """No more bytes."""
+        """End the stream with a failure, unless it has ended."""
         if not self.ended:
             self.failure = failure
             self._end()
@@ -85,7 +85,7 @@
 
 
 def complete_stream(issued: float) -> Stream:
-    """A copy that is all there."""
+    """Return the completed stream of a stored copy."""
     stream = Stream()
     stream.start(issued, False)
     stream.finish()
@@ -101,7 +101,7 @@
     pace: float,
     latency: float = 0.0,
 ) -> None:
-    """Pass on a stream through links while it comes; its end ends the transfer, and the reverse."""
+    """Forward a stream over links as it arrives; the end of either stream ends the transfer."""
     transfers: list[Transfer] = []
     finished_transfers: list[bool] = []
 
--- a/brackenlane/lab/simulation/value.py
+++ b/brackenlane/lab/simulation/value.py
@@ -1,4 +1,4 @@
-"""Worth served over worth asked for, by the record of one run."""
+"""Share of the requested value that was served, computed from the record of one run."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def operation_value(operation: Operation) -> float:
-    """What one operation brought: its worth within the aim, less after it, nothing past the give-up time."""
+    """Value of one operation: full within its latency objective, reduced after it, 0 past the time limit."""
     cls = operation.cls
     if operation.answered_at is None:
         return 0.0
@@ -19,6 +19,6 @@
 
 
 def served_value(record: Record) -> float:
-    """The share of all worth asked for that was served."""
+    """Share of the total requested value that was served."""
     requested = sum(operation.cls.value_weight for operation in record.operations.values())
     return sum(map(operation_value, record.operations.values())) / requested if requested else 1.0
--- a/brackenlane/lab/simulation/workload.py
+++ b/brackenlane/lab/simulation/workload.py
@@ -1,4 +1,4 @@
-"""What clients ask for: objects of uneven popularity, and sessions that ask part after part."""
+"""The workload: objects of uneven popularity, and sessions that request the parts of an object in turn."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 GROUP_COUNT = 32
 MIN_WORK = 0.002  # transfer-seconds
-CONTINUE_PROBABILITY = 0.95  # chance that a client goes on to the next part
+CONTINUE_PROBABILITY = 0.95  # probability that a client requests the next part
 
 
 @dataclass(frozen=True, slots=True)
 class ContentObject:
-    """One object."""
+    """One object of the workload."""
 
     name: str
     group: int
-    work: float  # of one part, in transfer-seconds
+    work: float  # transfer-seconds of one part
     parts: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedOperation:
-    """A client's first try."""
+    """The start of an operation: when and where a client sends its first request, and for what."""
 
     at: float
     location: int
@@ -38,10 +38,10 @@
 
 
 class Catalogue:
-    """The objects of one class, the most popular first, for all locations or for one."""
+    """The objects of one class in order of popularity, shared by all locations or of one location."""
 
     def __init__(self, load: ClassLoad, name: str, rng: random.Random) -> None:
-        """name: part of each object's name."""
+        """name: prefix of the names of the objects."""
         scale = load.mean_work / math.exp(load.sigma**2 / 2)
         self.objects = [
             ContentObject(
@@ -65,15 +65,15 @@
         self._cumulative = list(itertools.accumulate(self.probabilities))
 
     def draw(self) -> ContentObject:
-        """One object, by popularity."""
+        """Draw an object with a probability by its popularity."""
         return self._rng.choices(self.objects, cum_weights=self._cumulative)[0]
 
 
 class Workload:
-    """All that is asked for at one site in one day, and what its caches keep when it begins."""
+    """All operations at one site in one run, and the popular objects that its caches hold at the start."""
 
     def __init__(self, site: Site, start: float) -> None:
-        """start: the clock at the start of the day."""
+        """start: time of the clock at the start of the run."""
         self._site = site
         self._start = start
         self._rng = random.Random(f"{site.seed}/workload")
@@ -88,7 +88,7 @@
         return Catalogue(load, f"{load.cls.name}-{where}", self._rng)
 
     def planned_operations(self) -> list[PlannedOperation]:
-        """All first tries of the day, in order."""
+        """Return all operations of the run in order of time."""
         operations = [
             operation
             for location in range(len(self._site.locations))
@@ -131,7 +131,7 @@
         return ContentObject(f"{load.cls.name}-new-{self._new}", self._rng.randrange(GROUP_COUNT), work, 1)
 
     def _oversize_factor(self, load: ClassLoad, at: float) -> float:
-        """Times the usual size that a new object is now, 0 if there is none."""
+        """Size of an oversize object as a multiple of the mean, or 0 if the request is for another one."""
         largest = max(self._site.classes, key=lambda other: other.mean_work)
         for fault in self._site.faults:
             begin = self._start + fault.at
@@ -141,9 +141,9 @@
         return 0.0
 
     def most_popular(self, location: int | None, share: float) -> list[tuple[ContentObject, RequestClass]]:
-        """The most asked for objects, the most popular first, until they make up a share of the bytes.
+        """Return the most popular objects in order until they make up a share of the requested bytes.
 
-        location: what its own clients ask for; None: what those of all locations do.
+        location: count the requests of this location's clients; None: those of all locations.
         """
         location_count = len(self.local)
         local_catalogues = self.local if location is None else [self.local[location]]
--- a/brackenlane/lab/simulation/world.py
+++ b/brackenlane/lab/simulation/world.py
@@ -1,4 +1,4 @@
-"""One day on one site: servers, routers under a policy, purges and the list, in virtual time."""
+"""One simulated run of a site: servers, routers under a policy, purges and the server list."""
 
 from __future__ import annotations
 
@@ -33,30 +33,32 @@
 from brackenlane.routing.rendezvous_hash import score
 from brackenlane.routing.settings import RequestClass, Settings
 
-START_TIME = 1000.0  # the clock at the start of a day; started_at 0 means long ago
-SETTLE_TIME = 60.0  # seconds after the last arrival until all has ended, also a long streamed answer
-PARENT_KEPT_SHARE = 0.93  # share of the bytes asked for that a parent keeps
-MEMORY_FACTOR = 1.3  # of caches, over what is popular: hashes are uneven, and what is asked for once passes
-START_SHARE_RANGE = (1.0, 1.7)  # a cold server's true start share, times the least that the rule tells
-WARM_UP_RANGE = (0.4, 1.0)  # its true time until warm, of the longest that the rule tells
+START_TIME = 1000.0  # clock at the start of a run, in seconds; a started_at of 0 means long ago
+SETTLE_TIME = 60.0  # seconds after the last arrival within which all requests end, also long streamed answers
+PARENT_KEPT_SHARE = 0.93  # share of the requested bytes that a parent stores
+# Memory of caches over the size of the popular objects: hashing spreads these unevenly, and objects that are
+# requested once take space too.
+MEMORY_FACTOR = 1.3
+START_SHARE_RANGE = (1.0, 1.7)  # true start share of a cold server, as a multiple of the one in its settings
+WARM_UP_RANGE = (0.4, 1.0)  # true time until a cold server is warm, as a share of the one in its settings
 NO_GROUP = -1
 
 
 class Policy(Protocol):
-    """The decisions of one router."""
+    """A routing policy: the decisions of one router."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """What to do about one event."""
+        """Return the actions for one event."""
 
 
 PolicyFactory = Callable[[Settings, int], Policy]
 
 
 class World:
-    """All that happens in one day."""
+    """One run of a site under a policy."""
 
     def __init__(self, site: Site, policy: PolicyFactory) -> None:
-        """policy: builds the decisions of one router from its settings and a seed."""
+        """policy: builds the policy of one router from its settings and a seed."""
         self.site = site
         self.queue = EventQueue(START_TIME)
         self.random = random.Random(f"{site.seed}/world")
@@ -82,7 +84,7 @@
         self.clients = Clients(self)
 
     def run(self) -> Record:
-        """Play the day."""
+        """Simulate the run and return its record."""
         for router in self.routers:
             self._notify(router, MembershipKind.REMEMBERED, tuple(self.members.values()))
         self.clients.schedule(self.workload.planned_operations())
@@ -92,37 +94,37 @@
         return self.record
 
     def server(self, name: str) -> Server | None:
-        """A server by its id."""
+        """Return a server by its name."""
         if name == ORIGIN:
             return self.origin
         return self.caches.get(name) or self.parents.get(name)
 
-    # What servers need of the world around them.
+    # The interface of servers (see `servers.Environment`).
 
     def is_current(self, copy: StoredCopy) -> bool:
-        """Whether nothing newer than the copy was purged."""
+        """Whether no purge has been issued since the origin sent the copy."""
         return copy.issued >= max(self._purged.get(copy.obj, 0.0), self._purged.get(copy.group, 0.0))
 
     def executed(self, operation: str) -> None:
-        """The origin ran a write."""
+        """Record that the origin executed a write."""
         self.record.executed.append(WriteExecuted(operation, self.queue.now))
 
     def origin_stopped(self) -> None:
-        """The origin was overloaded and stops for some seconds."""
+        """Record that the origin stopped because of overload."""
         self.record.origin_stops += 1
 
     def mean_work(self, cls: RequestClass) -> float:
-        """The mean sending time of a class."""
+        """Mean work of a request of a class, in transfer-seconds."""
         return self._means[cls.name]
 
     def is_streamed(self, cls: RequestClass) -> bool:
-        """Whether answers of a class belong to the client from the first byte on."""
+        """Whether answers of a class are committed to the client at the first byte."""
         return cls.name in self._streamed
 
     def fill(
         self, requester: Server, request: CacheRequest, min_issued: float, downstream: Stream, work: float
     ) -> None:
-        """Get a copy from the source that an ask names; a parent asks the origin."""
+        """Fetch a copy from the source that the request names; a parent fetches from the origin."""
         source = self.origin if isinstance(requester, Parent) else self.server(request.source)
         if source is None:
             self.queue.after(self.site.connect_timeout, lambda: downstream.fail(Failure.UNREACHABLE))
@@ -144,7 +146,7 @@
         self.queue.after(latency, reach)
 
     def record_cold_load(self, server: Server, router: int, work: float) -> None:
-        """Work reached a server that started lately; too much pushes it over for good."""
+        """Account for work that arrives at a recently started server; an overloaded one stops for good."""
         if server.cold is None:
             return
         notified = self._known_starts.get((router, server.name), 0.0) >= server.cold.started_at
@@ -156,15 +158,15 @@
             self.announce(server.name, ServerState.GONE)
 
     def latency(self, zone: str, server: Server) -> float:
-        """Seconds to a server, one way."""
+        """One-way latency to a server in seconds."""
         if zone == server.zone:
             return 0.0003
         return self.site.near_latency + self.site.latency_per_hub * self._hops(zone, server.zone)
 
-    # What changes the world.
+    # Changes of servers and content.
 
     def start_server(self, name: str) -> None:
-        """A process starts, cold and empty; routers hear of it later."""
+        """Start a server, cold and with an empty memory, and announce it to the routers."""
         server = self.server(name)
         if server is None or server is self.origin:
             return
@@ -175,7 +177,7 @@
         self.announce(name, ServerState.SERVING, self.queue.now)
 
     def announce(self, name: str, state: ServerState, started_at: float | None = None) -> None:
-        """Routers hear of a change, each after its own delay."""
+        """Notify the routers of a server's state, each after its own delay."""
         known = self.members[name]
         updated = Member(
             name,
@@ -188,20 +190,20 @@
         self.members[name] = updated
         for router in self.routers:
             delay = self.site.list_notice_delay * self.random.uniform(0.5, 1.5)
-            # Delivery is ordered: what was announced later is heard later.
+            # Notices are delivered to a router in the order they were sent.
             at = max(self.queue.now + delay, router.last_notice_at)
             router.last_notice_at = at
             self.queue.at(at, partial(self._notify, router, MembershipKind.CHANGES, (updated,)))
 
     def add_cache(self, name: str, replaced: str) -> None:
-        """A new machine stands in for another."""
+        """Add a cache that replaces another, at the same location and with the same width."""
         old = self.caches[replaced]
         memory = self._memory(self.members[replaced].zone, old.full_width)
         self.caches[name] = EdgeCache(name, old.zone, old.full_width, memory, self)
         self.members[name] = Member(name, old.zone, weight=self.site.listed_weight(name, old.full_width))
 
     def purge(self, key: str | int) -> None:
-        """An object (text) or a group (number) is out of date from now on."""
+        """Purge an object (string) or group (number) at all servers and notify the routers."""
         now = self._purged[key] = self.queue.now
         for server in (*self.caches.values(), *self.parents.values()):
             wait = self.random.uniform(0.0, self.site.purge_propagation_time)
@@ -210,7 +212,7 @@
             wait = self.site.purge_notice_delay * self.random.uniform(0.5, 1.5)
             self.queue.after(wait, partial(self._notify_purge, router, key, now))
 
-    # The parts of these.
+    # Internal helpers.
 
     def _hops(self, zone: str, other: str) -> int:
         return self.site.hops(self._hub(zone), self._hub(other))
@@ -264,7 +266,7 @@
             self._warm_parent(parent)
 
     def _memory(self, zone: str, width: float) -> float:
-        """What one cache holds, its part of what its location's caches need for the site's share of hits."""
+        """Memory of one cache: its share of what the location's caches need for the site's hit ratio."""
         location = self.site.zones.index(zone) - self.site.hubs
         popular = self.workload.most_popular(location, self.site.hit_ratio)
         total = sum(obj.work * obj.parts for obj, _ in popular)
@@ -274,7 +276,7 @@
         return sum(obj.work * obj.parts for obj, _ in self.workload.most_popular(None, PARENT_KEPT_SHARE))
 
     def _warm_caches(self, location: int, zone: str) -> None:
-        """Caches begin the day with what they were asked for lately, placed by rendezvous hash."""
+        """Fill the caches of a location with its popular objects, placed by rendezvous hash."""
         members = [m for m in self.members.values() if m.zone == zone]
         for obj, cls in reversed(self.workload.most_popular(location, self.site.hit_ratio)):
             for part in range(obj.parts):
@@ -293,5 +295,5 @@
 
 
 def run_site(site: Site, policy: PolicyFactory) -> Record:
-    """Play one day under a policy."""
+    """Simulate one run of a site under a policy."""
     return World(site, policy).run()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds of a measurement: missed ones are reported, and a check with one exits with 1."""
+"""Bounds of a measurement: a missed one is reported and makes a check exit with status 1."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def test_missed_bound_is_reported_and_fails_a_check(
     bound: Bound, figure: float, holds: bool, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The last line is the result; without --check a missed bound changes no exit code."""
+    """The last line is the result; without a check, a missed bound does not change the exit status."""
     assert conclude({"figure": figure}, {"figure": bound}, check=True) == (0 if holds else 1)
     lines = capsys.readouterr().out.splitlines()
     assert orjson.loads(lines[-1])["missed"] == ([] if holds else ["figure"])
@@ -30,6 +30,6 @@
 
 
 def test_bound_without_a_figure_raises() -> None:
-    """A figure that was renamed must not take its bound with it."""
+    """Renaming a figure must not disable its bound silently."""
     with pytest.raises(KeyError):
         conclude({}, {"figure": at_least(1.0)}, check=True)
--- a/tests/test_drawn_sites.py
+++ b/tests/test_drawn_sites.py
@@ -1,7 +1,8 @@
-"""Whole sites drawn inside and outside all known ranges: rules hold, worth is a plain policy's at least.
+"""Random sites, inside and outside all known ranges: invariants, and the value served over a plain policy.
 
-The policy under test is the decision module; the plain one hashes each copy to a cache, fills from the own
-hub's parent and tries once more (`brackenlane/lab/simulation/plain_policy.py`). Both play the same day.
+The policy under test is `brackenlane.routing.Router`. The plain one hashes each copy to a cache, fills from a
+parent of the nearest hub and retries once (`brackenlane/lab/simulation/plain_policy.py`). Both run the same
+site with the same load.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 from brackenlane.routing.actions import Action, Reject
 from brackenlane.routing.events import Arrival
 
-EXAMPLES = (*range(28), 30, 52)  # seeds; with 30, cold parents come up in both groups; 52 streams for long
-GROUP_COUNT = 2  # of examples, for as many processes
-EASY = (2, 7, 14)  # draws that the plain policy serves almost whole
-PUT_TO_THE_TEST = frozenset(
+EXAMPLES = (*range(28), 30, 52)  # seeds; 30 adds cold parents to both groups, 52 long streamed answers
+GROUP_COUNT = 2  # groups of seeds, which run in separate test processes
+EASY = (2, 7, 14)  # seeds of sites at which the plain policy serves almost all of the value
+CONDITIONS = frozenset(
     {
         "drains",
         "purges",
@@ -32,12 +33,12 @@
         "streams",
     }
 )
-WORST_LOSS = 0.10  # of the worth asked for, that one day may lose against the plain policy
-MEAN_LOSS = 0.02  # that days may in the mean
+WORST_LOSS = 0.10  # share of the requested value that one run may lose against the plain policy
+MEAN_LOSS = 0.02  # the same for the mean of a group
 
 
 def complaint(number: int, result: Result) -> str:
-    """What is wrong with one day, in words; empty if nothing is."""
+    """Describe a violation or loss of one run; empty if there is none."""
     if not result.broken and result.gain >= -WORST_LOSS:
         return ""
     figures = f"module {result.module:.3f}, plain {result.plain:.3f}"
@@ -45,20 +46,20 @@
 
 
 @pytest.mark.parametrize("group", range(GROUP_COUNT))
-def test_rules_hold_and_worth_is_not_under_that_of_a_plain_policy(group: int) -> None:
-    """On every drawn site; a group's mean is bound as that of all is."""
+def test_invariants_hold_and_loss_against_the_plain_policy_is_bounded(group: int) -> None:
+    """On every random site; each group also has the bound on the mean and exercises all conditions."""
     results = {number: compare(drawn(number)) for number in EXAMPLES[group::GROUP_COUNT]}
     complaints = [complaint(number, result) for number, result in results.items()]
     assert not any(complaints), "\n\n".join(filter(None, complaints))
     assert mean(result.gain for result in results.values()) >= -MEAN_LOSS
-    assert frozenset().union(*(result.exercised for result in results.values())) == PUT_TO_THE_TEST
+    assert frozenset().union(*(result.exercised for result in results.values())) == CONDITIONS
 
 
-def test_a_policy_that_serves_less_is_found() -> None:
-    """The bound bites: a policy that refuses every fifth request loses more than a day may."""
+def test_policy_that_serves_less_is_detected() -> None:
+    """A policy that refuses every fifth request loses more than WORST_LOSS allows."""
 
-    class Refusing(PlainPolicy):
-        """Refuses every fifth request."""
+    class RejectsFifth(PlainPolicy):
+        """Refuses the requests for a fifth of the objects."""
 
         def _arrive(self, request: Arrival, now: float) -> list[Action]:
             return (
@@ -67,5 +68,5 @@
                 else super()._arrive(request, now)
             )
 
-    results = {number: compare(drawn(number), Refusing) for number in EASY}
+    results = {number: compare(drawn(number), RejectsFifth) for number in EASY}
     assert all(complaint(number, result) for number, result in results.items())
--- a/tests/test_purge_wave.py
+++ b/tests/test_purge_wave.py
@@ -1,4 +1,7 @@
-"""A purge of half of the groups under load: what was kept is fetched again, with no wave at the origin."""
+"""A purge of half of the groups under load must not cause a burst of duplicate fetches at the origin.
+
+Each purged copy is fetched again about once, although many caches miss it at the same time.
+"""
 
 from __future__ import annotations
 
@@ -19,18 +22,14 @@
 from brackenlane.routing.events import Event
 from tests.test_simulated_caches import KEYED, PAGE, VIDEO
 
-PURGE_AT, WATCHED_SECONDS = (
-    5.0,
-    6.0,
-)  # seconds after the day's start; seconds in which older copies are dropped
-MAX_FETCHES_PER_COPY = (
-    2.0  # times that a copy is fetched from the origin in these, on average, at most: by each parent
-)
-MIN_SERVED_VALUE = 0.95  # of the day's worth, at least
+PURGE_AT = 5.0  # seconds after the start of the run
+WATCHED_SECONDS = 6.0  # seconds after the purge in which the servers remove older copies
+MAX_FETCHES_PER_COPY = 2.0  # mean fetches of a copy from the origin in that time: one by each parent
+MIN_SERVED_VALUE = 0.95  # share of the requested value
 
 
 def purge_site(seed: int, status_reports: StatusReports) -> Site:
-    """Two hubs with a parent each, eight locations, an origin that stops when it is pushed."""
+    """Two hubs with a parent each, eight locations, and an origin that stops when overloaded."""
     return Site(
         seed=seed,
         hubs=2,
@@ -50,8 +49,8 @@
     )
 
 
-def fetched(site: Site, policy: PolicyFactory) -> tuple[Record, Counter[str]]:
-    """The day's record, and how often each copy was asked of the origin after the purge."""
+def run_counting_fetches(site: Site, policy: PolicyFactory) -> tuple[Record, Counter[str]]:
+    """Return the record of the run and the number of fetches of each copy from the origin after the purge."""
     world, copies = World(site, policy), Counter[str]()
     serve_copy = world.origin.serve_copy
 
@@ -65,20 +64,20 @@
 
 
 class FillsFromOrigin(Router):
-    """A planted fault: every fill comes from the origin."""
+    """A faulty router that names the origin as the source of every fill."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """As the router decides, but for the source."""
+        """Return the actions of the router with the source replaced."""
         actions = super().handle(event, now)
         return [replace(a, source="origin") if isinstance(a, Fetch) and a.source else a for a in actions]
 
 
 @pytest.mark.parametrize("status_reports", [StatusReports.ALL, StatusReports.SILENT])
 @pytest.mark.parametrize("seed", [3, 4, 5])
-def test_each_copy_is_fetched_about_once(seed: int, status_reports: StatusReports) -> None:
-    """No copy more often than by each parent and once beside them; the origin stands, the day is served."""
+def test_each_purged_copy_is_fetched_about_once(seed: int, status_reports: StatusReports) -> None:
+    """Each parent fetches a copy once, with one more fetch at most; the origin does not stop."""
     site = purge_site(seed, status_reports)
-    record, copies = fetched(site, Router)
+    record, copies = run_counting_fetches(site, Router)
     assert max(copies.values()) <= len(site.parents) + 1
     assert sum(copies.values()) <= MAX_FETCHES_PER_COPY * len(copies)
     assert record.origin_stops == 0
@@ -86,7 +85,7 @@
     assert invariants.violations(site, record) == {}
 
 
-def test_a_wave_is_found() -> None:
-    """Were each cache to fetch for itself, the counts above would tell."""
-    _, copies = fetched(purge_site(3, StatusReports.ALL), FillsFromOrigin)
+def test_burst_of_fetches_is_detected() -> None:
+    """Fills of every cache from the origin exceed the bound of the test above."""
+    _, copies = run_counting_fetches(purge_site(3, StatusReports.ALL), FillsFromOrigin)
     assert sum(copies.values()) > MAX_FETCHES_PER_COPY * len(copies)
--- a/tests/test_simulated_caches.py
+++ b/tests/test_simulated_caches.py
@@ -1,4 +1,4 @@
-"""Days of the virtual caches: what troubles do there, and that each check finds a planted fault."""
+"""Simulated caches: effects of injected faults, and invariants that detect faulty routing policies."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def site(write: RequestClass = SUBMIT, **changes: Any) -> Site:
-    """Two locations at one hub, three routers, a quiet day."""
+    """Two locations at one hub, three routers, no faults."""
     base: dict[str, Any] = {
         "seed": 3,
         "locations": (Location(0, (4.0, 4.0, 3.0)), Location(0, (3.0, 4.0, 4.0), 2)),
@@ -73,16 +73,16 @@
 
 
 def make_fault(kind: FaultKind, **more: Any) -> Fault:
-    """One trouble two seconds after the start."""
+    """A fault that begins two seconds after the start."""
     return Fault(kind, **{"at": 2.0, "seconds": 5.0, "share": 0.4, **more})
 
 
-def verdicts(record: Record) -> set[AttemptResult]:
-    """All outcomes that were seen."""
+def attempt_results(record: Record) -> set[AttemptResult]:
+    """Return the results of all attempts of a run."""
     return {ended.result for ended in record.ended}
 
 
-def test_worth_falls_after_the_aim_and_with_stale_copies() -> None:
+def test_value_is_lower_after_the_latency_objective_and_for_stale_copies() -> None:
     operation = Operation("op", PAGE, 10.0, 0.1, answered_at=10.4)
     assert operation_value(operation) == 1.0
     assert operation_value(replace(operation, stale=True)) == 0.5
@@ -91,7 +91,7 @@
     assert operation_value(replace(operation, answered_at=None)) == 0.0
 
 
-def test_a_day_is_the_same_by_its_seed() -> None:
+def test_runs_with_one_seed_are_equal() -> None:
     scenario = site(faults=(make_fault(FaultKind.CRASH),))
     first, second = run_site(scenario, PlainPolicy), run_site(scenario, PlainPolicy)
     assert first.ended == second.ended
@@ -99,14 +99,14 @@
     assert run_site(replace(scenario, seed=4), PlainPolicy).ended != first.ended
 
 
-def test_calm_day_is_served_and_breaks_no_invariant() -> None:
+def test_run_without_faults_is_served_and_violates_no_invariant() -> None:
     scenario = site()
     record = run_site(scenario, PlainPolicy)
     assert len(record.operations) > 200
     assert served_value(record) > 0.95
     assert invariants.violations(scenario, record) == {}
-    notes = {ended.cache_status for ended in record.ended}
-    assert {CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN} <= notes
+    statuses = {ended.cache_status for ended in record.ended}
+    assert {CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN} <= statuses
 
 
 @pytest.mark.parametrize(
@@ -121,14 +121,14 @@
         (AttemptResult.FULL, make_fault(FaultKind.CRASH, parents=True)),
     ],
 )
-def test_troubles_show_in_outcomes_and_cost_worth(expected_result: AttemptResult, fault: Fault) -> None:
+def test_faults_change_attempt_results(expected_result: AttemptResult, fault: Fault) -> None:
     scenario = site(faults=(fault,))
     record = run_site(scenario, PlainPolicy)
-    assert expected_result in verdicts(record)
-    assert expected_result not in verdicts(run_site(scenario.without_faults(), PlainPolicy))
+    assert expected_result in attempt_results(record)
+    assert expected_result not in attempt_results(run_site(scenario.without_faults(), PlainPolicy))
 
 
-def test_a_slow_origin_and_a_purge_of_groups_cost_worth() -> None:
+def test_slow_origin_purge_of_groups_and_oversize_objects_lower_the_value() -> None:
     value_without_fault = served_value(run_site(site(load=0.7), PlainPolicy))
     for fault in (
         make_fault(FaultKind.ORIGIN_SLOW, magnitude=30.0),
@@ -138,21 +138,21 @@
         assert served_value(run_site(site(load=0.7, faults=(fault,)), PlainPolicy)) < value_without_fault
 
 
-def test_an_origin_that_falls_stops_for_some_seconds_twice_at_most() -> None:
+def test_overloaded_origin_stops_at_most_twice() -> None:
     slow = make_fault(FaultKind.ORIGIN_SLOW, magnitude=30.0, seconds=8.0, at=0.5)
     scenario = site(parents=(), hit_ratio=0.3, load=1.0, origin_stops_on_overload=True, faults=(slow,))
     assert 1 <= run_site(scenario, PlainPolicy).origin_stops <= 2
 
 
-class Listener(PlainPolicy):
-    """Notes all that it is told."""
+class RecordingPolicy(PlainPolicy):
+    """Records the outcomes, arrivals and server weights that it receives."""
 
     outcomes: list[Outcome] = []
     arrivals: list[Arrival] = []
     weights: set[float] = set()
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """As the plain policy does."""
+        """Record the event and handle it as the plain policy does."""
         if isinstance(event, Outcome):
             self.outcomes.append(event)
         if isinstance(event, Arrival):
@@ -165,15 +165,15 @@
 
 
 @pytest.fixture
-def listener(monkeypatch: pytest.MonkeyPatch) -> type[Listener]:
-    """A policy with empty lists."""
+def recording_policy(monkeypatch: pytest.MonkeyPatch) -> type[RecordingPolicy]:
+    """Return the recording policy with empty records."""
     for name, empty in (("outcomes", []), ("arrivals", []), ("weights", set())):
-        monkeypatch.setattr(Listener, name, empty)
-    return Listener
+        monkeypatch.setattr(RecordingPolicy, name, empty)
+    return RecordingPolicy
 
 
 @pytest.mark.parametrize(
-    ("status_reports", "notes"),
+    ("status_reports", "statuses"),
     [
         (StatusReports.SILENT, {CacheStatus.UNKNOWN}),
         (StatusReports.HIT, {CacheStatus.UNKNOWN, CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.JOINED}),
@@ -189,28 +189,28 @@
         ),
     ],
 )
-def test_routers_see_the_notes_that_the_site_gives(
-    listener: type[Listener], status_reports: StatusReports, notes: set[CacheStatus]
+def test_routers_receive_the_cache_statuses_that_the_site_reports(
+    recording_policy: type[RecordingPolicy], status_reports: StatusReports, statuses: set[CacheStatus]
 ) -> None:
     fault = make_fault(FaultKind.FAST_ERRORS, parents=True, magnitude=0.9)
-    run_site(site(status_reports=status_reports, faults=(fault,), load=0.8), listener)
-    seen = {outcome.cache_status for outcome in listener.outcomes}
-    assert seen <= notes | {CacheStatus.UNKNOWN}
-    assert len(seen) >= min(3, len(notes))
+    run_site(site(status_reports=status_reports, faults=(fault,), load=0.8), recording_policy)
+    seen = {outcome.cache_status for outcome in recording_policy.outcomes}
+    assert seen <= statuses | {CacheStatus.UNKNOWN}
+    assert len(seen) >= min(3, len(statuses))
 
 
-def test_reports_sizes_and_weights_follow_the_site(listener: type[Listener]) -> None:
-    run_site(site(load_reports=True, sizes_known=False, weights=WeightAccuracy.SILENT), listener)
-    assert any(dict(outcome.report).keys() == {"inflight", "x0"} for outcome in listener.outcomes)
-    assert {arrival.size_kb for arrival in listener.arrivals} == {0.0}
-    assert listener.weights == {1.0}
-    run_site(site(sizes_seen=True, weights=WeightAccuracy.ROUGH), listener)
-    assert any(outcome.size_kb for outcome in listener.outcomes)
-    assert any(arrival.size_kb for arrival in listener.arrivals)
-    assert len(listener.weights) > 5
+def test_load_reports_sizes_and_weights_follow_the_site(recording_policy: type[RecordingPolicy]) -> None:
+    run_site(site(load_reports=True, sizes_known=False, weights=WeightAccuracy.SILENT), recording_policy)
+    assert any(dict(outcome.report).keys() == {"inflight", "x0"} for outcome in recording_policy.outcomes)
+    assert {arrival.size_kb for arrival in recording_policy.arrivals} == {0.0}
+    assert recording_policy.weights == {1.0}
+    run_site(site(sizes_seen=True, weights=WeightAccuracy.ROUGH), recording_policy)
+    assert any(outcome.size_kb for outcome in recording_policy.outcomes)
+    assert any(arrival.size_kb for arrival in recording_policy.arrivals)
+    assert len(recording_policy.weights) > 5
 
 
-def test_a_streamed_answer_outlasts_its_deadline() -> None:
+def test_streamed_answer_may_end_after_its_deadline() -> None:
     load = ClassLoad(replace(VIDEO, time_limit=0.5), 0.5, 2.0, objects=50, streamed=True)
     record = run_site(site(classes=(load,)), PlainPolicy)
     late = [r for r in record.ended if r.at > record.requests[r.request_id].deadline + 0.1]
@@ -218,25 +218,25 @@
     assert not record.overdue
 
 
-# Policies with one fault each, and the check that finds it.
+# Policies with one fault each, for the invariant that detects it.
 
 
-class Forgetful(PlainPolicy):
-    """Never answers for a request that fails."""
+class NeverRejects(PlainPolicy):
+    """Sends no final answer to a request that fails."""
 
     def _give_up(self, request: PlainRequest) -> list[Action]:
         return []
 
 
-class DrainBlind(PlainPolicy):
-    """Takes every server on the list for one that serves."""
+class IgnoresDrains(PlainPolicy):
+    """Uses draining servers as if they were serving."""
 
     def _serving(self, role: Role) -> list[Member]:
         return [m for m in self._members.values() if m.role is role and m.state is not ServerState.GONE]
 
 
-class SourceDrainBlind(PlainPolicy):
-    """Goes on naming a parent that drains as a source."""
+class IgnoresDrainsOfParents(PlainPolicy):
+    """Uses draining parents as sources."""
 
     def _serving(self, role: Role) -> list[Member]:
         if role is not Role.PARENT:
@@ -244,31 +244,31 @@
         return [m for m in self._members.values() if m.role is role and m.state is not ServerState.GONE]
 
 
-class PurgeBlind(PlainPolicy):
-    """Pays no heed to purges."""
+class IgnoresPurges(PlainPolicy):
+    """Ignores notices of purges."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """All but purges."""
+        """Handle all events but purges."""
         return [] if isinstance(event, Purged) else super().handle(event, now)
 
 
-class Repeater(PlainPolicy):
-    """Repeats what may have run."""
+class RepeatsWrites(PlainPolicy):
+    """Sends a write again although it may have run."""
 
     def _may_repeat(self, request: PlainRequest, now: float) -> bool:
         return True
 
 
-class Refuser(PlainPolicy):
-    """Refuses what may have run."""
+class RejectsAfterSend(PlainPolicy):
+    """Refuses a write although it may have run."""
 
     def _give_up(self, request: PlainRequest) -> list[Action]:
         self._requests.pop(request.arrival.request_id, None)
         return [Reject(request.arrival.request_id)]
 
 
-class Stubborn(PlainPolicy):
-    """Tries one cache again and again."""
+class RetriesWithoutLimit(PlainPolicy):
+    """Retries one cache without a limit after errors."""
 
     def _outcome(self, event: Outcome, now: float) -> list[Action]:
         request = self._requests.get(event.request_id)
@@ -282,39 +282,39 @@
         return super()._outcome(event, now)
 
 
-class Doubler(PlainPolicy):
-    """Sends every safe request twice at once."""
+class AlwaysHedges(PlainPolicy):
+    """Sends two concurrent attempts for every request for a page."""
 
-    def _arrive(self, send_request: Arrival, now: float) -> list[Action]:
-        actions = super()._arrive(send_request, now)
-        safe = self._requests.get(send_request.request_id)
-        again = [a for a in actions if isinstance(a, Fetch)] if safe and safe.cls is PAGE else []
+    def _arrive(self, arrival: Arrival, now: float) -> list[Action]:
+        actions = super()._arrive(arrival, now)
+        request = self._requests.get(arrival.request_id)
+        again = [a for a in actions if isinstance(a, Fetch)] if request and request.cls is PAGE else []
         return [*actions, *again]
 
 
-class Straight(PlainPolicy):
-    """Passes the caches by."""
+class BypassesCaches(PlainPolicy):
+    """Sends all requests to the origin."""
 
     def _edge(self, request: PlainRequest) -> Member | None:
         return next(iter(self._serving(Role.ORIGIN)))
 
 
-class Stranger(PlainPolicy):
-    """Asks the caches of all locations."""
+class UsesOtherLocations(PlainPolicy):
+    """Uses caches of other locations."""
 
     def _edge(self, request: PlainRequest) -> Member | None:
         return max(self._serving(Role.EDGE), key=lambda m: m.zone)
 
 
-class Neighbour(PlainPolicy):
-    """Fills from other caches."""
+class FillsFromSiblings(PlainPolicy):
+    """Names another edge cache as the source."""
 
     def _source(self, obj: str) -> Member | None:
         return self._serving(Role.EDGE)[0]
 
 
-class Inventive(PlainPolicy):
-    """Names a server that no list has named."""
+class UsesUnlistedServer(PlainPolicy):
+    """Names a source that was never listed."""
 
     def _source(self, obj: str) -> Member | None:
         return Member("parent-99", "hub-0", Role.PARENT)
@@ -326,33 +326,33 @@
 
 
 @pytest.mark.parametrize(
-    ("policy", "rule", "changes"),
+    ("policy", "invariant", "changes"),
     [
-        (Forgetful, "answered_once", ERRORS),
-        (DrainBlind, "drains_respected", REPLACED),
+        (NeverRejects, "answered_once", ERRORS),
+        (IgnoresDrains, "drains_respected", REPLACED),
         (
-            SourceDrainBlind,
+            IgnoresDrainsOfParents,
             "drains_respected",
             {
                 "faults": (make_fault(FaultKind.REPLACE, parents=True),),
                 "list_notice_delay": 0.5,
-                "parent_cold": SlowStart(),  # warm at once
+                "parent_cold": SlowStart(),  # full capacity at the start
             },
         ),
-        (PurgeBlind, "purges_respected", {"faults": (make_fault(FaultKind.PURGE_GROUPS, share=1.0),)}),
-        (Repeater, "no_repeated_writes", ERRORS),
+        (IgnoresPurges, "purges_respected", {"faults": (make_fault(FaultKind.PURGE_GROUPS, share=1.0),)}),
+        (RepeatsWrites, "no_repeated_writes", ERRORS),
         (
-            Repeater,
+            RepeatsWrites,
             "no_repeated_writes",
             {"write": KEYED, "faults": (make_fault(FaultKind.HANG, parents=True, share=1.0),)},
         ),
-        (Refuser, "no_repeated_writes", ERRORS),
-        (Stubborn, "attempts_bounded", {**ERRORS, "max_attempts": 3}),
-        (Doubler, "attempts_bounded", {"may_hedge": False}),
-        (Straight, "servers_allowed", {"may_bypass_caches": False}),
-        (Stranger, "servers_allowed", {}),
-        (Neighbour, "servers_allowed", {}),
-        (Inventive, "servers_allowed", {}),
+        (RejectsAfterSend, "no_repeated_writes", ERRORS),
+        (RetriesWithoutLimit, "attempts_bounded", {**ERRORS, "max_attempts": 3}),
+        (AlwaysHedges, "attempts_bounded", {"may_hedge": False}),
+        (BypassesCaches, "servers_allowed", {"may_bypass_caches": False}),
+        (UsesOtherLocations, "servers_allowed", {}),
+        (FillsFromSiblings, "servers_allowed", {}),
+        (UsesUnlistedServer, "servers_allowed", {}),
         (
             PlainPolicy,
             "no_cold_server_overloaded",
@@ -376,25 +376,25 @@
         ),
     ],
 )
-def test_each_check_finds_a_fault_planted_in_a_policy(
-    policy: PolicyFactory, rule: str, changes: dict[str, Any]
+def test_each_invariant_detects_a_faulty_policy(
+    policy: PolicyFactory, invariant: str, changes: dict[str, Any]
 ) -> None:
     scenario = site(**changes)
-    expected_result = invariants.violations(scenario, World(scenario, policy).run())
-    assert list(expected_result) == [rule], expected_result
+    violations = invariants.violations(scenario, World(scenario, policy).run())
+    assert list(violations) == [invariant], violations
 
 
-def test_an_attempt_after_the_final_answer_is_found() -> None:
-    class Late(PlainPolicy):
-        """Refuses, then sends."""
+def test_attempt_after_the_final_answer_is_detected() -> None:
+    class SendsAfterAnswer(PlainPolicy):
+        """Fails a request, then sends an attempt for it."""
 
-        def _arrive(self, send_request: Arrival, now: float) -> list[Action]:
-            fetches = [a for a in super()._arrive(send_request, now) if isinstance(a, Fetch)]
+        def _arrive(self, arrival: Arrival, now: float) -> list[Action]:
+            fetches = [a for a in super()._arrive(arrival, now) if isinstance(a, Fetch)]
             return (
-                [Fail(send_request.request_id)]
+                [Fail(arrival.request_id)]
                 if self._settings.router_index
-                else [Fail(send_request.request_id), *fetches]
+                else [Fail(arrival.request_id), *fetches]
             )
 
     scenario = site()
-    assert list(invariants.violations(scenario, run_site(scenario, Late))) == ["answered_once"]
+    assert list(invariants.violations(scenario, run_site(scenario, SendsAfterAnswer))) == ["answered_once"]
--- a/tests/test_simulation_parts.py
+++ b/tests/test_simulation_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the virtual caches: fair links and ranked memory."""
+"""Parts of the simulation: fair links and ranked memory."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from brackenlane.lab.simulation.memory import RankedMemory, StoredCopy
 
 
-def test_a_full_link_is_divided_evenly() -> None:
+def test_full_link_is_divided_evenly() -> None:
     queue = EventQueue(0.0)
     link = FairLink(1.0)
     ends: list[float] = []
@@ -23,7 +23,7 @@
     assert ends == [pytest.approx(1.5), pytest.approx(2.0)]
 
 
-def test_a_transfer_that_slows_down_and_speeds_up_ends_when_its_work_is_done() -> None:
+def test_transfer_with_a_changing_rate_ends_when_its_work_is_done() -> None:
     queue = EventQueue(0.0)
     link = FairLink(1.0)
     ends: list[float] = []
@@ -38,7 +38,7 @@
     assert len(link) == 0
 
 
-def test_the_narrowest_of_two_links_counts() -> None:
+def test_rate_is_limited_by_the_narrower_of_two_links() -> None:
     queue = EventQueue(0.0)
     ends: list[float] = []
     Transfer(queue, [FairLink(4.0), FairLink(2.0)], 1.0, 3.0, lambda: ends.append(queue.now))
@@ -47,11 +47,11 @@
 
 
 def copy(name: str, rank: int = 1, size: float = 1.0, issued: float = 5.0) -> StoredCopy:
-    """A copy of an object of its own."""
+    """A copy of an object with one part."""
     return StoredCopy(name, name, 1, issued, size, rank)
 
 
-def test_memory_drops_the_lowest_rank_first_and_in_a_rank_what_was_used_longest_ago() -> None:
+def test_memory_evicts_the_lowest_rank_first_and_the_least_recently_used_copy_of_a_rank() -> None:
     memory = RankedMemory(3.0)
     assert all(memory.store(copy(name, rank)) for name, rank in (("a", 2), ("b", 1), ("c", 1)))
     memory.touch(memory.get("b") or copy(""), 0)
@@ -64,7 +64,7 @@
     assert memory.get("a")
 
 
-def test_memory_drops_nothing_of_a_higher_rank() -> None:
+def test_memory_never_evicts_a_higher_rank() -> None:
     memory = RankedMemory(2.0)
     assert memory.store(copy("a", 2))
     assert memory.store(copy("b", 3))
@@ -72,7 +72,7 @@
     assert len(memory) == 2
 
 
-def test_memory_takes_no_copy_older_than_a_purge() -> None:
+def test_memory_stores_no_copy_older_than_a_purge() -> None:
     memory = RankedMemory(9.0)
     memory.store(copy("a", issued=5.0))
     memory.purge("a", 6.0)
