--- a/brackenlane/lab/__init__.py
+++ b/brackenlane/lab/__init__.py
@@ -1,5 +1,6 @@
-"""The project's own laboratory: stand-in caches and open-loop load, each in processes of their own.
+"""Test and measurement tools: simulations, models, stand-in caches and load generators.
 
-It never runs beside a router in service and is imported by none of its parts. Entry points:
-`python -m brackenlane.lab.cache_servers` and `python -m brackenlane.lab.load`.
+They never run next to a router in production, and no other package imports them. Stand-in caches and the load
+generator run as separate processes: `python -m brackenlane.lab.cache_servers` and
+`python -m brackenlane.lab.load`.
 """
--- a/brackenlane/lab/budget_model.py
+++ b/brackenlane/lab/budget_model.py
@@ -1,6 +1,7 @@
-"""A fleet with a budget, driven through the real functions of `budgets.leases`.
+"""Model of a fleet that shares a budget, built on the real functions of `budgets.leases`.
 
-Answers are late and lost, earlier lives go on unseen, the store loses writes, clocks run fast and slow.
+Answers of the store are delayed or lost, stopped processes resume with their old leases, the store loses
+writes, and clocks run fast or slow.
 """
 
 from __future__ import annotations
@@ -13,72 +14,74 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Flight:
-    """An answer of the store on its way to a member."""
+class AnswerInTransit:
+    """An answer of the store that has not reached its member yet."""
 
     grant: Grant
-    left: float
-    requested: float
+    remaining: float
+    requested_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
     """One router."""
 
-    life: int = 0  # incarnation
+    incarnation: int = 0
     held: HeldLease = HeldLease()
-    flight: Flight | None = None  # an older one that another question replaced was lost
+    pending_answer: AnswerInTransit | None = None  # a new query replaces it, as if it were lost
 
 
 @dataclass(frozen=True, slots=True)
 class World:
-    """All of it, at one time of the store's clock."""
+    """One state of the model."""
 
-    at: int
-    run: int  # when the store's present run began
+    now: int  # time of the store's clock
+    store_started_at: int  # time of the store's last start
     entries: tuple[tuple[str, MemberEntry], ...]
-    saved: tuple[tuple[str, MemberEntry], ...]  # what it would come back with: what it had at the last tick
+    persisted: tuple[tuple[str, MemberEntry], ...]  # entries at the last tick, which survive a loss of writes
     members: tuple[Member, ...]
-    ghosts: tuple[tuple[int, HeldLease], ...] = ()  # earlier lives that were only stopped, and wake
+    # Member and lease of each earlier incarnation, which was only suspended and goes on using its lease.
+    stale_leases: tuple[tuple[int, HeldLease], ...] = ()
     crashes: int = 0
     losses: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """How large, and which fault is planted."""
+    """Size of the model, and the fault that is injected into the protocol."""
 
     rule: LeasePolicy
     members: int = 3
-    until: int = 8  # store time
+    until: int = 8  # end of the model, in time of the store
     crashes: int = 1
     losses: int = 1
-    rates: tuple[float, ...] = (1.0, 1.0, 1.0)  # of the members' clocks, by the store's
+    rates: tuple[float, ...] = (1.0, 1.0, 1.0)  # rates of the members' clocks, relative to the store's
     fault: str = ""
 
     def first(self) -> World:
-        """Nobody has anything; the store has been running for long."""
+        """Return the initial state: no leases, and a store that was started long ago."""
         return World(0, -100, (), (), tuple(Member() for _ in range(self.members)))
 
-    def clock(self, n: int, at: float) -> float:
-        """A member's own clock."""
-        return at * self.rates[n]
+    def clock(self, n: int, now: float) -> float:
+        """Return the time of a member's clock at a time of the store."""
+        return now * self.rates[n]
 
     def holds(self, world: World) -> bool:
-        """Never is more spent than the whole, at this moment or just before the next."""
-        alive = [*enumerate(m.held for m in world.members), *world.ghosts]
+        """Whether spendable amounts stay within the budget, now and just before the next tick."""
+        leases_in_use = [*enumerate(m.held for m in world.members), *world.stale_leases]
         return all(
-            sum(leases.spendable_amount(held, self.clock(n, at)) for n, held in alive) <= self.rule.total
-            for at in (world.at, world.at + 0.999)
+            sum(leases.spendable_amount(held, self.clock(n, now)) for n, held in leases_in_use)
+            <= self.rule.total
+            for now in (world.now, world.now + 0.999)
         )
 
     def steps(self, world: World) -> Iterator[tuple[str, World]]:
-        """Whatever may happen next."""
+        """Yield the name and the resulting state of every possible step."""
         entries = dict(world.entries)
-        if world.at < self.until:
-            yield "time passes", replace(world, at=world.at + 1, saved=world.entries)
+        if world.now < self.until:
+            yield "time passes", replace(world, now=world.now + 1, persisted=world.entries)
         for n, member in enumerate(world.members):
-            name = f"{n}.{member.life}"
+            name = f"{n}.{member.incarnation}"
             for wanted in (0, self.rule.total):
                 entry = self._renew(entries, name, wanted, world)
                 if entry and entry != entries.get(name):
@@ -86,48 +89,58 @@
                         f"{n} is given {entry.current.amount}",
                         replace(world, entries=_put(entries, name, entry)),
                     )
-            if (mine := entries.get(name)) and mine.current.expires_at > world.at:
-                flight = Flight(mine.current, mine.current.expires_at - world.at, self.clock(n, world.at))
-                yield f"{n} asks", self._with(world, n, replace(member, flight=flight))
-                if member.held.version > mine.confirmed_version:
+            if (own_entry := entries.get(name)) and own_entry.current.expires_at > world.now:
+                pending_answer = AnswerInTransit(
+                    own_entry.current, own_entry.current.expires_at - world.now, self.clock(n, world.now)
+                )
+                yield f"{n} asks", self._with(world, n, replace(member, pending_answer=pending_answer))
+                if member.held.version > own_entry.confirmed_version:
                     yield (
                         f"the store hears that {n} goes by {member.held.version}",
                         replace(
-                            world, entries=_put(entries, name, leases.confirm(mine, member.held.version))
+                            world, entries=_put(entries, name, leases.confirm(own_entry, member.held.version))
                         ),
                     )
-            if f := member.flight:
-                requested = self.clock(n, world.at) if self.fault == "expiry from the answer" else f.requested
-                held = leases.accept_grant(self.rule, member.held, f.grant, f.left, requested)
+            if answer := member.pending_answer:
+                requested_at = (
+                    self.clock(n, world.now)
+                    if self.fault == "expiry from the answer"
+                    else answer.requested_at
+                )
+                held = leases.accept_grant(
+                    self.rule, member.held, answer.grant, answer.remaining, requested_at
+                )
                 yield (
-                    f"{n} takes in {f.grant.amount}",
-                    self._with(world, n, replace(member, held=held, flight=None)),
+                    f"{n} takes in {answer.grant.amount}",
+                    self._with(world, n, replace(member, held=held, pending_answer=None)),
                 )
             if world.crashes < self.crashes and member != Member():
                 after = replace(
-                    self._with(world, n, Member(member.life + 1)),
+                    self._with(world, n, Member(member.incarnation + 1)),
                     crashes=world.crashes + 1,
-                    ghosts=(*world.ghosts, (n, member.held)),
+                    stale_leases=(*world.stale_leases, (n, member.held)),
                 )
                 if self.fault == "inheriting over incarnations" and name in entries:
-                    heir = {**entries, f"{n}.{member.life + 1}": entries[name]}
-                    del heir[name]
-                    after = replace(after, entries=tuple(sorted(heir.items(), key=lambda item: item[0])))
+                    inherited = {**entries, f"{n}.{member.incarnation + 1}": entries[name]}
+                    del inherited[name]
+                    after = replace(after, entries=tuple(sorted(inherited.items(), key=lambda item: item[0])))
                 yield f"{n} starts anew, its old life goes on unseen", after
         if world.losses < self.losses:
-            for back in {world.saved, ()} - {world.entries}:
+            for restored in {world.persisted, ()} - {world.entries}:
                 yield (
-                    f"the store comes back with {len(back)} entries",
-                    replace(world, entries=back, run=world.at, losses=world.losses + 1),
+                    f"the store comes back with {len(restored)} entries",
+                    replace(world, entries=restored, store_started_at=world.now, losses=world.losses + 1),
                 )
 
     def _renew(
         self, entries: Mapping[str, MemberEntry], name: str, wanted: int, world: World
     ) -> MemberEntry | None:
-        run = 1e9 if self.fault == "no wait after a loss" else float(world.at - world.run)
+        store_uptime = (
+            1e9 if self.fault == "no wait after a loss" else float(world.now - world.store_started_at)
+        )
         if self.fault == "giving before confirmation":
             entries = {who: replace(entry, previous=None) for who, entry in entries.items()}
-        return leases.renew(self.rule, entries, name, wanted, world.at, run)
+        return leases.renew(self.rule, entries, name, wanted, world.now, store_uptime)
 
     @staticmethod
     def _with(world: World, n: int, member: Member) -> World:
--- a/brackenlane/lab/cache_servers.py
+++ b/brackenlane/lab/cache_servers.py
@@ -1,7 +1,7 @@
-"""Stand-in caches on loopback, quick enough to stand behind a router at its limit.
+"""Stand-in caches on the loopback interface, fast enough for a router at its capacity.
 
-They speak the platform's protocol (lines and bodies), answer each GET after a drawn time, keep no copies, and
-count what they are sent: by class, and each write's id, so that a write run twice shows.
+They implement the platform's protocol (lines and bodies), answer each GET after a random delay and store no
+copies. They count requests by class, and writes by id, which reveals a write that was sent twice.
 """
 
 from __future__ import annotations
@@ -25,42 +25,42 @@
 
 @dataclass
 class Behaviour:
-    """How the caches answer."""
+    """Delays and sizes of the answers."""
 
-    delay: float = 0.02  # mean time to an answer, seconds
+    delay: float = 0.02  # mean seconds to an answer
     sizes: dict[str, int] = field(
         default_factory=lambda: {"video-parts": 30_000, "sheet-pages": 4_000, "sheet-submit": 200}
-    )  # mean bytes of an answer
+    )  # mean bytes of an answer, by class
     writes: frozenset[str] = frozenset({"sheet-submit"})
 
 
 class Seen:
-    """What the caches were sent."""
+    """Counts of the requests that the caches received."""
 
     def __init__(self) -> None:
-        self.asked: Counter[str] = Counter()
+        self.request_counts: Counter[str] = Counter()
         self.writes: Counter[str] = Counter()
         self.dropped = 0
 
     def report(self) -> dict[str, Any]:
-        """As the load tool reads it."""
+        """Return the counts in the form of the JSON report."""
         return {
-            "asked": dict(self.asked),
+            "asked": dict(self.request_counts),
             "writes": len(self.writes),
             "dropped": self.dropped,
             "writes_twice": sum(n > 1 for n in self.writes.values()),
         }
 
 
-class Conn:
-    """One connection of a router to a cache."""
+class RouterConnection:
+    """A connection from a router to a cache."""
 
     def __init__(
         self,
         sock: socket.socket,
         poller: Poller,
         timers: Timers,
-        how: Behaviour,
+        behaviour: Behaviour,
         seen: Seen,
         rng: random.Random,
         payload: bytes,
@@ -68,7 +68,7 @@
         self._sock = sock
         self._poller = poller
         self._timers = timers
-        self._how = how
+        self._behaviour = behaviour
         self._seen = seen
         self._random = rng
         self._payload = payload
@@ -98,23 +98,23 @@
                     self._seen.dropped += 1
                     self._open.discard(arguments[1])
                 continue
-            _, wire_id, reported, size = arguments
+            _, wire_id, header, size = arguments
             if len(self._in) < end + 4 + int(size):
                 return
             del self._in[: end + 4 + int(size)]
-            fields = dict(pair.split("=", 1) for pair in reported.split(","))
-            self._seen.asked[fields["queue"]] += 1
-            if fields["queue"] in self._how.writes:
+            fields = dict(pair.split("=", 1) for pair in header.split(","))
+            self._seen.request_counts[fields["queue"]] += 1
+            if fields["queue"] in self._behaviour.writes:
                 self._seen.writes[wire_id] += 1
             self._open.add(wire_id)
-            wait = min(self._random.expovariate(1 / self._how.delay), 10 * self._how.delay)
+            wait = min(self._random.expovariate(1 / self._behaviour.delay), 10 * self._behaviour.delay)
             self._timers.at(time.time() + wait, self._answer, wire_id, fields["queue"])
 
     def _answer(self, wire_id: str, cls: str) -> None:
         if wire_id not in self._open:
             return
         self._open.discard(wire_id)
-        size = int(self._how.sizes.get(cls, 1000) * self._random.uniform(0.5, 1.5))
+        size = int(self._behaviour.sizes.get(cls, 1000) * self._random.uniform(0.5, 1.5))
         now = int(time.time() * 1000)
         self._send(
             f"{wire_id} data entity=e1,issued={now},detail=hit {size}\r\n".encode()
@@ -145,12 +145,12 @@
         self._open.clear()
 
 
-async def serve(ports: list[int], how: Behaviour, seed: int, seen: Seen) -> None:
-    """Serve caches at some ports of 127.0.0.1 until cancelled."""
+async def serve(ports: list[int], behaviour: Behaviour, seed: int, seen: Seen) -> None:
+    """Serve one cache at each port of 127.0.0.1 until cancelled."""
     poller = Poller(256)
     timers = Timers()
     rng = random.Random(seed)
-    payload = bytes(max(how.sizes.values()) * 2)
+    payload = bytes(max(behaviour.sizes.values()) * 2)
     listeners = [socket.create_server(("127.0.0.1", port), backlog=512) for port in ports]
 
     def accept(listener: socket.socket) -> None:
@@ -160,7 +160,7 @@
             return
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        Conn(sock, poller, timers, how, seen, rng, payload)
+        RouterConnection(sock, poller, timers, behaviour, seen, rng, payload)
 
     for listener in listeners:
         listener.setblocking(False)
@@ -172,21 +172,21 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Serve until standard input ends, then print what was seen as one JSON line."""
+    """Serve until standard input ends, then print the counts as one JSON line."""
     parser = argparse.ArgumentParser(prog="python -m brackenlane.lab.cache_servers", description=__doc__)
     parser.add_argument("ports", type=int, nargs="+")
     parser.add_argument("--delay", type=float, default=0.02, help="mean seconds to an answer")
     parser.add_argument("--seed", type=int, default=1)
-    reported = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     seen = Seen()
 
-    async def until_notified() -> None:
+    async def serve_until_end_of_input() -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(serve, reported.ports, Behaviour(delay=reported.delay), reported.seed, seen)
+            nursery.start_soon(serve, options.ports, Behaviour(delay=options.delay), options.seed, seen)
             await trio.to_thread.run_sync(sys.stdin.read, abandon_on_cancel=True)
             nursery.cancel_scope.cancel()
 
-    trio.run(until_notified)
+    trio.run(serve_until_end_of_input)
     print(orjson.dumps(seen.report()).decode())
 
 
--- a/brackenlane/lab/load.py
+++ b/brackenlane/lab/load.py
@@ -1,8 +1,8 @@
-"""Open-loop load: requests come at their drawn times whether or not earlier ones were answered.
+"""Open-loop HTTP load generator: requests are sent at random times, independent of earlier responses.
 
-Clients are impatient and try again, as the platform's do: a request unanswered at its deadline is closed, one
-refused or failed is tried again up to twice after a wait. What counts is the share of first tries that were
-served within their aim, by seconds of their arrival.
+Clients behave as those of the platform do: they close the connection of a request without a response at its
+deadline, and retry a refused or failed request up to twice after a delay. The result is the number of
+operations answered within their latency objective, by the second in which they started.
 """
 
 from __future__ import annotations
@@ -29,56 +29,56 @@
 
 
 @dataclass(frozen=True)
-class Kind:
-    """A class as its clients ask for it."""
+class ClassProfile:
+    """Load of one class of requests."""
 
     name: str
-    share: float
-    latency_objective: float
-    ttl: float
+    share: float  # share of all requests
+    latency_objective: float  # seconds
+    ttl: float  # seconds, longest time that a client waits for a response
     value_weight: float
     write: bool = False
 
 
-KINDS = (
-    Kind("video-parts", 0.56, 0.5, 6.0, 2.0),
-    Kind("sheet-pages", 0.405, 0.3, 2.5, 1.0),
-    Kind("sheet-submit", 0.035, 0.8, 3.0, 3.0, write=True),
+CLASS_PROFILES = (
+    ClassProfile("video-parts", 0.56, 0.5, 6.0, 2.0),
+    ClassProfile("sheet-pages", 0.405, 0.3, 2.5, 1.0),
+    ClassProfile("sheet-submit", 0.035, 0.8, 3.0, 3.0, write=True),
 )
 
 
 @dataclass(slots=True)
-class Want:
-    """One thing that a client wants, over all its tries."""
+class Operation:
+    """One operation of a client: its first request and the retries."""
 
-    kind: Kind
+    profile: ClassProfile
     path: bytes
-    born: float
-    tries: int = 0
+    started_at: float
+    request_count: int = 0
 
 
-class Tally:
-    """What became of it, by the second in which it was first asked for."""
+class Statistics:
+    """Counts of operations by the second in which they started, and of requests."""
 
     def __init__(self) -> None:
         self.requested: Counter[int] = Counter()
-        self.value_requested: defaultdict[int, float] = defaultdict(float)
-        self.good: Counter[int] = Counter()
-        self.worth_good: defaultdict[int, float] = defaultdict(float)
+        self.requested_value: defaultdict[int, float] = defaultdict(float)
+        self.in_time: Counter[int] = Counter()
+        self.in_time_value: defaultdict[int, float] = defaultdict(float)
         self.statuses: Counter[str] = Counter()
-        self.kinds: Counter[str] = Counter()
-        self.waits: list[float] = []
-        self.refusals: list[float] = []  # seconds from sending a try to its refusal
-        self.tries = self.unanswered = self.not_sent = 0
+        self.in_time_by_class: Counter[str] = Counter()
+        self.response_times: list[float] = []
+        self.rejection_times: list[float] = []  # seconds from sending a request to its rejection
+        self.request_count = self.unanswered = self.not_sent_count = 0
 
 
-def stamp(now: float, rng: random.Random) -> bytes:
-    """An id that tells whoever traces it when it was sent: microseconds, and 12 bits of chance."""
+def transaction_id(now: float, rng: random.Random) -> bytes:
+    """Return a transaction id: the time in microseconds and 12 random bits."""
     return b"%016x" % (int(now * 1e6) << 12 | rng.getrandbits(12))
 
 
-class Client:
-    """One connection: one request at a time."""
+class ClientConnection:
+    """A client connection, with one request at a time."""
 
     def __init__(self, load: Load) -> None:
         self._load = load
@@ -86,7 +86,7 @@
         self._sock.setblocking(False)
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock.connect_ex(load.target)
-        self._want: Want | None = None
+        self._operation: Operation | None = None
         self._sent = 0.0
         self._in = bytearray()
         self._out = b""
@@ -94,24 +94,24 @@
         self._length = -1
         self.idle_since = 0.0
         load.poller.add(self._sock.fileno(), self._ready, READ)
-        load.open += 1
-
-    def ask(self, want: Want, now: float) -> None:
-        """Send one try."""
-        kind = want.kind
-        ttl = kind.ttl * self._load.random.uniform(0.5, 1.0)
-        body = b"signed" * 40 if kind.write else b""
-        self._want = want
+        load.open_count += 1
+
+    def send_request(self, operation: Operation, now: float) -> None:
+        """Send one request of an operation."""
+        profile = operation.profile
+        ttl = profile.ttl * self._load.random.uniform(0.5, 1.0)
+        body = b"signed" * 40 if profile.write else b""
+        self._operation = operation
         self._sent = now
         self._length = -1
         self._out = (
             b"%b %b HTTP/1.1\r\nHost: api.internal\r\nX-Txn: %b\r\nX-Ttl-Ms: %d\r\nX-Shard: 17\r\n%b%b\r\n%b"
         ) % (
-            b"PUT" if kind.write else b"GET",
-            want.path,
-            stamp(now, self._load.random),
+            b"PUT" if profile.write else b"GET",
+            operation.path,
+            transaction_id(now, self._load.random),
             int(ttl * 1000),
-            b"X-Second-Try: 1\r\n" if want.tries > 1 else b"",
+            b"X-Second-Try: 1\r\n" if operation.request_count > 1 else b"",
             b"Content-Length: %d\r\n" % len(body) if body else b"",
             body,
         )
@@ -146,62 +146,67 @@
             self._length = found.end() + (int(length[1]) if length else 0)
         if 0 <= self._length <= len(self._in):
             del self._in[: self._length]
-            self._finish(str(self._status))
+            self._complete(str(self._status))
 
-    def _finish(self, how: str) -> None:
-        want, self._want = self._want, None
+    def _complete(self, status: str) -> None:
+        operation, self._operation = self._operation, None
         if self._timer:
             self._timer.cancel()
-        if want is None:
+        if operation is None:
             return self.end("unasked")
         now = time.time()
-        self._load.ended(want, how, now, now - self._sent)
+        self._load.on_ended(operation, status, now, now - self._sent)
         if self._close:
             return self.end("done")
-        self._load.idle.append(self)
+        self._load.idle_connections.append(self)
         self.idle_since = now
 
     def _give_up(self) -> None:
         self.end("timeout")
 
-    def end(self, how: str) -> None:
-        """Close; what was asked for here has ended that way."""
+    def end(self, status: str) -> None:
+        """Close the connection; a request in progress ends with this status."""
         if self._sock.fileno() < 0:
             return
-        self._load.open -= 1
+        self._load.open_count -= 1
         self._load.poller.remove(self._sock.fileno())
         self._sock.close()
         if self._timer:
             self._timer.cancel()
-        want, self._want = self._want, None
-        if want:
+        operation, self._operation = self._operation, None
+        if operation:
             now = time.time()
-            self._load.ended(want, how, now, now - self._sent)
+            self._load.on_ended(operation, status, now, now - self._sent)
 
     @property
     def usable(self) -> bool:
-        """Whether its socket is still open."""
+        """Whether the socket is still open."""
         return self._sock.fileno() >= 0
 
 
 class Load:
-    """One process's part of the load, by phases of (seconds, first tries a second)."""
+    """The load of one process, in phases of (seconds, operations per second)."""
 
     def __init__(
-        self, target: tuple[str, int], phases: list[tuple[float, float]], seed: int, most: int, objects: int
+        self,
+        target: tuple[str, int],
+        phases: list[tuple[float, float]],
+        seed: int,
+        max_connections: int,
+        objects: int,
     ) -> None:
         self.target = target
         self.phases = phases
-        self._most = most
+        self._max_connections = max_connections
         self._objects = objects
         self.random = random.Random(seed)
         self.poller = Poller(256)
         self.timers = Timers()
-        self.tally = Tally()
-        self.idle: deque[Client] = deque()
-        self.open = 0
+        self.statistics = Statistics()
+        self.idle_connections: deque[ClientConnection] = deque()
+        self.open_count = 0
         self._start = 0.0
-        self._left = 0  # wants without their end
+        self._pending = 0  # operations not yet ended
 
     async def run(self) -> None:
         """Play all phases, then wait until everything has ended."""
@@ -217,90 +222,90 @@
                         break
                     if (wait := now - time.time()) > 0.0005:
                         await trio.sleep(wait)
-                    self._arrive(time.time())
+                    self._start_operation(time.time())
                 now = end
                 if (wait := now - time.time()) > 0:
                     await trio.sleep(wait)
             with trio.move_on_after(10):
-                while self._left:
+                while self._pending:
                     await trio.sleep(0.05)
             nursery.cancel_scope.cancel()
 
-    def _arrive(self, now: float) -> None:
-        kind = self.random.choices(KINDS, [k.share for k in KINDS])[0]
-        # A few objects are wanted often, most once: a Zipf-like draw over so many objects.
+    def _start_operation(self, now: float) -> None:
+        profile = self.random.choices(CLASS_PROFILES, [k.share for k in CLASS_PROFILES])[0]
+        # Zipf-like popularity: a few objects are requested often, most of them once.
         name = int(self._objects ** self.random.random())
-        path = f"/api/v2/{kind.name}/{name:016x}/n-{self.random.randrange(8)}".encode()
+        path = f"/api/v2/{profile.name}/{name:016x}/n-{self.random.randrange(8)}".encode()
         second = int(now - self._start)
-        self.tally.requested[second] += 1
-        self.tally.value_requested[second] += kind.value_weight
-        self._left += 1
-        self._try(Want(kind, path, now))
+        self.statistics.requested[second] += 1
+        self.statistics.requested_value[second] += profile.value_weight
+        self._pending += 1
+        self._send_next_request(Operation(profile, path, now))
 
-    def _try(self, want: Want) -> None:
+    def _send_next_request(self, operation: Operation) -> None:
         now = time.time()
-        want.tries += 1
-        self.tally.tries += 1
-        while self.idle:
-            client = self.idle.pop()
-            # The platform's clients close connections after 4 s idle.
-            if client.usable and now - client.idle_since < 4:
-                return client.ask(want, now)
-            client.end("idle")
-        if self.open >= self._most:
-            self.tally.not_sent += 1
-            return self.ended(want, "no-connection", now, 0.0)
-        Client(self).ask(want, now)
-
-    def ended(self, want: Want, how: str, now: float, took: float) -> None:
-        """One try has ended."""
-        self.tally.statuses[how] += 1
-        if how in ("200", "304"):
-            self._left -= 1
-            self.tally.waits.append(took)
-            if now - want.born <= want.kind.latency_objective:
-                second = int(want.born - self._start)
-                self.tally.good[second] += 1
-                self.tally.worth_good[second] += want.kind.value_weight
-                self.tally.kinds[want.kind.name] += 1
+        operation.request_count += 1
+        self.statistics.request_count += 1
+        while self.idle_connections:
+            idle_connection = self.idle_connections.pop()
+            # The platform's clients close connections that were idle for 4 s.
+            if idle_connection.usable and now - idle_connection.idle_since < 4:
+                return idle_connection.send_request(operation, now)
+            idle_connection.end("idle")
+        if self.open_count >= self._max_connections:
+            self.statistics.not_sent_count += 1
+            return self.on_ended(operation, "no-connection", now, 0.0)
+        ClientConnection(self).send_request(operation, now)
+
+    def on_ended(self, operation: Operation, status: str, now: float, duration: float) -> None:
+        """Count the end of a request, and retry the operation if permitted."""
+        self.statistics.statuses[status] += 1
+        if status in ("200", "304"):
+            self._pending -= 1
+            self.statistics.response_times.append(duration)
+            if now - operation.started_at <= operation.profile.latency_objective:
+                second = int(operation.started_at - self._start)
+                self.statistics.in_time[second] += 1
+                self.statistics.in_time_value[second] += operation.profile.value_weight
+                self.statistics.in_time_by_class[operation.profile.name] += 1
             return
-        if how in ("503", "429"):
-            self.tally.refusals.append(took)
-        # A write is tried again only after a refusal, or where it was never sent.
-        again = not want.kind.write or how in ("503", "429", "no-connection")
-        if again and want.tries < 3:
-            self.timers.at(now + self.random.uniform(0.1, 0.5), self._try, want)
+        if status in ("503", "429"):
+            self.statistics.rejection_times.append(duration)
+        # A write is retried only after a rejection, or if it was never sent.
+        again = not operation.profile.write or status in ("503", "429", "no-connection")
+        if again and operation.request_count < 3:
+            self.timers.at(now + self.random.uniform(0.1, 0.5), self._send_next_request, operation)
         else:
-            self._left -= 1
+            self._pending -= 1
 
     def report(self) -> dict[str, Any]:
-        """All of it as JSON."""
-        t = self.tally
+        """Return the statistics in the form of the JSON report."""
+        t = self.statistics
         return {
             "asked": t.requested,
-            "worth_asked": t.value_requested,
-            "good": t.good,
-            "worth_good": t.worth_good,
+            "worth_asked": t.requested_value,
+            "good": t.in_time,
+            "worth_good": t.in_time_value,
             "statuses": t.statuses,
-            "kinds": t.kinds,
-            "tries": t.tries,
-            "not_sent": t.not_sent,
-            "waits": sorted(t.waits)[:: max(1, len(t.waits) // 1000)],
-            "refusals": sorted(t.refusals)[:: max(1, len(t.refusals) // 1000)],
+            "kinds": t.in_time_by_class,
+            "tries": t.request_count,
+            "not_sent": t.not_sent_count,
+            "waits": sorted(t.response_times)[:: max(1, len(t.response_times) // 1000)],
+            "refusals": sorted(t.rejection_times)[:: max(1, len(t.rejection_times) // 1000)],
         }
 
 
 def main(arguments: list[str]) -> None:
-    """Play one process's part and print its report as one JSON line."""
+    """Generate the load and print the report as one JSON line."""
     parser = argparse.ArgumentParser(prog="python -m brackenlane.lab.load", description=__doc__)
     parser.add_argument("port", type=int)
     parser.add_argument("phases", nargs="+", help="SECONDS:RATE, one after the other")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--connections", type=int, default=80, help="open at once, at most")
     parser.add_argument("--objects", type=int, default=100_000)
-    reported = parser.parse_args(arguments)
-    phases = [(float(a), float(b)) for a, _, b in (text.partition(":") for text in reported.phases)]
-    load = Load(("127.0.0.1", reported.port), phases, reported.seed, reported.connections, reported.objects)
+    options = parser.parse_args(arguments)
+    phases = [(float(a), float(b)) for a, _, b in (text.partition(":") for text in options.phases)]
+    load = Load(("127.0.0.1", options.port), phases, options.seed, options.connections, options.objects)
     trio.run(load.run)
     print(orjson.dumps(load.report(), option=orjson.OPT_NON_STR_KEYS).decode())
 
--- a/brackenlane/lab/model.py
+++ b/brackenlane/lab/model.py
@@ -1,4 +1,4 @@
-"""Every state that a protocol can come to, to a stated depth; by the shortest ways first."""
+"""Exhaustive breadth-first exploration of the states of a protocol model, up to a depth."""
 
 from __future__ import annotations
 
@@ -11,43 +11,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found(Generic[S]):
-    """What a search came to."""
+class Exploration(Generic[S]):
+    """Result of an exploration."""
 
-    states: int
-    depth: int  # steps of the longest way that was followed
-    complete: bool  # whether nothing within the depth was left out
-    fault: tuple[str, ...] = ()  # the steps to the first state that breaks the invariant
+    states: int  # number of distinct states
+    depth: int  # steps to the deepest state that was checked
+    complete: bool  # whether all states within the depth were explored
+    fault: tuple[str, ...] = ()  # names of the steps to the first state that violates the invariant
 
 
 def explore(
-    first: S,
+    initial: S,
     steps: Callable[[S], Iterable[tuple[str, S]]],
     holds: Callable[[S], bool],
     depth: int,
-    most: int = 5_000_000,
-) -> Found[S]:
-    """Follow all steps from the first state; each state is looked at once."""
-    came: dict[S, tuple[S, str] | None] = {first: None}
-    queue: deque[tuple[S, int]] = deque([(first, 0)])
-    reached = 0
+    max_states: int = 5_000_000,
+) -> Exploration[S]:
+    """Explore all states that can be reached from the initial one, and check the invariant in each once."""
+    predecessors: dict[S, tuple[S, str] | None] = {initial: None}
+    queue: deque[tuple[S, int]] = deque([(initial, 0)])
+    depth_reached = 0
     complete = True
     while queue:
         state, level = queue.popleft()
-        reached = max(reached, level)
+        depth_reached = max(depth_reached, level)
         if not holds(state):
-            way: list[str] = []
-            while (back := came[state]) is not None:
-                state, said = back
-                way.append(said)
-            return Found(len(came), reached, complete, tuple(reversed(way)))
+            trace: list[str] = []
+            while (predecessor := predecessors[state]) is not None:
+                state, step_name = predecessor
+                trace.append(step_name)
+            return Exploration(len(predecessors), depth_reached, complete, tuple(reversed(trace)))
         if level == depth:
             continue
-        for said, after in steps(state):
-            if after not in came:
-                if len(came) >= most:
+        for step_name, successor in steps(state):
+            if successor not in predecessors:
+                if len(predecessors) >= max_states:
                     complete = False
                     break
-                came[after] = state, said
-                queue.append((after, level + 1))
-    return Found(len(came), reached, complete)
+                predecessors[successor] = state, step_name
+                queue.append((successor, level + 1))
+    return Exploration(len(predecessors), depth_reached, complete)
--- a/brackenlane/lab/queueing.py
+++ b/brackenlane/lab/queueing.py
@@ -1,7 +1,7 @@
-"""A doorman's CPU as a queue in virtual time: one server, impatient clients that try again.
+"""Simulation of a router's CPU as a single-server queue, with clients that leave and retry.
 
-Nothing here waits or measures: a run of 20 simulated seconds gives the same result on any machine. What is
-served, and when, is decided by the real `Admission`, or by one of the plain policies beside it.
+Time is virtual: a run of 20 simulated seconds gives the same result on any machine. The real `AdmissionQueue`
+or the plain `Fifo` policy decides on the order of service and on rejections.
 """
 
 from __future__ import annotations
@@ -33,100 +33,105 @@
 
 
 class Policy(Protocol):
-    """What stands at the door."""
+    """An admission policy; `AdmissionQueue` is the real one."""
 
     def has_capacity_for(self, cls: str, is_retry: bool) -> bool:
-        """Whether one more may wait."""
+        """Whether one more request may be queued."""
 
-    def add(self, item: Try, cls: str, is_retry: bool, now: float) -> None:
-        """One more waits."""
+    def add(self, item: QueuedRequest, cls: str, is_retry: bool, now: float) -> None:
+        """Queue a request."""
 
-    def shed(self, now: float) -> list[Try]:
-        """Who is refused now."""
+    def shed(self, now: float) -> list[QueuedRequest]:
+        """Remove and return the queued requests to reject now."""
 
-    def take(self, now: float) -> tuple[Try, float] | None:
-        """Who is served next."""
+    def take(self, now: float) -> tuple[QueuedRequest, float] | None:
+        """Remove and return the next request to serve, and the time it was queued."""
 
-    def remove(self, item: Try, cls: str, is_retry: bool) -> bool:
-        """One has left."""
+    def remove(self, item: QueuedRequest, cls: str, is_retry: bool) -> bool:
+        """Remove a request whose client has left; return whether it was queued."""
 
 
 @dataclass(eq=False, slots=True)
-class Try:
-    """One try of a client."""
+class QueuedRequest:
+    """One request of a client: the first of its operation, or a retry."""
 
     cls: RequestClass
-    born: float  # the first try's time
-    sent: float
-    until: float  # the client leaves then
+    started_at: float  # seconds, arrival of the first request
+    sent: float  # seconds, arrival of this request
+    leaves_at: float  # seconds, time at which the client gives up
     number: int = 1
-    ended: str = ""
+    outcome: str = ""
 
 
 class Fifo:
-    """First come, first served; `bound` requests at most, none that is out of time if `dead` is set."""
+    """A plain queue: first in, first out, or last in, first out if `takes_newest` is set.
 
-    def __init__(self, bound: float = float("inf"), dead: bool = False, newest: bool = False) -> None:
-        self._waiting: deque[tuple[float, Try]] = deque()
-        self._bound = bound
-        self._dead = dead
-        self._newest = newest
+    At most `limit` requests are queued; those whose clients have left are shed if `drops_expired` is set.
+    """
+
+    def __init__(
+        self, limit: float = float("inf"), drops_expired: bool = False, takes_newest: bool = False
+    ) -> None:
+        self._waiting: deque[tuple[float, QueuedRequest]] = deque()
+        self._limit = limit
+        self._drops_expired = drops_expired
+        self._takes_newest = takes_newest
 
     def has_capacity_for(self, cls: str, is_retry: bool) -> bool:
-        """Within the bound."""
-        return len(self._waiting) < self._bound
+        """Whether the queue is shorter than its limit."""
+        return len(self._waiting) < self._limit
 
-    def add(self, item: Try, cls: str, is_retry: bool, now: float) -> None:
-        """Wait behind the others."""
+    def add(self, item: QueuedRequest, cls: str, is_retry: bool, now: float) -> None:
+        """Append a request."""
         self._waiting.append((now, item))
 
-    def shed(self, now: float) -> list[Try]:
-        """Those out of time, if that is looked at."""
-        late = [item for _, item in self._waiting if now > item.until] if self._dead else []
+    def shed(self, now: float) -> list[QueuedRequest]:
+        """Remove and return the requests whose clients have left, if `drops_expired` is set."""
+        late = [item for _, item in self._waiting if now > item.leaves_at] if self._drops_expired else []
         if late:
-            self._waiting = deque(pair for pair in self._waiting if now <= pair[1].until)
+            self._waiting = deque(pair for pair in self._waiting if now <= pair[1].leaves_at)
         return late
 
-    def take(self, now: float) -> tuple[Try, float] | None:
-        """The oldest, or the newest."""
+    def take(self, now: float) -> tuple[QueuedRequest, float] | None:
+        """Remove and return the oldest request, or the newest if `takes_newest` is set."""
         if not self._waiting:
             return None
-        since, item = self._waiting.pop() if self._newest else self._waiting.popleft()
+        since, item = self._waiting.pop() if self._takes_newest else self._waiting.popleft()
         return item, since
 
-    def remove(self, item: Try, cls: str, is_retry: bool) -> bool:
-        """A plain server does not notice that a client has left until it has served it."""
+    def remove(self, item: QueuedRequest, cls: str, is_retry: bool) -> bool:
+        """Return False: a plain server does not notice that a client has left until it has served it."""
         return False
 
 
 @dataclass
 class Costs:
-    """CPU seconds."""
+    """CPU time in seconds."""
 
-    serve: float = 0.005  # mean, drawn exponentially
-    refuse: float = 0.0
-    turn: float = 0.004  # served before what has come is looked at
+    serve: float = 0.005  # mean time of serving one request, exponentially distributed
+    refuse: float = 0.0  # time of rejecting one request
+    turn: float = 0.004  # longest time of service between two looks at new arrivals
 
 
 @dataclass
 class Result:
-    """What became of it, by the second of the first try."""
+    """Counts of one run; by second means the second of the first request."""
 
     requested: Counter[int] = field(default_factory=Counter)
     good: Counter[int] = field(default_factory=Counter)
-    ends: Counter[str] = field(default_factory=Counter)  # of tries
+    ends: Counter[str] = field(default_factory=Counter)  # requests by outcome
     classes: Counter[tuple[str, str]] = field(default_factory=Counter)
-    refusing: float = 0.0  # CPU seconds
+    refusing: float = 0.0  # CPU seconds spent on rejections
     served_twice: int = 0
 
     def share(self, start: int, end: int) -> float:
-        """Of those first asked for in these seconds, how many were served in time."""
+        """Share of the operations started in these seconds that were served in time."""
         return sum(self.good[n] for n in range(start, end)) / max(
             1, sum(self.requested[n] for n in range(start, end))
         )
 
     def goodput(self, start: int, end: int) -> float:
-        """Served in time, a second."""
+        """Operations served in time, per second."""
         return sum(self.good[n] for n in range(start, end)) / (end - start)
 
 
@@ -139,46 +144,56 @@
     shares: Sequence[float] = SHARES,
     slow: Callable[[float], float] = lambda now: 1.0,
 ) -> Result:
-    """Play a day. rate: first tries a second at a time; slow: by how much service costs more then."""
+    """Run the queue.
+
+    rate: first requests per second, by time; slow: factor of the service time, by time.
+    """
     costs = costs or Costs()
     rng = random.Random(seed)
     order = itertools.count()
     result = Result()
-    events: list[tuple[float, int, Try]] = []
+    events: list[tuple[float, int, QueuedRequest]] = []
 
-    def again(item: Try, now: float, harmless: bool) -> None:
-        if item.number < 3 and (harmless or item.cls.idempotency is Idempotency.IDEMPOTENT):
+    def schedule_retry(item: QueuedRequest, now: float, is_rejection: bool) -> None:
+        if item.number < 3 and (is_rejection or item.cls.idempotency is Idempotency.IDEMPOTENT):
             at = now + rng.uniform(0.1, 0.5)
-            ttl = item.cls.time_limit * rng.uniform(0.5, 1.0)
-            heapq.heappush(events, (at, next(order), Try(item.cls, item.born, at, at + ttl, item.number + 1)))
-
-    def end(item: Try, how: str, now: float) -> None:
-        assert not item.ended, (item, how)
-        item.ended = how
-        result.ends[how] += 1
-        result.classes[item.cls.name, how] += 1
-        if how == "served" and now - item.born <= item.cls.latency_objective:
-            result.good[int(item.born)] += 1
-        elif how != "served":
-            again(item, now, how == "refused")
+            patience = item.cls.time_limit * rng.uniform(0.5, 1.0)
+            heapq.heappush(
+                events,
+                (
+                    at,
+                    next(order),
+                    QueuedRequest(item.cls, item.started_at, at, at + patience, item.number + 1),
+                ),
+            )
+
+    def end(item: QueuedRequest, outcome: str, now: float) -> None:
+        assert not item.outcome, (item, outcome)
+        item.outcome = outcome
+        result.ends[outcome] += 1
+        result.classes[item.cls.name, outcome] += 1
+        if outcome == "served" and now - item.started_at <= item.cls.latency_objective:
+            result.good[int(item.started_at)] += 1
+        elif outcome != "served":
+            schedule_retry(item, now, outcome == "refused")
 
     at = 0.0
     while at < seconds:
         step = rng.expovariate(max(rate(at), 1e-9))
-        if step > 0.05:  # the rate may have changed meanwhile
+        if step > 0.05:  # draws again, since the rate may have changed
             at += 0.05
             continue
         at += step
         cls = rng.choices(CLASSES, shares)[0]
         result.requested[int(at)] += 1
-        ttl = cls.time_limit * rng.uniform(0.5, 1.0)
-        heapq.heappush(events, (at, next(order), Try(cls, at, at, at + ttl)))
+        patience = cls.time_limit * rng.uniform(0.5, 1.0)
+        heapq.heappush(events, (at, next(order), QueuedRequest(cls, at, at, at + patience)))
 
-    leaves: list[tuple[float, int, Try]] = []
+    departures: list[tuple[float, int, QueuedRequest]] = []
     now = 0.0
     waiting = 0
 
-    def refuse(item: Try) -> None:
+    def refuse(item: QueuedRequest) -> None:
         nonlocal now
         now += costs.refuse
         result.refusing += costs.refuse
@@ -187,17 +202,17 @@
     while events or waiting:
         if not waiting and events[0][0] > now:
             now = events[0][0]
-        while events and events[0][0] <= now:  # all that has come is looked at
+        while events and events[0][0] <= now:  # queues or rejects all arrivals up to now
             item = heapq.heappop(events)[2]
             if policy.has_capacity_for(item.cls.name, item.number > 1):
                 policy.add(item, item.cls.name, item.number > 1, now)
-                heapq.heappush(leaves, (item.until, next(order), item))
+                heapq.heappush(departures, (item.leaves_at, next(order), item))
                 waiting += 1
             else:
                 refuse(item)
-        while leaves and leaves[0][0] <= now:
-            item = heapq.heappop(leaves)[2]
-            if not item.ended and policy.remove(item, item.cls.name, item.number > 1):
+        while departures and departures[0][0] <= now:
+            item = heapq.heappop(departures)[2]
+            if not item.outcome and policy.remove(item, item.cls.name, item.number > 1):
                 waiting -= 1
                 end(item, "left", now)
         for item in policy.shed(now):
@@ -208,10 +223,10 @@
             item, _ = taken
             waiting -= 1
             now += rng.expovariate(1 / costs.serve) * slow(now)
-            end(item, "served" if now <= item.until else "left", now)
+            end(item, "served" if now <= item.leaves_at else "left", now)
     return result
 
 
-def admission() -> AdmissionQueue[Try]:
-    """The door's own policy."""
+def admission() -> AdmissionQueue[QueuedRequest]:
+    """Return the real admission queue."""
     return AdmissionQueue(CLASSES)
--- a/brackenlane/lab/site.py
+++ b/brackenlane/lab/site.py
@@ -1,4 +1,4 @@
-"""A router of any checkout of this project as a process, in front of stand-in caches, for measurements."""
+"""Processes for measurements: a router of any checkout of this project, stand-in caches and load."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of 127.0.0.1 that nobody listens on now."""
+    """Return ports of 127.0.0.1 that are free now."""
     with contextlib.ExitStack() as stack:
         socks = [stack.enter_context(socket.socket()) for _ in range(count)]
         for sock in socks:
@@ -72,7 +72,10 @@
     memory_mb: int = 128,
     flow: float = 0.0,
 ) -> bytes:
-    """A platform's configuration: edge caches at some ports, and the origin; flow in bytes a second."""
+    """Return a configuration file of the platform.
+
+    caches, origin: ports of the edge caches and of the origin; flow: bytes per second.
+    """
     targets = [
         {
             "uid": f"s-{n + 1:08x}",
@@ -105,31 +108,31 @@
 
 @dataclass
 class Running:
-    """A router that serves."""
+    """A running router process."""
 
     process: subprocess.Popen[bytes]
     port: int
     log: Path
 
     def cpu(self) -> float:
-        """CPU seconds used so far (proc(5), utime and stime)."""
+        """CPU seconds used so far (utime and stime of proc(5))."""
         arguments = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(arguments[11]) + int(arguments[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory(self) -> float:
-        """Resident MB."""
+        """Resident memory in MB."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-def pinned(arguments: list[str], cores: Sequence[int], **more: Any) -> subprocess.Popen[bytes]:
-    """A process on these cores alone."""
-    return subprocess.Popen(arguments, preexec_fn=lambda: os.sched_setaffinity(0, cores), **more)
+def pinned(arguments: list[str], cores: Sequence[int], **options: Any) -> subprocess.Popen[bytes]:
+    """Start a process that runs on these cores only."""
+    return subprocess.Popen(arguments, preexec_fn=lambda: os.sched_setaffinity(0, cores), **options)
 
 
 @contextlib.contextmanager
 def burner(core: int) -> Iterator[None]:
-    """A process that wants one whole core: whoever is pinned there with it gets about half."""
+    """Run a busy loop on a core: another process pinned to the core gets about half of it."""
     process = pinned([sys.executable, "-c", "while True: pass"], [core])
     try:
         yield
@@ -147,7 +150,7 @@
     env: dict[str, str] | None = None,
     **config: Any,
 ) -> Iterator[Running]:
-    """The router of a checkout, from its start to its end."""
+    """Run the router of a checkout, and kill it at the end."""
     [port] = free_ports(1)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
@@ -178,7 +181,10 @@
 def stand_in_caches(
     count: int, cores: Sequence[int], delay: float = 0.02
 ) -> Iterator[tuple[list[int], int, dict[str, Any]]]:
-    """Boxes and an origin in one process: their ports, and what they saw, filled at the end."""
+    """Run caches and an origin in one process.
+
+    Yield the ports of the caches, the port of the origin and a dict, which receives their counts at the end.
+    """
     ports = free_ports(count + 1)
     seen: dict[str, Any] = {}
     process = pinned(
@@ -192,8 +198,8 @@
         assert process.stdout
         assert process.stdout.readline() == b"ready\n"
         yield ports[:-1], ports[-1], seen
-        reported, _ = process.communicate(timeout=10)
-        seen.update(orjson.loads(reported))
+        output, _ = process.communicate(timeout=10)
+        seen.update(orjson.loads(output))
     finally:
         process.kill()
         process.wait()
@@ -208,7 +214,7 @@
     connections: int = 320,
     objects: int = 100_000,
 ) -> list[subprocess.Popen[bytes]]:
-    """Start one load process on each core, which share the rates; `collect` waits for them."""
+    """Start a load process on each core, with the rates divided among them; `collect` waits for them."""
     return [
         pinned(
             [
@@ -233,15 +239,15 @@
 
 
 def collect(loads: list[subprocess.Popen[bytes]]) -> dict[str, Any]:
-    """The reports of all load processes as one."""
+    """Wait for the load processes and return the sum of their reports."""
     total: dict[str, Any] = {}
     for process in loads:
-        reported, _ = process.communicate()
-        for name, value in orjson.loads(reported).items():
+        output, _ = process.communicate()
+        for name, value in orjson.loads(output).items():
             if isinstance(value, dict):
-                mine = total.setdefault(name, {})
+                sums = total.setdefault(name, {})
                 for key, number in value.items():
-                    mine[key] = mine.get(key, 0) + number
+                    sums[key] = sums.get(key, 0) + number
             else:
                 total[name] = total[name] + value if name in total else value
     for name in ("waits", "refusals"):
@@ -251,7 +257,7 @@
 
 @contextlib.contextmanager
 def checkout(rev: str) -> Iterator[Path]:
-    """An earlier program of this repository beside this one."""
+    """Check out a revision of this repository in a temporary worktree."""
     with tempfile.TemporaryDirectory() as folder:
         tree = Path(folder) / "tree"
         subprocess.run(
