--- a/brackenlane/lab/simulation/edge.py
+++ b/brackenlane/lab/simulation/edge.py
@@ -114,14 +114,19 @@
 
     def _hit(self, request: CacheRequest, reply: Reply, copy: StoredCopy, age: float) -> None:
         self.memory.touch(copy, request.keep)
-        fresh = request.cls.fresh_for
-        reply.cache_status = CacheStatus.STALE if fresh and age > fresh else CacheStatus.HIT
+        freshness_lifetime = request.cls.fresh_for
+        reply.cache_status = (
+            CacheStatus.STALE if freshness_lifetime and age > freshness_lifetime else CacheStatus.HIT
+        )
         relay(self.world.queue, complete_stream(copy.issued), reply, [self.link], request.work, 1.0)
-        ageing = (
-            request.revalidate and fresh and age > REVALIDATE_FROM * fresh and request.source != self.name
+        is_ageing = (
+            request.revalidate
+            and freshness_lifetime
+            and age > REVALIDATE_FROM * freshness_lifetime
+            and request.source != self.name
         )
-        capacity = len(self._fills) < self.world.site.fills_per_cache
-        if ageing and capacity and request.copy not in self._fills.values():
+        has_free_fill = len(self._fills) < self.world.site.fills_per_cache
+        if is_ageing and has_free_fill and request.copy not in self._fills.values():
             self._fill(request, copy.issued + MIN_ISSUE_STEP)
 
     def _joinable(self, request: CacheRequest, min_issued: float) -> FillInProgress | None:
--- a/brackenlane/lab/simulation/faults.py
+++ b/brackenlane/lab/simulation/faults.py
@@ -41,10 +41,12 @@
 
 def _affected_servers(world: World, fault: Fault) -> list[Server]:
     """Choose servers at random, at least one; caches if the site has no parents."""
-    tier: list[Server] = [*world.parents.values()] if fault.parents else []
-    tier = tier or [*world.caches.values()]
-    up = [server for server in tier if server.health is Health.UP]
-    return world.random.sample(up, min(len(up), max(1, math.floor(fault.share * len(tier)))))
+    candidates: list[Server] = [*world.parents.values()] if fault.parents else []
+    candidates = candidates or [*world.caches.values()]
+    servers_up = [server for server in candidates if server.health is Health.UP]
+    return world.random.sample(
+        servers_up, min(len(servers_up), max(1, math.floor(fault.share * len(candidates))))
+    )
 
 
 def _begin_server_fault(world: World, fault: Fault, server: Server) -> None:
--- a/brackenlane/lab/simulation/servers.py
+++ b/brackenlane/lab/simulation/servers.py
@@ -114,7 +114,7 @@
         self.link = FairLink(width)
         self.health = Health.UP
         self.error_share = 0.0
-        self.cold: ColdCapacity | None = None
+        self.cold_capacity: ColdCapacity | None = None
         self.memory = RankedMemory(0.0)
         self.open_streams: dict[Stream, None] = {}  # streams that break off when the server stops
 
@@ -125,30 +125,30 @@
         while self.open_streams:
             next(iter(self.open_streams)).fail(Failure.BROKEN)
 
-    def start_cold(self, cold: ColdCapacity) -> None:
+    def start_cold(self, cold_capacity: ColdCapacity) -> None:
         """Start the process with an empty memory and reduced capacity."""
         self.health = Health.UP
-        self.cold = cold
+        self.cold_capacity = cold_capacity
         self.error_share = 0.0
-        self._warm()
+        self._update_width()
 
-    def _warm(self) -> None:
-        share = self.cold.share(self.world.queue.now) if self.cold else 1.0
+    def _update_width(self) -> None:
+        share = self.cold_capacity.share(self.world.queue.now) if self.cold_capacity else 1.0
         self.link.set_width(self.full_width * share)
         if share < 1 and self.health is not Health.DOWN:
-            self.world.queue.after(WARM_UP_STEP, self._warm)
+            self.world.queue.after(WARM_UP_STEP, self._update_width)
 
     def track_stream(self, stream: Stream) -> None:
         """Make a stream break off if this server stops."""
         self.open_streams[stream] = None
-        stream.listen(_nothing, lambda: self._untrack_stream(stream))
+        stream.listen(_ignore, lambda: self._untrack_stream(stream))
 
     def _untrack_stream(self, stream: Stream) -> None:
         self.open_streams.pop(stream, None)
 
     def admit(self, request: CacheRequest, stream: Stream) -> bool:
         """Whether to serve a request; if not, its stream fails or, at a hung server, never ends."""
-        if self.cold and self.health is not Health.DOWN:
+        if self.cold_capacity and self.health is not Health.DOWN:
             self.world.record_cold_load(self, request.router, self.world.mean_work(request.cls))
         if self.health is Health.DOWN:
             stream.fail(Failure.UNREACHABLE)
@@ -166,7 +166,7 @@
         raise NotImplementedError
 
 
-def _nothing() -> None:
+def _ignore() -> None:
     """Callback that does nothing."""
 
 
@@ -194,7 +194,7 @@
             )
         done()
 
-    stream.listen(_nothing, ended)
+    stream.listen(_ignore, ended)
 
 
 def fill_work(world: Environment, memory: RankedMemory, request: CacheRequest) -> float:
--- a/brackenlane/lab/simulation/site.py
+++ b/brackenlane/lab/simulation/site.py
@@ -116,15 +116,15 @@
     origin_stops_on_overload: bool = False
     near_latency: float = 0.008  # seconds to servers of the own hub, one way
     latency_per_hub: float = 0.03  # additional seconds per hub on the way
-    fills_per_cache: int = 16
+    fills_per_cache: int = 16  # concurrent fills of one cache
     fill_timeout: float = 2.0  # seconds to the first byte
     abort_fill: bool = False  # whether a cache aborts a fill that no request waits for
     slots_per_width: float = 4.0  # concurrent requests of a cache per unit of link width
     status_reports: StatusReports = StatusReports.ALL
-    load_reports: bool = False
+    load_reports: bool = False  # whether caches attach load reports to their answers
     weights: WeightAccuracy = WeightAccuracy.EXACT
-    links_known: bool = False
-    peers_known: bool = False
+    links_known: bool = False  # whether routers know the widths of the links of locations
+    peers_known: bool = False  # whether a router knows its index among the routers of its location
     sizes_known: bool = True  # whether requests state the size of their object
     sizes_seen: bool = False  # whether answers state the size of their object
     may_bypass_caches: bool = True
@@ -136,18 +136,18 @@
     max_hold_off: float = 0.0
     edge_cold: SlowStart = SlowStart(0.25, 16.0, 3.0, 1.0)
     parent_cold: SlowStart = SlowStart(0.065, 20.0, 2.0, 1.0)
-    drain_grace: float = 0.5
-    purge_grace: float = 0.5
-    purge_propagation_time: float = 6.0
+    drain_grace: float = 0.5  # seconds after the notice of a drain in which its server may still be used
+    purge_grace: float = 0.5  # seconds after the notice of a purge in which older copies may be used
+    purge_propagation_time: float = 6.0  # seconds until all caches have executed a purge, at most
     purge_notice_delay: float = 0.2  # mean seconds until routers are notified of a purge
     purges_per_second: float = 0.4
     list_notice_delay: float = 1.5  # mean seconds until routers are notified of a change of the server list
     client_retries: int = 2
     request_time_share: float = 0.75  # time for one request, as a share of the time limit of its class
     retry_backoff: float = 0.2  # mean seconds before the first retry, doubled for each further one
-    answer_slack: float = 0.008
-    tick: float = 0.002
-    connect_timeout: float = 0.4
+    answer_slack: float = 0.008  # seconds past the deadline of a request within which a router may answer
+    tick: float = 0.002  # seconds, shortest delay of a timer
+    connect_timeout: float = 0.4  # seconds
     faults: tuple[Fault, ...] = ()
 
     @cached_property
--- a/brackenlane/lab/simulation/world.py
+++ b/brackenlane/lab/simulation/world.py
@@ -74,7 +74,7 @@
         self._purged: dict[str | int, float] = {}
         self._known_starts: dict[tuple[int, str], float] = {}
         self._create_servers()
-        self._means = {load.cls.name: load.mean_work for load in site.classes}
+        self._mean_works = {load.cls.name: load.mean_work for load in site.classes}
         self._streamed = {load.cls.name for load in site.classes if load.streamed}
         self.routers = [
             RouterHost(self, n, home, policy(site.settings(n), 7919 * site.seed + n))
@@ -115,7 +115,7 @@
 
     def mean_work(self, cls: RequestClass) -> float:
         """Mean work of a request of a class, in transfer-seconds."""
-        return self._means[cls.name]
+        return self._mean_works[cls.name]
 
     def is_streamed(self, cls: RequestClass) -> bool:
         """Whether answers of a class are committed to the client at the first byte."""
@@ -147,14 +147,14 @@
 
     def record_cold_load(self, server: Server, router: int, work: float) -> None:
         """Account for work that arrives at a recently started server; an overloaded one stops for good."""
-        if server.cold is None:
+        if server.cold_capacity is None:
             return
-        notified = self._known_starts.get((router, server.name), 0.0) >= server.cold.started_at
-        share = server.cold.add(self.queue.now, work, notified, max(self._means.values()))
+        notified = self._known_starts.get((router, server.name), 0.0) >= server.cold_capacity.started_at
+        share = server.cold_capacity.add(self.queue.now, work, notified, max(self._mean_works.values()))
         if share is not None:
             self.record.overloaded_servers.append(ServerOverloaded(server.name, share, self.queue.now))
             server.stop()
-            server.cold = None
+            server.cold_capacity = None
             self.announce(server.name, ServerState.GONE)
 
     def latency(self, zone: str, server: Server) -> float:
@@ -172,8 +172,8 @@
             return
         rule = self.site.parent_cold if name in self.parents else self.site.edge_cold
         share = min(1.0, rule.share * self.random.uniform(*START_SHARE_RANGE))
-        warm = rule.ramp * self.random.uniform(*WARM_UP_RANGE)
-        server.start_cold(ColdCapacity(rule, server.full_width, share, warm, self.queue.now))
+        warm_up_time = rule.ramp * self.random.uniform(*WARM_UP_RANGE)
+        server.start_cold(ColdCapacity(rule, server.full_width, share, warm_up_time, self.queue.now))
         self.announce(name, ServerState.SERVING, self.queue.now)
 
     def announce(self, name: str, state: ServerState, started_at: float | None = None) -> None:
@@ -197,10 +197,12 @@
 
     def add_cache(self, name: str, replaced: str) -> None:
         """Add a cache that replaces another, at the same location and with the same width."""
-        old = self.caches[replaced]
-        memory = self._memory(self.members[replaced].zone, old.full_width)
-        self.caches[name] = EdgeCache(name, old.zone, old.full_width, memory, self)
-        self.members[name] = Member(name, old.zone, weight=self.site.listed_weight(name, old.full_width))
+        replaced_cache = self.caches[replaced]
+        memory = self._memory(self.members[replaced].zone, replaced_cache.full_width)
+        self.caches[name] = EdgeCache(name, replaced_cache.zone, replaced_cache.full_width, memory, self)
+        self.members[name] = Member(
+            name, replaced_cache.zone, weight=self.site.listed_weight(name, replaced_cache.full_width)
+        )
 
     def purge(self, key: str | int) -> None:
         """Purge an object (string) or group (number) at all servers and notify the routers."""
@@ -281,8 +283,8 @@
         for obj, cls in reversed(self.workload.most_popular(location, self.site.hit_ratio)):
             for part in range(obj.parts):
                 copy = self._copy(obj, part, cls)
-                best = min(members, key=lambda m: (score(copy.name, m), m.server))
-                self.caches[best.server].memory.store(copy)
+                preferred = min(members, key=lambda m: (score(copy.name, m), m.server))
+                self.caches[preferred.server].memory.store(copy)
 
     def _warm_parent(self, parent: Parent) -> None:
         for obj, cls in reversed(self.workload.most_popular(None, PARENT_KEPT_SHARE)):
