--- a/brackenlane/lab/simulation/invariants.py
+++ b/brackenlane/lab/simulation/invariants.py
@@ -48,7 +48,7 @@
             since = _not_serving_since(notices[sent.router, server], sent.at)
             if since is not None and sent.at > since + site.drain_grace + CLOCK_TOLERANCE:
                 found.append(
-                    f"{sent.request_id}: {server} named {sent.at - since:.3f} s after its drain was told"
+                    f"{sent.request_id}: {server} used {sent.at - since:.3f} s after the notice of its drain"
                 )
     return found
 
@@ -85,7 +85,8 @@
                     and ended.issued < purged_at - CLOCK_TOLERANCE
                 ):
                     found.append(
-                        f"{ended.request_id}: a copy older than a purge told {at - notified_at:.3f} s before"
+                        f"{ended.request_id}: a copy older than a purge, "
+                        f"whose notice came {at - notified_at:.3f} s before the attempt"
                     )
     return found
 
@@ -123,7 +124,7 @@
     if later.at > earlier.at + cls.repeat_window + CLOCK_TOLERANCE:
         return [f"{request.name}: sent again after its window"]
     if cls.scope is not Scope.ALL and _zone(later.server) != _zone(earlier.server):
-        return [f"{request.name}: sent again where repeats are not dropped"]
+        return [f"{request.name}: sent again outside the scope of its key"]
     return []
 
 
@@ -179,9 +180,9 @@
     for sent in record.sent:
         home = f"cache-{homes[sent.router]}"
         if not _server_allowed(site, sent, home):
-            found.append(f"{sent.request_id}: {sent.server} may not be asked")
+            found.append(f"{sent.request_id}: {sent.server} may not be used")
         if not _source_allowed(site, sent, home):
-            found.append(f"{sent.request_id}: {sent.source} may be no source for {sent.server}")
+            found.append(f"{sent.request_id}: {sent.source} may not be the source for {sent.server}")
         found += [
             f"{sent.request_id}: {server} was never listed"
             for server in sorted({sent.server, sent.source})
@@ -208,8 +209,8 @@
 def no_cold_server_overloaded(site: Site, record: Record) -> Violations:
     """No recently started server is overloaded by routers that had been notified of its start."""
     return [
-        f"{overloaded.server}: pushed over, "
-        f"{overloaded.notified_share:.2f} of the work by routers told of its start"
+        f"{overloaded.server}: overloaded, "
+        f"{overloaded.notified_share:.2f} of the work from routers notified of its start"
         for overloaded in record.overloaded_servers
         if overloaded.notified_share >= MIN_NOTIFIED_SHARE
     ]
