--- a/brackenlane/lab/simulation/servers.py
+++ b/brackenlane/lab/simulation/servers.py
@@ -46,16 +46,16 @@
     operation: str
     router: int
     cls: RequestClass
-    copy: str
+    copy: str  # name of the copy: its object and part
     obj: str
     group: int
     work: float  # transfer-seconds
-    source: str
-    keep: int
-    max_age: float
-    join: bool
-    revalidate: bool
-    only_if_cached: bool
+    source: str  # server from which a cache fills
+    keep: int  # rank of the stored copy; 0: a new copy is not stored, a present one keeps its rank
+    max_age: float  # seconds; 0: no limit beyond the freshness lifetime
+    join: bool  # whether the request may wait for a fill in progress
+    revalidate: bool  # whether a hit on an ageing copy may revalidate it in the background
+    only_if_cached: bool  # whether a parent must not fetch from the origin
 
 
 class Reply(Stream):
