--- a/brackenlane/lab/simulation/faults.py
+++ b/brackenlane/lab/simulation/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a day: each trouble strikes at its time and ends by itself."""
+"""Injection of a site's faults: each begins at its time and ends after its duration."""
 
 from __future__ import annotations
 
@@ -7,75 +7,77 @@
 from typing import TYPE_CHECKING
 
 from brackenlane.lab.simulation.servers import Health, Server
-from brackenlane.lab.simulation.site import Trouble, TroubleKind
-from brackenlane.lab.simulation.workload import GROUPS
+from brackenlane.lab.simulation.site import Fault, FaultKind
+from brackenlane.lab.simulation.workload import GROUP_COUNT
 from brackenlane.routing.members import ServerState
 
 if TYPE_CHECKING:
     from brackenlane.lab.simulation.world import World
 
-DRAIN_SECONDS = 3.0  # that a server drains before it is gone
+DRAIN_SECONDS = 3.0  # time from the notice of a drain until the server stops
 
 
-def begin_troubles(world: World) -> None:
-    """Schedule all troubles of the day."""
-    for trouble in world.site.troubles:
-        at = world.queue.now + trouble.at
-        world.queue.at(at, partial(_strike, world, trouble))
+def schedule_faults(world: World) -> None:
+    """Schedule all faults of the site."""
+    for fault in world.site.faults:
+        at = world.queue.now + fault.at
+        world.queue.at(at, partial(_begin_fault, world, fault))
 
 
-def _strike(world: World, trouble: Trouble) -> None:
-    match trouble.kind:
-        case TroubleKind.ORIGIN_SLOW:
-            world.origin.set_slowdown(trouble.size)
-            world.queue.after(trouble.seconds, lambda: world.origin.set_slowdown(1.0))
-        case TroubleKind.PURGE_GROUPS:
-            for group in world.random.sample(range(GROUPS), max(1, round(trouble.part * GROUPS))):
+def _begin_fault(world: World, fault: Fault) -> None:
+    match fault.kind:
+        case FaultKind.ORIGIN_SLOW:
+            world.origin.set_slowdown(fault.magnitude)
+            world.queue.after(fault.seconds, lambda: world.origin.set_slowdown(1.0))
+        case FaultKind.PURGE_GROUPS:
+            for group in world.random.sample(range(GROUP_COUNT), max(1, round(fault.share * GROUP_COUNT))):
                 world.purge(group)
-        case TroubleKind.OVERSIZE:
-            pass  # the workload was drawn with it
+        case FaultKind.OVERSIZE:
+            pass  # the workload contains the oversize objects
         case _:
-            for server in _struck(world, trouble):
-                _strike_server(world, trouble, server)
-
-
-def _struck(world: World, trouble: Trouble) -> list[Server]:
-    """Some servers, at least one; parents if there are any and they are meant."""
-    tier: list[Server] = [*world.parents.values()] if trouble.parents else []
-    tier = tier or [*world.caches.values()]
-    up = [server for server in tier if server.health is Health.UP]
-    return world.random.sample(up, min(len(up), max(1, math.floor(trouble.part * len(tier)))))
-
-
-def _strike_server(world: World, trouble: Trouble, server: Server) -> None:
-    match trouble.kind:
-        case TroubleKind.FAST_ERRORS:
-            server.error_share = trouble.size
-            world.queue.after(trouble.seconds, lambda: _heal(server))
-        case TroubleKind.HANG:
+            for server in _affected_servers(world, fault):
+                _begin_server_fault(world, fault, server)
+
+
+def _affected_servers(world: World, fault: Fault) -> list[Server]:
+    """Choose servers at random, at least one; caches if the site has no parents."""
+    candidates: list[Server] = [*world.parents.values()] if fault.parents else []
+    candidates = candidates or [*world.caches.values()]
+    servers_up = [server for server in candidates if server.health is Health.UP]
+    return world.random.sample(
+        servers_up, min(len(servers_up), max(1, math.floor(fault.share * len(candidates))))
+    )
+
+
+def _begin_server_fault(world: World, fault: Fault, server: Server) -> None:
+    match fault.kind:
+        case FaultKind.FAST_ERRORS:
+            server.error_share = fault.magnitude
+            world.queue.after(fault.seconds, lambda: _end_server_fault(server))
+        case FaultKind.HANG:
             server.health = Health.HUNG
-            world.queue.after(trouble.seconds, lambda: _heal(server))
-        case TroubleKind.CRASH:
-            _crash(world, server, trouble.seconds)
-        case TroubleKind.REPLACE:
+            world.queue.after(fault.seconds, lambda: _end_server_fault(server))
+        case FaultKind.CRASH:
+            _crash(world, server, fault.seconds)
+        case FaultKind.REPLACE:
             _replace(world, server)
 
 
-def _heal(server: Server) -> None:
+def _end_server_fault(server: Server) -> None:
     server.error_share = 0.0
     if server.health is Health.HUNG:
         server.health = Health.UP
 
 
 def _crash(world: World, server: Server, seconds: float) -> None:
-    """The process ends at once and comes back, cold and empty."""
+    """Stop a server at once and restart it later, cold and with an empty memory."""
     server.stop()
     world.announce(server.name, ServerState.GONE)
     world.queue.after(seconds, lambda: world.start_server(server.name))
 
 
 def _replace(world: World, server: Server) -> None:
-    """A server drains and another takes its place; a parent comes back under its own name."""
+    """Drain a server and replace it; a cache gets a new name, a parent restarts under its own."""
     world.announce(server.name, ServerState.DRAINING)
 
     def leave() -> None:
--- a/brackenlane/lab/simulation/invariants.py
+++ b/brackenlane/lab/simulation/invariants.py
@@ -1,4 +1,4 @@
-"""The rules that must hold in every run, checked by its record alone."""
+"""Invariants that every run must satisfy, checked on its record only."""
 
 from __future__ import annotations
 
@@ -6,19 +6,21 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable
 
-from brackenlane.lab.simulation.record import Disposition, Ended, Record, Request, Sent
+from brackenlane.lab.simulation.record import AttemptEnded, AttemptSent, Disposition, Record, Request
 from brackenlane.lab.simulation.site import ORIGIN, Site
 from brackenlane.routing.events import AttemptResult
 from brackenlane.routing.members import ServerState
 from brackenlane.routing.settings import Idempotency, Scope, SiblingSources
 
-SLACK = 1e-5  # seconds, of the clock
-NOTIFIED_SHARE = 2 / 3  # of the work that pushed a cold server over, from routers told of its start
+CLOCK_TOLERANCE = 1e-5  # seconds
+# An overload of a cold server counts as a violation if at least this share of the work came from routers that
+# had been notified of its start.
+MIN_NOTIFIED_SHARE = 2 / 3
 Violations = list[str]
 
 
 def answered_once(site: Site, record: Record) -> Violations:
-    """One final answer in time for each request; nothing is sent after it."""
+    """Each request has exactly one final answer, in time, and no attempt is sent after it."""
     found = [f"{name}: no final answer in time" for name in record.overdue]
     answers = Counter(answer.request_id for answer in record.answered)
     found += [f"{name}: {n} final answers" for name, n in answers.items() if n > 1]
@@ -36,28 +38,28 @@
 
 
 def drains_respected(site: Site, record: Record) -> Violations:
-    """No new attempt or source at a server for longer than the grace after its drain was told."""
-    reported: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
+    """A router stops using a server, also as a source, within `drain_grace` of the notice of its drain."""
+    notices: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
     for listed in record.listed:
-        reported[listed.router, listed.server].append((listed.at, listed.state is ServerState.SERVING))
+        notices[listed.router, listed.server].append((listed.at, listed.state is ServerState.SERVING))
     found = []
     for sent in record.sent:
         for server in sorted({sent.server, sent.source}):
-            since = _out_since(reported[sent.router, server], sent.at)
-            if since is not None and sent.at > since + site.drain_grace + SLACK:
+            since = _not_serving_since(notices[sent.router, server], sent.at)
+            if since is not None and sent.at > since + site.drain_grace + CLOCK_TOLERANCE:
                 found.append(
-                    f"{sent.request_id}: {server} named {sent.at - since:.3f} s after its drain was told"
+                    f"{sent.request_id}: {server} used {sent.at - since:.3f} s after the notice of its drain"
                 )
     return found
 
 
-def _out_since(reported: list[tuple[float, bool]], now: float) -> float | None:
-    """Since when a router knows that a server does not serve; None if it serves for all it knows."""
+def _not_serving_since(notices: list[tuple[float, bool]], now: float) -> float | None:
+    """Time of the notice that a server stopped serving; None if the latest notice says that it serves."""
     since: float | None = None
-    for at, serves in reported:
+    for at, is_serving in notices:
         if at > now:
             break
-        if serves:
+        if is_serving:
             since = None
         elif since is None:
             since = at
@@ -65,10 +67,10 @@
 
 
 def purges_respected(site: Site, record: Record) -> Violations:
-    """No answer from a copy older than a purge that the router had been told of for the grace."""
-    reported: dict[tuple[int, str | int], list[tuple[float, float]]] = defaultdict(list)
+    """Attempts sent later than `purge_grace` after a notice of a purge get no copy older than the purge."""
+    notices: dict[tuple[int, str | int], list[tuple[float, float]]] = defaultdict(list)
     for purge in record.purges_notified:
-        reported[purge.router, purge.key].append((purge.at, purge.purged_at))
+        notices[purge.router, purge.key].append((purge.at, purge.purged_at))
     sent_at = {(sent.request_id, sent.number): sent.at for sent in record.sent}
     found = []
     for ended in record.ended:
@@ -77,20 +79,24 @@
         request = record.requests[ended.request_id]
         at = sent_at[ended.request_id, ended.number]
         for key in (request.obj, request.group):
-            for received, purged in reported[request.router, key]:
-                if at > received + site.purge_grace + SLACK and ended.issued < purged - SLACK:
+            for notified_at, purged_at in notices[request.router, key]:
+                if (
+                    at > notified_at + site.purge_grace + CLOCK_TOLERANCE
+                    and ended.issued < purged_at - CLOCK_TOLERANCE
+                ):
                     found.append(
-                        f"{ended.request_id}: a copy older than a purge told {at - received:.3f} s before"
+                        f"{ended.request_id}: a copy older than a purge, "
+                        f"whose notice came {at - notified_at:.3f} s before the attempt"
                     )
     return found
 
 
 def no_repeated_writes(site: Site, record: Record) -> Violations:
-    """Unsafe requests run once; keyed ones are repeated within their window and scope only."""
-    sent: dict[str, list[Sent]] = defaultdict(list)
-    ended: dict[tuple[str, int], Ended] = {(e.request_id, e.number): e for e in record.ended}
-    for one in record.sent:
-        sent[one.request_id].append(one)
+    """Non-idempotent writes run once; those with a key are repeated only within their window and scope."""
+    sent: dict[str, list[AttemptSent]] = defaultdict(list)
+    ended: dict[tuple[str, int], AttemptEnded] = {(e.request_id, e.number): e for e in record.ended}
+    for attempt in record.sent:
+        sent[attempt.request_id].append(attempt)
     found = []
     for name, attempts in sent.items():
         request = record.requests[name]
@@ -107,70 +113,76 @@
     return found + _refusals(record, sent, ended)
 
 
-def _may_have_run(ended: Ended | None, now: float) -> bool:
-    return ended is None or ended.at > now + SLACK or not ended.result.is_proven_not_run
+def _may_have_run(ended: AttemptEnded | None, now: float) -> bool:
+    return ended is None or ended.at > now + CLOCK_TOLERANCE or not ended.result.is_proven_not_run
 
 
-def _repeat(request: Request, earlier: Sent, later: Sent) -> Violations:
+def _repeat(request: Request, earlier: AttemptSent, later: AttemptSent) -> Violations:
     cls = request.cls
     if cls.idempotency is Idempotency.NON_IDEMPOTENT:
         return [f"{request.name}: sent again though it may have run"]
-    if later.at > earlier.at + cls.repeat_window + SLACK:
+    if later.at > earlier.at + cls.repeat_window + CLOCK_TOLERANCE:
         return [f"{request.name}: sent again after its window"]
     if cls.scope is not Scope.ALL and _zone(later.server) != _zone(earlier.server):
-        return [f"{request.name}: sent again where repeats are not dropped"]
+        return [f"{request.name}: sent again outside the scope of its key"]
     return []
 
 
 def _zone(server: str) -> str:
-    """Caches are named for their location; others stand alone."""
+    """Location of a cache as the first two parts of its name; for another server, its whole name."""
     kind, _, rest = server.partition("-")
     return f"{kind}-{rest.split('-')[0]}" if kind == "cache" else server
 
 
-def _refusals(record: Record, sent: dict[str, list[Sent]], ended: dict[tuple[str, int], Ended]) -> Violations:
-    """A refusal says that a repeat does no harm."""
+def _refusals(
+    record: Record, sent: dict[str, list[AttemptSent]], ended: dict[tuple[str, int], AttemptEnded]
+) -> Violations:
+    """Find refusals of writes that may have run; a refusal tells the client that a repeat is safe."""
     found = []
     for answer in record.answered:
         cls = record.requests[answer.request_id].cls
-        harmless = cls.idempotency is Idempotency.IDEMPOTENT or (
+        safe_to_repeat = cls.idempotency is Idempotency.IDEMPOTENT or (
             cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and cls.scope is Scope.ALL
         )
-        if answer.disposition is not Disposition.REJECTED or harmless:
+        if answer.disposition is not Disposition.REJECTED or safe_to_repeat:
             continue
-        tries = sent.get(answer.request_id, [])
-        if any(_may_have_run(ended.get((one.request_id, one.number)), answer.at) for one in tries):
+        attempts = sent.get(answer.request_id, [])
+        if any(
+            _may_have_run(ended.get((attempt.request_id, attempt.number)), answer.at) for attempt in attempts
+        ):
             found.append(f"{answer.request_id}: refused though it may have run")
     return found
 
 
 def attempts_bounded(site: Site, record: Record) -> Violations:
-    """No more attempts for one request than allowed, nor two at once where that is not allowed."""
+    """No request has more attempts than allowed, or concurrent ones where hedging is not allowed."""
     ended = {(e.request_id, e.number): e.at for e in record.ended}
     found = []
-    last: dict[str, Sent] = {}
+    last: dict[str, AttemptSent] = {}
     for sent in record.sent:
         if sent.number >= site.max_attempts:
             found.append(f"{sent.request_id}: attempt {sent.number + 1} of {site.max_attempts}")
         before = last.get(sent.request_id)
-        out = before and ended.get((before.request_id, before.number), math.inf) > sent.at + SLACK
-        if out and not site.may_hedge:
+        is_outstanding = (
+            before and ended.get((before.request_id, before.number), math.inf) > sent.at + CLOCK_TOLERANCE
+        )
+        if is_outstanding and not site.may_hedge:
             found.append(f"{sent.request_id}: two attempts at once")
         last[sent.request_id] = sent
     return found
 
 
 def servers_allowed(site: Site, record: Record) -> Violations:
-    """Only caches of the router's own location, and sources that the site allows, all of them listed."""
+    """Routers use only listed servers, caches of their own location, and sources that the site allows."""
     listed = {(listed.router, listed.server): listed.at for listed in reversed(record.listed)}
     homes = site.router_homes
     found = []
     for sent in record.sent:
         home = f"cache-{homes[sent.router]}"
         if not _server_allowed(site, sent, home):
-            found.append(f"{sent.request_id}: {sent.server} may not be asked")
+            found.append(f"{sent.request_id}: {sent.server} may not be used")
         if not _source_allowed(site, sent, home):
-            found.append(f"{sent.request_id}: {sent.source} may be no source for {sent.server}")
+            found.append(f"{sent.request_id}: {sent.source} may not be the source for {sent.server}")
         found += [
             f"{sent.request_id}: {server} was never listed"
             for server in sorted({sent.server, sent.source})
@@ -179,27 +191,28 @@
     return found
 
 
-def _server_allowed(site: Site, sent: Sent, home: str) -> bool:
+def _server_allowed(site: Site, sent: AttemptSent, home: str) -> bool:
     return _zone(sent.server) == home if sent.server.startswith("cache") else site.may_bypass_caches
 
 
-def _source_allowed(site: Site, sent: Sent, home: str) -> bool:
+def _source_allowed(site: Site, sent: AttemptSent, home: str) -> bool:
     if sent.source in (sent.server, ORIGIN):
         return True
     if not sent.server.startswith("cache"):
         return False
     if sent.source.startswith("parent"):
         return True
-    near = site.siblings is SiblingSources.LOCATION and _zone(sent.source) == home
-    return near or site.siblings is SiblingSources.ANY
+    same_location = site.siblings is SiblingSources.LOCATION and _zone(sent.source) == home
+    return same_location or site.siblings is SiblingSources.ANY
 
 
-def no_cold_server_pushed_over(site: Site, record: Record) -> Violations:
-    """No server that started lately falls over by the work of routers that were told of its start."""
+def no_cold_server_overloaded(site: Site, record: Record) -> Violations:
+    """No recently started server is overloaded by routers that had been notified of its start."""
     return [
-        f"{fell.server}: pushed over, {fell.notified_share:.2f} of the work by routers told of its start"
-        for fell in record.fell_over
-        if fell.notified_share >= NOTIFIED_SHARE
+        f"{overloaded.server}: overloaded, "
+        f"{overloaded.notified_share:.2f} of the work from routers notified of its start"
+        for overloaded in record.overloaded_servers
+        if overloaded.notified_share >= MIN_NOTIFIED_SHARE
     ]
 
 
@@ -210,11 +223,11 @@
     no_repeated_writes,
     attempts_bounded,
     servers_allowed,
-    no_cold_server_pushed_over,
+    no_cold_server_overloaded,
 )
 
 
 def violations(site: Site, record: Record) -> dict[str, Violations]:
-    """All that was broken, by rule; empty if all hold."""
+    """Return all violations by the name of the invariant; empty if all hold."""
     found = {rule.__name__: rule(site, record) for rule in INVARIANTS}
     return {name: broken for name, broken in found.items() if broken}
