--- a/brackenlane/lab/cluster/__init__.py
+++ b/brackenlane/lab/cluster/__init__.py
@@ -1,4 +1,5 @@
-"""Many real routers as processes, faults between them, and invariants checked by the cluster's record alone.
+"""Runs many routers as processes, injects faults between them, and checks invariants from recorded events.
 
-It never looks into a router and never touches a process that it did not start. Entry point: `scenario.play`.
+It doesn't inspect the state inside a router and signals only processes that it started. Entry points:
+`scenario.run` and `scenario.run_in_virtual_time`.
 """
--- a/brackenlane/lab/cluster/clock_preload.py
+++ b/brackenlane/lab/cluster/clock_preload.py
@@ -1,6 +1,9 @@
-"""A router whose wall clock is off: `python -m brackenlane.lab.cluster.clock_preload SECONDS RATE WORDS...`.
+"""Runs a router with a wrong wall clock.
 
-The machine's clock is left alone: `time.time` of this one process is.
+Usage: `python -m brackenlane.lab.cluster.clock_preload SECONDS RATE WORDS...`.
+
+SECONDS is the clock's offset, RATE its speed as a factor of real time; WORDS are the router's own arguments.
+It replaces `time.time` in this process only; the machine's clock is not changed.
 """
 
 from __future__ import annotations
@@ -15,7 +18,7 @@
 
 
 def notified() -> float:
-    """The wall clock, so many seconds off and running so many times as fast."""
+    """Return the real Unix time, shifted by `offset` seconds and running `rate` times as fast."""
     return begun + off + (real() - begun) * rate
 
 
--- a/brackenlane/lab/cluster/on_shared_clock.py
+++ b/brackenlane/lab/cluster/on_shared_clock.py
@@ -1,8 +1,9 @@
-"""A router in virtual time; its arguments are FILE SLOT WAKE BEGUN OFF RATE WORDS...
+"""Runs a router in virtual time; the arguments are FILE SLOT WAKE BEGUN OFF RATE WORDS...
 
-FILE and SLOT: of the shared clock; WAKE: an eventfd that tells that a time has come; BEGUN: the Unix time at
-which virtual time began; OFF and RATE: the error of this process's wall clock, in seconds and as a factor;
-WORDS: the program's own.
+FILE is the file of the shared clock, SLOT this process's slot in it. WAKE is the descriptor of an eventfd
+that the coordinator writes to when this process's deadline is reached. BEGUN is the Unix time at which
+virtual time began. OFF and RATE are the error of this process's wall clock, in seconds and as a factor. WORDS
+are the router's own arguments.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 
 
 async def _be_woken(wake: int) -> None:
-    """Read what the coordinator tells: trio looks at the clock after every wait."""
+    """Empty the eventfd after each write: the wakeup makes trio read the clock again."""
     while True:
         await trio.lowlevel.wait_readable(wake)
         os.eventfd_read(wake)
 
 
 def keep_time(shared: SharedClock, slot: int, wake: int) -> None:
-    """Have trio in this process run by the shared clock, and report when it is idle."""
+    """Make trio in this process use the shared clock and report to it when the process is idle."""
     clock = VirtualClock(shared)
     report = IdleReport(shared, slot, clock)
     real_run = trio.run
@@ -43,13 +44,13 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the program of the remaining words."""
+    """Run the router with the arguments that follow those of the clock; return its exit status."""
     path, slot, wake, *clock = arguments[:6]
     begun, off, rate = map(float, clock)
     shared = SharedClock(Path(path))
     keep_time(shared, int(slot), int(wake))
     with ProcessTime(shared, lambda now: begun + off + now * rate):
-        # Imported late: default arguments in the program hold on to `time.time` as it is by then.
+        # Imported only now: default arguments in the router bind `time.time` at import.
         from brackenlane.__main__ import main as program
 
         return program(arguments[6:])
--- a/brackenlane/lab/cluster/ports.py
+++ b/brackenlane/lab/cluster/ports.py
@@ -1,4 +1,4 @@
-"""Ports that stay one test cluster's own, whatever else runs on the machine."""
+"""Reserves TCP ports for one test cluster, so that parallel clusters don't collide."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 
 def reserve_port(ports: Iterable[int]) -> socket.socket:
-    """Bind the first of some ports of 127.0.0.1 that nobody else has; it is ours until the socket is closed.
+    """Bind the first free port among `ports` on 127.0.0.1; it stays reserved until the socket is closed.
 
-    Bound exclusively, so that no two rigs hold the same; then with SO_REUSEADDR, so that a program that sets
-    it too may listen there (socket(7): a socket that doesn't listen is no conflict).
+    The socket is bound without SO_REUSEADDR, so that no two clusters get the same port. The option is set
+    afterwards, so that a program that sets it too can listen on the port (socket(7): a bound socket that
+    doesn't listen is no conflict then).
     """
     for port in ports:
         sock = socket.socket()
@@ -21,4 +22,4 @@
             continue
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         return sock
-    raise OSError("no free port is left")
+    raise OSError("all ports of the range are in use")
--- a/brackenlane/lab/cluster/record.py
+++ b/brackenlane/lab/cluster/record.py
@@ -1,4 +1,4 @@
-"""What happened, by one clock: all that invariants are checked by."""
+"""The events of a cluster run, timed by one clock; invariants are checked from them alone."""
 
 from __future__ import annotations
 
@@ -10,46 +10,46 @@
 
 import orjson
 
-MOST = 4_000_000  # events; more are counted, not kept
+MOST = 4_000_000  # events kept; further ones are only counted
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One thing that happened; at: seconds since the record began."""
+    """One event; `at` is in seconds since the record began."""
 
     at: float
     kind: str
-    router: int  # -1: none takes part
+    router: int  # number of the router; -1: no router takes part
     what: dict[str, Any]
 
 
 @dataclass
 class Record:
-    """All events in their order."""
+    """All events in order."""
 
-    begun: float = field(default_factory=lambda: time.monotonic())  # looked up late: may tell virtual time
-    unix: float = field(default_factory=lambda: time.time())  # when it began
+    begun: float = field(default_factory=lambda: time.monotonic())  # a lambda, since virtual time replaces it
+    unix: float = field(default_factory=lambda: time.time())  # Unix time at which the record began
     events: list[Event] = field(default_factory=list)
-    lost: int = 0
+    lost: int = 0  # number of events that were not kept
 
     @property
     def now(self) -> float:
-        """Seconds since it began."""
+        """Seconds since the record began."""
         return time.monotonic() - self.begun
 
     def add(self, kind: str, router: int = -1, **what: Any) -> None:
-        """Something happens now."""
+        """Append an event at the current time."""
         if len(self.events) >= MOST:
             self.lost += 1
             return
         self.events.append(Event(self.now, kind, router, what))
 
     def of(self, *kinds: str) -> Iterator[Event]:
-        """The events of some kinds."""
+        """Return the events of the given kinds."""
         return (event for event in self.events if event.kind in kinds)
 
     def save(self, path: Path, **more: Any) -> None:
-        """As JSON: one event a line behind a head."""
+        """Write the record as JSON: a header line, then one line for each event."""
         with path.open("wb") as out:
             out.write(orjson.dumps({"unix": self.unix, "lost": self.lost, **more}) + b"\n")
             for event in self.events:
@@ -57,7 +57,7 @@
 
 
 def load(path: Path) -> Record:
-    """A saved record."""
+    """Return the record saved in a file."""
     head, *lines = path.read_bytes().splitlines()
     reported = orjson.loads(head)
     return Record(0.0, reported["unix"], [Event(*orjson.loads(line)) for line in lines], reported["lost"])
--- a/brackenlane/lab/cluster/shared_clock.py
+++ b/brackenlane/lab/cluster/shared_clock.py
@@ -1,7 +1,7 @@
 """Virtual time shared by several processes: a file mapped into each, and a trio clock that reads it.
 
-Only `time_coordinator` advances it, once every process is idle: waits for input or for a time to come. So how
-fast the machine runs each of them has no part in what happens when.
+Only `time_coordinator` advances it, once every process is idle, i.e. waits for input or for a deadline. The
+order and times of events therefore don't depend on how fast the machine runs each process.
 """
 
 from __future__ import annotations
@@ -15,24 +15,27 @@
 
 import trio
 
-FAR = 3600.0  # real seconds of one wait for a time that only the coordinator brings on
-RUNNING = -math.inf  # in place of a deadline, while a process runs
-CELL = 8  # bytes; a double is written in one piece
-SLOT = 2  # cells of a process: how often it has become idle, and until when it is
+FAR = 3600.0  # real seconds of one wait, which the coordinator interrupts when the deadline is reached
+RUNNING = -math.inf  # stored instead of a deadline while a process runs
+CELL = 8  # bytes of a double, which is written atomically
+SLOT = 2  # cells for each process: its idle count and its deadline
 
 
 class IdleState(NamedTuple):
-    """What a process says of itself."""
+    """What a process last reported in its slot."""
 
-    idled: float  # how often it has become idle
-    until: float  # the deadline that it waits for; RUNNING while it runs
+    idled: float  # number of times that the process has become idle
+    until: float  # the deadline that the process waits for; RUNNING while it runs
 
 
 class SharedClock:
-    """The mapped file: the time, then a slot for each process. Times are seconds since virtual time began."""
+    """The mapped file: the current time, then a slot for each process.
+
+    Times are in seconds since virtual time began.
+    """
 
     def __init__(self, path: Path) -> None:
-        """Map a file that `create` has made."""
+        """Map a file written by `create`."""
         self.path = path
         with path.open("r+b") as file:
             self._map = mmap.mmap(file.fileno(), 0)
@@ -40,30 +43,30 @@
 
     @classmethod
     def create(cls, path: Path, slots: int) -> SharedClock:
-        """A new file, at time 0, for so many processes."""
+        """Create the file with time 0 and `slots` process slots, and map it."""
         path.write_bytes(bytes(CELL * (1 + SLOT * slots)))
         return cls(path)
 
     @property
     def now(self) -> float:
-        """The time."""
+        """The current virtual time."""
         return self._cells[0]
 
     def advance(self, now: float) -> None:
-        """Set the time; for the coordinator alone."""
+        """Set the current time; only the coordinator may call this."""
         self._cells[0] = now
 
     def mark_running(self, slot: int) -> None:
-        """A process runs."""
+        """Record that a process runs."""
         self._cells[SLOT * slot + 2] = RUNNING
 
     def mark_idle(self, slot: int, until: float) -> None:
-        """A process waits for input, or for a time."""
+        """Record that a process waits for input or for the deadline `until`."""
         self._cells[SLOT * slot + 1] += 1
         self._cells[SLOT * slot + 2] = until
 
     def idle_state(self, slot: int) -> IdleState:
-        """What a process says of itself."""
+        """Return what a process last reported."""
         return IdleState(self._cells[SLOT * slot + 1], self._cells[SLOT * slot + 2])
 
     def close(self) -> None:
@@ -73,45 +76,48 @@
 
 
 class VirtualClock(trio.abc.Clock):
-    """Trio's clock of one process."""
+    """The trio clock of one process; it reads the shared time."""
 
     def __init__(self, shared: SharedClock) -> None:
         self._shared = shared
-        self.deadline = math.inf  # the next of this process, as trio asked last
+        self.deadline = math.inf  # the next deadline of this process, as trio last passed it
 
     def start_clock(self) -> None:
-        """Nothing to start: the time is shared."""
+        """Do nothing: the shared clock exists already."""
 
     def current_time(self) -> float:
-        """The shared time."""
+        """Return the shared time."""
         return self._shared.now
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Real seconds to wait: none for a deadline that has come, else until the coordinator wakes us."""
+        """Return the real seconds to wait.
+
+        0 if the deadline is reached, else until the coordinator interrupts.
+        """
         self.deadline = deadline
         return FAR if deadline > self._shared.now else 0.0
 
 
 class IdleReport(trio.abc.Instrument):
-    """Reports when a process becomes idle and when it runs again, in its slot."""
+    """Records in the process's slot when it becomes idle and when it runs again."""
 
     def __init__(self, shared: SharedClock, slot: int, clock: VirtualClock) -> None:
         self._shared = shared
         self._slot = slot
         self._clock = clock
-        self._threads = 0  # calls made in other threads at present, whose ends trio does not foresee
+        self._threads = 0  # calls in progress in worker threads; trio has no deadline for their end
 
     def before_io_wait(self, timeout: float) -> None:
-        """Nothing is left to do but to wait, unless the wait is none."""
+        """Mark the process idle if trio is about to wait and no worker thread is in use."""
         if timeout > 0 and not self._threads:
             self._shared.mark_idle(self._slot, self._clock.deadline)
 
     def after_io_wait(self, timeout: float) -> None:
-        """Something may have come."""
+        """Mark the process running: input may have arrived."""
         self._shared.mark_running(self._slot)
 
     def counting_threads(self, run_sync: Callable[..., Any]) -> Callable[..., Any]:
-        """`trio.to_thread.run_sync`, during which this process is not idle."""
+        """Wrap `trio.to_thread.run_sync` so that the process does not count as idle during the call."""
 
         async def counted(*args: Any, **more: Any) -> Any:
             self._threads += 1
@@ -124,10 +130,13 @@
 
 
 class ProcessTime:
-    """While entered, `time` of this process tells the shared time. The machine's clock is left alone."""
+    """Context in which the `time` module of this process returns the shared time.
+
+    The machine's clock is not changed.
+    """
 
     def __init__(self, shared: SharedClock, wall: Callable[[float], float]) -> None:
-        """wall: the Unix time at a shared time."""
+        """`wall` returns the Unix time of this process for a given shared time."""
         self._shared = shared
         self._wall = wall
         self._real = time.time, time.monotonic, time.perf_counter
--- a/brackenlane/lab/cluster/time_coordinator.py
+++ b/brackenlane/lab/cluster/time_coordinator.py
@@ -1,7 +1,8 @@
-"""Advances a fleet's virtual time, from one deadline to the next, once it and every process are idle.
+"""Advances a cluster's virtual time from one deadline to the next, once it and every process are idle.
 
-A process is idle if it says so by the shared clock and the kernel has it asleep. What one sends on loopback
-wakes its receiver before the sender goes on, so no message is in flight while all are idle at one moment.
+A process counts as idle if it has reported so in the shared clock and the kernel shows it as sleeping. Data
+sent on loopback wakes its receiver before the sender continues, so no message is in flight when all processes
+are idle at the same moment.
 """
 
 from __future__ import annotations
@@ -20,45 +21,48 @@
 
 from brackenlane.lab.cluster.shared_clock import ProcessTime, SharedClock, VirtualClock
 
-STEP = 0.004  # virtual seconds that time advances by at least, so that deadlines come in batches
-LOOK = 0.001  # real seconds between two looks at processes that still run
-HANG = 300.0  # real seconds at one moment of virtual time; a hang, since a start takes a few
+STEP = 0.004  # virtual seconds by which time advances at least, so that near deadlines are handled together
+LOOK = 0.001  # real seconds between two checks of processes that still run
+# Real seconds without progress of virtual time that count as a hang; starting a cluster takes a few seconds.
+HANG = 300.0
+# Process states in /proc/PID/stat (proc(5)).
 RUNNABLE = "R"
 SLEEPING = "S"
 STOPPED = "T"
-ENDED = "Z"  # states in /proc/PID/stat (proc(5))
+ENDED = "Z"
 
 Result = TypeVar("Result")
 
 
 class NeverIdle(Exception):
-    """A process stays busy at one moment of virtual time."""
+    """A process stayed busy for `HANG_TIMEOUT_S` real seconds at one moment of virtual time."""
 
 
 class NoDeadline(Exception):
-    """Everyone waits, and nobody for a time."""
+    """All processes wait and none has a deadline, so virtual time can't advance."""
 
 
 @dataclass
 class Process:
-    """One process that keeps virtual time."""
+    """One process that runs in virtual time."""
 
     slot: int
     shared: SharedClock
     wake: int = field(default_factory=lambda: os.eventfd(0, os.EFD_NONBLOCK))
-    popen: subprocess.Popen[bytes] | None = None  # of its latest start
+    popen: subprocess.Popen[bytes] | None = None  # the process as last started
 
     def launch(self, begun: float, skew: tuple[float, float]) -> list[str]:
-        """Before it is started: the arguments of its interpreter, in front of those of its program.
+        """Mark the process running and return the interpreter's arguments that go before the program's own.
 
-        begun: the Unix time at which virtual time began; skew: the error of its wall clock, seconds and rate.
+        begun: the Unix time at which virtual time began; skew: the error of the process's wall clock as
+        (seconds, rate).
         """
         self.shared.mark_running(self.slot)
         clock = (self.shared.path, self.slot, self.wake, begun, *skew)
         return ["-m", "brackenlane.lab.cluster.on_shared_clock", *map(str, clock)]
 
     def state(self) -> str:
-        """Its state by the kernel; ENDED once it has ended with all its threads, or was never started."""
+        """Return the kernel's state; ENDED if it was never started or has exited with all its threads."""
         if self.popen is None or self.popen.returncode is not None:
             return ENDED
         with open(f"/proc/{self.popen.pid}/stat") as stat:
@@ -66,7 +70,7 @@
         return state if state != ENDED or self.popen.poll() is not None else RUNNABLE
 
     def deadline(self) -> float | None:
-        """The time that it waits for; None while it runs."""
+        """Return the time that the process waits for; infinity if stopped or ended, None while it runs."""
         until = self.shared.idle_state(self.slot).until
         state = self.state()
         if state in (STOPPED, ENDED):
@@ -75,16 +79,19 @@
 
 
 class TimeCoordinator:
-    """The one that advances the shared time, from within the test cluster's own loop."""
+    """Advances the shared time from a task in the test cluster's own trio loop."""
 
     def __init__(self, path: Path, processes: int) -> None:
-        """path: of the clock's file, which is made; processes: how many keep its time besides it."""
+        """path: the clock's file, which is created.
+
+        Processes: number of processes that use it besides this one.
+        """
         self.shared = SharedClock.create(path, processes)
         self.begun = time.time()
         self.processes = [Process(slot, self.shared) for slot in range(processes)]
 
     def run(self, main: Callable[[], Awaitable[Result]]) -> Result:
-        """Run the test cluster in a loop of its own, by the shared time. To be called once."""
+        """Run `main` in a new trio loop on the shared time. May be called once only."""
 
         async def retained() -> Result:
             async with trio.open_nursery() as nursery:
@@ -102,34 +109,34 @@
             self.shared.close()
 
     async def _keep(self) -> None:
-        """Advance time, for good."""
+        """Advance time until cancelled."""
         while True:
             self._advance(await self._all_idle())
 
     async def _all_idle(self) -> float:
-        """Wait until all are idle at one moment; the first time that any of them waits for."""
+        """Wait until all are idle at the same moment; return the earliest deadline of any of them."""
         looked = time.clock_gettime(time.CLOCK_MONOTONIC)
         pause = 0.0
         while time.clock_gettime(time.CLOCK_MONOTONIC) < looked + HANG:
             await wait_all_tasks_blocked(pause)
             pause = LOOK
             before = [self.shared.idle_state(process.slot) for process in self.processes]
-            await wait_all_tasks_blocked()  # whatever any of them sent before this look is read by now
+            await wait_all_tasks_blocked()  # what the processes sent before this check is read by now
             deadlines = [process.deadline() for process in self.processes]
             if before == [self.shared.idle_state(process.slot) for process in self.processes]:
                 known = [deadline for deadline in deadlines if deadline is not None]
                 if len(known) == len(deadlines):
                     return min([self._own_deadline(), *known])
         running = [process.slot for process in self.processes if process.deadline() is None]
-        raise NeverIdle(f"at {self.shared.now:.3f} s processes {running} stay busy")
+        raise NeverIdle(f"at {self.shared.now:.3f} s processes {running} are still busy")
 
     def _own_deadline(self) -> float:
-        """The next deadline of the test cluster's own tasks."""
+        """Return the next deadline of the test cluster's own tasks."""
         return self.shared.now + trio.lowlevel.current_statistics().seconds_to_next_deadline
 
     def _advance(self, deadline: float) -> None:
         if deadline == math.inf:
-            raise NoDeadline(f"at {self.shared.now:.3f} s nobody waits for a time")
+            raise NoDeadline(f"at {self.shared.now:.3f} s nobody waits for a deadline")
         self.shared.advance(max(deadline, self.shared.now + STEP))
         for process in self.processes:
             if process.shared.idle_state(process.slot).until <= self.shared.now:
--- a/brackenlane/lab/sockets.py
+++ b/brackenlane/lab/sockets.py
@@ -1,14 +1,14 @@
-"""Reads from sockets that never block, as the laboratory's peers do them."""
+"""Reads from non-blocking sockets, for the clients and caches of the load test."""
 
 from __future__ import annotations
 
 from socket import socket
 
-READ_BYTES = 262_144  # at a time, at most
+READ_BYTES = 262_144  # maximum of one read
 
 
 def receive(sock: socket) -> bytes | None:
-    """What has come; empty: the peer has ended the connection, or it broke; None: nothing yet."""
+    """Return the received data; empty if the connection is closed or broken, None if no data is available."""
     try:
         return sock.recv(READ_BYTES)
     except BlockingIOError:
