--- a/brackenlane/lab/cluster/cache_servers.py
+++ b/brackenlane/lab/cluster/cache_servers.py
@@ -1,7 +1,7 @@
-"""Stand-in caches of a fleet: they keep copies, fill them from a source, start cold, and record all.
+"""Simulated caches of a test cluster: they keep and fill copies, start cold and record events.
 
-A body names its object, the cache, and when the origin gave the copy out, so that a client's record can be
-judged.
+A response body names the object, the cache and the time at which the origin issued the copy, so that the
+invariants can be checked from the clients' events.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from brackenlane.lab.stand_ins.cache_commands import CommandReader, Pinged, ReceivedRequest
 from brackenlane.lab.stand_ins.cache_server import CacheListener
 
-FILL = 0.02  # seconds that a fill takes besides its transfer
-FACTOR = 3.0  # times its ability, beyond which, with the slack of chance, a cold cache falls
-DOWN = 5.0  # seconds for which one that fell is away
+FILL = 0.02  # seconds that a fill takes in addition to its transfer
+FACTOR = 3.0  # multiple of its capacity at which a cold cache fails (plus a margin for random variation)
+DOWN = 5.0  # seconds for which a failed cache is unavailable
 
 
 @dataclass(frozen=True, slots=True)
 class Strength:
-    """What a cache does: transfers at a time, and how it warms (shares, seconds)."""
+    """Capacity of a cache when warm, and how it warms up after a start."""
 
-    link: float = 40.0
-    work: float = 0.02  # seconds of one transfer alone
-    cold: float = 0.3  # of its link, at its start
-    ramp: float = 18.0
+    link: float = 40.0  # concurrent transfers when warm
+    work: float = 0.02  # seconds that one transfer takes on an idle cache
+    cold: float = 0.3  # share of `link` at the start
+    ramp: float = 18.0  # seconds from the start to the full capacity
 
     def capacity_by_age(self, age: float) -> float:
-        """Transfers at this age (seconds)."""
+        """Return the concurrent transfers at an age in seconds."""
         return self.link * min(1.0, self.cold + (1 - self.cold) * age / max(self.ramp, 1e-9))
 
 
 async def _receive(stream: trio.SocketStream) -> bytes:
-    """What came; nothing at the end, however it ended."""
+    """Return the next data; empty once the connection is closed or broken."""
     with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError, OSError):
         return bytes(await stream.receive_some(65_536))
     return b""
@@ -47,7 +47,7 @@
 
 @dataclass
 class ClusterCache(CacheListener):
-    """One edge cache, parent or the origin."""
+    """One edge cache, parent cache or the origin."""
 
     id: str
     role: str
@@ -55,17 +55,22 @@
     all: dict[str, ClusterCache]
     strength: Strength = field(default_factory=Strength)
     started: float = field(default_factory=lambda: time.monotonic())
-    unresponsive: bool = False  # accepts, and says nothing
-    fallen: float = -math.inf  # when it was pushed over last
-    recent: deque[float] = field(default_factory=deque)  # requests of the last second, while cold
-    copies: dict[str, int] = field(default_factory=dict)  # when the origin gave each out, Unix ms
+    unresponsive: bool = False  # accepts connections but answers nothing
+    fallen: float = -math.inf  # monotonic time at which it last failed under overload
+    # Monotonic times of the last second's requests, while cold.
+    recent: deque[float] = field(default_factory=deque)
+    # By object: Unix ms at which the origin issued the copy.
+    copies: dict[str, int] = field(default_factory=dict)
     filling: dict[str, trio.Event] = field(default_factory=dict)
     purged: dict[str, int] = field(default_factory=dict)
     busy: int = 0
     chance: random.Random = field(default_factory=lambda: random.Random(1))
 
     def _falls(self) -> bool:
-        """Whether a request more pushes it over: by far more in a second than a cold cache works off."""
+        """Count one more request.
+
+        Return whether the cache is down, or fails now under overload while cold.
+        """
         now = time.monotonic()
         s = self.strength
         if now < self.fallen + DOWN:
@@ -86,7 +91,7 @@
         return True
 
     def restart(self) -> None:
-        """The process starts anew: cold, and with nothing."""
+        """Simulate a restart: the cache is cold and has no copies."""
         self.started = time.monotonic()
         self.copies.clear()
         self.record.add("box_start", box=self.id)
@@ -148,7 +153,7 @@
         await self._say(stream, turn, head.encode() + body + b"\r\n")
 
     async def supply(self, obj: str, by: str) -> bool:
-        """Give one copy to another cache; False if it can't now."""
+        """Serve a fill of another cache; False if this cache is at its limit or down."""
         self.record.add("fill", box=self.id, obj=obj, by=by)
         capacity_by_age = self.strength.capacity_by_age(time.monotonic() - self.started)
         if self._falls() or self.busy >= 4 * capacity_by_age:
@@ -161,7 +166,7 @@
         return True
 
     async def _copy(self, obj: str, fields: dict[str, str]) -> tuple[int, str] | None:
-        """A copy that will do, kept or filled: when the origin gave it out, and how it came."""
+        """Return a fresh enough copy, cached or filled, as (issue time in Unix ms, detail); else None."""
         within = int(fields.get("within", "0"))
         source = self.all.get(fields.get("miss", ""))
         if self.role == "origin":
@@ -174,7 +179,7 @@
                 return None
             if obj not in self.filling:
                 break
-            await self.filling[obj].wait()  # joins
+            await self.filling[obj].wait()  # join the fill in progress
             within = within and max(within, 1000)
         done = self.filling[obj] = trio.Event()
         try:
--- a/brackenlane/lab/cluster/clients.py
+++ b/brackenlane/lab/cluster/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a fleet: requests by chance at all routers, each recorded with its answer."""
+"""Simulated clients: random requests to all running routers, each recorded with its answer."""
 
 from __future__ import annotations
 
@@ -10,17 +10,21 @@
 
 from brackenlane.lab.cluster.record import Record
 
+# (name, share of the requests, value, latency objective in seconds) of each class of requests.
 CLASSES = (("video-parts", 0.4, 2.0, 0.5), ("sheet-pages", 0.5, 1.0, 0.3), ("sheet-submit", 0.1, 3.0, 0.8))
-TTL = 2.0  # seconds that a client waits
+TTL = 2.0  # seconds: the time limit that a client gives in X-Ttl-Ms
 
 
 class Clients:
-    """They ask until told to stop."""
+    """Sends requests until `going` is set to False."""
 
     def __init__(
         self, record: Record, ports: Callable[[], list[tuple[int, int]]], rate: float, objects: int, seed: int
     ) -> None:
-        """ports: of those routers that run now, by number."""
+        """ports returns (number, HTTP port) of each running router.
+
+        Rate: requests a second at all routers.
+        """
         self._record = record
         self._ports = ports
         self._rate = rate
@@ -30,7 +34,7 @@
         self._weights = [1 / (n + 1) for n in range(objects)]
 
     async def run(self) -> None:
-        """Ask at the rate, by chance (Poisson); popularity falls as Zipf's law has it."""
+        """Send requests as a Poisson process; the popularity of objects follows Zipf's law."""
         async with trio.open_nursery() as nursery:
             while self.going:
                 await trio.sleep(self._chance.expovariate(self._rate))
@@ -74,7 +78,10 @@
 
 
 def served(record: Record, since: float = 0.0, until: float = float("inf")) -> float:
-    """Of the worth asked for in a time (seconds of the record), the part answered within its class's aim."""
+    """Return the share of the requested value that was answered within the latency objective of its class.
+
+    `since` and `until` bound the times of the requests, in seconds of the record.
+    """
     worth = {c[0]: c[2] for c in CLASSES}
     aims = {c[0]: c[3] for c in CLASSES}
     requested = sum(worth[e.what["cls"]] for e in record.of("ask") if since <= e.at < until)
--- a/brackenlane/lab/cluster/links.py
+++ b/brackenlane/lab/cluster/links.py
@@ -1,7 +1,7 @@
-"""The way from routers to one other party, led through a proxy that can be made to fail.
+"""TCP proxies between the routers and one server (a cache or the store), with faults that can be injected.
 
-Every fault is of one pair, router and party, or of all pairs with that party. Times are seconds, sizes
-bytes.
+A fault applies to the connections of one router to the server, or to those of all routers. Times are in
+seconds, sizes in bytes.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 import trio
 
 CHUNK = 65_536
-TAIL = 256  # bytes kept to find a word that is cut in two
+TAIL = 256  # bytes kept from earlier reads, to find a match that is split across two reads
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """How a link fails; the defaults are a sound one."""
+    """How a link fails; the defaults describe a link without a fault."""
 
-    refuse: bool = False  # nobody listens
-    up: bool = True  # what the router sends arrives
-    down: bool = True  # what is sent to it arrives
-    delay: float = 0.0  # each way
-    rate: float = 0.0  # bytes a second each way; 0: no bound
-    drop_after: int = 0  # bytes to the router, after which the connection is reset; 0: never
+    refuse: bool = False  # connections are refused or closed
+    up: bool = True  # data from the router is passed on
+    down: bool = True  # data to the router is passed on
+    delay: float = 0.0  # seconds, in each direction
+    rate: float = 0.0  # bytes a second in each direction; 0: unlimited
+    drop_after: int = 0  # bytes passed to the router before the connection is reset; 0: never
 
 
 SOUND = Fault()
-ALL = -1  # whoever has no fault of his own
-Observer = Callable[[int, bool, re.Match[bytes]], None]
+ALL = -1  # stands for every router that has no fault set for it alone
+Observer = Callable[[int, bool, re.Match[bytes]], None]  # (router, whether the router sent it, match)
 
 
 class Link:
-    """A listener of its own; connections to it are passed on, and fail by whose they are."""
+    """A listener that forwards connections to one server; the fault depends on the router that connects."""
 
     def __init__(
         self,
@@ -46,9 +46,10 @@
         received: Observer = lambda *_: None,
         owner: Callable[[int], int] = lambda _: ALL,
     ) -> None:
-        """words: what is looked for in passing; heard(who, up, match) is told of each as it arrives.
+        """target: the server's port on 127.0.0.1; pattern: what to look for in forwarded data.
 
-        owner: whose a connection is, by the port that it comes from.
+        observer is called with each match once it is forwarded. owner returns the number of the router that a
+        connection belongs to, by the connection's source port.
         """
         self.target = target
         self.port = 0
@@ -61,7 +62,7 @@
         self._listening: trio.CancelScope | None = None
 
     async def open(self, nursery: trio.Nursery) -> Link:
-        """Listen."""
+        """Start to listen on a port of 127.0.0.1."""
         self._nursery = nursery
         await self._listen()
         return self
@@ -78,11 +79,14 @@
         self._nursery.start_soon(accept)
 
     def fault(self, who: int = ALL) -> Fault:
-        """How it fails for one party."""
+        """Return the fault in force for one router."""
         return self._faults.get(who, self._faults.get(ALL, SOUND))
 
     async def set(self, who: int = ALL, **changes: bool | float | int) -> None:
-        """Fail from now on, or no more; what is open stays, but that `refuse` ends it."""
+        """Change the fault of one router or of all.
+
+        Open connections stay, unless `refuse` is set: it resets them.
+        """
         fault = self._faults[who] = replace(self.fault(who), **changes)  # type: ignore[arg-type]
         self._changed.set()
         self._changed = trio.Event()
@@ -95,7 +99,10 @@
             await self._listen()
 
     async def heal(self, who: int = ALL) -> None:
-        """Sound again; what was held back by a cut one way is lost with its connection."""
+        """Remove the fault of one router or of all.
+
+        Connections blocked in a direction are reset, and the data held back on them is lost.
+        """
         fault = self.fault(who)
         if not (fault.up and fault.down):
             await self.reset(who)
@@ -103,7 +110,7 @@
         await self.set(who, refuse=False)
 
     async def reset(self, who: int = ALL) -> None:
-        """End all that is open of one party, or of all, as a lost peer's system does."""
+        """Close the connections of one router, or of all, with a TCP reset."""
         for stream, whose in list(self._open.items()):
             if who in (ALL, whose):
                 with contextlib.suppress(OSError):
--- a/brackenlane/lab/cluster/routers.py
+++ b/brackenlane/lab/cluster/routers.py
@@ -1,4 +1,4 @@
-"""Real routers as processes: their files, starts and ends. Only those started here are ever signalled."""
+"""Routers as processes: their files, start and end. Only processes started here are signalled."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from brackenlane.lab.cluster.record import Record
 from brackenlane.lab.cluster.time_coordinator import Process
 
-PORTS = iter(range(20_000, 25_000))  # below the kernel's own; those behind are the tests'
+PORTS = iter(range(20_000, 25_000))  # below the kernel's ephemeral ports; the tests use those from 25,000
 CLASSES = """
 [[class]]
 name = "video-parts"
@@ -46,7 +46,7 @@
 
 
 def owner(port: int, routers: Sequence[RouterProcess]) -> int:
-    """The number of the router that a connection comes from, by its port (proc(5)); -1: nobody's."""
+    """Return the number of the router that has a connection open from a port (proc(5)); -1 if none has."""
     end = f" 0100007F:{port:04X} "
     inode = ""
     with open("/proc/net/tcp") as table:
@@ -65,20 +65,20 @@
 
 
 def _die_with_its_parent() -> None:
-    """Whatever ends the test cluster ends the process (prctl(2), PR_SET_PDEATHSIG)."""
+    """Make the kernel kill this process when the test cluster ends (prctl(2), PR_SET_PDEATHSIG)."""
     ctypes.CDLL(None).prctl(1, signal.SIGKILL)
 
 
 @dataclass
 class RouterProcess:
-    """One appliance."""
+    """One router, run as the `appliance` command."""
 
     number: int
     folder: Path
     record: Record
-    tree: Path  # the checkout that it runs from
-    clock: tuple[float, float] | None = None
-    virtual: Process | None = None  # its part in virtual time
+    tree: Path  # checkout that the router runs from
+    clock: tuple[float, float] | None = None  # error of its wall clock: (offset in seconds, rate)
+    virtual: Process | None = None  # its slot in virtual time; None: real time
     process: subprocess.Popen[bytes] | None = None
     _http: socket.socket = field(default_factory=lambda: reserve_port(PORTS))
     _dns: socket.socket = field(default_factory=lambda: reserve_port(PORTS))
@@ -89,17 +89,17 @@
 
     @property
     def name(self) -> str:
-        """Its name in its file."""
+        """The name in its configuration file."""
         return f"router-{self.number}"
 
     @property
     def log(self) -> Path:
-        """What it says, over all its lives."""
+        """The file of its log output, over all its starts."""
         return self.folder / f"{self.name}.log"
 
     @property
     def last_list(self) -> Path:
-        """Its last list."""
+        """The file of its snapshot of the caches."""
         return self.folder / f"{self.name}.last.json"
 
     @property
@@ -118,7 +118,7 @@
         wider: float,
         coldstart: str,
     ) -> None:
-        """The operator's file: caches as (id, role, port)."""
+        """Write its configuration file. `caches` are (id, role, port); `store` is a port."""
         lines = [
             f'name = "{self.name}"',
             f'http = "127.0.0.1:{self.http}"',
@@ -153,7 +153,7 @@
         (self.folder / f"{self.name}.toml").write_text("\n".join(lines))
 
     def start(self) -> None:
-        """A new process."""
+        """Start a new process."""
         assert not self.alive
         arguments = ["appliance", str(self.folder / f"{self.name}.toml")]
         with self.log.open("ab") as out:
@@ -172,7 +172,7 @@
         self.record.add("start", self.number, pid=self.process.pid)
 
     def _program(self) -> list[str]:
-        """The arguments of the interpreter that lead to the program, by its clock."""
+        """Return the interpreter's arguments that run the router with its clock."""
         if self.virtual:
             return self.virtual.launch(self.record.unix - self.record.begun, self.clock or (0.0, 1.0))
         if self.clock:
@@ -180,13 +180,13 @@
         return ["-m", "brackenlane"]
 
     def signal(self, number: signal.Signals, kind: str) -> None:
-        """To the process, if it runs."""
+        """Send a signal to the process if it runs; record it as an event of a kind."""
         if self.alive and self.process:
             self.record.add(kind, self.number)
             self.process.send_signal(number)
 
     async def ended(self, within: float = 10.0) -> None:
-        """Wait for its end; kill what outlives the time."""
+        """Wait until the process ends; kill it after `within` seconds."""
         with trio.move_on_after(within):
             while self.alive:
                 await trio.sleep(0.02)
@@ -196,7 +196,7 @@
             self.process.wait()
 
     async def serves(self, within: float = 60.0) -> bool:
-        """Wait until it says that it is healthy; False if it ends or takes longer."""
+        """Wait until the router reports healthy; return False if it ends first or after `within` seconds."""
         with trio.move_on_after(within):
             while self.alive:
                 if await self.healthy():
@@ -206,7 +206,7 @@
         return False
 
     async def healthy(self) -> bool:
-        """What it says of its health."""
+        """Whether the router's health check succeeds."""
         with trio.move_on_after(1.0), contextlib.suppress(OSError, trio.BrokenResourceError):
             async with await trio.open_tcp_stream("127.0.0.1", self.http) as stream:
                 await stream.send_all(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
@@ -214,7 +214,7 @@
         return False
 
     async def console(self, line: str) -> str:
-        """One command at the operator's terminal; empty if there is nobody."""
+        """Send one command to the router's console; return the answer, empty if it can't be reached."""
         answer = b""
         with trio.move_on_after(5.0), contextlib.suppress(OSError, trio.BrokenResourceError):
             async with await trio.open_unix_socket(str(self.folder / f"{self.name}.sock")) as stream:
@@ -226,12 +226,12 @@
         return answer.decode().removesuffix("\n")
 
     def release(self) -> None:
-        """Let others have its ports."""
+        """Release its reserved ports."""
         self._http.close()
         self._dns.close()
 
     def memory(self) -> float:
-        """Resident MB."""
+        """Return the resident memory in MB; 0 if the process doesn't run."""
         if not self.alive or not self.process:
             return 0.0
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
--- a/brackenlane/lab/cluster/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -1,6 +1,7 @@
-"""A fleet's starts in virtual time: the routers' own decisions before a store that bears so much.
+"""Simulates the start of many routers in virtual time: the real pacing code and a store of limited capacity.
 
-The store serves in order; what would wait longer than its patience is refused at once. Times are seconds.
+The store serves requests in order; a request that would wait longer than its patience is refused at once.
+Times are in seconds.
 """
 
 from __future__ import annotations
@@ -17,20 +18,25 @@
 
 @dataclass
 class Store:
-    """It bears small questions and whole lists side by side, each kind in order."""
+    """A store that serves small requests and full loads in two independent queues."""
 
     capacity: Capacity
     patience: float = 0.5
-    refuses: Callable[[float], bool] = lambda _: False  # besides, at a time
-    away: Callable[[float], bool] = lambda _: False  # nobody listens, at a time
-    free: list[float] = field(default_factory=lambda: [0.0, 0.0])  # when it has done what it was asked
-    asked: list[float] = field(default_factory=list)  # when each question came, those refused among them
-    loaded: list[float] = field(default_factory=list)
+    refuses: Callable[[float], bool] = lambda _: False  # whether it refuses at a time, whatever the load
+    away: Callable[[float], bool] = lambda _: False  # whether it is unreachable at a time
+    # End of the work accepted so far, of small requests and of full loads.
+    free: list[float] = field(default_factory=lambda: [0.0, 0.0])
+    # Arrival times of small requests, including refused ones.
+    asked: list[float] = field(default_factory=list)
+    loaded: list[float] = field(default_factory=list)  # arrival times of full loads, including refused ones
     refused: int = 0
-    tickets: dict[int, int] = field(default_factory=dict)
+    tickets: dict[int, int] = field(default_factory=dict)  # number of tickets drawn in each window
 
     def request(self, now: float, complete: bool) -> float | None:
-        """Seconds until the answer; None: refused."""
+        """Return the seconds until the answer, None if refused.
+
+        Complete: a full load, not a small request.
+        """
         (self.loaded if complete else self.asked).append(now)
         cost = 1 / (self.capacity.load_rate if complete else self.capacity.request_rate)
         begin = max(self.free[complete], now)
@@ -41,13 +47,13 @@
         return begin + cost - now
 
     def ticket(self, bucket: int) -> int:
-        """The number drawn in a span."""
+        """Draw a ticket in a window; return its number, from 1."""
         self.tickets[bucket] = self.tickets.get(bucket, 0) + 1
         return self.tickets[bucket]
 
 
 class SimulatedFleet:
-    """So many routers that start at given times; `remembers`: the share of them that need no whole list."""
+    """`count` routers that start at given times; `remembers` is the share of them that need no full load."""
 
     def __init__(
         self,
@@ -64,7 +70,8 @@
         self.chance = random.Random(seed)
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self.current: dict[int, float] = {}  # when each knew all, after its latest start or loss
+        # Time at which each became up to date, since its latest start or loss of the store.
+        self.current: dict[int, float] = {}
         self.paces = [
             pace(f"router-{n}", store.capacity, random.Random(seed * 100_003 + n)) for n in range(count)
         ]
@@ -73,18 +80,18 @@
             self.at(starts(n) + self.paces[n].initial_delay(), partial(self._send_request, n))
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Call then."""
+        """Schedule a call."""
         heapq.heappush(self._heap, (when, next(self._order), call))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run the scheduled calls up to a time."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, call = heapq.heappop(self._heap)
             call()
         self.now = until
 
     def lose(self) -> None:
-        """The store goes away for all who are current at one moment: each notices within 5 ms."""
+        """Break the store connection of all up-to-date routers: each notices within 5 ms."""
         lost = list(self.current)
         self.current = {}
         for n in lost:
@@ -122,7 +129,7 @@
 
 
 def peak(times: list[float], span: float = 1.0) -> int:
-    """The most that came within any span."""
+    """Return the largest number of times within any interval of `span` seconds."""
     times = sorted(times)
     low = 0
     most = 0
