--- a/brackenlane/lab/cluster/invariants.py
+++ b/brackenlane/lab/cluster/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold, checked by the record alone; each returns its faults in words, none if all is well."""
+"""Invariants of a cluster run, checked from its record alone; each check returns a list of violations."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from brackenlane.lab.cluster.record import Event, Record
 
-DRAIN = 0.5  # seconds after the news within which a cache may still be sent something new
-PURGE = 1.0  # after which no older copy is served
-SLACK = 0.1  # of the test cluster's own clock and queues
+DRAIN = 0.5  # seconds after receiving a drain order in which a router may still use the cache
+PURGE = 1.0  # seconds after receiving a purge in which a router may still serve an older copy
+SLACK = 0.1  # seconds of tolerance for delays in the test cluster itself
 Faults = list[str]
 
 
 def answered(record: Record) -> Faults:
-    """One final answer in time for each request, but where the router was killed or stopped meanwhile."""
+    """Each request gets exactly one answer in time, unless its router was killed or stopped meanwhile."""
     faults: Faults = []
     ends: dict[str, list[Event]] = defaultdict(list)
     hurt: dict[int, list[float]] = defaultdict(list)
@@ -26,7 +26,7 @@
     stopped: set[int] = set()
     for event in record.of("ask", "healthy", "cont", "start", "kill", "stop", "term", "exit"):
         if event.kind != "ask":
-            # Who said yes just before he was stopped is heard after it, and is not up for that.
+            # A health check answered just before a stop may be recorded after it; the router isn't up then.
             stopped = (
                 stopped | {event.router}
                 if event.kind == "stop"
@@ -47,17 +47,17 @@
 
 
 def once(record: Record) -> Faults:
-    """No submit runs twice."""
+    """No submit is executed twice."""
     runs = Counter(event.what["id"] for event in record.of("run"))
     return [f"submit {id} ran {n} times" for id, n in runs.items() if n > 1]
 
 
 def drained(record: Record) -> Faults:
-    """Nothing new to a cache, as request or source, 500 ms after its drain was told to that router."""
+    """A router uses no cache, as target or fill source, more than 500 ms after it got its drain order."""
     faults: Faults = []
     out: dict[tuple[int, str], float] = {}
     for event in record.of("told_order", "start", "kill", "sent"):
-        if event.kind in ("start", "kill"):  # a new process is told anew
+        if event.kind in ("start", "kill"):  # a new process receives the orders again
             out = {key: at for key, at in out.items() if key[0] != event.router}
         elif event.kind == "told_order":
             key = event.router, event.what["box"]
@@ -74,7 +74,7 @@
 
 
 def purged(record: Record) -> Faults:
-    """No answer from a copy older than a purge, 1 s after it was told to that router."""
+    """A router serves no copy older than a purge later than 1 s after it received the purge."""
     faults = []
     reported = defaultdict(list)
     for event in record.of("told_purge", "answer"):
@@ -93,13 +93,13 @@
 def within(
     record: Record, kind: str, bound: float, span: float = 1.0, cost: Callable[[Event], float] = lambda _: 1.0
 ) -> Faults:
-    """At most so much of a kind of event in any span of seconds."""
+    """The cost of events of one kind stays at most `bound` in any `span` seconds."""
     worst, at = heaviest(((event.at, cost(event)) for event in record.of(kind)), span)
     return [f"{worst:.0f} {kind} within {span:g} s of {at:.2f} s; {bound:.0f} are allowed"] * (worst > bound)
 
 
 def heaviest(costs: Iterable[tuple[float, float]], span: float) -> tuple[float, float]:
-    """The most that falls into any span, and when it ends."""
+    """Return the highest sum of costs in any `span` seconds, and the time at which that interval ends."""
     window: list[tuple[float, float]] = []
     low = 0
     total = 0.0
@@ -118,15 +118,15 @@
 
 
 def standing(record: Record) -> Faults:
-    """No cache was pushed over, by its own account of what it got."""
+    """No cache failed under overload, by the requests that it counted itself."""
     return [f"{event.what['box']} fell at {event.at:.2f} s" for event in record.of("fall")]
 
 
 def spared(record: Record, share: float, ramp: float, factor: float, per_second: dict[str, float]) -> Faults:
-    """No cache that started lately gets more in any second than it bears, with the slack of chance.
+    """No warming cache gets more requests in any second than its capacity and a margin for variance.
 
-    share, ramp: of its ability at its start, seconds to the whole; per_second: requests that it does a second
-    when warm; factor: by how many times that may be passed.
+    share: part of the warm capacity at the start; ramp: seconds until the full capacity; per_second: warm
+    capacity of each cache in requests a second; factor: multiple of the capacity that is allowed.
     """
     faults = []
     started: dict[str, float] = {}
@@ -151,7 +151,7 @@
 
 
 def shaken(record: Record, routers: int, each: float = 2.0) -> Faults:
-    """Handshakes at a cache: at most so many for each router."""
+    """Each cache sees at most `each` handshakes for each router."""
     seen = Counter(event.what["box"] for event in record.of("handshake"))
     return [
         f"{cache}: {n} handshakes of {routers} routers" for cache, n in seen.items() if n > each * routers
--- a/brackenlane/lab/cluster/report.py
+++ b/brackenlane/lab/cluster/report.py
@@ -1,4 +1,4 @@
-"""What came of a play: a table, the record as JSON, and one page of plots where matplotlib is installed."""
+"""Reports of a scenario: a table, the record as JSON, and a page of plots if matplotlib is installed."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def table(outcome: Outcome) -> str:
-    """For the terminal: figures, then what was found of each invariant."""
+    """Return the text for the terminal: the figures, then the result of each invariant."""
     lines = [f"{text:40} {outcome.figures[name]:12.6g} {unit}".rstrip() for name, text, unit in ROWS]
     for invariant, faults in outcome.faults.items():
         lines.append(f"{invariant:40} {'kept' if not faults else f'BROKEN, {len(faults)} times'}")
@@ -38,7 +38,7 @@
 
 
 def save(outcome: Outcome, folder: Path, name: str) -> list[Path]:
-    """The record, and its plots if they can be drawn; the files written."""
+    """Save the record, and the plots if matplotlib is installed; return the files written."""
     path = folder / f"{name}.jsonl"
     outcome.record.save(path, figures=outcome.figures, faults=outcome.faults)
     picture = plot(outcome.record, folder / f"{name}.png")
@@ -46,7 +46,7 @@
 
 
 def by_second(record: Record, kind: str) -> list[int]:
-    """How many events of a kind came in each second."""
+    """Return the number of events of a kind in each second."""
     counts: list[int] = []
     for event in record.of(kind):
         counts += [0] * (int(event.at) + 1 - len(counts))
@@ -55,7 +55,7 @@
 
 
 def plot(record: Record, path: Path) -> Path | None:
-    """One page: starts by router, load at store and caches, answers by second; None without the library."""
+    """Draw starts by router, load at store and caches, and answers by second; None without matplotlib."""
     try:
         from matplotlib.figure import Figure
     except ImportError:
@@ -63,7 +63,7 @@
     page = Figure(figsize=(10, 12), layout="constrained")
     starts, store, caches, answers = page.subplots(4, 1)
     began: dict[int, float] = {}
-    seen: set[tuple[int, str]] = set()  # since its latest start
+    seen: set[tuple[int, str]] = set()  # (router, kind) seen since the router's latest start
     for event in record.of("start", "healthy", "follow"):
         if event.kind == "start":
             began[event.router] = event.at
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -1,4 +1,4 @@
-"""One play of a script: everything is started, made to fail as it says, checked by the record, and ended."""
+"""Runs a script: starts routers, caches and store, injects the faults, checks the record, and ends all."""
 
 from __future__ import annotations
 
@@ -38,21 +38,22 @@
 
 @dataclass
 class Outcome:
-    """What came of a play."""
+    """The result of a scenario."""
 
     record: Record
-    faults: dict[str, list[str]]  # by invariant
+    faults: dict[str, list[str]]  # violations by invariant
     figures: dict[str, float]
-    logs: dict[str, str] = field(default_factory=dict)  # the last words of who ended by itself
+    # Log excerpts of routers that ended unexpectedly or logged a traceback.
+    logs: dict[str, str] = field(default_factory=dict)
 
     @property
     def well(self) -> bool:
-        """Whether every invariant held."""
+        """Whether every invariant held and no router failed."""
         return not any(self.faults.values()) and not self.logs
 
 
 class Scenario:
-    """The parties of one play, and what a script does to them."""
+    """The processes, caches, store and links of one run, and the steps of its script."""
 
     def __init__(
         self,
@@ -64,9 +65,11 @@
         say: Callable[[str], None] = lambda _: None,
         coordinator: TimeCoordinator | None = None,
     ) -> None:
-        """tree: the checkout whose routers play; coldstart: whether it knows that table of the file.
+        """tree: checkout to run the routers from.
 
-        coordinator: of the virtual time that all keep; without one time is the machine's.
+        Coldstart: whether it supports the file's [coldstart] table.
+
+        coordinator: advances virtual time for all processes; None means real time.
         """
         self.script = script
         self.seed = seed
@@ -101,8 +104,8 @@
             )
             for n in range(script.doormans)
         ]
-        self.ways: dict[str, Link] = {}  # to each cache, for all
-        self.stores: dict[int, Link] = {}  # each router's own to the store
+        self.ways: dict[str, Link] = {}  # by cache: the link that all routers use
+        self.stores: dict[int, Link] = {}  # by router: its link to the store
         self._coldstart = coldstart
         self._notify: dict[int, dict[str, bool]] = {}
 
@@ -114,13 +117,13 @@
         self.record.add(f"store_{kind}", **what)
 
     async def run(self) -> Outcome:
-        """The whole play; whatever ends it ends all that it started."""
+        """Run the whole script; all processes are ended, also on an error."""
         self._say(f"{self.script.name}: {self.script.doormans} routers, {self.script.boxes} boxes")
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 await self._open(nursery)
-                if self.script.started:  # at leisure: what the store bears holds from the play's begin on
+                if self.script.started:  # the store's capacity is unlimited until all routers are up
                     stated, self.store.capacity = self.store.capacity, Capacity()
                     await self._start(self.routers)
                     await self._all_serve()
@@ -140,7 +143,7 @@
                     await self._do(step)
                 await trio.sleep(max(0.0, begun + self.script.seconds - self.record.now))
                 clients.going = False
-                await trio.sleep(3.0)  # what was asked last has its time
+                await trio.sleep(3.0)  # lets the last requests finish
                 memory = [d.memory() for d in self.routers if d.alive]
                 nursery.cancel_scope.cancel()
         finally:
@@ -162,7 +165,9 @@
         )
         caches = []
         for cache in self.boxes.values():
-            if self.script.pairs:  # one address for all, as the store tells it; whose it is shows as it comes
+            # All routers use the same address of a cache, as the store announces it; the link identifies the
+            # router by the source port.
+            if self.script.pairs:
                 self.ways[cache.id] = await Link(
                     cache.port,
                     CACHE_COMMANDS,
@@ -211,7 +216,7 @@
                 self._nursery.start_soon(router.serves)
 
     async def _all_serve(self) -> None:
-        """Wait until all are healthy and follow the store."""
+        """Wait until all routers are healthy and follow the store."""
         with trio.fail_after(120):
             for kind in ("healthy", "follow"):
                 while len({e.router for e in self.record.of(kind)}) < len(self.routers):
@@ -226,7 +231,7 @@
         return [self.routers[n] for n in step.who]
 
     async def _do(self, step: Step) -> None:
-        """One step."""
+        """Carry out one step."""
         chosen = self._chosen(step)
         self.record.add("step", do=step.do)
         match step.do:
@@ -284,7 +289,7 @@
         return [self.boxes[step.box]] if step.box else [b for b in self.boxes.values() if b.role != "origin"]
 
     async def _end(self) -> dict[str, str]:
-        """End what was started; the last words of those that had ended by themselves."""
+        """Kill the routers; return log excerpts of those that ended unexpectedly or logged a traceback."""
         logs = {}
         with trio.CancelScope(shield=True):
             for router in self.routers:
@@ -368,18 +373,21 @@
 
 
 def _own(number: int, _: int) -> int:
-    """Whose all connections of a router's own link are."""
+    """Return the router that a store link belongs to: each router has its own."""
     return number
 
 
 def median(values: Any) -> float:
-    """The middle one; 0 of none."""
+    """Return the middle value, the upper one of two; 0 if there are no values."""
     found = sorted(values)
     return found[len(found) // 2] if found else 0.0
 
 
 def spoil(path: Path, state: str) -> None:
-    """Make a last list stale (a week old), torn, missing, or one in which each address is another box's."""
+    """Make a snapshot stale (nearly 7 days old), torn (cut in half), missing or foreign.
+
+    A foreign snapshot is stale too, and each cache in it has the port of another one.
+    """
     if not path.exists():
         return
     if state == "missing":
@@ -399,7 +407,7 @@
 
 
 def run_in_virtual_time(script: Script, seed: int, folder: Path) -> Outcome:
-    """Play one script in a folder, in a loop of its own; nothing in it depends on the machine's speed."""
+    """Run one script in a folder, in a new trio loop; the result doesn't depend on the machine's speed."""
     coordinator = TimeCoordinator(folder / "clock", script.doormans)
 
     async def main() -> Outcome:
@@ -409,5 +417,5 @@
 
 
 async def run(script: Script, seed: int, folder: Path, **more: Any) -> Outcome:
-    """Play one script in a folder."""
+    """Run one script in a folder, in real time and in the current trio loop."""
     return await Scenario(script, seed, folder, **more).run()
--- a/brackenlane/lab/cluster/script.py
+++ b/brackenlane/lab/cluster/script.py
@@ -1,4 +1,4 @@
-"""What a play does and when: a TOML file as typed, bounded records."""
+"""The script of a scenario, i.e. its size and timed steps: a TOML file as validated models."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 
 
 class Record(BaseModel):
-    """No unknown keys, no numbers as text."""
+    """Base of the models: unknown keys and numbers given as text are errors."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 class Store(Record):
-    """What the stand-in store bears a second."""
+    """Capacity of the stand-in store: rates per second, and `patience`, its longest queueing delay."""
 
     commands: Annotated[float, Field(gt=0)] = 2000.0
     connections: Annotated[float, Field(gt=0)] = 500.0
@@ -52,39 +52,44 @@
 
 
 class Step(Record):
-    """One thing that is done at a time."""
+    """One action and the time at which it is done."""
 
     second: Seconds
     do: Do
-    who: Literal["all", "odd", "even"] | list[Annotated[int, Field(ge=0)]] = "all"  # routers
-    way: Annotated[str, Field(max_length=63)] = "store"  # the other end of a link: "store" or a cache
+    # Numbers of the routers that it affects.
+    who: Literal["all", "odd", "even"] | list[Annotated[int, Field(ge=0)]] = "all"
+    # The server at the other end of a link: "store" or a cache.
+    way: Annotated[str, Field(max_length=63)] = "store"
     box: Annotated[str, Field(max_length=63)] = ""
     object: Annotated[str, Field(max_length=63)] = ""
-    state: Literal["stale", "torn", "missing", "foreign"] = "missing"  # of a last list
+    # What `list` does to the routers' snapshots.
+    state: Literal["stale", "torn", "missing", "foreign"] = "missing"
     seconds: Seconds = 0.0
     share: Annotated[float, Field(ge=0, le=1)] = 0.0
     fault: dict[Literal["refuse", "up", "down", "delay", "rate", "drop_after"], bool | float | int] = {}
 
 
 class Script(Record):
-    """The whole play."""
+    """A whole scenario."""
 
     name: Annotated[str, Field(pattern=r"^[0-9a-z-]{1,40}$")]
     seconds: Annotated[float, Field(gt=0, le=3600)]
     doormans: Annotated[int, Field(ge=1, le=1000)] = 8
     boxes: Annotated[int, Field(ge=1, le=500)] = 4
     parents: Annotated[int, Field(ge=0, le=50)] = 1
-    rate: Annotated[float, Field(ge=0, le=10_000)] = 40.0  # requests a second at all routers together
+    rate: Annotated[float, Field(ge=0, le=10_000)] = 40.0  # requests a second, at all routers together
     objects: Annotated[int, Field(ge=1, le=100_000)] = 200
-    pairs: bool = True  # a link of its own from each router to each cache; else to the store alone
-    started: bool = True  # all routers are started first, and the clients once all follow the store
-    link: Annotated[float, Field(gt=0, le=1000)] = 8.0  # transfers at a time that a warm cache does
-    wider: Annotated[float, Field(ge=1, le=100)] = 5.0  # times as many that a parent and the origin do
-    work: Annotated[float, Field(gt=0, le=10)] = 0.04  # seconds of one transfer alone
+    pairs: bool = True  # routers reach the caches through links too; if false, the store only
+    started: bool = True  # start all routers before the first step; if false, the steps start them
+    link: Annotated[float, Field(gt=0, le=1000)] = 8.0  # concurrent transfers of a warm edge cache
+    wider: Annotated[float, Field(ge=1, le=100)] = 5.0  # factor on `link` for parent caches and the origin
+    work: Annotated[float, Field(gt=0, le=10)] = 0.04  # seconds that one transfer takes on an idle cache
     purge_propagation_time: Seconds = 6.0
-    asks: Annotated[float, Field(gt=0)] = 500.0  # told to the routers of the store
+    # Rates a second of small requests to the store and of full loads, as written to the routers' files.
+    asks: Annotated[float, Field(gt=0)] = 500.0
     loads: Annotated[float, Field(gt=0)] = 20.0
-    clocks: dict[Annotated[str, Field(pattern=r"^\d+$")], list[float]] = {}  # router: seconds off, rate
+    # By router number: [offset in seconds, rate].
+    clocks: dict[Annotated[str, Field(pattern=r"^\d+$")], list[float]] = {}
     store: Store = Store()
     steps: Annotated[list[Step], Field(alias="at", max_length=1000)] = []
 
@@ -107,7 +112,7 @@
 
 
 def read(text: str, file: str) -> Script:
-    """A script; ConfigError with a line for each fault."""
+    """Return the script in a text; raises ConfigError with one line for each fault."""
     try:
         return Script.model_validate(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
@@ -121,7 +126,7 @@
 
 
 def load(path: Path) -> Script:
-    """A script from its file."""
+    """Return the script in a file; raises ConfigError if it can't be read."""
     try:
         return read(path.read_text(), str(path))
     except (OSError, UnicodeDecodeError) as fault:
