--- a/brackenlane/lab/stand_ins/__init__.py
+++ b/brackenlane/lab/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems that a router meets, each with faults that a script asks for."""
+"""Stand-ins for the systems that a router connects to, with faults that can be injected."""
--- a/brackenlane/lab/stand_ins/cache_commands.py
+++ b/brackenlane/lab/stand_ins/cache_commands.py
@@ -1,4 +1,4 @@
-"""What a stand-in for a cache, parent or the origin is told: the protocol's lines as values."""
+"""Parses the cache protocol's commands for stand-ins of edge caches, parent caches and the origin."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """One GET as a cache received it."""
+    """A GET command as received by a cache."""
 
     id: str
     fields: dict[str, str]
     body: bytes
-    link: int = 0  # the number of its connection, from 1
+    link: int = 0  # number of the connection, from 1
 
 
 @dataclass(slots=True, frozen=True)
 class Dropped:
-    """A request was given up."""
+    """A DROP command: the router cancels a request."""
 
     id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Pinged:
-    """The other side asks whether the connection lives."""
+    """A PING command: the router checks whether the connection works."""
 
     word: str
 
     @property
     def reply(self) -> bytes:
-        """The answer of a cache that lives."""
+        """The reply of a responsive cache."""
         return f"{self.word} well - 0\r\n\r\n".encode()
 
 
@@ -42,15 +42,15 @@
 
 
 class CommandReader:
-    """The commands that come on one connection, whatever pieces the bytes come in."""
+    """Parses the commands of one connection, however the bytes are split across reads."""
 
     def __init__(self, link: int = 0) -> None:
-        """link: the number of the connection."""
+        """link: the number of the connection, copied into each request."""
         self._link = link
         self._buffer = b""
 
     def feed(self, data: bytes) -> Iterator[Command]:
-        """The commands that are whole now. Raises ValueError for a line that is no command."""
+        """Add received data; yield the commands that are complete. Raises ValueError for an invalid line."""
         self._buffer += data
         while command := self._next():
             yield command
@@ -72,7 +72,7 @@
                     return None
                 self._buffer = rest[size + len(LINE_END) :]
                 return ReceivedRequest(wire_id, _read_fields(reported), rest[:size], self._link)
-        raise ValueError(f"no command: {line[:80]!r}")
+        raise ValueError(f"not a command of the cache protocol: {line[:80]!r}")
 
 
 def _read_fields(reported: str) -> dict[str, str]:
--- a/brackenlane/lab/stand_ins/cache_server.py
+++ b/brackenlane/lab/stand_ins/cache_server.py
@@ -1,6 +1,6 @@
-"""A scripted cache, parent or origin on loopback: lines and bodies as the platform's protocol has them.
+"""A scripted edge cache, parent cache or origin on loopback that uses the platform's cache protocol.
 
-What it answers is a script's to set, and may be changed while it runs. It counts what it is asked.
+Its replies are set by a function that may be changed while it runs. It records the requests that it receives.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class CacheListener:
-    """A listener that can be closed, with all its connections, and opened again at its port."""
+    """A listener that can be closed, with all its connections, and opened again on the same port."""
 
     port = 0
     host = "127.0.0.1"
 
     async def open(self, nursery: trio.Nursery) -> Self:
-        """Listen."""
+        """Start to listen, on the same port as before if it was open already."""
         self._scope = trio.CancelScope()
         self._closed = trio.Event()
         [listener] = await trio.open_tcp_listeners(self.port, host=self.host)
@@ -34,7 +34,7 @@
         return self
 
     async def close(self) -> None:
-        """Refuse connections."""
+        """Close all connections and refuse new ones."""
         self._scope.cancel()
         await self._closed.wait()
 
@@ -48,7 +48,7 @@
 
 
 def data(requested: ReceivedRequest, body: bytes = b"bytes", token: str = "data", **more: str) -> bytes:
-    """A box's answer."""
+    """Return a cache's reply with a body; `more` sets further fields or replaces the defaults."""
     fields = {"entity": "e1", "issued": str(int(time.time() * 1000)), "detail": "hit", **more}
     reported = ",".join(f"{k}={v}" for k, v in fields.items())
     return f"{requested.id} {token} {reported} {len(body)}\r\n".encode() + body + b"\r\n"
@@ -56,7 +56,11 @@
 
 @dataclass
 class CacheStandIn(CacheListener):
-    """A cache, parent or the origin. None is no answer; one that ends no line ends the connection."""
+    """An edge cache, parent cache or the origin, with replies from the function `answer`.
+
+    A reply of None or b"" sends nothing; one that doesn't end with a line break closes the connection after
+    it.
+    """
 
     id: str
     model: str = "type-a"
@@ -64,24 +68,24 @@
     received: list[ReceivedRequest] = field(default_factory=list)
     dropped: list[str] = field(default_factory=list)
     alive: bool = True  # whether it answers PING
-    most: int = 0  # requests that came on one connection
-    links: int = 0  # connections so far
-    ended: int = 0  # of these, by the other side
+    most: int = 0  # maximum of requests on one connection
+    links: int = 0  # number of connections so far
+    ended: int = 0  # number of connections that the router closed or broke
     updated: trio.Event = field(default_factory=trio.Event)
     _streams: list[trio.SocketStream] = field(default_factory=list)
 
     async def until(self, true: Callable[[], bool]) -> None:
-        """Wait until what this cache has seen makes something true."""
+        """Wait until a condition is true; it is checked whenever this cache has received something."""
         while not true():
             self.updated = trio.Event()
             await self.updated.wait()
 
     async def say(self, link: int, text: bytes) -> None:
-        """Say something on one connection."""
+        """Send raw bytes on one connection, by its number."""
         await self._streams[link - 1].send_all(text)
 
     async def end(self, link: int) -> None:
-        """End one connection."""
+        """Close one connection, by its number."""
         await self._streams[link - 1].aclose()
 
     async def _serve(self, stream: trio.SocketStream) -> None:
--- a/brackenlane/lab/stand_ins/dns.py
+++ b/brackenlane/lab/stand_ins/dns.py
@@ -1,6 +1,6 @@
-"""A scripted DNS server on loopback: zones from a table, and faults for each question.
+"""A scripted DNS server on loopback: records from a table, and faults that can be set for each question.
 
-It answers over UDP and TCP at one port. What it does wrong is set, and may be changed, while it runs.
+It answers over UDP and TCP on one port. Records and faults may be changed while it runs.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Fault(Enum):
-    """What may go wrong with one answer."""
+    """A fault in the answer to a query."""
 
     LOST = "no answer"
     LATE = "the answer comes after `delay`"
@@ -48,7 +48,7 @@
 
 @dataclass
 class ReceivedQuery:
-    """One query as it came."""
+    """A query as received."""
 
     name: str
     kind: str
@@ -59,16 +59,16 @@
 
 
 class DnsServer:
-    """The zone's table: by name and type, lifetime and records as in a zone file."""
+    """A DNS server with a table of (TTL in seconds, records as in a zone file) by name and type."""
 
     def __init__(self, seed: int = 1) -> None:
         self.table: dict[tuple[str, str], tuple[int, list[str]]] = {}
         self.faults: dict[tuple[str, str], set[Fault]] = defaultdict(set)  # by name and type, or ("", "")
-        self.default = ""  # the address of every name that the table does not have
-        self.delay = 30.0
-        self.minimum = 5  # of the SOA: how long "none" may be kept
-        self.additional = True  # addresses of SRV targets are sent along
-        self.forged = "127.0.9.9"  # the address in forged answers
+        self.default = ""  # address of names that have no A record in the table; "": they have none
+        self.delay = 30.0  # seconds until an answer with the fault LATE
+        self.minimum = 5  # MINIMUM of the SOA record: seconds for which a negative answer may be cached
+        self.additional = True  # whether answers to SRV queries include the targets' addresses
+        self.forged = "127.0.9.9"  # address in forged answers
         self.asked: deque[ReceivedQuery] = deque(maxlen=100_000)
         self.port = 0
         self.updated = trio.Event()
@@ -77,7 +77,7 @@
         self._ended = trio.Event()
 
     def put(self, name: str, kind: str, *records: str, ttl: int = 1) -> None:
-        """What a name has of one type; no records: it has none."""
+        """Set the records of a name and type, or remove them if none are given."""
         key = name.rstrip(".").lower(), kind
         if records:
             self.table[key] = ttl, list(records)
@@ -85,11 +85,11 @@
             self.table.pop(key, None)
 
     def fail(self, *faults: Fault, name: str = "", kind: str = "") -> None:
-        """From now on these faults, at one question or at all; none: no more."""
+        """Set the faults of one question, or of all questions; without faults, remove them."""
         self.faults[name.rstrip(".").lower(), kind] = set(faults)
 
     async def open(self, nursery: trio.Nursery) -> Self:
-        """Answer at a port of 127.0.0.1, the same one after `close`."""
+        """Answer on a port of 127.0.0.1; after `close`, on the same port again."""
         self._scope = trio.CancelScope()
         self._ended = trio.Event()
         self._sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
@@ -100,12 +100,12 @@
         return self
 
     async def close(self) -> None:
-        """Answer nobody, and refuse connections."""
+        """Stop answering, and refuse connections."""
         self._scope.cancel()
         await self._ended.wait()
 
     async def until(self, count: int) -> None:
-        """Wait until so many queries have come in all."""
+        """Wait until `count` queries have been received in total."""
         while len(self.asked) < count:
             self.updated = trio.Event()
             await self.updated.wait()
@@ -116,7 +116,7 @@
                 nursery.start_soon(trio.serve_listeners, self._serve_tcp, [listener])
                 with self._sock:
                     while True:
-                        with contextlib.suppress(OSError):  # an answer met a closed port
+                        with contextlib.suppress(OSError):  # ICMP port unreachable after an earlier answer
                             wire, peer = await self._sock.recvfrom(65_535)
                             nursery.start_soon(self._serve_udp, wire, peer)
         self._ended.set()
@@ -229,7 +229,7 @@
         return wire
 
     async def _flood(self, query: dns.message.Message, peer: tuple[str, int]) -> None:
-        """Answers by somebody who knows port and question, but neither id nor case."""
+        """Send forged answers, as an attacker would who knows port and question but neither id nor case."""
         for number in range(40):
             forged = dns.message.make_response(query)
             forged.id = (query.id + 1 + number) & 0xFFFF
@@ -242,5 +242,8 @@
 
 
 def _renamed(requested: dns.rrset.RRset, name: str) -> dns.rrset.RRset:
-    """The same question of another name; the query's own is shared with its answers, so it stays as it is."""
+    """Return a copy of a question with another name.
+
+    The original is shared with the query, so it is not changed.
+    """
     return dns.rrset.RRset(dns.name.from_text(name), requested.rdclass, requested.rdtype)
--- a/brackenlane/lab/stand_ins/redis.py
+++ b/brackenlane/lab/stand_ins/redis.py
@@ -1,7 +1,7 @@
-"""A scripted Redis on loopback: as much of it as the routers use, with a stated capacity and failures.
+"""A scripted Redis on loopback: the commands that the routers use, with a set capacity and faults.
 
-It keeps strings, hashes and streams. Beyond its capacity it slows down, then refuses, as real ones do. At a
-restart it may have lost its latest writes, or all.
+It keeps strings, hashes and streams. Beyond its capacity it slows down, then refuses, as a real server does.
+`lose` simulates a restart that lost the latest writes, or all of them.
 """
 
 from __future__ import annotations
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """What it bears a second; beyond it answers wait, and past `patience` seconds of that it refuses."""
+    """Rates per second.
+
+    Beyond them replies are delayed, and refused if the delay exceeds `patience` seconds.
+    """
 
     commands: float = math.inf
     connections: float = math.inf
@@ -35,7 +38,7 @@
 
 
 class Redis(CacheListener):
-    """The store. `seen` is told of every connection, command and event sent, for a record."""
+    """The store. `seen` is called for every connection, command, refusal and stream entry, to record them."""
 
     def __init__(self, capacity: Capacity = Capacity(), seen: Seen = lambda *_, **__: None) -> None:
         self.keys: dict[str, Any] = {}
@@ -43,15 +46,15 @@
         self.seen = trio.Event()
         self.capacity = capacity
         self._notify = seen
-        self.late = 0.0  # seconds that each answer takes besides
-        self.refuse_share = 0.0
-        self._chance = random.Random(1)  # of connections, refused whatever the load
-        self._free = 0.0  # when all that has come is worked off, monotonic
+        self.late = 0.0  # seconds that each reply is delayed in addition
+        self.refuse_share = 0.0  # share of connections that are refused whatever the load
+        self._chance = random.Random(1)
+        self._free = 0.0  # monotonic time at which all accepted work is done
         self._undo: deque[tuple[float, Callable[[], None]]] = deque(maxlen=100_000)
         self.commands = self.connections = self.sent = self.refused = 0
 
     def lose(self, seconds: float = math.inf) -> None:
-        """Forget the writes of the last seconds, or all: as a restart from an older state does."""
+        """Undo the writes of the last seconds, or all, as a restart from an older state does."""
         since = time.monotonic() - seconds
         while self._undo and self._undo[-1][0] >= since:
             self._undo.pop()[1]()
@@ -60,12 +63,12 @@
             self._undo.clear()
 
     def order(self, zone: str, order: dict[str, Any]) -> None:
-        """What a router elsewhere would write of an order."""
+        """Write an order of drain or restore, as another router would."""
         self._write(f"brackenlane:{zone}:orders", order["id"], orjson.dumps(order).decode())
         self._add(f"brackenlane:{zone}:events", 10_000, ["event", orjson.dumps({"order": order}).decode()])
 
     def _work(self, cost: float) -> float:
-        """Seconds until some work (seconds of it) is done, behind all that came before."""
+        """Queue work of `cost` seconds behind all accepted work; return the seconds until it is done."""
         now = time.monotonic()
         self._free = max(self._free, now) + cost
         return self._free - now
@@ -89,7 +92,8 @@
                 out = b""
                 wait = 0.0
                 refused = False
-                while (command := reader.gets()) is not False:  # what came together is done together
+                # Commands received together are answered together.
+                while (command := reader.gets()) is not False:
                     reply, queue = await self._turn(command, queue)
                     cost = 1 / self.capacity.commands + len(reply) / self.capacity.bytes
                     wait = self._work(cost)
@@ -112,7 +116,10 @@
     async def _turn(
         self, command: list[str], queue: list[list[str]] | None
     ) -> tuple[bytes, list[list[str]] | None]:
-        """The reply to one command, and what is queued of a transaction."""
+        """Run one command.
+
+        Return its reply and the commands queued in the open transaction (None: no transaction).
+        """
         self.commands += 1
         match command[0]:
             case "MULTI":
@@ -125,7 +132,7 @@
         return await self._do(command), None
 
     def _write(self, key: str, name: str | None, value: Any) -> None:
-        """One write to a string (no name) or a hash, so that it can be lost."""
+        """Set a string (no name) or a field of a hash, or delete it if value is None; `lose` can undo it."""
         table = self.keys if name is None else self.keys.setdefault(key, {})
         at = key if name is None else name
         old = table.get(at)
@@ -143,7 +150,7 @@
             table[at] = value
 
     def _add(self, key: str, most: int, fields: list[str]) -> tuple[int, int]:
-        """One entry of a stream; its place."""
+        """Append an entry to a stream, cut to the `most` newest ones; return the entry's ID."""
         stream = self.keys.setdefault(key, [])
         last = stream[-1][0] if stream else (0, 0)
         place = max((int(time.time() * 1000), 0), (last[0], last[1] + 1))
@@ -198,7 +205,7 @@
                 return _resp([str(more), [part for pair in piece for part in pair]])
             case ["XADD", key, "MAXLEN", "~", most, "*", *fields]:
                 return _resp(_place(self._add(key, int(most), fields)))
-            case ["XRANGE", key, "+", "+", *_]:  # behind all entries there is none
+            case ["XRANGE", key, "+", "+", *_]:  # the range starts after the last entry
                 return _resp([])
             case ["XRANGE", key, low, "+", *count]:
                 found = [[_place(p), f] for p, f in self.keys.get(key, []) if p >= _read_place(low)]
