--- a/tests/test_cache_commands.py
+++ b/tests/test_cache_commands.py
@@ -1,4 +1,4 @@
-"""The stand-ins' reader of the protocol's lines: whatever pieces they come in, and no line passed over."""
+"""The stand-ins' command parser: input split at any byte, and invalid lines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("cut", range(len(LINES) + 1))
 def test_cut_anywhere(cut: int) -> None:
-    """Two pieces give what the whole gives, a body's line ends among it."""
+    """Input split at any byte, also inside a body with line breaks, gives the same commands."""
     reader = CommandReader(link=7)
     assert [*reader.feed(LINES[:cut]), *reader.feed(LINES[cut:])] == COMMANDS
 
@@ -30,8 +30,8 @@
 @pytest.mark.parametrize(
     "line", [b"\r\n", b"PUT a1 - 0\r\n", b"GET a1 -\r\n", b"GET a1 - x\r\n", b"GET a1 a 0\r\n\r\n"]
 )
-def test_a_line_that_is_no_command_is_a_fault_of_the_router(line: bytes) -> None:
-    """It must not pass unseen: the program under test wrote it."""
+def test_invalid_line_raises_value_error(line: bytes) -> None:
+    """An invalid line is a fault of the router under test, so the stand-in must not ignore it."""
     with pytest.raises(ValueError):
         list(CommandReader().feed(line))
 
--- a/tests/test_lab_cluster.py
+++ b/tests/test_lab_cluster.py
@@ -1,4 +1,4 @@
-"""Many real routers and faults between them; and the invariants, each shown what it must find."""
+"""Clusters of routers with injected faults, and the invariants: each must find a planted violation."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from brackenlane.lab.cluster.scenario import Outcome, run_in_virtual_time
 from brackenlane.lab.cluster.time_coordinator import TimeCoordinator
 
-HOT = f"{random.Random(0).getrandbits(64):016x}"  # the object that is asked for most
+HOT = f"{random.Random(0).getrandbits(64):016x}"  # the most requested object
 HEAD = 'name = "t"\ndoormans = 8\nboxes = 3\nparents = 1\nobjects = 40\n'
 
 
 @pytest.fixture(autouse=True)
 def lane(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Ports of this worker alone."""
+    """Give each pytest-xdist worker its own range of ports."""
     worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
     monkeypatch.setattr(routers, "PORTS", iter(range(25_000 + 1_000 * worker, 26_000 + 1_000 * worker)))
 
 
 def steps(*lines: str) -> str:
-    """Steps as (second, do, more)."""
+    """Return the TOML of steps given as 'SECOND DO [MORE LINES]'."""
     return "".join(
         '[[at]]\nsecond = {}\ndo = "{}"\n{}\n'.format(*line.split(" ", 2), *[""] * (2 - line.count(" ")))
         for line in lines
@@ -38,19 +38,22 @@
 
 
 def run_in_cluster(tmp_path: Path, text: str) -> Outcome:
-    """One play, in which every invariant must hold."""
+    """Run one script in virtual time; every invariant must hold."""
     outcome = run_in_virtual_time(script.read(HEAD + text, "t.toml"), 1, tmp_path)
     assert outcome.well, (outcome.faults, outcome.logs)
     return outcome
 
 
 def times(record: Record, kind: str, **what: Any) -> list[tuple[int, float]]:
-    """Router and time of events of a kind."""
+    """Return (router, time) of the events of a kind that have the given fields."""
     return [(e.router, e.at) for e in record.of(kind) if what.items() <= e.what.items()]
 
 
 def test_down_while_a_drain_is_given(tmp_path: Path) -> None:
-    """All lose power; a cache is drained elsewhere; snapshots are whole, torn, missing: it is soon unused."""
+    """A drain ordered while all routers are down takes effect after their start.
+
+    All routers are killed, another router orders the drain, and snapshots are intact, torn or missing.
+    """
     outcome = run_in_cluster(
         tmp_path,
         "seconds = 7.5\nrate = 60.0\n"
@@ -61,22 +64,22 @@
             '2.7 write_order box = "box-2"',
             "3.0 start",
         ),
-    )  # a last list is written once a second
+    )  # snapshots are written once a second
     record = outcome.record
     assert {who for who, _ in times(record, "told_order", box="box-2", drained=True)} == set(range(8))
     since = max(at for _, at in times(record, "told_order", box="box-2"))
     late = {e.what["box"] for e in record.of("sent") if e.at > since + 0.1}
     assert "box-2" not in late
     assert {"box-0", "box-1"} <= late
-    assert {e.router for e in record.of("sent")} >= set(range(8))  # whose each request is, is known
+    assert {e.router for e in record.of("sent")} >= set(range(8))  # the link has identified every router
     assert outcome.figures["served"] > 0.6
     assert outcome.figures["current"] == 8
-    # Who had its list asked for what was new; the two others for the whole.
+    # Routers with an intact snapshot request changes only; the two others load the full list.
     assert sum(1 for e in record.of("store_command") if e.what["word"] == "HSCAN") <= 2 * (8 + 2)
 
 
 def test_store_set_back(tmp_path: Path) -> None:
-    """The store loses its last writes, a drain among them, and is back: it is told again, once or twice."""
+    """The store loses its last 1.5 s of writes, with a drain: a few routers write the drain again."""
     outcome = run_in_cluster(
         tmp_path,
         "seconds = 7.0\nrate = 40.0\n"
@@ -91,14 +94,14 @@
         ),
     )
     writes = [e for e in outcome.record.of("store_write") if '"drained":true' in e.what["event"]]
-    assert 2 <= len(writes) <= 4  # the first, then by whoever comes first
-    # One that remembers nothing learns it of the store alone.
+    assert 2 <= len(writes) <= 4  # the original, then those of the first routers to reconnect
+    # A router without a snapshot can receive the order from the store only.
     reported = times(outcome.record, "told_order", box="box-1", drained=True)
     assert max(at for who, at in reported if who == 0) > 5
 
 
 def test_addresses_of_others(tmp_path: Path) -> None:
-    """A last list a week old in which each address is another box's, and no store: it is not served from."""
+    """A snapshot 6.9 days old with wrong ports for all caches isn't used, even while the store is down."""
     outcome = run_in_cluster(
         tmp_path,
         "seconds = 6.0\nrate = 40.0\n"
@@ -106,9 +109,8 @@
     )
     record = outcome.record
     [*_, began] = [at for _, at in times(record, "start")]
-    for event in record.of(
-        "sent"
-    ):  # a link of its own leads to each cache: what is sent there is meant for it
+    # Each cache has its own link, so `box` is the cache that the request really went to.
+    for event in record.of("sent"):
         assert event.what["miss"] != event.what["box"]
     assert outcome.figures["served"] > 0.6
     follows = {who for who, at in times(record, "follow") if at > began}
@@ -118,10 +120,13 @@
 
 
 def test_refused_and_stopped(tmp_path: Path) -> None:
-    """Nine in ten connections to the store are refused, one router is stopped, one clock is 10 min ahead."""
+    """Orders reach all routers though 9 in 10 store connections are refused and one router is stopped.
+
+    The clock of router 5 is 10 minutes ahead: it must not take a new purge for an old one.
+    """
     outcome = run_in_cluster(
         tmp_path,
-        # Long enough that much is asked for after the purge, also if it is heard of 5 s later.
+        # Leaves time for many requests after the purge, even if a router receives it 5 s late.
         "seconds = 18.0\nrate = 80.0\nclocks = { 5 = [600.0, 1.0] }\n"
         + steps(
             "0.5 kill",
@@ -129,14 +134,15 @@
             "0.7 start",
             "3.0 stop who = [4]",
             "4.5 cont who = [4]",
-            "3.0 refuse_share share = 0.0",  # the longest wait is over 5 s later
+            "3.0 refuse_share share = 0.0",  # the longest retry delay ends 5 s later
             '8.3 drain box = "box-0"\nwho = [6]',
             "8.5 term who = [0, 1, 2, 3, 4, 7]",
             f'9.5 purge object = "{HOT}"\nwho = [6]',
             "9.5 kill who = [6]",
         ),
     )
-    # Who believes that the purge is ten minutes old keeps it too: what is served alone is checked.
+    # Router 5 has the wrong clock and sees the purge as ten minutes old; it must apply the purge too. The
+    # invariant checks this only if router 5 served the object after the purge.
     [reported] = [e.at for e in outcome.record.of("told_purge") if e.router == 5]
     assert any(
         e.what["issued"] and e.what["asked"] > reported + 1
@@ -149,7 +155,10 @@
 
 
 def test_unresponsive_cache_and_partitioned_store(tmp_path: Path) -> None:
-    """Power is back in two halves; a cache accepts and says nothing: the others serve, it is asked seldom."""
+    """Half of the routers start 3 s after the others; an unresponsive cache gets few handshakes.
+
+    The cache accepts connections but doesn't answer; the others serve the requests.
+    """
     outcome = run_in_cluster(
         tmp_path,
         "seconds = 8.0\nrate = 60.0\nstarted = false\n"
@@ -162,7 +171,7 @@
 
 
 def rec(*events: tuple[Any, ...]) -> Record:
-    """A record made by hand: (at, kind, router, what)."""
+    """Return a record with the events (at, kind, router, what)."""
     return Record(0.0, 0.0, [Event(float(at), kind, who, what) for at, kind, who, what in events])
 
 
@@ -229,25 +238,25 @@
     ],
 )
 def test_invariants(found: Any, good: list[Any], bad: list[Any]) -> None:
-    """Each invariant holds for what is right and finds the planted fault."""
+    """Each invariant accepts the good record and finds the one violation in the bad record."""
     assert found(rec(*good)) == []
     assert len(found(rec(*bad))) == 1
 
 
 def test_test_clusters_share_no_port() -> None:
-    """A port is one cluster's until it gives it back, also while nobody listens; its router may."""
+    """A reserved port stays reserved until it is released, though a router may listen on it meanwhile."""
     with ports.reserve_port(routers.PORTS) as first:
         taken = first.getsockname()
         with ports.reserve_port(range(taken[1], taken[1] + 100)) as second:
             assert second.getsockname() != taken
-        with socket.create_server(taken) as listener:  # it sets SO_REUSEADDR, as routers do
+        with socket.create_server(taken) as listener:  # create_server sets SO_REUSEADDR, as routers do
             assert listener.getsockname() == taken
     with ports.reserve_port([taken[1]]) as again:
         assert again.getsockname() == taken
 
 
 def test_links(tmp_path: Path) -> None:
-    """Each way in which a link may fail does what it says, and sound again it passes all; in virtual time."""
+    """Each fault of a link takes effect, and the healed link forwards data again; in virtual time."""
 
     async def echo(stream: trio.SocketStream) -> None:
         with contextlib.suppress(trio.BrokenResourceError):
@@ -302,7 +311,7 @@
     ],
 )
 def test_bad_scripts(text: str, said: str) -> None:
-    """A script that can't be played says what is wrong with it."""
+    """An invalid script raises an error that names the fault."""
     with pytest.raises(ConfigError, match=said):
         script.read(
             HEAD + text.replace("seconds = 1", "seconds = 1.0").replace("second = 1", "second = 1.0"),
@@ -311,7 +320,7 @@
 
 
 def test_report(tmp_path: Path) -> None:
-    """The table names what is broken; a record is read back as it was; the page is drawn."""
+    """The table names violated invariants; a saved record is loaded unchanged; the plots are drawn."""
     record = rec((0, "start", 0, {}), (1, "healthy", 0, {}), (1, "ask", 0, ASK), (1, "got", -1, {"box": "b"}))
     figures = {name: 1.0 for name, _, _ in report.ROWS}
     outcome = Outcome(record, {"once": ["submit x ran 2 times"], "drained": []}, figures)
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -1,4 +1,7 @@
-"""Virtual time shared by real processes: how long they take has no part in it, and faults still show."""
+"""Virtual time shared by several processes.
+
+It is independent of their real run time, and hangs are reported.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 from brackenlane.lab.cluster.script import Script, Step, read
 from brackenlane.lab.cluster.time_coordinator import NeverIdle, NoDeadline, Process, TimeCoordinator
 
-# A process that is busy, waits for another thread, and then says what time it is, again and again.
+# Repeatedly uses the processor, waits for a thread, sends its clock readings and sleeps 10 s.
 WORKER = """
 import sys, time
 from pathlib import Path
@@ -41,14 +44,14 @@
 
 
 class Worker:
-    """The process, and what it says."""
+    """Starts the worker process and collects the clock readings that it sends."""
 
     def __init__(self, tmp_path: Path, process: Process, busy: int = 1_000_000) -> None:
         self._file, self._process, self._busy = tmp_path / "worker.py", process, busy
-        self.said: list[tuple[float, list[float]]] = []  # when it came here, and what
+        self.said: list[tuple[float, list[float]]] = []  # time of arrival; the clock readings in one line
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Listen, and start it."""
+        """Start to listen, then start the process."""
         [listener] = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(trio.serve_listeners, self._receive, [listener])
         self._file.write_text(WORKER)
@@ -65,14 +68,14 @@
             self.said += [(trio.current_time(), list(map(float, line.split()))) for line in data.splitlines()]
 
     def end(self) -> None:
-        """End it."""
+        """Kill the process and wait for its end."""
         if self._process.popen:
             self._process.popen.kill()
             self._process.popen.wait()
 
 
 def test_busy_processes_take_no_time(tmp_path: Path) -> None:
-    """A process is busy, and waits for a thread: virtual time stands still; it is the same in both."""
+    """Time doesn't advance while a process is busy or waits for a thread; all processes agree on the time."""
     coordinator = TimeCoordinator(tmp_path / "clock", 1)
     worker = Worker(tmp_path, coordinator.processes[0])
 
@@ -88,13 +91,13 @@
         worker.end()
     assert len(worker.said) == 3
     for n, (received, (own, monotonic, unix)) in enumerate(worker.said):
-        assert own == monotonic == received  # what is sent is there at the same time
+        assert own == monotonic == received  # data arrives at the virtual time at which it was sent
         assert unix == pytest.approx(1e9 + own, abs=1e-6)
         assert 10.0 * n <= own <= 10.0 * n + (n + 1) * time_coordinator.STEP
 
 
-def test_a_stopped_process_holds_nobody_up(tmp_path: Path) -> None:
-    """One is stopped for 30 s: time goes on without it, and it goes on from then."""
+def test_stopped_process_does_not_delay_others(tmp_path: Path) -> None:
+    """Time advances while a process is stopped for 30 s; once continued, it runs on at the current time."""
     coordinator = TimeCoordinator(tmp_path / "clock", 1)
     worker = Worker(tmp_path, coordinator.processes[0])
 
@@ -119,7 +122,7 @@
 
 
 def test_busy_process_is_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that is busy for good ends the play, with its number."""
+    """A process that stays busy ends the run with an error that names its number."""
     monkeypatch.setattr(time_coordinator, "HANG", 0.5)
     coordinator = TimeCoordinator(tmp_path / "clock", 1)
     worker = Worker(tmp_path, coordinator.processes[0], busy=10**12)
@@ -139,13 +142,13 @@
 
 
 def test_deadlock_of_all_processes_is_reported(tmp_path: Path) -> None:
-    """Nobody waits for a time: no time would ever come."""
+    """If no process has a deadline, time could never advance: the run ends with an error."""
     with pytest.RaisesGroup(pytest.RaisesExc(NoDeadline, match="nobody"), flatten_subgroups=True):
         TimeCoordinator(tmp_path / "clock", 0).run(trio.sleep_forever)
 
 
 def test_invariants_find_lateness_in_virtual_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A router stands still, and the record doesn't say so: what it owes is found to be late."""
+    """A router is stopped without an event in the record: the invariant finds its late answers."""
 
     async def stall(run_scenario: Scenario, step: Step) -> None:
         process = run_scenario.routers[1].process
@@ -159,7 +162,7 @@
 
 
 def _two_routers(first: str, second: str) -> Script:
-    """Two routers, and a step 1 and 4 s after the play's begin."""
+    """Return a script with two routers and a step at 1 s and at 4 s."""
     return read(
         'name = "t"\ndoormans = 2\nboxes = 2\nseconds = 6.0\nrate = 20.0\n'
         f'[[at]]\nsecond = 1.0\ndo = "{first}"\n[[at]]\nsecond = 4.0\ndo = "{second}"\n',
