--- a/brackenlane/lab/stand_ins/cache_commands.py
+++ b/brackenlane/lab/stand_ins/cache_commands.py
@@ -66,16 +66,16 @@
             case ["PING", text]:
                 self._buffer = rest
                 return Pinged(text)
-            case ["GET", wire_id, reported, length]:
+            case ["GET", wire_id, fields_text, length]:
                 size = int(length)
                 if len(rest) < size + len(LINE_END):
                     return None
                 self._buffer = rest[size + len(LINE_END) :]
-                return ReceivedRequest(wire_id, _read_fields(reported), rest[:size], self._link)
+                return ReceivedRequest(wire_id, _read_fields(fields_text), rest[:size], self._link)
         raise ValueError(f"not a command of the cache protocol: {line[:80]!r}")
 
 
-def _read_fields(reported: str) -> dict[str, str]:
-    if reported == NO_FIELDS:
+def _read_fields(fields_text: str) -> dict[str, str]:
+    if fields_text == NO_FIELDS:
         return {}
-    return dict(pair.split("=", 1) for pair in reported.split(","))
+    return dict(pair.split("=", 1) for pair in fields_text.split(","))
--- a/brackenlane/lab/stand_ins/cache_server.py
+++ b/brackenlane/lab/stand_ins/cache_server.py
@@ -50,8 +50,8 @@
 def data(requested: ReceivedRequest, body: bytes = b"bytes", token: str = "data", **more: str) -> bytes:
     """Return a cache's reply with a body; `more` sets further fields or replaces the defaults."""
     fields = {"entity": "e1", "issued": str(int(time.time() * 1000)), "detail": "hit", **more}
-    reported = ",".join(f"{k}={v}" for k, v in fields.items())
-    return f"{requested.id} {token} {reported} {len(body)}\r\n".encode() + body + b"\r\n"
+    fields_text = ",".join(f"{k}={v}" for k, v in fields.items())
+    return f"{requested.id} {token} {fields_text} {len(body)}\r\n".encode() + body + b"\r\n"
 
 
 @dataclass
@@ -90,12 +90,12 @@
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self._streams.append(stream)
-        here = 0
+        requests_here = 0
         self.links += 1
         reader = CommandReader(self.links)
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-            while got := await stream.receive_some(65536):
-                for command in reader.feed(got):
+            while chunk := await stream.receive_some(65536):
+                for command in reader.feed(chunk):
                     match command:
                         case Dropped(wire_id):
                             self.dropped.append(wire_id)
@@ -104,8 +104,8 @@
                                 await stream.send_all(command.reply)
                         case ReceivedRequest():
                             self.received.append(command)
-                            here += 1
-                            self.most = max(self.most, here)
+                            requests_here += 1
+                            self.most = max(self.most, requests_here)
                             if reply := self.answer(command):
                                 await stream.send_all(reply)
                                 if not reply.endswith(b"\r\n"):
--- a/brackenlane/lab/stand_ins/dns.py
+++ b/brackenlane/lab/stand_ins/dns.py
@@ -63,9 +63,11 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.table: dict[tuple[str, str], tuple[int, list[str]]] = {}
-        self.faults: dict[tuple[str, str], set[Fault]] = defaultdict(set)  # by name and type, or ("", "")
+        self.faults: dict[tuple[str, str], set[Fault]] = defaultdict(
+            set
+        )  # faults by (name, type); "" stands for any
         self.default = ""  # address of names that have no A record in the table; "": they have none
-        self.delay = 30.0  # seconds until an answer with the fault LATE
+        self.delay = 30.0  # seconds until the answer for LATE, for TCP_STALL and for LOST over TCP
         self.minimum = 5  # MINIMUM of the SOA record: seconds for which a negative answer may be cached
         self.additional = True  # whether answers to SRV queries include the targets' addresses
         self.forged = "127.0.9.9"  # address in forged answers
@@ -74,7 +76,7 @@
         self.updated = trio.Event()
         self._random = random.Random(seed)
         self._scope = trio.CancelScope()
-        self._ended = trio.Event()
+        self._closed = trio.Event()
 
     def put(self, name: str, kind: str, *records: str, ttl: int = 1) -> None:
         """Set the records of a name and type, or remove them if none are given."""
@@ -91,7 +93,7 @@
     async def open(self, nursery: trio.Nursery) -> Self:
         """Answer on a port of 127.0.0.1; after `close`, on the same port again."""
         self._scope = trio.CancelScope()
-        self._ended = trio.Event()
+        self._closed = trio.Event()
         self._sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
         [listener] = await trio.open_tcp_listeners(self.port, host="127.0.0.1")
         self.port = listener.socket.getsockname()[1]
@@ -102,7 +104,7 @@
     async def close(self) -> None:
         """Stop answering, and refuse connections."""
         self._scope.cancel()
-        await self._ended.wait()
+        await self._closed.wait()
 
     async def until(self, count: int) -> None:
         """Wait until `count` queries have been received in total."""
@@ -119,19 +121,19 @@
                         with contextlib.suppress(OSError):  # ICMP port unreachable after an earlier answer
                             wire, peer = await self._sock.recvfrom(65_535)
                             nursery.start_soon(self._serve_udp, wire, peer)
-        self._ended.set()
+        self._closed.set()
 
     async def _serve_udp(self, wire: bytes, peer: tuple[str, int]) -> None:
         with contextlib.suppress(OSError, dns.exception.DNSException):
             query = dns.message.from_wire(wire)
-            faults = self._note(query, peer[1], tcp=False)
+            faults = self._record_query(query, peer[1], tcp=False)
             if Fault.LOST in faults:
                 return
             if Fault.LATE in faults:
                 await trio.sleep(self.delay)
             sock = self._sock
             if Fault.SPOOFED in faults:
-                await self._flood(query, peer)
+                await self._send_forged_replies(query, peer)
             reply = self._reply(query, faults, tcp=False)
             if Fault.WRONG_PORT in faults:
                 sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
@@ -147,7 +149,7 @@
                         continue
                     query = dns.message.from_wire(buffer[2:])
                     buffer = b""
-                    faults = self._note(query, 0, tcp=True)
+                    faults = self._record_query(query, 0, tcp=True)
                     if Fault.TCP_STALL in faults or Fault.LOST in faults:
                         await trio.sleep(self.delay)
                     reply = self._reply(query, faults, tcp=True)
@@ -160,16 +162,16 @@
                             await trio.sleep(0.05)
                     await stream.send_all(struct.pack("!H", len(reply)) + reply)
 
-    def _note(self, query: dns.message.Message, port: int, tcp: bool) -> set[Fault]:
-        [requested] = query.question
-        name = requested.name.to_text(omit_final_dot=True)
-        kind = dns.rdatatype.to_text(requested.rdtype)
+    def _record_query(self, query: dns.message.Message, port: int, tcp: bool) -> set[Fault]:
+        [question_rrset] = query.question
+        name = question_rrset.name.to_text(omit_final_dot=True)
+        kind = dns.rdatatype.to_text(question_rrset.rdtype)
         self.asked.append(ReceivedQuery(name, kind, tcp, query.edns >= 0, port, query.id))
         self.updated.set()
         keys = ((name.lower(), kind), (name.lower(), ""), ("", kind), ("", ""))
         return set().union(*(self.faults.get(key, set()) for key in keys))
 
-    def _records(self, name: str, kind: str, half: bool) -> Iterable[dns.rrset.RRset]:
+    def _find_records(self, name: str, kind: str, half: bool) -> Iterable[dns.rrset.RRset]:
         ttl, records = self.table.get((name.lower(), kind), (0, []))
         if not records and kind == "A" and self.default:
             ttl = 5
@@ -181,9 +183,9 @@
 
     def _reply(self, query: dns.message.Message, faults: set[Fault], tcp: bool) -> bytes:
         response = dns.message.make_response(query)
-        requested = query.question[0]
-        name = requested.name.to_text(omit_final_dot=True)
-        kind = dns.rdatatype.to_text(requested.rdtype)
+        question_rrset = query.question[0]
+        name = question_rrset.name.to_text(omit_final_dot=True)
+        kind = dns.rdatatype.to_text(question_rrset.rdtype)
         if Fault.FORMERR in faults and query.edns >= 0:
             return struct.pack("!HHHHHH", query.id, 0x8001, 0, 0, 0, 0)
         if Fault.NOISE in faults:
@@ -193,12 +195,12 @@
                 response.set_rcode(code)
                 return response.to_wire()
         half = Fault.HALF in faults or (Fault.CUT in faults and not tcp)
-        found = list(self._records(name, kind, half)) or list(self._records(name, "CNAME", False))
-        known = any(key[0] == name.lower() for key in self.table)
+        found = list(self._find_records(name, kind, half)) or list(self._find_records(name, "CNAME", False))
+        name_exists = any(key[0] == name.lower() for key in self.table)
         if Fault.REFERRAL in faults:
             response.authority.append(dns.rrset.from_text("test.", 60, "IN", "NS", "elsewhere.test."))
         elif not found:
-            response.set_rcode(dns.rcode.NOERROR if known else dns.rcode.NXDOMAIN)
+            response.set_rcode(dns.rcode.NOERROR if name_exists else dns.rcode.NXDOMAIN)
             response.authority.append(
                 dns.rrset.from_text(
                     "test.", 60, "IN", "SOA", f"ns.test. admin.test. 1 60 60 60 {self.minimum}"
@@ -210,14 +212,14 @@
                 for record in rrset:
                     if rrset.rdtype == dns.rdatatype.SRV:
                         response.additional.extend(
-                            self._records(record.target.to_text(omit_final_dot=True), "A", False)
+                            self._find_records(record.target.to_text(omit_final_dot=True), "A", False)
                         )
         if Fault.CUT in faults and not tcp:
             response.flags |= dns.flags.TC
         if Fault.WRONG_NAME in faults:
-            response.question = [_renamed(requested, "else.test.")]
+            response.question = [_with_name(question_rrset, "else.test.")]
         if Fault.WRONG_CASE in faults:
-            response.question = [_renamed(requested, name.lower() + ".")]
+            response.question = [_with_name(question_rrset, name.lower() + ".")]
         wire = response.to_wire(max_size=65_535)
         if not tcp and len(wire) > max(512, query.payload):
             response.flags |= dns.flags.TC
@@ -228,7 +230,7 @@
             wire = (query.id ^ 0x5555).to_bytes(2, "big") + wire[2:]
         return wire
 
-    async def _flood(self, query: dns.message.Message, peer: tuple[str, int]) -> None:
+    async def _send_forged_replies(self, query: dns.message.Message, peer: tuple[str, int]) -> None:
         """Send forged answers, as an attacker would who knows port and question but neither id nor case."""
         for number in range(40):
             forged = dns.message.make_response(query)
@@ -236,14 +238,14 @@
             name = query.question[0].name
             if number % 2:
                 forged.id = query.id
-                forged.question = [_renamed(query.question[0], name.to_text().swapcase())]
+                forged.question = [_with_name(query.question[0], name.to_text().swapcase())]
             forged.answer.append(dns.rrset.from_text(name, 9999, "IN", "A", self.forged))
             await self._sock.sendto(forged.to_wire(), peer)
 
 
-def _renamed(requested: dns.rrset.RRset, name: str) -> dns.rrset.RRset:
+def _with_name(question_rrset: dns.rrset.RRset, name: str) -> dns.rrset.RRset:
     """Return a copy of a question with another name.
 
     The original is shared with the query, so it is not changed.
     """
-    return dns.rrset.RRset(dns.name.from_text(name), requested.rdclass, requested.rdtype)
+    return dns.rrset.RRset(dns.name.from_text(name), question_rrset.rdclass, question_rrset.rdtype)
--- a/brackenlane/lab/stand_ins/redis.py
+++ b/brackenlane/lab/stand_ins/redis.py
@@ -21,7 +21,7 @@
 
 from brackenlane.lab.stand_ins.cache_server import CacheListener
 
-Seen = Callable[..., None]
+Observer = Callable[..., None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 class Redis(CacheListener):
     """The store. `seen` is called for every connection, command, refusal and stream entry, to record them."""
 
-    def __init__(self, capacity: Capacity = Capacity(), seen: Seen = lambda *_, **__: None) -> None:
+    def __init__(self, capacity: Capacity = Capacity(), seen: Observer = lambda *_, **__: None) -> None:
         self.keys: dict[str, Any] = {}
         self.updated = trio.Event()
         self.seen = trio.Event()
@@ -48,8 +48,8 @@
         self._notify = seen
         self.late = 0.0  # seconds that each reply is delayed in addition
         self.refuse_share = 0.0  # share of connections that are refused whatever the load
-        self._chance = random.Random(1)
-        self._free = 0.0  # monotonic time at which all accepted work is done
+        self._rng = random.Random(1)
+        self._busy_until = 0.0  # monotonic time at which all accepted work is done
         self._undo: deque[tuple[float, Callable[[], None]]] = deque(maxlen=100_000)
         self.commands = self.connections = self.sent = self.refused = 0
 
@@ -65,53 +65,59 @@
     def order(self, zone: str, order: dict[str, Any]) -> None:
         """Write an order of drain or restore, as another router would."""
         self._write(f"brackenlane:{zone}:orders", order["id"], orjson.dumps(order).decode())
-        self._add(f"brackenlane:{zone}:events", 10_000, ["event", orjson.dumps({"order": order}).decode()])
+        self._append_entry(
+            f"brackenlane:{zone}:events", 10_000, ["event", orjson.dumps({"order": order}).decode()]
+        )
 
-    def _work(self, cost: float) -> float:
+    def _queue_work(self, cost: float) -> float:
         """Queue work of `cost` seconds behind all accepted work; return the seconds until it is done."""
         now = time.monotonic()
-        self._free = max(self._free, now) + cost
-        return self._free - now
+        self._busy_until = max(self._busy_until, now) + cost
+        return self._busy_until - now
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self.connections += 1
-        who = stream.socket.getpeername()[1]
-        wait = self._work(1 / self.capacity.connections)
-        self._notify("connect", who, wait=wait)
-        if wait > self.capacity.patience or self._chance.random() < self.refuse_share:
+        peer_port = stream.socket.getpeername()[1]
+        wait = self._queue_work(1 / self.capacity.connections)
+        self._notify("connect", peer_port, wait=wait)
+        if wait > self.capacity.patience or self._rng.random() < self.refuse_share:
             self.refused += 1
-            self._notify("refuse", who)
+            self._notify("refuse", peer_port)
             with contextlib.suppress(trio.BrokenResourceError):
                 await stream.send_all(b"-ERR max number of clients reached\r\n")
             return await stream.aclose()
         reader = hiredis.Reader(encoding="utf-8")
         queue: list[list[str]] | None = None
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-            while got := await stream.receive_some(65536):
-                reader.feed(got)
-                out = b""
+            while chunk := await stream.receive_some(65536):
+                reader.feed(chunk)
+                replies = b""
                 wait = 0.0
                 refused = False
                 # Commands received together are answered together.
                 while (command := reader.gets()) is not False:
                     reply, queue = await self._turn(command, queue)
                     cost = 1 / self.capacity.commands + len(reply) / self.capacity.bytes
-                    wait = self._work(cost)
+                    wait = self._queue_work(cost)
                     claim = len(command) > 1 and ":claim:" in command[1]
                     self._notify(
-                        "claim" if claim else "command", who, word=command[0], sent=len(reply), wait=wait
+                        "claim" if claim else "command",
+                        peer_port,
+                        word=command[0],
+                        sent=len(reply),
+                        wait=wait,
                     )
                     if wait > self.capacity.patience:
                         self.refused += 1
                         refused = True
                         reply = b"-BUSY beyond the stated capacity\r\n"
-                    out += reply
+                    replies += reply
                 if refused:
-                    self._notify("refuse", who)
+                    self._notify("refuse", peer_port)
                 if wait > 0.001 or self.late:
                     await trio.sleep(wait + self.late)
-                self.sent += len(out)
-                await stream.send_all(out)
+                self.sent += len(replies)
+                await stream.send_all(replies)
 
     async def _turn(
         self, command: list[str], queue: list[list[str]] | None
@@ -126,22 +132,22 @@
                 return b"+OK\r\n", []
             case "EXEC":
                 assert queue is not None
-                return b"*%d\r\n" % len(queue) + b"".join([await self._do(c) for c in queue]), None
+                return b"*%d\r\n" % len(queue) + b"".join([await self._run_command(c) for c in queue]), None
         if queue is not None:
             return b"+QUEUED\r\n", [*queue, command]
-        return await self._do(command), None
+        return await self._run_command(command), None
 
     def _write(self, key: str, name: str | None, value: Any) -> None:
         """Set a string (no name) or a field of a hash, or delete it if value is None; `lose` can undo it."""
         table = self.keys if name is None else self.keys.setdefault(key, {})
         at = key if name is None else name
-        old = table.get(at)
+        previous = table.get(at)
 
         def undo() -> None:
-            if old is None:
+            if previous is None:
                 table.pop(at, None)
             else:
-                table[at] = old
+                table[at] = previous
 
         self._undo.append((time.monotonic(), undo))
         if value is None:
@@ -149,106 +155,108 @@
         else:
             table[at] = value
 
-    def _add(self, key: str, most: int, fields: list[str]) -> tuple[int, int]:
+    def _append_entry(self, key: str, most: int, fields: list[str]) -> tuple[int, int]:
         """Append an entry to a stream, cut to the `most` newest ones; return the entry's ID."""
         stream = self.keys.setdefault(key, [])
         last = stream[-1][0] if stream else (0, 0)
-        place = max((int(time.time() * 1000), 0), (last[0], last[1] + 1))
-        entry = (place, fields)
+        entry_id = max((int(time.time() * 1000), 0), (last[0], last[1] + 1))
+        entry = (entry_id, fields)
         stream.append(entry)
         self._undo.append((time.monotonic(), lambda: stream.remove(entry) if entry in stream else None))
         del stream[:-most]
         self.updated.set()
         self._notify("write", 0, key=key, event=fields[-1])
-        return place
+        return entry_id
 
-    async def _do(self, command: list[str]) -> bytes:
+    async def _run_command(self, command: list[str]) -> bytes:
         match command:
             case ["SET", key, value, "NX", "EX", _]:
                 if key in self.keys:
-                    return _resp(None)
+                    return _encode_reply(None)
                 self._write(key, None, value)
                 return b"+OK\r\n"
             case ["SET", key, value, "EX", _]:
                 self._write(key, None, value)
                 return b"+OK\r\n"
             case ["GET", key]:
-                return _resp(self.keys.get(key))
+                return _encode_reply(self.keys.get(key))
             case ["MGET", *keys]:
-                return _resp([self.keys.get(key) for key in keys])
+                return _encode_reply([self.keys.get(key) for key in keys])
             case ["DEL", key]:
-                there = key in self.keys
+                existed = key in self.keys
                 self._write(key, None, None)
-                return _resp(int(there))
+                return _encode_reply(int(existed))
             case ["INCR", key]:
                 self._write(key, None, str(int(self.keys.get(key, "0")) + 1))
-                return _resp(int(self.keys[key]))
+                return _encode_reply(int(self.keys[key]))
             case ["TIME"]:
                 now = time.time()
-                return _resp([str(int(now)), str(int(now % 1 * 1e6))])
+                return _encode_reply([str(int(now)), str(int(now % 1 * 1e6))])
             case ["EXPIRE", key, _]:
-                return _resp(int(key in self.keys))
+                return _encode_reply(int(key in self.keys))
             case ["HSET" | "HSETNX" as word, key, name, value]:
                 new = name not in self.keys.get(key, {})
                 if new or word == "HSET":
                     self._write(key, name, value)
-                return _resp(int(new))
+                return _encode_reply(int(new))
             case ["HMGET", key, *names]:
-                return _resp([self.keys.get(key, {}).get(name) for name in names])
+                return _encode_reply([self.keys.get(key, {}).get(name) for name in names])
             case ["HGETALL", key]:
-                return _resp([part for pair in self.keys.get(key, {}).items() for part in pair])
+                return _encode_reply([part for pair in self.keys.get(key, {}).items() for part in pair])
             case ["HSCAN", key, cursor, "COUNT", count]:
                 table = sorted(self.keys.get(key, {}).items())
                 at = int(cursor)
-                piece = table[at : at + int(count)]
-                more = at + len(piece) if at + len(piece) < len(table) else 0
-                return _resp([str(more), [part for pair in piece for part in pair]])
+                page = table[at : at + int(count)]
+                more = at + len(page) if at + len(page) < len(table) else 0
+                return _encode_reply([str(more), [part for pair in page for part in pair]])
             case ["XADD", key, "MAXLEN", "~", most, "*", *fields]:
-                return _resp(_place(self._add(key, int(most), fields)))
+                return _encode_reply(_format_entry_id(self._append_entry(key, int(most), fields)))
             case ["XRANGE", key, "+", "+", *_]:  # the range starts after the last entry
-                return _resp([])
-            case ["XRANGE", key, low, "+", *count]:
-                found = [[_place(p), f] for p, f in self.keys.get(key, []) if p >= _read_place(low)]
-                return _resp(found[: int(count[1])] if count else found)
+                return _encode_reply([])
+            case ["XRANGE", key, start, "+", *count]:
+                found = [
+                    [_format_entry_id(p), f] for p, f in self.keys.get(key, []) if p >= _parse_entry_id(start)
+                ]
+                return _encode_reply(found[: int(count[1])] if count else found)
             case ["XREVRANGE", key, "+", "-", "COUNT", "1"]:
-                return _resp([[_place(p), f] for p, f in self.keys.get(key, [])[-1:]])
+                return _encode_reply([[_format_entry_id(p), f] for p, f in self.keys.get(key, [])[-1:]])
             case ["XREAD", *arguments, "STREAMS", key, after]:
-                reported = dict(zip(arguments[::2], arguments[1::2], strict=True))
+                options = dict(zip(arguments[::2], arguments[1::2], strict=True))
                 self.seen.set()
-                if "BLOCK" in reported:
-                    with trio.move_on_after(int(reported["BLOCK"]) / 1000):
-                        while not self._behind(key, after):
+                if "BLOCK" in options:
+                    with trio.move_on_after(int(options["BLOCK"]) / 1000):
+                        while not self._entries_after(key, after):
                             self.updated = self.updated if not self.updated.is_set() else trio.Event()
                             await self.updated.wait()
-                found = self._behind(key, after)[: int(reported.get("COUNT", 1 << 30))]
-                return _resp([[key, found]] if found else None)
+                found = self._entries_after(key, after)[: int(options.get("COUNT", 1 << 30))]
+                return _encode_reply([[key, found]] if found else None)
         return b"-ERR unknown command\r\n"
 
-    def _behind(self, key: str, after: str) -> list[Any]:
+    def _entries_after(self, key: str, after: str) -> list[Any]:
         stream = self.keys.get(key, [])
-        low = _read_place(after)
+        start = _parse_entry_id(after)
         found: list[Any] = []
-        for place, fields in reversed(stream):
-            if place <= low:
+        for entry_id, fields in reversed(stream):
+            if entry_id <= start:
                 break
-            found.append([_place(place), fields])
+            found.append([_format_entry_id(entry_id), fields])
         return found[::-1]
 
 
-def _place(place: tuple[int, int]) -> str:
-    return f"{place[0]}-{place[1]}"
+def _format_entry_id(entry_id: tuple[int, int]) -> str:
+    return f"{entry_id[0]}-{entry_id[1]}"
 
 
-def _read_place(text: str) -> tuple[int, int]:
+def _parse_entry_id(text: str) -> tuple[int, int]:
     ms, _, n = text.partition("-")
     return int(ms), int(n or 0)
 
 
-def _resp(value: Any) -> bytes:
+def _encode_reply(value: Any) -> bytes:
     if value is None:
         return b"*-1\r\n"
     if isinstance(value, int):
         return b":%d\r\n" % value
     if isinstance(value, str):
         return b"$%d\r\n%b\r\n" % (len(value.encode()), value.encode())
-    return b"*%d\r\n" % len(value) + b"".join(_resp(v) for v in value)
+    return b"*%d\r\n" % len(value) + b"".join(_encode_reply(v) for v in value)
