--- a/brackenlane/lab/cluster/links.py
+++ b/brackenlane/lab/cluster/links.py
@@ -15,8 +15,8 @@
 
 import trio
 
-CHUNK = 65_536
-TAIL = 256  # bytes kept from earlier reads, to find a match that is split across two reads
+CHUNK_BYTES = 65_536
+TAIL_BYTES = 256  # bytes kept from earlier reads, to find a match that is split across two reads
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,8 +31,8 @@
     drop_after: int = 0  # bytes passed to the router before the connection is reset; 0: never
 
 
-SOUND = Fault()
-ALL = -1  # stands for every router that has no fault set for it alone
+NO_FAULT = Fault()
+ALL_ROUTERS = -1  # stands for every router that has no fault set for it alone
 Observer = Callable[[int, bool, re.Match[bytes]], None]  # (router, whether the router sent it, match)
 
 
@@ -42,23 +42,23 @@
     def __init__(
         self,
         target: int,
-        arguments: re.Pattern[bytes] | None = None,
-        received: Observer = lambda *_: None,
-        owner: Callable[[int], int] = lambda _: ALL,
+        pattern: re.Pattern[bytes] | None = None,
+        observer: Observer = lambda *_: None,
+        find_router: Callable[[int], int] = lambda _: ALL_ROUTERS,
     ) -> None:
         """target: the server's port on 127.0.0.1; pattern: what to look for in forwarded data.
 
-        observer is called with each match once it is forwarded. owner returns the number of the router that a
-        connection belongs to, by the connection's source port.
+        observer is called with each match once it is forwarded. find_router returns the number of the router
+        that a connection belongs to, by the connection's source port.
         """
         self.target = target
         self.port = 0
-        self._commands = arguments
-        self._observer = received
-        self._owner = owner
+        self._pattern = pattern
+        self._observer = observer
+        self._find_router = find_router
         self._faults: dict[int, Fault] = {}
-        self._open: dict[trio.SocketStream, int] = {}
-        self._changed = trio.Event()
+        self._connections: dict[trio.SocketStream, int] = {}
+        self._fault_changed = trio.Event()
         self._listening: trio.CancelScope | None = None
 
     async def open(self, nursery: trio.Nursery) -> Link:
@@ -74,84 +74,89 @@
 
         async def accept() -> None:
             with scope:
-                await trio.serve_listeners(self._pass_on, [listener])
+                await trio.serve_listeners(self._forward, [listener])
 
         self._nursery.start_soon(accept)
 
-    def fault(self, who: int = ALL) -> Fault:
+    def fault(self, router: int = ALL_ROUTERS) -> Fault:
         """Return the fault in force for one router."""
-        return self._faults.get(who, self._faults.get(ALL, SOUND))
+        return self._faults.get(router, self._faults.get(ALL_ROUTERS, NO_FAULT))
 
-    async def set(self, who: int = ALL, **changes: bool | float | int) -> None:
+    async def set(self, router: int = ALL_ROUTERS, **changes: bool | float | int) -> None:
         """Change the fault of one router or of all.
 
         Open connections stay, unless `refuse` is set: it resets them.
         """
-        fault = self._faults[who] = replace(self.fault(who), **changes)  # type: ignore[arg-type]
-        self._changed.set()
-        self._changed = trio.Event()
+        fault = self._faults[router] = replace(self.fault(router), **changes)  # type: ignore[arg-type]
+        self._fault_changed.set()
+        self._fault_changed = trio.Event()
         if fault.refuse:
-            if who == ALL and self._listening:
+            if router == ALL_ROUTERS and self._listening:
                 self._listening.cancel()
                 self._listening = None
-            await self.reset(who)
-        elif who == ALL and self._listening is None:
+            await self.reset(router)
+        elif router == ALL_ROUTERS and self._listening is None:
             await self._listen()
 
-    async def heal(self, who: int = ALL) -> None:
+    async def heal(self, router: int = ALL_ROUTERS) -> None:
         """Remove the fault of one router or of all.
 
         Connections blocked in a direction are reset, and the data held back on them is lost.
         """
-        fault = self.fault(who)
+        fault = self.fault(router)
         if not (fault.up and fault.down):
-            await self.reset(who)
-        self._faults[who] = SOUND
-        await self.set(who, refuse=False)
+            await self.reset(router)
+        self._faults[router] = NO_FAULT
+        await self.set(router, refuse=False)
 
-    async def reset(self, who: int = ALL) -> None:
+    async def reset(self, router: int = ALL_ROUTERS) -> None:
         """Close the connections of one router, or of all, with a TCP reset."""
-        for stream, whose in list(self._open.items()):
-            if who in (ALL, whose):
+        for stream, connection_router in list(self._connections.items()):
+            if router in (ALL_ROUTERS, connection_router):
                 with contextlib.suppress(OSError):
                     stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 await trio.aclose_forcefully(stream)
 
-    async def _pass_on(self, near: trio.SocketStream) -> None:
+    async def _forward(self, client: trio.SocketStream) -> None:
         with contextlib.suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            who = self._owner(near.socket.getpeername()[1])
-            if self.fault(who).refuse:
-                return await trio.aclose_forcefully(near)
-            async with near, await trio.open_tcp_stream("127.0.0.1", self.target) as far:
-                self._open |= {near: who, far: who}
+            router = self._find_router(client.socket.getpeername()[1])
+            if self.fault(router).refuse:
+                return await trio.aclose_forcefully(client)
+            async with client, await trio.open_tcp_stream("127.0.0.1", self.target) as server:
+                self._connections |= {client: router, server: router}
                 try:
                     async with trio.open_nursery() as nursery:
-                        nursery.start_soon(self._pump, near, far, who, True, nursery.cancel_scope)
-                        nursery.start_soon(self._pump, far, near, who, False, nursery.cancel_scope)
+                        nursery.start_soon(self._pump, client, server, router, True, nursery.cancel_scope)
+                        nursery.start_soon(self._pump, server, client, router, False, nursery.cancel_scope)
                 finally:
-                    del self._open[near], self._open[far]
+                    del self._connections[client], self._connections[server]
 
     async def _pump(
-        self, source: trio.SocketStream, sink: trio.SocketStream, who: int, up: bool, scope: trio.CancelScope
+        self,
+        source: trio.SocketStream,
+        sink: trio.SocketStream,
+        router: int,
+        up: bool,
+        scope: trio.CancelScope,
     ) -> None:
         tail = b""
-        passed = 0
+        forwarded = 0
         with contextlib.suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            while data := await source.receive_some(CHUNK):
-                while not (self.fault(who).up if up else self.fault(who).down):
-                    await self._changed.wait()
-                fault = self.fault(who)
+            while data := await source.receive_some(CHUNK_BYTES):
+                while not (self.fault(router).up if up else self.fault(router).down):
+                    await self._fault_changed.wait()
+                fault = self.fault(router)
                 if fault.delay or fault.rate:
                     await trio.sleep(fault.delay + (len(data) / fault.rate if fault.rate else 0.0))
-                passed += len(data)
-                if not up and fault.drop_after and passed > fault.drop_after:
-                    await self.reset(who)
+                forwarded += len(data)
+                if not up and fault.drop_after and forwarded > fault.drop_after:
+                    await self.reset(router)
                     break
                 await sink.send_all(data)
-                if self._commands:
+                if self._pattern:
                     text = tail + data
-                    for match in self._commands.finditer(text):
+                    for match in self._pattern.finditer(text):
                         if match.end() > len(tail):
-                            self._observer(who, up, match)
-                    tail = text[-TAIL:]
+                            self._observer(router, up, match)
+                    tail = text[-TAIL_BYTES:]
         scope.cancel()
--- a/brackenlane/lab/cluster/report.py
+++ b/brackenlane/lab/cluster/report.py
@@ -1,4 +1,4 @@
-"""Reports of a scenario: a table, the record as JSON, and a page of plots if matplotlib is installed."""
+"""Reports of a run: a table, the record as JSON, and a page of plots if matplotlib is installed."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     return [path, *([picture] if picture else [])]
 
 
-def by_second(record: Record, kind: str) -> list[int]:
+def counts_by_second(record: Record, kind: str) -> list[int]:
     """Return the number of events of a kind in each second."""
     counts: list[int] = []
     for event in record.of(kind):
@@ -62,16 +62,16 @@
         return None
     page = Figure(figsize=(10, 12), layout="constrained")
     starts, store, caches, answers = page.subplots(4, 1)
-    began: dict[int, float] = {}
-    seen: set[tuple[int, str]] = set()  # (router, kind) seen since the router's latest start
+    started_at: dict[int, float] = {}
+    drawn: set[tuple[int, str]] = set()  # (router, kind) seen since the router's latest start
     for event in record.of("start", "healthy", "follow"):
         if event.kind == "start":
-            began[event.router] = event.at
-            seen -= {(event.router, "healthy"), (event.router, "follow")}
-        elif event.router in began and (event.router, event.kind) not in seen:
-            seen.add((event.router, event.kind))
+            started_at[event.router] = event.at
+            drawn -= {(event.router, "healthy"), (event.router, "follow")}
+        elif event.router in started_at and (event.router, event.kind) not in drawn:
+            drawn.add((event.router, event.kind))
             style = {"healthy": ("b.", "healthy"), "follow": ("g.", "follows the store")}[event.kind]
-            starts.plot(event.router, event.at - began[event.router], style[0], markersize=3)
+            starts.plot(event.router, event.at - started_at[event.router], style[0], markersize=3)
     starts.set(
         title="seconds from start to healthy (blue) and to following the store (green)",
         xlabel="router",
@@ -83,7 +83,7 @@
         (answers, ("ask", "answer", "broken"), "of clients"),
     ):
         for kind in kinds:
-            axes.plot(by_second(record, kind), label=kind.removeprefix("store_"))
+            axes.plot(counts_by_second(record, kind), label=kind.removeprefix("store_"))
         axes.set(title=f"{title}, a second", xlabel="seconds")
         axes.legend()
     page.savefig(path)
--- a/brackenlane/lab/cluster/script.py
+++ b/brackenlane/lab/cluster/script.py
@@ -11,7 +11,7 @@
 from brackenlane.config import ConfigError
 
 Seconds = Annotated[float, Field(ge=0, le=3600)]
-Do = Literal[
+Action = Literal[
     "start",
     "kill",
     "term",
@@ -36,13 +36,13 @@
 ]
 
 
-class Record(BaseModel):
+class StrictModel(BaseModel):
     """Base of the models: unknown keys and numbers given as text are errors."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
-class Store(Record):
+class Store(StrictModel):
     """Capacity of the stand-in store: rates per second, and `patience`, its longest queueing delay."""
 
     commands: Annotated[float, Field(gt=0)] = 2000.0
@@ -51,25 +51,25 @@
     patience: Seconds = 0.5
 
 
-class Step(Record):
+class Step(StrictModel):
     """One action and the time at which it is done."""
 
     second: Seconds
-    do: Do
-    # Numbers of the routers that it affects.
+    do: Action
+    # Routers that the action affects.
     who: Literal["all", "odd", "even"] | list[Annotated[int, Field(ge=0)]] = "all"
     # The server at the other end of a link: "store" or a cache.
     way: Annotated[str, Field(max_length=63)] = "store"
     box: Annotated[str, Field(max_length=63)] = ""
     object: Annotated[str, Field(max_length=63)] = ""
-    # What `list` does to the routers' snapshots.
+    # What the action `list` does to the routers' snapshots.
     state: Literal["stale", "torn", "missing", "foreign"] = "missing"
     seconds: Seconds = 0.0
     share: Annotated[float, Field(ge=0, le=1)] = 0.0
     fault: dict[Literal["refuse", "up", "down", "delay", "rate", "drop_after"], bool | float | int] = {}
 
 
-class Script(Record):
+class Script(StrictModel):
     """A whole scenario."""
 
     name: Annotated[str, Field(pattern=r"^[0-9a-z-]{1,40}$")]
@@ -79,8 +79,8 @@
     parents: Annotated[int, Field(ge=0, le=50)] = 1
     rate: Annotated[float, Field(ge=0, le=10_000)] = 40.0  # requests a second, at all routers together
     objects: Annotated[int, Field(ge=1, le=100_000)] = 200
-    pairs: bool = True  # routers reach the caches through links too; if false, the store only
-    started: bool = True  # start all routers before the first step; if false, the steps start them
+    pairs: bool = True  # whether routers reach caches through links; if false, only the store
+    started: bool = True  # whether all routers start before the first step; if false, steps start them
     link: Annotated[float, Field(gt=0, le=1000)] = 8.0  # concurrent transfers of a warm edge cache
     wider: Annotated[float, Field(ge=1, le=100)] = 5.0  # factor on `link` for parent caches and the origin
     work: Annotated[float, Field(gt=0, le=10)] = 0.04  # seconds that one transfer takes on an idle cache
@@ -94,15 +94,15 @@
     steps: Annotated[list[Step], Field(alias="at", max_length=1000)] = []
 
     @model_validator(mode="after")
-    def _fits(self) -> Script:
-        ways = {
+    def _check_references(self) -> Script:
+        parties = {
             "store",
             "origin",
             *(f"box-{n}" for n in range(self.boxes)),
             *(f"parent-{n}" for n in range(self.parents)),
         }
         for n, step in enumerate(self.steps):
-            if step.way not in ways or (step.box and step.box not in ways - {"store"}):
+            if step.way not in parties or (step.box and step.box not in parties - {"store"}):
                 raise ValueError(f"at[{n}]: {step.way!r} or {step.box!r} is no other party of this play")
             if isinstance(step.who, list) and any(who >= self.doormans for who in step.who):
                 raise ValueError(f"at[{n}].who: there are {self.doormans} routers")
--- a/brackenlane/lab/cluster/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -25,7 +25,7 @@
     refuses: Callable[[float], bool] = lambda _: False  # whether it refuses at a time, whatever the load
     away: Callable[[float], bool] = lambda _: False  # whether it is unreachable at a time
     # End of the work accepted so far, of small requests and of full loads.
-    free: list[float] = field(default_factory=lambda: [0.0, 0.0])
+    busy_until: list[float] = field(default_factory=lambda: [0.0, 0.0])
     # Arrival times of small requests, including refused ones.
     asked: list[float] = field(default_factory=list)
     loaded: list[float] = field(default_factory=list)  # arrival times of full loads, including refused ones
@@ -35,15 +35,15 @@
     def request(self, now: float, complete: bool) -> float | None:
         """Return the seconds until the answer, None if refused.
 
-        Complete: a full load, not a small request.
+        complete: whether it is a full load instead of a small request.
         """
         (self.loaded if complete else self.asked).append(now)
         cost = 1 / (self.capacity.load_rate if complete else self.capacity.request_rate)
-        begin = max(self.free[complete], now)
+        begin = max(self.busy_until[complete], now)
         if self.away(now) or self.refuses(now) or begin - now > self.patience:
             self.refused += 1
             return None
-        self.free[complete] = begin + cost
+        self.busy_until[complete] = begin + cost
         return begin + cost - now
 
     def ticket(self, bucket: int) -> int:
@@ -67,21 +67,21 @@
     ) -> None:
         self.store = store
         self.now = 0.0
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         # Time at which each became up to date, since its latest start or loss of the store.
         self.current: dict[int, float] = {}
-        self.paces = [
+        self.pacings = [
             pace(f"router-{n}", store.capacity, random.Random(seed * 100_003 + n)) for n in range(count)
         ]
-        self._complete = [self.chance.random() >= remembers for _ in range(count)]
+        self._needs_full_load = [self.rng.random() >= remembers for _ in range(count)]
         for n in range(count):
-            self.at(starts(n) + self.paces[n].initial_delay(), partial(self._send_request, n))
+            self.at(starts(n) + self.pacings[n].initial_delay(), partial(self._send_request, n))
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         """Schedule a call."""
-        heapq.heappush(self._heap, (when, next(self._order), call))
+        heapq.heappush(self._heap, (when, next(self._sequence), call))
 
     def run(self, until: float) -> None:
         """Run the scheduled calls up to a time."""
@@ -92,39 +92,42 @@
 
     def lose(self) -> None:
         """Break the store connection of all up-to-date routers: each notices within 5 ms."""
-        lost = list(self.current)
+        affected = list(self.current)
         self.current = {}
-        for n in lost:
-            self.at(self.now + self.chance.uniform(0, 0.005), partial(self._again, n))
+        for n in affected:
+            self.at(self.now + self.rng.uniform(0, 0.005), partial(self._retry_later, n))
 
-    def _again(self, n: int) -> None:
+    def _retry_later(self, n: int) -> None:
         self.at(
-            self.now + self.paces[n].record_failure(not self.store.away(self.now)),
+            self.now + self.pacings[n].record_failure(not self.store.away(self.now)),
             partial(self._send_request, n),
         )
 
     def _send_request(self, n: int) -> None:
-        took = self.store.request(self.now, False)
-        if took is None:
-            return self._again(n)
-        self.paces[n].record_answer(took, 0.15)
-        self.at(self.now + took, lambda: self._load(n) if self._complete[n] else self._done(n))
-
-    def _load(self, n: int) -> None:
-        pace = self.paces[n]
+        wait_s = self.store.request(self.now, False)
+        if wait_s is None:
+            return self._retry_later(n)
+        self.pacings[n].record_answer(wait_s, 0.15)
+        self.at(
+            self.now + wait_s,
+            lambda: self._draw_ticket(n) if self._needs_full_load[n] else self._mark_current(n),
+        )
+
+    def _draw_ticket(self, n: int) -> None:
+        pace = self.pacings[n]
         window = pace.ticket_window(self.now)
         while ahead := pace.windows_ahead(ticket := self.store.ticket(window)):
             window += ahead
-        self.at(self.now + pace.ticket_delay(window, ticket, self.now), partial(self._complete_list, n))
+        self.at(self.now + pace.ticket_delay(window, ticket, self.now), partial(self._request_full_load, n))
 
-    def _complete_list(self, n: int) -> None:
-        took = self.store.request(self.now, True)
-        if took is None:
-            return self._again(n)
-        self.at(self.now + took, lambda: self._done(n))
+    def _request_full_load(self, n: int) -> None:
+        wait_s = self.store.request(self.now, True)
+        if wait_s is None:
+            return self._retry_later(n)
+        self.at(self.now + wait_s, lambda: self._mark_current(n))
 
-    def _done(self, n: int) -> None:
-        self._complete[n] = False
+    def _mark_current(self, n: int) -> None:
+        self._needs_full_load[n] = False
         self.current[n] = self.now
 
 
@@ -132,9 +135,9 @@
     """Return the largest number of times within any interval of `span` seconds."""
     times = sorted(times)
     low = 0
-    most = 0
+    highest = 0
     for high, at in enumerate(times):
         while times[low] <= at - span:
             low += 1
-        most = max(most, high - low + 1)
-    return most
+        highest = max(highest, high - low + 1)
+    return highest
