--- a/brackenlane/lab/cluster/cache_servers.py
+++ b/brackenlane/lab/cluster/cache_servers.py
@@ -19,13 +19,14 @@
 from brackenlane.lab.stand_ins.cache_commands import CommandReader, Pinged, ReceivedRequest
 from brackenlane.lab.stand_ins.cache_server import CacheListener
 
-FILL = 0.02  # seconds that a fill takes in addition to its transfer
-FACTOR = 3.0  # multiple of its capacity at which a cold cache fails (plus a margin for random variation)
-DOWN = 5.0  # seconds for which a failed cache is unavailable
+FILL_LATENCY_S = 0.02  # seconds that a fill takes in addition to its transfer
+# Multiple of its capacity at which a cold cache fails (plus a margin for random variation).
+OVERLOAD_FACTOR = 3.0
+DOWNTIME_S = 5.0  # seconds for which a failed cache is unavailable
 
 
 @dataclass(frozen=True, slots=True)
-class Strength:
+class CacheCapacity:
     """Capacity of a cache when warm, and how it warms up after a start."""
 
     link: float = 40.0  # concurrent transfers when warm
@@ -52,42 +53,42 @@
     id: str
     role: str
     record: Record
-    all: dict[str, ClusterCache]
-    strength: Strength = field(default_factory=Strength)
+    caches: dict[str, ClusterCache]
+    capacity: CacheCapacity = field(default_factory=CacheCapacity)
     started: float = field(default_factory=lambda: time.monotonic())
     unresponsive: bool = False  # accepts connections but answers nothing
-    fallen: float = -math.inf  # monotonic time at which it last failed under overload
+    failed_at: float = -math.inf  # monotonic time at which it last failed under overload
     # Monotonic times of the last second's requests, while cold.
-    recent: deque[float] = field(default_factory=deque)
+    recent_requests: deque[float] = field(default_factory=deque)
     # By object: Unix ms at which the origin issued the copy.
     copies: dict[str, int] = field(default_factory=dict)
-    filling: dict[str, trio.Event] = field(default_factory=dict)
+    fills_in_progress: dict[str, trio.Event] = field(default_factory=dict)
     purged: dict[str, int] = field(default_factory=dict)
-    busy: int = 0
-    chance: random.Random = field(default_factory=lambda: random.Random(1))
+    busy: int = 0  # transfers in progress
+    rng: random.Random = field(default_factory=lambda: random.Random(1))
 
-    def _falls(self) -> bool:
+    def _fails_under_load(self) -> bool:
         """Count one more request.
 
         Return whether the cache is down, or fails now under overload while cold.
         """
         now = time.monotonic()
-        s = self.strength
-        if now < self.fallen + DOWN:
+        s = self.capacity
+        if now < self.failed_at + DOWNTIME_S:
             return True
         if now > self.started + s.ramp:
             return False
-        self.recent.append(now)
-        while self.recent[0] < now - 1.0:
-            self.recent.popleft()
-        n = FACTOR * s.capacity_by_age(now - self.started) / s.work
-        if len(self.recent) <= n + 3 * math.sqrt(n) + 3:
+        self.recent_requests.append(now)
+        while self.recent_requests[0] < now - 1.0:
+            self.recent_requests.popleft()
+        n = OVERLOAD_FACTOR * s.capacity_by_age(now - self.started) / s.work
+        if len(self.recent_requests) <= n + 3 * math.sqrt(n) + 3:
             return False
-        self.fallen = now
+        self.failed_at = now
         self.record.add("fall", box=self.id)
-        self.recent.clear()
+        self.recent_requests.clear()
         self.restart()
-        self.started = now + DOWN
+        self.started = now + DOWNTIME_S
         return True
 
     def restart(self) -> None:
@@ -97,70 +98,70 @@
         self.record.add("box_start", box=self.id)
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        who = stream.socket.getpeername()[1]
-        if time.monotonic() < self.fallen + DOWN:
+        peer_port = stream.socket.getpeername()[1]
+        if time.monotonic() < self.failed_at + DOWNTIME_S:
             return await trio.aclose_forcefully(stream)
-        self.record.add("handshake", box=self.id, peer=who)
+        self.record.add("handshake", box=self.id, peer=peer_port)
         reader = CommandReader()
-        turn = trio.Lock()
+        send_lock = trio.Lock()
         async with trio.open_nursery() as nursery:
-            while got := await _receive(stream):
+            while chunk := await _receive(stream):
                 if self.unresponsive:
                     continue
-                for command in reader.feed(got):
+                for command in reader.feed(chunk):
                     match command:
                         case ReceivedRequest():
-                            nursery.start_soon(self._answer, stream, turn, command.id, command.fields)
+                            nursery.start_soon(self._answer, stream, send_lock, command.id, command.fields)
                         case Pinged():
-                            nursery.start_soon(self._say, stream, turn, command.reply)
+                            nursery.start_soon(self._send, stream, send_lock, command.reply)
             nursery.cancel_scope.cancel()
 
     @staticmethod
-    async def _say(stream: trio.SocketStream, turn: trio.Lock, data: bytes) -> None:
+    async def _send(stream: trio.SocketStream, send_lock: trio.Lock, data: bytes) -> None:
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-            async with turn:
+            async with send_lock:
                 await stream.send_all(data)
 
     async def _answer(
-        self, stream: trio.SocketStream, turn: trio.Lock, wire_id: str, fields: dict[str, str]
+        self, stream: trio.SocketStream, send_lock: trio.Lock, wire_id: str, fields: dict[str, str]
     ) -> None:
-        if self._falls():
+        if self._fails_under_load():
             return await trio.aclose_forcefully(stream)
         obj = fields["path"]
         cls = fields["queue"]
         source = fields.get("miss", "")
         self.record.add("got", box=self.id, id=wire_id, cls=cls, obj=obj, miss=source)
-        capacity_by_age = self.strength.capacity_by_age(time.monotonic() - self.started)
+        capacity_by_age = self.capacity.capacity_by_age(time.monotonic() - self.started)
         if self.busy >= 4 * capacity_by_age:
-            return await self._say(stream, turn, f"{wire_id} full - 0\r\n\r\n".encode())
+            return await self._send(stream, send_lock, f"{wire_id} full - 0\r\n\r\n".encode())
         self.busy += 1
         try:
-            await trio.sleep(self.strength.work * max(1.0, self.busy / capacity_by_age))
+            await trio.sleep(self.capacity.work * max(1.0, self.busy / capacity_by_age))
             if cls == "sheet-submit":
-                where = self.all.get(source, self) if self.role != "origin" else self
+                where = self.caches.get(source, self) if self.role != "origin" else self
                 self.record.add("run", box=where.id, id=wire_id)
                 issued = int(time.time() * 1000)
                 detail = "filled"
             else:
                 found = await self._copy(obj, fields)
                 if found is None:
-                    return await self._say(stream, turn, f"{wire_id} absent - 0\r\n\r\n".encode())
+                    return await self._send(stream, send_lock, f"{wire_id} absent - 0\r\n\r\n".encode())
                 issued, detail = found
         finally:
             self.busy -= 1
         body = f"{obj} {self.id} {issued}".encode()
         head = f"{wire_id} data entity=e{issued},issued={issued},detail={detail} {len(body)}\r\n"
-        await self._say(stream, turn, head.encode() + body + b"\r\n")
+        await self._send(stream, send_lock, head.encode() + body + b"\r\n")
 
-    async def supply(self, obj: str, by: str) -> bool:
+    async def serve_fill(self, obj: str, by: str) -> bool:
         """Serve a fill of another cache; False if this cache is at its limit or down."""
         self.record.add("fill", box=self.id, obj=obj, by=by)
-        capacity_by_age = self.strength.capacity_by_age(time.monotonic() - self.started)
-        if self._falls() or self.busy >= 4 * capacity_by_age:
+        capacity_by_age = self.capacity.capacity_by_age(time.monotonic() - self.started)
+        if self._fails_under_load() or self.busy >= 4 * capacity_by_age:
             return False
         self.busy += 1
         try:
-            await trio.sleep(FILL + self.strength.work * max(1.0, self.busy / capacity_by_age))
+            await trio.sleep(FILL_LATENCY_S + self.capacity.work * max(1.0, self.busy / capacity_by_age))
         finally:
             self.busy -= 1
         return True
@@ -168,7 +169,7 @@
     async def _copy(self, obj: str, fields: dict[str, str]) -> tuple[int, str] | None:
         """Return a fresh enough copy, cached or filled, as (issue time in Unix ms, detail); else None."""
         within = int(fields.get("within", "0"))
-        source = self.all.get(fields.get("miss", ""))
+        source = self.caches.get(fields.get("miss", ""))
         if self.role == "origin":
             return int(time.time() * 1000), "hit"
         while True:
@@ -177,22 +178,22 @@
                 return issued, "hit"
             if source is None or source is self or "shallow" in fields.get("f", ""):
                 return None
-            if obj not in self.filling:
+            if obj not in self.fills_in_progress:
                 break
-            await self.filling[obj].wait()  # join the fill in progress
+            await self.fills_in_progress[obj].wait()  # join the fill in progress
             within = within and max(within, 1000)
-        done = self.filling[obj] = trio.Event()
+        done = self.fills_in_progress[obj] = trio.Event()
         try:
-            if not await source.supply(obj, self.id):
+            if not await source.serve_fill(obj, self.id):
                 return None
             if source.role == "origin":
                 issued = int(time.time() * 1000)
             else:
-                below = {"within": fields.get("within", "0"), "miss": "origin"}
-                found = await source._copy(obj, below)
+                parent_fields = {"within": fields.get("within", "0"), "miss": "origin"}
+                found = await source._copy(obj, parent_fields)
                 issued = found[0] if found else int(time.time() * 1000)
             self.copies[obj] = issued
             return issued, "via_origin" if source.role == "origin" else "filled"
         finally:
-            del self.filling[obj]
+            del self.fills_in_progress[obj]
             done.set()
--- a/brackenlane/lab/cluster/clock_preload.py
+++ b/brackenlane/lab/cluster/clock_preload.py
@@ -11,18 +11,18 @@
 import sys
 import time
 
-real = time.time
-begun = time.time()
-off = float(sys.argv[1])
+real_time = time.time
+start = time.time()
+offset = float(sys.argv[1])
 rate = float(sys.argv[2])
 
 
-def notified() -> float:
+def skewed_time() -> float:
     """Return the real Unix time, shifted by `offset` seconds and running `rate` times as fast."""
-    return begun + off + (real() - begun) * rate
+    return start + offset + (real_time() - start) * rate
 
 
-time.time = notified
+time.time = skewed_time
 sys.argv[1:3] = []
 
 from brackenlane.cli.main import run  # noqa: E402
--- a/brackenlane/lab/cluster/invariants.py
+++ b/brackenlane/lab/cluster/invariants.py
@@ -7,22 +7,22 @@
 
 from brackenlane.lab.cluster.record import Event, Record
 
-DRAIN = 0.5  # seconds after receiving a drain order in which a router may still use the cache
-PURGE = 1.0  # seconds after receiving a purge in which a router may still serve an older copy
-SLACK = 0.1  # seconds of tolerance for delays in the test cluster itself
+DRAIN_DELAY_S = 0.5  # seconds after receiving a drain order in which a router may still use the cache
+PURGE_DELAY_S = 1.0  # seconds after receiving a purge in which a router may still serve an older copy
+TOLERANCE_S = 0.1  # seconds of tolerance for delays in the test cluster itself
 Faults = list[str]
 
 
 def answered(record: Record) -> Faults:
     """Each request gets exactly one answer in time, unless its router was killed or stopped meanwhile."""
     faults: Faults = []
-    ends: dict[str, list[Event]] = defaultdict(list)
-    hurt: dict[int, list[float]] = defaultdict(list)
+    answers: dict[str, list[Event]] = defaultdict(list)
+    interruptions: dict[int, list[float]] = defaultdict(list)
     for event in record.of("answer"):
-        ends[event.what["id"]].append(event)
+        answers[event.what["id"]].append(event)
     for event in record.of("kill", "stop", "exit"):
-        hurt[event.router].append(event.at)
-    up: set[int] = set()
+        interruptions[event.router].append(event.at)
+    running: set[int] = set()
     stopped: set[int] = set()
     for event in record.of("ask", "healthy", "cont", "start", "kill", "stop", "term", "exit"):
         if event.kind != "ask":
@@ -32,12 +32,14 @@
                 if event.kind == "stop"
                 else stopped - ({event.router} if event.kind != "healthy" else set())
             )
-            rises = event.kind == "cont" or (event.kind == "healthy" and event.router not in stopped)
-            (up.add if rises else up.discard)(event.router)
+            starts_running = event.kind == "cont" or (event.kind == "healthy" and event.router not in stopped)
+            (running.add if starts_running else running.discard)(event.router)
             continue
-        found = ends.get(event.what["id"], [])
+        found = answers.get(event.what["id"], [])
         ttl = event.what["ttl"]
-        if event.router not in up or any(0 <= at - event.at < ttl + 0.5 for at in hurt[event.router]):
+        if event.router not in running or any(
+            0 <= at - event.at < ttl + 0.5 for at in interruptions[event.router]
+        ):
             continue
         if len(found) != 1:
             faults.append(f"request {event.what['id']} of {event.at:.2f} s has {len(found)} answers")
@@ -53,22 +55,22 @@
 
 
 def drained(record: Record) -> Faults:
-    """A router uses no cache, as target or fill source, more than 500 ms after it got its drain order."""
+    """A router uses no cache, as target or fill source, more than 500 ms after it received its drain."""
     faults: Faults = []
-    out: dict[tuple[int, str], float] = {}
+    drained_since: dict[tuple[int, str], float] = {}
     for event in record.of("told_order", "start", "kill", "sent"):
         if event.kind in ("start", "kill"):  # a new process receives the orders again
-            out = {key: at for key, at in out.items() if key[0] != event.router}
+            drained_since = {key: at for key, at in drained_since.items() if key[0] != event.router}
         elif event.kind == "told_order":
             key = event.router, event.what["box"]
             if event.what["drained"]:
-                out.setdefault(key, event.at)
+                drained_since.setdefault(key, event.at)
             else:
-                out.pop(key, None)
+                drained_since.pop(key, None)
         else:
             for cache in {event.what["box"], event.what["miss"]} - {""}:
-                at = out.get((event.router, cache))
-                if at is not None and event.at > at + DRAIN + SLACK:
+                at = drained_since.get((event.router, cache))
+                if at is not None and event.at > at + DRAIN_DELAY_S + TOLERANCE_S:
                     faults.append(f"router {event.router} used {cache} {event.at - at:.2f} s after its drain")
     return faults
 
@@ -76,13 +78,13 @@
 def purged(record: Record) -> Faults:
     """A router serves no copy older than a purge later than 1 s after it received the purge."""
     faults = []
-    reported = defaultdict(list)
+    purges = defaultdict(list)
     for event in record.of("told_purge", "answer"):
         if event.kind == "told_purge":
-            reported[event.router, event.what["obj"]].append((event.at, event.what["time"]))
+            purges[event.router, event.what["obj"]].append((event.at, event.what["time"]))
         elif event.what.get("issued"):
-            for at, time in reported[event.router, event.what["obj"]]:
-                if event.what["asked"] > at + PURGE and event.what["issued"] < time:
+            for at, time in purges[event.router, event.what["obj"]]:
+                if event.what["asked"] > at + PURGE_DELAY_S and event.what["issued"] < time:
                     faults.append(
                         f"router {event.router} served {event.what['obj']} from a copy "
                         f"{time - event.what['issued']} ms older than its purge"
@@ -122,7 +124,9 @@
     return [f"{event.what['box']} fell at {event.at:.2f} s" for event in record.of("fall")]
 
 
-def spared(record: Record, share: float, ramp: float, factor: float, per_second: dict[str, float]) -> Faults:
+def cold_caches_not_overloaded(
+    record: Record, share: float, ramp: float, factor: float, per_second: dict[str, float]
+) -> Faults:
     """No warming cache gets more requests in any second than its capacity and a margin for variance.
 
     share: part of the warm capacity at the start; ramp: seconds until the full capacity; per_second: warm
@@ -130,16 +134,16 @@
     """
     faults = []
     started: dict[str, float] = {}
-    got: dict[str, list[float]] = defaultdict(list)
+    request_times: dict[str, list[float]] = defaultdict(list)
     for event in record.of("box_start", "got", "fill"):
         cache = event.what["box"]
         if event.kind == "box_start":
             started[cache] = event.at
-            got[cache] = []
+            request_times[cache] = []
             continue
         if cache not in started or cache not in per_second or event.at > started[cache] + ramp:
             continue
-        times = got[cache]
+        times = request_times[cache]
         times.append(event.at)
         recent = sum(at > event.at - 1.0 for at in times[-4000:])
         n = factor * per_second[cache] * (share + (1 - share) * (event.at - started[cache]) / ramp)
@@ -150,7 +154,7 @@
     return faults
 
 
-def shaken(record: Record, routers: int, each: float = 2.0) -> Faults:
+def handshakes_bounded(record: Record, routers: int, each: float = 2.0) -> Faults:
     """Each cache sees at most `each` handshakes for each router."""
     seen = Counter(event.what["box"] for event in record.of("handshake"))
     return [
--- a/brackenlane/lab/cluster/record.py
+++ b/brackenlane/lab/cluster/record.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-MOST = 4_000_000  # events kept; further ones are only counted
+MAX_EVENTS = 4_000_000  # events kept; further ones are only counted
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,20 +27,21 @@
 class Record:
     """All events in order."""
 
-    begun: float = field(default_factory=lambda: time.monotonic())  # a lambda, since virtual time replaces it
-    unix: float = field(default_factory=lambda: time.time())  # Unix time at which the record began
+    # Lambdas look `time` up at the call, since virtual time replaces its functions.
+    start_monotonic: float = field(default_factory=lambda: time.monotonic())
+    start_unix: float = field(default_factory=lambda: time.time())  # Unix time at which the record began
     events: list[Event] = field(default_factory=list)
-    lost: int = 0  # number of events that were not kept
+    dropped: int = 0  # number of events that were not kept
 
     @property
     def now(self) -> float:
         """Seconds since the record began."""
-        return time.monotonic() - self.begun
+        return time.monotonic() - self.start_monotonic
 
     def add(self, kind: str, router: int = -1, **what: Any) -> None:
         """Append an event at the current time."""
-        if len(self.events) >= MOST:
-            self.lost += 1
+        if len(self.events) >= MAX_EVENTS:
+            self.dropped += 1
             return
         self.events.append(Event(self.now, kind, router, what))
 
@@ -48,10 +49,10 @@
         """Return the events of the given kinds."""
         return (event for event in self.events if event.kind in kinds)
 
-    def save(self, path: Path, **more: Any) -> None:
+    def save(self, path: Path, **header_fields: Any) -> None:
         """Write the record as JSON: a header line, then one line for each event."""
         with path.open("wb") as out:
-            out.write(orjson.dumps({"unix": self.unix, "lost": self.lost, **more}) + b"\n")
+            out.write(orjson.dumps({"unix": self.start_unix, "lost": self.dropped, **header_fields}) + b"\n")
             for event in self.events:
                 out.write(orjson.dumps([round(event.at, 4), event.kind, event.router, event.what]) + b"\n")
 
@@ -59,5 +60,5 @@
 def load(path: Path) -> Record:
     """Return the record saved in a file."""
     head, *lines = path.read_bytes().splitlines()
-    reported = orjson.loads(head)
-    return Record(0.0, reported["unix"], [Event(*orjson.loads(line)) for line in lines], reported["lost"])
+    header = orjson.loads(head)
+    return Record(0.0, header["unix"], [Event(*orjson.loads(line)) for line in lines], header["lost"])
--- a/brackenlane/lab/cluster/routers.py
+++ b/brackenlane/lab/cluster/routers.py
@@ -45,13 +45,13 @@
 """
 
 
-def owner(port: int, routers: Sequence[RouterProcess]) -> int:
+def find_router_by_port(port: int, routers: Sequence[RouterProcess]) -> int:
     """Return the number of the router that has a connection open from a port (proc(5)); -1 if none has."""
-    end = f" 0100007F:{port:04X} "
+    source_address = f" 0100007F:{port:04X} "
     inode = ""
     with open("/proc/net/tcp") as table:
         for line in table:
-            if end in line[:40] and line[6:].startswith(end.strip()):
+            if source_address in line[:40] and line[6:].startswith(source_address.strip()):
                 inode = line.split()[9]
                 break
     for router in routers:
@@ -64,7 +64,7 @@
     return -1
 
 
-def _die_with_its_parent() -> None:
+def _kill_with_parent() -> None:
     """Make the kernel kill this process when the test cluster ends (prctl(2), PR_SET_PDEATHSIG)."""
     ctypes.CDLL(None).prctl(1, signal.SIGKILL)
 
@@ -78,14 +78,14 @@
     record: Record
     tree: Path  # checkout that the router runs from
     clock: tuple[float, float] | None = None  # error of its wall clock: (offset in seconds, rate)
-    virtual: Process | None = None  # its slot in virtual time; None: real time
+    virtual_process: Process | None = None  # its slot in virtual time; None: real time
     process: subprocess.Popen[bytes] | None = None
-    _http: socket.socket = field(default_factory=lambda: reserve_port(PORTS))
-    _dns: socket.socket = field(default_factory=lambda: reserve_port(PORTS))
+    _http_socket: socket.socket = field(default_factory=lambda: reserve_port(PORTS))
+    _dns_socket: socket.socket = field(default_factory=lambda: reserve_port(PORTS))
 
     def __post_init__(self) -> None:
-        self.http: int = self._http.getsockname()[1]
-        self.dns: int = self._dns.getsockname()[1]
+        self.http_port: int = self._http_socket.getsockname()[1]
+        self.dns_port: int = self._dns_socket.getsockname()[1]
 
     @property
     def name(self) -> str:
@@ -93,12 +93,12 @@
         return f"router-{self.number}"
 
     @property
-    def log(self) -> Path:
+    def log_path(self) -> Path:
         """The file of its log output, over all its starts."""
         return self.folder / f"{self.name}.log"
 
     @property
-    def last_list(self) -> Path:
+    def snapshot_path(self) -> Path:
         """The file of its snapshot of the caches."""
         return self.folder / f"{self.name}.last.json"
 
@@ -107,10 +107,10 @@
         """Whether the process runs."""
         return self.process is not None and self.process.poll() is None
 
-    def write(
+    def write_config(
         self,
         caches: list[tuple[str, str, int]],
-        store: int,
+        store_port: int,
         *,
         routers: int,
         purge_propagation_time: float,
@@ -118,14 +118,14 @@
         wider: float,
         coldstart: str,
     ) -> None:
-        """Write its configuration file. `caches` are (id, role, port); `store` is a port."""
+        """Write its configuration file. `caches` are (id, role, port); the ports may be those of links."""
         lines = [
             f'name = "{self.name}"',
-            f'http = "127.0.0.1:{self.http}"',
-            f'dns = "127.0.0.1:{self.dns}"',
+            f'http = "127.0.0.1:{self.http_port}"',
+            f'dns = "127.0.0.1:{self.dns_port}"',
             'zone = "caches.test."',
             f'console = "{self.name}.sock"',
-            f'redis = "127.0.0.1:{store}"',
+            f'redis = "127.0.0.1:{store_port}"',
             "[settings]",
             'location = "branch"',
             'locations = ["head-office", "branch"]',
@@ -149,32 +149,34 @@
                 f'[[box]]\nid = "{cache}"\nhost = "127.0.0.1"\nport = {port}\nzone = "{zone}"\n'
                 f'role = "{role}"\nweight = {weight * (1 if role == "edge" else wider)}'
             )
-        lines.append(f'[discovery]\nlast_list = "{self.last_list.name}"\n{coldstart}')
+        lines.append(f'[discovery]\nlast_list = "{self.snapshot_path.name}"\n{coldstart}')
         (self.folder / f"{self.name}.toml").write_text("\n".join(lines))
 
     def start(self) -> None:
-        """Start a new process."""
+        """Start a new process; the previous one must have ended."""
         assert not self.alive
         arguments = ["appliance", str(self.folder / f"{self.name}.toml")]
-        with self.log.open("ab") as out:
+        with self.log_path.open("ab") as out:
             self.process = subprocess.Popen(
-                [sys.executable, *self._program(), *arguments],
+                [sys.executable, *self._interpreter_arguments(), *arguments],
                 cwd=self.tree,
                 stderr=out,
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.DEVNULL,
                 env={**os.environ, "PYTHONPATH": str(self.tree)},
-                preexec_fn=_die_with_its_parent,
-                pass_fds=[self.virtual.wake] if self.virtual else [],
+                preexec_fn=_kill_with_parent,
+                pass_fds=[self.virtual_process.wake_fd] if self.virtual_process else [],
             )
-        if self.virtual:
-            self.virtual.popen = self.process
+        if self.virtual_process:
+            self.virtual_process.popen = self.process
         self.record.add("start", self.number, pid=self.process.pid)
 
-    def _program(self) -> list[str]:
+    def _interpreter_arguments(self) -> list[str]:
         """Return the interpreter's arguments that run the router with its clock."""
-        if self.virtual:
-            return self.virtual.launch(self.record.unix - self.record.begun, self.clock or (0.0, 1.0))
+        if self.virtual_process:
+            return self.virtual_process.launch_arguments(
+                self.record.start_unix - self.record.start_monotonic, self.clock or (0.0, 1.0)
+            )
         if self.clock:
             return ["-m", "brackenlane.lab.cluster.clock_preload", *map(str, self.clock)]
         return ["-m", "brackenlane"]
@@ -185,9 +187,9 @@
             self.record.add(kind, self.number)
             self.process.send_signal(number)
 
-    async def ended(self, within: float = 10.0) -> None:
-        """Wait until the process ends; kill it after `within` seconds."""
-        with trio.move_on_after(within):
+    async def wait_ended(self, timeout_s: float = 10.0) -> None:
+        """Wait until the process ends; kill it after `timeout_s` seconds."""
+        with trio.move_on_after(timeout_s):
             while self.alive:
                 await trio.sleep(0.02)
         if self.alive and self.process:
@@ -195,9 +197,9 @@
         if self.process:
             self.process.wait()
 
-    async def serves(self, within: float = 60.0) -> bool:
-        """Wait until the router reports healthy; return False if it ends first or after `within` seconds."""
-        with trio.move_on_after(within):
+    async def wait_healthy(self, timeout_s: float = 60.0) -> bool:
+        """Wait until the router is healthy; return False if it ends first or after `timeout_s` seconds."""
+        with trio.move_on_after(timeout_s):
             while self.alive:
                 if await self.healthy():
                     self.record.add("healthy", self.number)
@@ -208,7 +210,7 @@
     async def healthy(self) -> bool:
         """Whether the router's health check succeeds."""
         with trio.move_on_after(1.0), contextlib.suppress(OSError, trio.BrokenResourceError):
-            async with await trio.open_tcp_stream("127.0.0.1", self.http) as stream:
+            async with await trio.open_tcp_stream("127.0.0.1", self.http_port) as stream:
                 await stream.send_all(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
                 return b" 200 " in await stream.receive_some(4096)
         return False
@@ -220,15 +222,15 @@
             async with await trio.open_unix_socket(str(self.folder / f"{self.name}.sock")) as stream:
                 await stream.send_all(line.encode() + b"\n")
                 while not answer.endswith(b"\n\n"):
-                    if not (data := await stream.receive_some(65_536)):
+                    if not (chunk := await stream.receive_some(65_536)):
                         break
-                    answer += data
+                    answer += chunk
         return answer.decode().removesuffix("\n")
 
     def release(self) -> None:
         """Release its reserved ports."""
-        self._http.close()
-        self._dns.close()
+        self._http_socket.close()
+        self._dns_socket.close()
 
     def memory(self) -> float:
         """Return the resident memory in MB; 0 if the process doesn't run."""
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -18,11 +18,11 @@
 
 from brackenlane.discovery import snapshot_codec
 from brackenlane.lab.cluster import invariants
-from brackenlane.lab.cluster.cache_servers import ClusterCache, Strength
+from brackenlane.lab.cluster.cache_servers import CacheCapacity, ClusterCache
 from brackenlane.lab.cluster.clients import Clients, served
 from brackenlane.lab.cluster.links import Link
 from brackenlane.lab.cluster.record import Record
-from brackenlane.lab.cluster.routers import RouterProcess, owner
+from brackenlane.lab.cluster.routers import RouterProcess, find_router_by_port
 from brackenlane.lab.cluster.script import Script, Step
 from brackenlane.lab.cluster.time_coordinator import TimeCoordinator
 from brackenlane.lab.site import ROOT
@@ -65,9 +65,7 @@
         say: Callable[[str], None] = lambda _: None,
         coordinator: TimeCoordinator | None = None,
     ) -> None:
-        """tree: checkout to run the routers from.
-
-        Coldstart: whether it supports the file's [coldstart] table.
+        """tree: checkout to run the routers from; coldstart: whether it supports the [coldstart] table.
 
         coordinator: advances virtual time for all processes; None means real time.
         """
@@ -77,21 +75,21 @@
         self._say = say
         self.record = Record()
         s = script.store
-        self.store = Redis(Capacity(s.commands, s.connections, s.bytes, s.patience), self._of_store)
-        self.boxes: dict[str, ClusterCache] = {}
+        self.store = Redis(Capacity(s.commands, s.connections, s.bytes, s.patience), self._record_store_event)
+        self.caches: dict[str, ClusterCache] = {}
         parties = (("edge", script.boxes), ("parent", script.parents), ("origin", 1))
         for n, (kind, count) in enumerate(parties):
             for m in range(count):
                 name = "origin" if kind == "origin" else f"{'box' if kind == 'edge' else kind}-{m}"
                 link = script.link * (1.0 if kind == "edge" else script.wider)
-                strength = Strength(link, script.work, cold=1.0 if kind == "origin" else 0.3)
-                self.boxes[name] = ClusterCache(
+                cache_capacity = CacheCapacity(link, script.work, cold=1.0 if kind == "origin" else 0.3)
+                self.caches[name] = ClusterCache(
                     name,
                     kind,
                     self.record,
-                    self.boxes,
-                    strength,
-                    chance=random.Random(seed * 1000 + 100 * n + m),
+                    self.caches,
+                    cache_capacity,
+                    rng=random.Random(seed * 1000 + 100 * n + m),
                 )
         self.routers = [
             RouterProcess(
@@ -104,16 +102,16 @@
             )
             for n in range(script.doormans)
         ]
-        self.ways: dict[str, Link] = {}  # by cache: the link that all routers use
-        self.stores: dict[int, Link] = {}  # by router: its link to the store
+        self.cache_links: dict[str, Link] = {}  # by cache: the link that all routers use
+        self.store_links: dict[int, Link] = {}  # by router: its link to the store
         self._coldstart = coldstart
         self._notify: dict[int, dict[str, bool]] = {}
 
     def _clock(self, n: int) -> tuple[float, float] | None:
-        reported = self.script.clocks.get(str(n))
-        return (reported[0], reported[1]) if reported else None
+        clock = self.script.clocks.get(str(n))
+        return (clock[0], clock[1]) if clock else None
 
-    def _of_store(self, kind: str, who: int, **what: Any) -> None:
+    def _record_store_event(self, kind: str, peer_port: int, **what: Any) -> None:
         self.record.add(f"store_{kind}", **what)
 
     async def run(self) -> Outcome:
@@ -122,40 +120,44 @@
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
-                await self._open(nursery)
+                await self._start_servers(nursery)
                 if self.script.started:  # the store's capacity is unlimited until all routers are up
-                    stated, self.store.capacity = self.store.capacity, Capacity()
+                    script_capacity, self.store.capacity = self.store.capacity, Capacity()
                     await self._start(self.routers)
-                    await self._all_serve()
-                    self.store.capacity = stated
+                    await self._wait_until_all_follow()
+                    self.store.capacity = script_capacity
                 self.record.add("begin")
-                begun = self.record.now
+                run_start = self.record.now
                 clients = Clients(
-                    self.record, self._ports, max(self.script.rate, 1e-9), self.script.objects, self.seed
+                    self.record,
+                    self._running_ports,
+                    max(self.script.rate, 1e-9),
+                    self.script.objects,
+                    self.seed,
                 )
                 nursery.start_soon(clients.run)
                 for step in sorted(self.script.steps, key=lambda s: s.second):
-                    await trio.sleep(max(0.0, begun + step.second - self.record.now))
+                    await trio.sleep(max(0.0, run_start + step.second - self.record.now))
                     self._say(
                         f"{step.second:6.2f} s  {step.do} {step.way if step.do == 'link' else ''}"
                         f"{step.box} {step.who if step.who != 'all' else ''}"
                     )
-                    await self._do(step)
-                await trio.sleep(max(0.0, begun + self.script.seconds - self.record.now))
-                clients.going = False
+                    await self._run_step(step)
+                await trio.sleep(max(0.0, run_start + self.script.seconds - self.record.now))
+                clients.running = False
                 await trio.sleep(3.0)  # lets the last requests finish
-                memory = [d.memory() for d in self.routers if d.alive]
+                memory = [router.memory() for router in self.routers if router.alive]
                 nursery.cancel_scope.cancel()
         finally:
-            logs = await self._end()
+            logs = await self._stop_routers()
         return Outcome(self.record, self._check_invariants(), self._figures(memory), logs)
 
-    def _ports(self) -> list[tuple[int, int]]:
-        return [(d.number, d.http) for d in self.routers if d.alive]
+    def _running_ports(self) -> list[tuple[int, int]]:
+        return [(router.number, router.http_port) for router in self.routers if router.alive]
 
-    async def _open(self, nursery: trio.Nursery) -> None:
+    async def _start_servers(self, nursery: trio.Nursery) -> None:
         await self.store.open(nursery)
-        for cache in self.boxes.values():
+        for cache in self.caches.values():
             await cache.open(nursery)
             self.record.add("box_start", box=cache.id)
         cold = (
@@ -164,26 +166,26 @@
             else ""
         )
         caches = []
-        for cache in self.boxes.values():
+        for cache in self.caches.values():
             # All routers use the same address of a cache, as the store announces it; the link identifies the
             # router by the source port.
             if self.script.pairs:
-                self.ways[cache.id] = await Link(
+                self.cache_links[cache.id] = await Link(
                     cache.port,
                     CACHE_COMMANDS,
                     self._observe(cache.id),
-                    lambda port: owner(port, self.routers),
+                    lambda port: find_router_by_port(port, self.routers),
                 ).open(nursery)
             caches.append(
-                (cache.id, cache.role, self.ways[cache.id].port if self.script.pairs else cache.port)
+                (cache.id, cache.role, self.cache_links[cache.id].port if self.script.pairs else cache.port)
             )
         for router in self.routers:
-            way = self.stores[router.number] = await Link(
-                self.store.port, STORE_COMMANDS, self._observe("store"), partial(_own, router.number)
+            link = self.store_links[router.number] = await Link(
+                self.store.port, STORE_COMMANDS, self._observe("store"), partial(_link_owner, router.number)
             ).open(nursery)
-            router.write(
+            router.write_config(
                 caches,
-                way.port,
+                link.port,
                 routers=self.script.doormans,
                 coldstart=cold,
                 purge_propagation_time=self.script.purge_propagation_time,
@@ -191,75 +193,75 @@
                 wider=self.script.wider,
             )
 
-    def _way(self, router: RouterProcess, other: str) -> Link:
-        return self.stores[router.number] if other == "store" else self.ways[other]
+    def _link(self, router: RouterProcess, other: str) -> Link:
+        return self.store_links[router.number] if other == "store" else self.cache_links[other]
 
     def _observe(self, other: str) -> Callable[[int, bool, re.Match[bytes]], None]:
-        def received(who: int, up: bool, match: re.Match[bytes]) -> None:
-            reported = {name: text.decode() for name, text in match.groupdict().items() if text}
-            if "id" in reported:
-                fields = dict(pair.split("=", 1) for pair in reported["fields"].split(","))
-                self.record.add("sent", who, box=other, id=reported["id"], miss=fields.get("miss", ""))
-            elif "follow" in reported and up:
-                self.record.add("follow", who)
-            elif "box" in reported and not up:
-                self.record.add("told_order", who, box=reported["box"], drained=reported["drained"] == "true")
-            elif "time" in reported and not up:
-                self.record.add("told_purge", who, obj=reported.get("obj", ""), time=int(reported["time"]))
-
-        return received
+        def observe(router: int, up: bool, match: re.Match[bytes]) -> None:
+            groups = {name: text.decode() for name, text in match.groupdict().items() if text}
+            if "id" in groups:
+                fields = dict(pair.split("=", 1) for pair in groups["fields"].split(","))
+                self.record.add("sent", router, box=other, id=groups["id"], miss=fields.get("miss", ""))
+            elif "follow" in groups and up:
+                self.record.add("follow", router)
+            elif "box" in groups and not up:
+                self.record.add("told_order", router, box=groups["box"], drained=groups["drained"] == "true")
+            elif "time" in groups and not up:
+                self.record.add("told_purge", router, obj=groups.get("obj", ""), time=int(groups["time"]))
+
+        return observe
 
     async def _start(self, routers: list[RouterProcess]) -> None:
         for router in routers:
             if not router.alive:
                 router.start()
-                self._nursery.start_soon(router.serves)
+                self._nursery.start_soon(router.wait_healthy)
 
-    async def _all_serve(self) -> None:
+    async def _wait_until_all_follow(self) -> None:
         """Wait until all routers are healthy and follow the store."""
         with trio.fail_after(120):
             for kind in ("healthy", "follow"):
                 while len({e.router for e in self.record.of(kind)}) < len(self.routers):
                     await trio.sleep(0.1)
 
-    def _chosen(self, step: Step) -> list[RouterProcess]:
+    def _select_routers(self, step: Step) -> list[RouterProcess]:
         match step.who:
             case "all":
                 return self.routers
             case "odd" | "even":
-                return [d for d in self.routers if d.number % 2 == (step.who == "odd")]
+                return [router for router in self.routers if router.number % 2 == (step.who == "odd")]
         return [self.routers[n] for n in step.who]
 
-    async def _do(self, step: Step) -> None:
+    async def _run_step(self, step: Step) -> None:
         """Carry out one step."""
-        chosen = self._chosen(step)
+        selected = self._select_routers(step)
         self.record.add("step", do=step.do)
         match step.do:
             case "start":
-                await self._start(chosen)
+                await self._start(selected)
             case "kill" | "term" | "stop" | "cont":
-                for router in chosen:
+                for router in selected:
                     router.signal(SIGNALS[step.do], step.do)
                 if step.do in ("kill", "term"):
                     async with trio.open_nursery() as nursery:
-                        for router in chosen:
-                            nursery.start_soon(router.ended)
+                        for router in selected:
+                            nursery.start_soon(router.wait_ended)
             case "list":
-                for router in chosen:
-                    spoil(router.last_list, step.state)
+                for router in selected:
+                    damage_snapshot(router.snapshot_path, step.state)
             case "link":
-                for router in chosen:
-                    await self._way(router, step.way).set(router.number, **step.fault)
+                for router in selected:
+                    await self._link(router, step.way).set(router.number, **step.fault)
             case "heal" | "reset":
-                for router in chosen:
-                    for way in (self.stores[router.number], *self.ways.values()):
-                        await (way.heal if step.do == "heal" else way.reset)(router.number)
+                for router in selected:
+                    for link in (self.store_links[router.number], *self.cache_links.values()):
+                        await (link.heal if step.do == "heal" else link.reset)(router.number)
             case "store_down":
-                for way in self.stores.values():
-                    await way.set(refuse=True)
+                for link in self.store_links.values():
+                    await link.set(refuse=True)
             case "store_up":
-                for way in self.stores.values():
-                    await way.set(refuse=False)
+                for link in self.store_links.values():
+                    await link.set(refuse=False)
             case "lose":
                 self.store.lose(step.seconds or float("inf"))
             case "late":
@@ -267,16 +269,18 @@
             case "refuse_share":
                 self.store.refuse_share = step.share
             case "drain" | "restore":
-                said = await chosen[0].console(f"{step.do} {step.box}")
-                if said.startswith(f"{step.box} {'drained' if step.do == 'drain' else 'restored'}"):
-                    self.record.add("told_order", chosen[0].number, box=step.box, drained=step.do == "drain")
+                answer = await selected[0].console(f"{step.do} {step.box}")
+                if answer.startswith(f"{step.box} {'drained' if step.do == 'drain' else 'restored'}"):
+                    self.record.add(
+                        "told_order", selected[0].number, box=step.box, drained=step.do == "drain"
+                    )
             case "write_order":
                 order = {"id": step.box, "drained": True, "at": time.time(), "by": "another router"}
                 self.store.order("caches.test.", order)
             case "purge":
-                if "purged" in await chosen[0].console(f"purge object {step.object}"):
+                if "purged" in await selected[0].console(f"purge object {step.object}"):
                     self.record.add(
-                        "told_purge", chosen[0].number, obj=step.object, time=int(time.time() * 1000)
+                        "told_purge", selected[0].number, obj=step.object, time=int(time.time() * 1000)
                     )
             case "box_restart":
                 for cache in self._caches(step):
@@ -286,16 +290,18 @@
                     cache.unresponsive = step.do == "box_mute"
 
     def _caches(self, step: Step) -> list[ClusterCache]:
-        return [self.boxes[step.box]] if step.box else [b for b in self.boxes.values() if b.role != "origin"]
+        return (
+            [self.caches[step.box]] if step.box else [b for b in self.caches.values() if b.role != "origin"]
+        )
 
-    async def _end(self) -> dict[str, str]:
+    async def _stop_routers(self) -> dict[str, str]:
         """Kill the routers; return log excerpts of those that ended unexpectedly or logged a traceback."""
         logs = {}
         with trio.CancelScope(shield=True):
             for router in self.routers:
                 expected = [e.kind for e in self.record.of("kill", "term") if e.router == router.number]
                 if router.process and not router.alive and not expected:
-                    logs[router.name] = router.log.read_text()[-600:]
+                    logs[router.name] = router.log_path.read_text()[-600:]
                 with contextlib.suppress(ProcessLookupError):
                     if router.alive and router.process:
                         router.process.kill()
@@ -303,7 +309,7 @@
                 if router.process:
                     router.process.wait()
                 router.release()
-                if router.log.exists() and "Traceback" in (text := router.log.read_text()):
+                if router.log_path.exists() and "Traceback" in (text := router.log_path.read_text()):
                     logs[router.name] = text[-2000:]
         return logs
 
@@ -319,14 +325,14 @@
                 self.record, "store_command", s.bytes, cost=lambda e: float(e.what["sent"])
             ),
             "standing": invariants.standing(self.record),
-            "spared": invariants.spared(
+            "spared": invariants.cold_caches_not_overloaded(
                 self.record,
                 0.3,
                 18.0,
                 3.0,
                 {
-                    name: cache.strength.link / cache.strength.work
-                    for name, cache in self.boxes.items()
+                    name: cache.capacity.link / cache.capacity.work
+                    for name, cache in self.caches.items()
                     if cache.role != "origin"
                 },
             ),
@@ -338,7 +344,7 @@
     def _figures(self, memory: list[float]) -> dict[str, float]:
         record = self.record
         n = len(self.routers)
-        begun = next((e.at for e in record.of("begin")), 0.0)
+        run_start = next((e.at for e in record.of("begin")), 0.0)
 
         def peak(kind: str, field: str = "") -> float:
             return invariants.heaviest(
@@ -351,11 +357,11 @@
             if event.at >= starts.get(event.router, 0.0):
                 first[event.kind].setdefault(event.router, event.at - starts.get(event.router, 0.0))
         commands = sum(1 for _ in record.of("store_command"))
-        shakes = sum(1 for _ in record.of("handshake"))
+        handshake_count = sum(1 for _ in record.of("handshake"))
         return {
             "doormans": n,
-            "served": served(record, begun),
-            "served_30s": served(record, begun, begun + 30),
+            "served": served(record, run_start),
+            "served_30s": served(record, run_start, run_start + 30),
             "store_commands": commands,
             "store_commands_peak": peak("store_command"),
             "store_connects_peak": peak("store_connect"),
@@ -366,13 +372,13 @@
             "healthy_worst": max(first["healthy"].values(), default=0.0),
             "current": len(first["follow"]),
             "current_worst": max(first["follow"].values(), default=0.0),
-            "handshakes": shakes,
+            "handshakes": handshake_count,
             "memory_mb": median(memory),
             "events": len(record.events),
         }
 
 
-def _own(number: int, _: int) -> int:
+def _link_owner(number: int, _: int) -> int:
     """Return the router that a store link belongs to: each router has its own."""
     return number
 
@@ -383,7 +389,7 @@
     return found[len(found) // 2] if found else 0.0
 
 
-def spoil(path: Path, state: str) -> None:
+def damage_snapshot(path: Path, state: str) -> None:
     """Make a snapshot stale (nearly 7 days old), torn (cut in half), missing or foreign.
 
     A foreign snapshot is stale too, and each cache in it has the port of another one.
--- a/brackenlane/lab/cluster/shared_clock.py
+++ b/brackenlane/lab/cluster/shared_clock.py
@@ -15,17 +15,17 @@
 
 import trio
 
-FAR = 3600.0  # real seconds of one wait, which the coordinator interrupts when the deadline is reached
+MAX_WAIT_S = 3600.0  # real seconds of one wait, which the coordinator interrupts when the deadline is reached
 RUNNING = -math.inf  # stored instead of a deadline while a process runs
-CELL = 8  # bytes of a double, which is written atomically
-SLOT = 2  # cells for each process: its idle count and its deadline
+CELL_BYTES = 8  # bytes of a double, which is written atomically
+CELLS_PER_SLOT = 2  # cells for each process: its idle count and its deadline
 
 
 class IdleState(NamedTuple):
     """What a process last reported in its slot."""
 
-    idled: float  # number of times that the process has become idle
-    until: float  # the deadline that the process waits for; RUNNING while it runs
+    idle_count: float  # number of times that the process has become idle
+    wait_deadline: float  # the deadline that the process waits for; RUNNING while it runs
 
 
 class SharedClock:
@@ -44,7 +44,7 @@
     @classmethod
     def create(cls, path: Path, slots: int) -> SharedClock:
         """Create the file with time 0 and `slots` process slots, and map it."""
-        path.write_bytes(bytes(CELL * (1 + SLOT * slots)))
+        path.write_bytes(bytes(CELL_BYTES * (1 + CELLS_PER_SLOT * slots)))
         return cls(path)
 
     @property
@@ -58,16 +58,16 @@
 
     def mark_running(self, slot: int) -> None:
         """Record that a process runs."""
-        self._cells[SLOT * slot + 2] = RUNNING
+        self._cells[CELLS_PER_SLOT * slot + 2] = RUNNING
 
-    def mark_idle(self, slot: int, until: float) -> None:
-        """Record that a process waits for input or for the deadline `until`."""
-        self._cells[SLOT * slot + 1] += 1
-        self._cells[SLOT * slot + 2] = until
+    def mark_idle(self, slot: int, wait_deadline: float) -> None:
+        """Record that a process waits for input or for the deadline `wait_deadline`."""
+        self._cells[CELLS_PER_SLOT * slot + 1] += 1
+        self._cells[CELLS_PER_SLOT * slot + 2] = wait_deadline
 
     def idle_state(self, slot: int) -> IdleState:
         """Return what a process last reported."""
-        return IdleState(self._cells[SLOT * slot + 1], self._cells[SLOT * slot + 2])
+        return IdleState(self._cells[CELLS_PER_SLOT * slot + 1], self._cells[CELLS_PER_SLOT * slot + 2])
 
     def close(self) -> None:
         """Unmap the file."""
@@ -90,12 +90,9 @@
         return self._shared.now
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return the real seconds to wait.
-
-        0 if the deadline is reached, else until the coordinator interrupts.
-        """
+        """Return the real seconds to wait: 0 if the deadline is reached, else `MAX_WAIT_S`."""
         self.deadline = deadline
-        return FAR if deadline > self._shared.now else 0.0
+        return MAX_WAIT_S if deadline > self._shared.now else 0.0
 
 
 class IdleReport(trio.abc.Instrument):
@@ -119,14 +116,14 @@
     def counting_threads(self, run_sync: Callable[..., Any]) -> Callable[..., Any]:
         """Wrap `trio.to_thread.run_sync` so that the process does not count as idle during the call."""
 
-        async def counted(*args: Any, **more: Any) -> Any:
+        async def run_counted(*args: Any, **kwargs: Any) -> Any:
             self._threads += 1
             try:
-                return await run_sync(*args, **more)
+                return await run_sync(*args, **kwargs)
             finally:
                 self._threads -= 1
 
-        return counted
+        return run_counted
 
 
 class ProcessTime:
--- a/tests/test_lab_cluster.py
+++ b/tests/test_lab_cluster.py
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture(autouse=True)
-def lane(monkeypatch: pytest.MonkeyPatch) -> None:
+def ports_of_worker(monkeypatch: pytest.MonkeyPatch) -> None:
     """Give each pytest-xdist worker its own range of ports."""
     worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
     monkeypatch.setattr(routers, "PORTS", iter(range(25_000 + 1_000 * worker, 26_000 + 1_000 * worker)))
@@ -49,7 +49,7 @@
     return [(e.router, e.at) for e in record.of(kind) if what.items() <= e.what.items()]
 
 
-def test_down_while_a_drain_is_given(tmp_path: Path) -> None:
+def test_drain_while_all_routers_are_down(tmp_path: Path) -> None:
     """A drain ordered while all routers are down takes effect after their start.
 
     All routers are killed, another router orders the drain, and snapshots are intact, torn or missing.
@@ -78,7 +78,7 @@
     assert sum(1 for e in record.of("store_command") if e.what["word"] == "HSCAN") <= 2 * (8 + 2)
 
 
-def test_store_set_back(tmp_path: Path) -> None:
+def test_store_loses_recent_writes(tmp_path: Path) -> None:
     """The store loses its last 1.5 s of writes, with a drain: a few routers write the drain again."""
     outcome = run_in_cluster(
         tmp_path,
@@ -100,7 +100,7 @@
     assert max(at for who, at in reported if who == 0) > 5
 
 
-def test_addresses_of_others(tmp_path: Path) -> None:
+def test_snapshot_with_wrong_ports_is_not_used(tmp_path: Path) -> None:
     """A snapshot 6.9 days old with wrong ports for all caches isn't used, even while the store is down."""
     outcome = run_in_cluster(
         tmp_path,
@@ -119,7 +119,7 @@
     assert (tmp_path / "router-1.log").read_text().count("snapshot of") == 0
 
 
-def test_refused_and_stopped(tmp_path: Path) -> None:
+def test_orders_arrive_despite_refused_connections_and_wrong_clock(tmp_path: Path) -> None:
     """Orders reach all routers though 9 in 10 store connections are refused and one router is stopped.
 
     The clock of router 5 is 10 minutes ahead: it must not take a new purge for an old one.
@@ -164,13 +164,13 @@
         "seconds = 8.0\nrate = 60.0\nstarted = false\n"
         + steps('0.0 start who = "odd"', '0.0 box_mute box = "box-1"', '3.0 start who = "even"'),
     )
-    shaken = [e for e in outcome.record.of("handshake") if e.what["box"] == "box-1"]
-    assert len(shaken) <= 8 * 12
+    handshakes = [e for e in outcome.record.of("handshake") if e.what["box"] == "box-1"]
+    assert len(handshakes) <= 8 * 12
     late = [e for e in outcome.record.of("answer") if e.at > 6.0]
     assert sum(e.what["status"] in (200, 304) for e in late) > 0.8 * len(late) > 0
 
 
-def rec(*events: tuple[Any, ...]) -> Record:
+def make_record(*events: tuple[Any, ...]) -> Record:
     """Return a record with the events (at, kind, router, what)."""
     return Record(0.0, 0.0, [Event(float(at), kind, who, what) for at, kind, who, what in events])
 
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize(
-    ("found", "good", "bad"),
+    ("check", "good", "bad"),
     [
         (
             invariants.answered,
@@ -225,25 +225,25 @@
             [(1, "k", -1, {}), (1.5, "k", -1, {}), (1.9, "k", -1, {})],
         ),
         (
-            lambda r: invariants.spared(r, 0.3, 18.0, 1.0, {"b": 10.0}),
+            lambda r: invariants.cold_caches_not_overloaded(r, 0.3, 18.0, 1.0, {"b": 10.0}),
             [(0, "box_start", -1, {"box": "b"}), *[(n / 9, "got", -1, {"box": "b"}) for n in range(20)]],
             [(0, "box_start", -1, {"box": "b"}), *[(n / 99, "got", -1, {"box": "b"}) for n in range(20)]],
         ),
         (invariants.standing, [(1, "got", -1, {"box": "b"})], [(1, "fall", -1, {"box": "b"})]),
         (
-            lambda r: invariants.shaken(r, 1),
+            lambda r: invariants.handshakes_bounded(r, 1),
             [(1, "handshake", -1, {"box": "b"})] * 2,
             [(1, "handshake", -1, {"box": "b"})] * 3,
         ),
     ],
 )
-def test_invariants(found: Any, good: list[Any], bad: list[Any]) -> None:
+def test_invariants(check: Any, good: list[Any], bad: list[Any]) -> None:
     """Each invariant accepts the good record and finds the one violation in the bad record."""
-    assert found(rec(*good)) == []
-    assert len(found(rec(*bad))) == 1
+    assert check(make_record(*good)) == []
+    assert len(check(make_record(*bad))) == 1
 
 
-def test_test_clusters_share_no_port() -> None:
+def test_reserved_port_is_exclusive() -> None:
     """A reserved port stays reserved until it is released, though a router may listen on it meanwhile."""
     with ports.reserve_port(routers.PORTS) as first:
         taken = first.getsockname()
@@ -300,7 +300,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_message"),
     [
         ("seconds = 0", "seconds"),
         ("seconds = 1\nodd = 1", "odd"),
@@ -310,9 +310,9 @@
         ("seconds = ", "not TOML"),
     ],
 )
-def test_bad_scripts(text: str, said: str) -> None:
+def test_bad_scripts(text: str, expected_message: str) -> None:
     """An invalid script raises an error that names the fault."""
-    with pytest.raises(ConfigError, match=said):
+    with pytest.raises(ConfigError, match=expected_message):
         script.read(
             HEAD + text.replace("seconds = 1", "seconds = 1.0").replace("second = 1", "second = 1.0"),
             "t.toml",
@@ -321,7 +321,9 @@
 
 def test_report(tmp_path: Path) -> None:
     """The table names violated invariants; a saved record is loaded unchanged; the plots are drawn."""
-    record = rec((0, "start", 0, {}), (1, "healthy", 0, {}), (1, "ask", 0, ASK), (1, "got", -1, {"box": "b"}))
+    record = make_record(
+        (0, "start", 0, {}), (1, "healthy", 0, {}), (1, "ask", 0, ASK), (1, "got", -1, {"box": "b"})
+    )
     figures = {name: 1.0 for name, _, _ in report.ROWS}
     outcome = Outcome(record, {"once": ["submit x ran 2 times"], "drained": []}, figures)
     text = report.table(outcome)
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -48,7 +48,7 @@
 
     def __init__(self, tmp_path: Path, process: Process, busy: int = 1_000_000) -> None:
         self._file, self._process, self._busy = tmp_path / "worker.py", process, busy
-        self.said: list[tuple[float, list[float]]] = []  # time of arrival; the clock readings in one line
+        self.readings: list[tuple[float, list[float]]] = []  # time of arrival; the clock readings in one line
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Start to listen, then start the process."""
@@ -56,16 +56,18 @@
         nursery.start_soon(trio.serve_listeners, self._receive, [listener])
         self._file.write_text(WORKER)
         port = listener.socket.getsockname()[1]
-        arguments = [self._process.shared.path, self._process.wake, port, self._busy]
+        arguments = [self._process.shared.path, self._process.wake_fd, port, self._busy]
         self._process.popen = subprocess.Popen(
             [sys.executable, str(self._file), *map(str, arguments)],
-            pass_fds=[self._process.wake],
+            pass_fds=[self._process.wake_fd],
             env={**os.environ, "PYTHONPATH": str(Path(__file__).parent.parent)},
         )
 
     async def _receive(self, stream: trio.SocketStream) -> None:
         async for data in stream:
-            self.said += [(trio.current_time(), list(map(float, line.split()))) for line in data.splitlines()]
+            self.readings += [
+                (trio.current_time(), list(map(float, line.split()))) for line in data.splitlines()
+            ]
 
     def end(self) -> None:
         """Kill the process and wait for its end."""
@@ -89,11 +91,11 @@
         coordinator.run(main)
     finally:
         worker.end()
-    assert len(worker.said) == 3
-    for n, (received, (own, monotonic, unix)) in enumerate(worker.said):
+    assert len(worker.readings) == 3
+    for n, (received, (own, monotonic, unix)) in enumerate(worker.readings):
         assert own == monotonic == received  # data arrives at the virtual time at which it was sent
         assert unix == pytest.approx(1e9 + own, abs=1e-6)
-        assert 10.0 * n <= own <= 10.0 * n + (n + 1) * time_coordinator.STEP
+        assert 10.0 * n <= own <= 10.0 * n + (n + 1) * time_coordinator.MIN_STEP_S
 
 
 def test_stopped_process_does_not_delay_others(tmp_path: Path) -> None:
@@ -108,7 +110,7 @@
             assert coordinator.processes[0].popen
             coordinator.processes[0].popen.send_signal(signal.SIGSTOP)
             await trio.sleep(30.0)
-            assert len(worker.said) == 1
+            assert len(worker.readings) == 1
             coordinator.processes[0].popen.send_signal(signal.SIGCONT)
             await trio.sleep(5.0)
             nursery.cancel_scope.cancel()
@@ -117,13 +119,13 @@
         coordinator.run(main)
     finally:
         worker.end()
-    times = [received for received, _ in worker.said]
-    assert times == pytest.approx([0.0, 35.0], abs=4 * time_coordinator.STEP)
+    times = [received for received, _ in worker.readings]
+    assert times == pytest.approx([0.0, 35.0], abs=4 * time_coordinator.MIN_STEP_S)
 
 
 def test_busy_process_is_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A process that stays busy ends the run with an error that names its number."""
-    monkeypatch.setattr(time_coordinator, "HANG", 0.5)
+    monkeypatch.setattr(time_coordinator, "HANG_TIMEOUT_S", 0.5)
     coordinator = TimeCoordinator(tmp_path / "clock", 1)
     worker = Worker(tmp_path, coordinator.processes[0], busy=10**12)
 
@@ -155,7 +157,7 @@
         assert process
         process.send_signal(signal.SIGSTOP if step.do == "stop" else signal.SIGCONT)
 
-    monkeypatch.setattr(Scenario, "_do", stall)
+    monkeypatch.setattr(Scenario, "_run_step", stall)
     outcome = run_in_virtual_time(_two_routers("stop", "cont"), 1, tmp_path)
     assert outcome.faults.pop("answered")
     assert not any(outcome.faults.values())
