--- a/brackenlane/lab/cluster/invariants.py
+++ b/brackenlane/lab/cluster/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold, checked by the record alone; each returns its faults in words, none if all is well."""
+"""Invariants of a cluster run, checked from its record alone; each check returns a list of violations."""
 
 from __future__ import annotations
 
@@ -7,37 +7,39 @@
 
 from brackenlane.lab.cluster.record import Event, Record
 
-DRAIN = 0.5  # seconds after the news within which a cache may still be sent something new
-PURGE = 1.0  # after which no older copy is served
-SLACK = 0.1  # of the test cluster's own clock and queues
+DRAIN_DELAY_S = 0.5  # seconds after receiving a drain order in which a router may still use the cache
+PURGE_DELAY_S = 1.0  # seconds after receiving a purge in which a router may still serve an older copy
+TOLERANCE_S = 0.1  # seconds of tolerance for delays in the test cluster itself
 Faults = list[str]
 
 
 def answered(record: Record) -> Faults:
-    """One final answer in time for each request, but where the router was killed or stopped meanwhile."""
+    """Each request gets exactly one answer in time, unless its router was killed or stopped meanwhile."""
     faults: Faults = []
-    ends: dict[str, list[Event]] = defaultdict(list)
-    hurt: dict[int, list[float]] = defaultdict(list)
+    answers: dict[str, list[Event]] = defaultdict(list)
+    interruptions: dict[int, list[float]] = defaultdict(list)
     for event in record.of("answer"):
-        ends[event.what["id"]].append(event)
+        answers[event.what["id"]].append(event)
     for event in record.of("kill", "stop", "exit"):
-        hurt[event.router].append(event.at)
-    up: set[int] = set()
+        interruptions[event.router].append(event.at)
+    running: set[int] = set()
     stopped: set[int] = set()
     for event in record.of("ask", "healthy", "cont", "start", "kill", "stop", "term", "exit"):
         if event.kind != "ask":
-            # Who said yes just before he was stopped is heard after it, and is not up for that.
+            # A health check answered just before a stop may be recorded after it; the router isn't up then.
             stopped = (
                 stopped | {event.router}
                 if event.kind == "stop"
                 else stopped - ({event.router} if event.kind != "healthy" else set())
             )
-            rises = event.kind == "cont" or (event.kind == "healthy" and event.router not in stopped)
-            (up.add if rises else up.discard)(event.router)
+            starts_running = event.kind == "cont" or (event.kind == "healthy" and event.router not in stopped)
+            (running.add if starts_running else running.discard)(event.router)
             continue
-        found = ends.get(event.what["id"], [])
+        found = answers.get(event.what["id"], [])
         ttl = event.what["ttl"]
-        if event.router not in up or any(0 <= at - event.at < ttl + 0.5 for at in hurt[event.router]):
+        if event.router not in running or any(
+            0 <= at - event.at < ttl + 0.5 for at in interruptions[event.router]
+        ):
             continue
         if len(found) != 1:
             faults.append(f"request {event.what['id']} of {event.at:.2f} s has {len(found)} answers")
@@ -47,42 +49,42 @@
 
 
 def once(record: Record) -> Faults:
-    """No submit runs twice."""
+    """No submit is executed twice."""
     runs = Counter(event.what["id"] for event in record.of("run"))
     return [f"submit {id} ran {n} times" for id, n in runs.items() if n > 1]
 
 
 def drained(record: Record) -> Faults:
-    """Nothing new to a cache, as request or source, 500 ms after its drain was told to that router."""
+    """A router uses no cache, as target or fill source, more than 500 ms after it received its drain."""
     faults: Faults = []
-    out: dict[tuple[int, str], float] = {}
+    drained_since: dict[tuple[int, str], float] = {}
     for event in record.of("told_order", "start", "kill", "sent"):
-        if event.kind in ("start", "kill"):  # a new process is told anew
-            out = {key: at for key, at in out.items() if key[0] != event.router}
+        if event.kind in ("start", "kill"):  # a new process receives the orders again
+            drained_since = {key: at for key, at in drained_since.items() if key[0] != event.router}
         elif event.kind == "told_order":
             key = event.router, event.what["box"]
             if event.what["drained"]:
-                out.setdefault(key, event.at)
+                drained_since.setdefault(key, event.at)
             else:
-                out.pop(key, None)
+                drained_since.pop(key, None)
         else:
             for cache in {event.what["box"], event.what["miss"]} - {""}:
-                at = out.get((event.router, cache))
-                if at is not None and event.at > at + DRAIN + SLACK:
+                at = drained_since.get((event.router, cache))
+                if at is not None and event.at > at + DRAIN_DELAY_S + TOLERANCE_S:
                     faults.append(f"router {event.router} used {cache} {event.at - at:.2f} s after its drain")
     return faults
 
 
 def purged(record: Record) -> Faults:
-    """No answer from a copy older than a purge, 1 s after it was told to that router."""
+    """A router serves no copy older than a purge later than 1 s after it received the purge."""
     faults = []
-    reported = defaultdict(list)
+    purges = defaultdict(list)
     for event in record.of("told_purge", "answer"):
         if event.kind == "told_purge":
-            reported[event.router, event.what["obj"]].append((event.at, event.what["time"]))
+            purges[event.router, event.what["obj"]].append((event.at, event.what["time"]))
         elif event.what.get("issued"):
-            for at, time in reported[event.router, event.what["obj"]]:
-                if event.what["asked"] > at + PURGE and event.what["issued"] < time:
+            for at, time in purges[event.router, event.what["obj"]]:
+                if event.what["asked"] > at + PURGE_DELAY_S and event.what["issued"] < time:
                     faults.append(
                         f"router {event.router} served {event.what['obj']} from a copy "
                         f"{time - event.what['issued']} ms older than its purge"
@@ -93,13 +95,13 @@
 def within(
     record: Record, kind: str, bound: float, span: float = 1.0, cost: Callable[[Event], float] = lambda _: 1.0
 ) -> Faults:
-    """At most so much of a kind of event in any span of seconds."""
+    """The cost of events of one kind stays at most `bound` in any `span` seconds."""
     worst, at = heaviest(((event.at, cost(event)) for event in record.of(kind)), span)
     return [f"{worst:.0f} {kind} within {span:g} s of {at:.2f} s; {bound:.0f} are allowed"] * (worst > bound)
 
 
 def heaviest(costs: Iterable[tuple[float, float]], span: float) -> tuple[float, float]:
-    """The most that falls into any span, and when it ends."""
+    """Return the highest sum of costs in any `span` seconds, and the time at which that interval ends."""
     window: list[tuple[float, float]] = []
     low = 0
     total = 0.0
@@ -118,28 +120,30 @@
 
 
 def standing(record: Record) -> Faults:
-    """No cache was pushed over, by its own account of what it got."""
+    """No cache failed under overload, by the requests that it counted itself."""
     return [f"{event.what['box']} fell at {event.at:.2f} s" for event in record.of("fall")]
 
 
-def spared(record: Record, share: float, ramp: float, factor: float, per_second: dict[str, float]) -> Faults:
-    """No cache that started lately gets more in any second than it bears, with the slack of chance.
+def cold_caches_not_overloaded(
+    record: Record, share: float, ramp: float, factor: float, per_second: dict[str, float]
+) -> Faults:
+    """No warming cache gets more requests in any second than its capacity and a margin for variance.
 
-    share, ramp: of its ability at its start, seconds to the whole; per_second: requests that it does a second
-    when warm; factor: by how many times that may be passed.
+    share: part of the warm capacity at the start; ramp: seconds until the full capacity; per_second: warm
+    capacity of each cache in requests a second; factor: multiple of the capacity that is allowed.
     """
     faults = []
     started: dict[str, float] = {}
-    got: dict[str, list[float]] = defaultdict(list)
+    request_times: dict[str, list[float]] = defaultdict(list)
     for event in record.of("box_start", "got", "fill"):
         cache = event.what["box"]
         if event.kind == "box_start":
             started[cache] = event.at
-            got[cache] = []
+            request_times[cache] = []
             continue
         if cache not in started or cache not in per_second or event.at > started[cache] + ramp:
             continue
-        times = got[cache]
+        times = request_times[cache]
         times.append(event.at)
         recent = sum(at > event.at - 1.0 for at in times[-4000:])
         n = factor * per_second[cache] * (share + (1 - share) * (event.at - started[cache]) / ramp)
@@ -150,8 +154,8 @@
     return faults
 
 
-def shaken(record: Record, routers: int, each: float = 2.0) -> Faults:
-    """Handshakes at a cache: at most so many for each router."""
+def handshakes_bounded(record: Record, routers: int, each: float = 2.0) -> Faults:
+    """Each cache sees at most `each` handshakes for each router."""
     seen = Counter(event.what["box"] for event in record.of("handshake"))
     return [
         f"{cache}: {n} handshakes of {routers} routers" for cache, n in seen.items() if n > each * routers
--- a/brackenlane/lab/cluster/links.py
+++ b/brackenlane/lab/cluster/links.py
@@ -1,7 +1,7 @@
-"""The way from routers to one other party, led through a proxy that can be made to fail.
+"""TCP proxies between the routers and one server (a cache or the store), with faults that can be injected.
 
-Every fault is of one pair, router and party, or of all pairs with that party. Times are seconds, sizes
-bytes.
+A fault applies to the connections of one router to the server, or to those of all routers. Times are in
+seconds, sizes in bytes.
 """
 
 from __future__ import annotations
@@ -15,53 +15,54 @@
 
 import trio
 
-CHUNK = 65_536
-TAIL = 256  # bytes kept to find a word that is cut in two
+CHUNK_BYTES = 65_536
+TAIL_BYTES = 256  # bytes kept from earlier reads, to find a match that is split across two reads
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """How a link fails; the defaults are a sound one."""
+    """How a link fails; the defaults describe a link without a fault."""
 
-    refuse: bool = False  # nobody listens
-    up: bool = True  # what the router sends arrives
-    down: bool = True  # what is sent to it arrives
-    delay: float = 0.0  # each way
-    rate: float = 0.0  # bytes a second each way; 0: no bound
-    drop_after: int = 0  # bytes to the router, after which the connection is reset; 0: never
+    refuse: bool = False  # connections are refused or closed
+    up: bool = True  # data from the router is passed on
+    down: bool = True  # data to the router is passed on
+    delay: float = 0.0  # seconds, in each direction
+    rate: float = 0.0  # bytes a second in each direction; 0: unlimited
+    drop_after: int = 0  # bytes passed to the router before the connection is reset; 0: never
 
 
-SOUND = Fault()
-ALL = -1  # whoever has no fault of his own
-Observer = Callable[[int, bool, re.Match[bytes]], None]
+NO_FAULT = Fault()
+ALL_ROUTERS = -1  # stands for every router that has no fault set for it alone
+Observer = Callable[[int, bool, re.Match[bytes]], None]  # (router, whether the router sent it, match)
 
 
 class Link:
-    """A listener of its own; connections to it are passed on, and fail by whose they are."""
+    """A listener that forwards connections to one server; the fault depends on the router that connects."""
 
     def __init__(
         self,
         target: int,
-        arguments: re.Pattern[bytes] | None = None,
-        received: Observer = lambda *_: None,
-        owner: Callable[[int], int] = lambda _: ALL,
+        pattern: re.Pattern[bytes] | None = None,
+        observer: Observer = lambda *_: None,
+        find_router: Callable[[int], int] = lambda _: ALL_ROUTERS,
     ) -> None:
-        """words: what is looked for in passing; heard(who, up, match) is told of each as it arrives.
+        """target: the server's port on 127.0.0.1; pattern: what to look for in forwarded data.
 
-        owner: whose a connection is, by the port that it comes from.
+        observer is called with each match once it is forwarded. find_router returns the number of the router
+        that a connection belongs to, by the connection's source port.
         """
         self.target = target
         self.port = 0
-        self._commands = arguments
-        self._observer = received
-        self._owner = owner
+        self._pattern = pattern
+        self._observer = observer
+        self._find_router = find_router
         self._faults: dict[int, Fault] = {}
-        self._open: dict[trio.SocketStream, int] = {}
-        self._changed = trio.Event()
+        self._connections: dict[trio.SocketStream, int] = {}
+        self._fault_changed = trio.Event()
         self._listening: trio.CancelScope | None = None
 
     async def open(self, nursery: trio.Nursery) -> Link:
-        """Listen."""
+        """Start to listen on a port of 127.0.0.1."""
         self._nursery = nursery
         await self._listen()
         return self
@@ -73,78 +74,89 @@
 
         async def accept() -> None:
             with scope:
-                await trio.serve_listeners(self._pass_on, [listener])
+                await trio.serve_listeners(self._forward, [listener])
 
         self._nursery.start_soon(accept)
 
-    def fault(self, who: int = ALL) -> Fault:
-        """How it fails for one party."""
-        return self._faults.get(who, self._faults.get(ALL, SOUND))
+    def fault(self, router: int = ALL_ROUTERS) -> Fault:
+        """Return the fault in force for one router."""
+        return self._faults.get(router, self._faults.get(ALL_ROUTERS, NO_FAULT))
 
-    async def set(self, who: int = ALL, **changes: bool | float | int) -> None:
-        """Fail from now on, or no more; what is open stays, but that `refuse` ends it."""
-        fault = self._faults[who] = replace(self.fault(who), **changes)  # type: ignore[arg-type]
-        self._changed.set()
-        self._changed = trio.Event()
+    async def set(self, router: int = ALL_ROUTERS, **changes: bool | float | int) -> None:
+        """Change the fault of one router or of all.
+
+        Open connections stay, unless `refuse` is set: it resets them.
+        """
+        fault = self._faults[router] = replace(self.fault(router), **changes)  # type: ignore[arg-type]
+        self._fault_changed.set()
+        self._fault_changed = trio.Event()
         if fault.refuse:
-            if who == ALL and self._listening:
+            if router == ALL_ROUTERS and self._listening:
                 self._listening.cancel()
                 self._listening = None
-            await self.reset(who)
-        elif who == ALL and self._listening is None:
+            await self.reset(router)
+        elif router == ALL_ROUTERS and self._listening is None:
             await self._listen()
 
-    async def heal(self, who: int = ALL) -> None:
-        """Sound again; what was held back by a cut one way is lost with its connection."""
-        fault = self.fault(who)
+    async def heal(self, router: int = ALL_ROUTERS) -> None:
+        """Remove the fault of one router or of all.
+
+        Connections blocked in a direction are reset, and the data held back on them is lost.
+        """
+        fault = self.fault(router)
         if not (fault.up and fault.down):
-            await self.reset(who)
-        self._faults[who] = SOUND
-        await self.set(who, refuse=False)
-
-    async def reset(self, who: int = ALL) -> None:
-        """End all that is open of one party, or of all, as a lost peer's system does."""
-        for stream, whose in list(self._open.items()):
-            if who in (ALL, whose):
+            await self.reset(router)
+        self._faults[router] = NO_FAULT
+        await self.set(router, refuse=False)
+
+    async def reset(self, router: int = ALL_ROUTERS) -> None:
+        """Close the connections of one router, or of all, with a TCP reset."""
+        for stream, connection_router in list(self._connections.items()):
+            if router in (ALL_ROUTERS, connection_router):
                 with contextlib.suppress(OSError):
                     stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 await trio.aclose_forcefully(stream)
 
-    async def _pass_on(self, near: trio.SocketStream) -> None:
+    async def _forward(self, client: trio.SocketStream) -> None:
         with contextlib.suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            who = self._owner(near.socket.getpeername()[1])
-            if self.fault(who).refuse:
-                return await trio.aclose_forcefully(near)
-            async with near, await trio.open_tcp_stream("127.0.0.1", self.target) as far:
-                self._open |= {near: who, far: who}
+            router = self._find_router(client.socket.getpeername()[1])
+            if self.fault(router).refuse:
+                return await trio.aclose_forcefully(client)
+            async with client, await trio.open_tcp_stream("127.0.0.1", self.target) as server:
+                self._connections |= {client: router, server: router}
                 try:
                     async with trio.open_nursery() as nursery:
-                        nursery.start_soon(self._pump, near, far, who, True, nursery.cancel_scope)
-                        nursery.start_soon(self._pump, far, near, who, False, nursery.cancel_scope)
+                        nursery.start_soon(self._pump, client, server, router, True, nursery.cancel_scope)
+                        nursery.start_soon(self._pump, server, client, router, False, nursery.cancel_scope)
                 finally:
-                    del self._open[near], self._open[far]
+                    del self._connections[client], self._connections[server]
 
     async def _pump(
-        self, source: trio.SocketStream, sink: trio.SocketStream, who: int, up: bool, scope: trio.CancelScope
+        self,
+        source: trio.SocketStream,
+        sink: trio.SocketStream,
+        router: int,
+        up: bool,
+        scope: trio.CancelScope,
     ) -> None:
         tail = b""
-        passed = 0
+        forwarded = 0
         with contextlib.suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            while data := await source.receive_some(CHUNK):
-                while not (self.fault(who).up if up else self.fault(who).down):
-                    await self._changed.wait()
-                fault = self.fault(who)
+            while data := await source.receive_some(CHUNK_BYTES):
+                while not (self.fault(router).up if up else self.fault(router).down):
+                    await self._fault_changed.wait()
+                fault = self.fault(router)
                 if fault.delay or fault.rate:
                     await trio.sleep(fault.delay + (len(data) / fault.rate if fault.rate else 0.0))
-                passed += len(data)
-                if not up and fault.drop_after and passed > fault.drop_after:
-                    await self.reset(who)
+                forwarded += len(data)
+                if not up and fault.drop_after and forwarded > fault.drop_after:
+                    await self.reset(router)
                     break
                 await sink.send_all(data)
-                if self._commands:
+                if self._pattern:
                     text = tail + data
-                    for match in self._commands.finditer(text):
+                    for match in self._pattern.finditer(text):
                         if match.end() > len(tail):
-                            self._observer(who, up, match)
-                    tail = text[-TAIL:]
+                            self._observer(router, up, match)
+                    tail = text[-TAIL_BYTES:]
         scope.cancel()
