--- a/brackenlane/__main__.py
+++ b/brackenlane/__main__.py
@@ -12,7 +12,7 @@
 from brackenlane.limits import Limits
 from brackenlane.net.change_log_codec import ChangeLogFormatError
 from brackenlane.observe.log_format import SteadyTimeFormatter
-from brackenlane.observe.throttle import Throttle
+from brackenlane.observe.log_rate_limiter import LogRateLimiter
 
 # Exit codes; subcommands may have others.
 DONE = 0
@@ -53,7 +53,7 @@
     limits = Limits()
     for handler in logging.getLogger().handlers:
         handler.setFormatter(SteadyTimeFormatter())
-        handler.addFilter(Throttle(limits.max_log_lines, limits.log_window))
+        handler.addFilter(LogRateLimiter(limits.max_log_lines, limits.log_window))
 
 
 def _first_leaf(error: BaseException) -> BaseException:
--- a/brackenlane/admission/controller.py
+++ b/brackenlane/admission/controller.py
@@ -112,7 +112,7 @@
                 return True
         return False
 
-    def hold_off(self, now: float) -> float:
+    def retry_after(self, now: float) -> float:
         """Return the seconds after which a rejected client may retry: the time needed to serve the queue.
 
         In a standing queue it is at least one interval.
--- a/brackenlane/admission/figures.py
+++ b/brackenlane/admission/load_metrics.py
@@ -55,7 +55,7 @@
         )
 
 
-class Figures:
+class LoadMetrics:
     """Collects the load figures of each period, and totals since the start."""
 
     def __init__(self) -> None:
--- a/brackenlane/appliance/config.py
+++ b/brackenlane/appliance/config.py
@@ -84,7 +84,10 @@
         resolvers=tuple(read_endpoint(address, "resolver") for address in file.resolvers),
         policy=_policy(table),
         lifetimes=Lifetimes(
-            floor=table.floor, ceiling=table.ceiling, negative=table.negative, stale=table.stale
+            min_ttl=table.floor,
+            max_ttl=table.ceiling,
+            max_negative_ttl=table.negative,
+            max_stale_age=table.stale,
         ),
         snapshot_path=folder / table.last_list if table.last_list else None,
     )
--- a/brackenlane/appliance/program.py
+++ b/brackenlane/appliance/program.py
@@ -84,7 +84,7 @@
         front = HttpFront(
             components.engine, limits, components.poller, store.claims if store else None, nursery
         )
-        front.ready = lambda: components.phases.is_store_read or config.coldstart.ready == "listed"
+        front.is_ready = lambda: components.phases.is_store_read or config.coldstart.ready == "listed"
         start_console(config, limits, components, front, store, nursery)
         await serve_until_signal(front, config.http, config.name)
         config.console.unlink(missing_ok=True)
@@ -98,14 +98,14 @@
     observer = CacheObserver()
     engine = RequestEngine(
         EngineConfig(config.settings, random.SystemRandom().getrandbits(SEED_BITS), limits),
-        lambda attempt: pools.place(attempt),
+        lambda attempt: pools.dispatch(attempt),
         on_result=observer.on_result,
     )
     poller = Poller(limits.max_poll_events)
-    engine.timers.before_round = poller.handle_urgent
+    engine.timers.before_due_calls = poller.handle_urgent
     pools = ConnectionPools(engine.membership, limits, config.settings, engine.report, poller, engine.timers)
     merge = MembershipMerge(config.discovery.policy, config.discovery.watches)
-    registry = Registry(merge, engine.post, pools.follow)
+    registry = Registry(merge, engine.post, pools.update_servers)
     observer.registry = registry
     return ServingComponents(engine, poller, registry, observer, StartupPhases(steady_time()))
 
@@ -122,7 +122,7 @@
         nursery,
         budget=limits.lookup_timeout,
         lifetimes=discovery.lifetimes,
-        most=limits.max_lookups,
+        max_look_ups=limits.max_lookups,
     )
     other_routers = config.store_capacity.router_count - 1
     dns_source = DnsSource(
--- a/brackenlane/appliance/startup.py
+++ b/brackenlane/appliance/startup.py
@@ -15,7 +15,7 @@
 from brackenlane.clock import steady_time
 from brackenlane.coldstart.phases import StartupEvent, StartupPhases
 from brackenlane.discovery import snapshot
-from brackenlane.discovery.records import DefinitionSource, RememberedMembers
+from brackenlane.discovery.records import DefinitionSource, PersistedMembership
 from brackenlane.discovery.registry import Registry
 from brackenlane.discovery.snapshot_codec import Snapshot
 from brackenlane.limits import Limits
@@ -100,5 +100,5 @@
         )
 
     def _restore_orders(self, loaded_snapshot: Snapshot, now: float) -> None:
-        orders = RememberedMembers(orders=loaded_snapshot.memory.orders)
+        orders = PersistedMembership(orders=loaded_snapshot.memory.orders)
         self._registry.apply(self._registry.merge.restore_snapshot(orders, now, now))
--- a/brackenlane/cli/show.py
+++ b/brackenlane/cli/show.py
@@ -97,7 +97,7 @@
             nursery,
             budget=limits.lookup_timeout,
             lifetimes=config.discovery.lifetimes,
-            most=limits.max_lookups,
+            max_look_ups=limits.max_lookups,
         )
         query = _DiscoveryQuery(registry, resolver)
         await query.look_up_services()
--- a/brackenlane/coldstart/pacing.py
+++ b/brackenlane/coldstart/pacing.py
@@ -129,7 +129,7 @@
     def _grow_window(self) -> None:
         self.window_factor = min(MAX_WINDOW_FACTOR, self.window_factor * WINDOW_GROWTH)
 
-    def ticket_window(self, now: float) -> int:
+    def current_ticket_window(self, now: float) -> int:
         """Return the number of the current ticket window, from which the first load ticket is drawn."""
         return int(now / self.capacity.ticket_window)
 
--- a/brackenlane/console/admin_console.py
+++ b/brackenlane/console/admin_console.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from brackenlane.admission.figures import Figures
+from brackenlane.admission.load_metrics import LoadMetrics
 from brackenlane.clock import steady_time
 from brackenlane.coldstart.phases import StartupPhases
 from brackenlane.console import views
@@ -36,7 +36,7 @@
     registry: Registry
     store: SharedStore | None
     health: CacheHealth
-    figures: Figures
+    figures: LoadMetrics
     phases: StartupPhases
 
 
--- a/brackenlane/console/views.py
+++ b/brackenlane/console/views.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from brackenlane.admission.figures import REASON_NAMES, Figures
+from brackenlane.admission.load_metrics import REASON_NAMES, LoadMetrics
 from brackenlane.coldstart.phases import StartupPhase, StartupPhases
 from brackenlane.console.cache_health import CacheHealth
 from brackenlane.console.text_table import render_table
@@ -71,7 +71,7 @@
         yield f"{name}: {entry.omitted_count} boxes are left out for want of room"
 
 
-def show_load(figures: Figures) -> str:
+def show_load(figures: LoadMetrics) -> str:
     """Return the load of the last second and the counts since startup."""
     rejected = ", ".join(f"{count} {REASON_NAMES[reason]}" for reason, count in figures.shed.items())
     return (
--- a/brackenlane/core/action_executor.py
+++ b/brackenlane/core/action_executor.py
@@ -50,7 +50,7 @@
                 self._cancel(action)
             case SetTimer():
                 message = RouterTimerFired(router, TimerFired(action.token))
-                self._timers.at(action.at, self._post, message)
+                self._timers.call_at(action.at, self._post, message)
             case Reject():
                 self._reject(action, default_hold_off)
             case Fail():
@@ -93,7 +93,7 @@
             # A rejected client retries, and the request could then run twice.
             answer = Answer(Disposition.FAILED)
         else:
-            answer = Answer(Disposition.REJECTED, hold_off=action.hold_off or default_hold_off)
+            answer = Answer(Disposition.REJECTED, retry_after=action.retry_after or default_hold_off)
         self._requests.finish(action.request_id, answer)
 
     def _fail(self, action: Fail, now: float) -> None:
--- a/brackenlane/core/engine.py
+++ b/brackenlane/core/engine.py
@@ -51,7 +51,7 @@
         self.cached_responses = self._processor.cached_responses
         self._request_numbers = itertools.count()
 
-    def new_id(self) -> str:
+    def new_request_id(self) -> str:
         """Return a request id that is unique in this process; it does not depend on the clients' ids."""
         return f"q{next(self._request_numbers)}"
 
@@ -66,12 +66,12 @@
         self.settings = config.settings
         self._limits = config.limits
 
-    def end_all(self) -> None:
+    def finish_all_requests(self) -> None:
         """Finish all open requests now: reject those that are safe to retry, and fail the others."""
         for request in self._processor.requests.open_requests():
             request_id = request.arrival.request_id
             if request.is_idempotent or not request.may_have_run:
-                answer = Answer(Disposition.REJECTED, hold_off=self._limits.retry_after)
+                answer = Answer(Disposition.REJECTED, retry_after=self._limits.retry_after)
             else:
                 answer = Answer(Disposition.FAILED)
             self._processor.requests.finish(request_id, answer)
--- a/brackenlane/core/membership_view.py
+++ b/brackenlane/core/membership_view.py
@@ -28,9 +28,9 @@
         # `_purge_times_at_origin` on the origin's clock.
         self.purges: dict[str | int, float] = {}
         self._purge_times_at_origin: dict[str | int, float] = {}
-        self.has_list = False  # whether a list of caches has been received
+        self.has_cache_list = False  # whether a list of caches has been received
         # Applies updates that another process of this router has received; called before each check.
-        self.catch_up: Callable[[], None] = _no_pending_updates
+        self.apply_pending_updates: Callable[[], None] = _no_pending_updates
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
@@ -65,7 +65,7 @@
                 self.members.pop(member.server, None)
             else:
                 self.members[member.server] = member
-        self.has_list = True
+        self.has_cache_list = True
 
     def purge_events(self, now: float) -> Iterator[Purged]:
         """Iterate over the recent purges as events, to initialize a new router."""
@@ -88,7 +88,7 @@
         Updates received by any process of this router count. A drain may have been received while the attempt
         was queued. The site permits some time to follow an update, but a drain is applied at once.
         """
-        self.catch_up()
+        self.apply_pending_updates()
         return self.is_serving(fetch.server) and self.is_serving(fetch.source)
 
     def max_age(self, fetch: Fetch, request: Arrival, now: float) -> float:
--- a/brackenlane/core/requests.py
+++ b/brackenlane/core/requests.py
@@ -36,7 +36,7 @@
     disposition: Disposition
     body: bytes = b""
     tag: str = ""  # entity tag of the body
-    hold_off: float = 0.0  # seconds after which a rejected client may retry
+    retry_after: float = 0.0  # seconds after which a rejected client may retry
     deadline_exceeded: bool = False  # the request failed because its deadline has passed
     server: str = ""  # server that answered; empty if this process answered by itself
 
@@ -67,7 +67,7 @@
 
     arrival: Arrival
     deadline: float
-    wire_id: str = ""  # request id chosen by the client, forwarded to caches without interpretation
+    client_request_id: str = ""  # request id chosen by the client, forwarded to caches without interpretation
     tag: str = ""  # entity tag of the copy that the client holds
     body: bytes = b""
     key: str = ""  # idempotency key, by which caches detect repeated writes
@@ -163,4 +163,4 @@
         """Whether the attempt is still needed and has not expired, and its servers are in service."""
         if self.reply or self.cancelled or self.request.is_finished:
             return False
-        return now <= self.fetch.until and membership.allows(self.fetch)
+        return now <= self.fetch.send_before and membership.allows(self.fetch)
--- a/brackenlane/core/router_set.py
+++ b/brackenlane/core/router_set.py
@@ -29,7 +29,7 @@
         # With an infinite start time buckets stay empty, also those of servers that are added later.
         self.current.server_table.router_started_at = math.inf
         for server in self.current.servers.values():
-            server.tokens = TokenBucket(math.inf)
+            server.slow_start_bucket = TokenBucket(math.inf)
         self.retired.append(self.current)
         self.current = router
         self.remove_idle()
@@ -46,4 +46,4 @@
     def spend_slow_start_budgets(self, now: float) -> None:
         """Mark the slow-start budgets as used up to `now` (Unix seconds); another process may use them."""
         for server in self.current.servers.values():
-            server.tokens = TokenBucket(now)
+            server.slow_start_bucket = TokenBucket(now)
--- a/brackenlane/core/timers.py
+++ b/brackenlane/core/timers.py
@@ -40,11 +40,11 @@
         self.clock = clock
         self._heap: list[tuple[float, int, Timer]] = []
         self._numbers = itertools.count()
-        self.before_round: Callable[[], None] | None = None  # reads pending input before calls are made
+        self.before_due_calls: Callable[[], None] | None = None  # reads pending input before calls are made
         self._sleep = trio.CancelScope()
         self._wakes_at = -math.inf  # time until which the task sleeps; -inf while it is not sleeping
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> Timer:
+    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> Timer:
         """Schedule a call for a Unix time; it is made then, or as soon as the event loop is free."""
         timer = Timer(call, args)
         heapq.heappush(self._heap, (when, next(self._numbers), timer))
@@ -71,8 +71,8 @@
             self._drop_cancelled()
             await self._sleep_until_due()
             # Input that has arrived but was not read yet is applied first, so that no timeout fires for it.
-            if self.before_round:
-                self.before_round()
+            if self.before_due_calls:
+                self.before_due_calls()
             self.call_due(self.clock())
             await trio.sleep(BATCH_INTERVAL)
 
@@ -82,7 +82,7 @@
             heapq.heappop(self._heap)
 
     async def _sleep_until_due(self) -> None:
-        """Sleep until the first call is due; `at` shortens the sleep if it adds an earlier call."""
+        """Sleep until the first call is due; `call_at` shortens the sleep if it adds an earlier call."""
         self._wakes_at = self._heap[0][0] if self._heap else math.inf
         # The heap is on the Unix clock, which may be set, so the wait is recomputed in each round.
         with trio.CancelScope() as self._sleep:
--- a/brackenlane/core/stamp_ages.py
+++ b/brackenlane/core/timestamp_ages.py
@@ -11,7 +11,7 @@
 import math
 
 
-class StampAges:
+class TimestampAges:
     """Estimates the ages of timestamps from one source; an estimate never exceeds the true age."""
 
     def __init__(self) -> None:
--- a/brackenlane/discovery/definitions.py
+++ b/brackenlane/discovery/definitions.py
@@ -53,7 +53,7 @@
         self._by_source[DefinitionSource.MEMORY] = {}
         return True
 
-    def to_remember(self) -> tuple[CacheDefinition, ...]:
+    def snapshot_content(self) -> tuple[CacheDefinition, ...]:
         """Return the definitions for a snapshot; those of the file are read again at each start."""
         remembered = {
             definition.id: definition
--- a/brackenlane/discovery/dns_cache.py
+++ b/brackenlane/discovery/dns_cache.py
@@ -12,12 +12,12 @@
 class Lifetimes:
     """Limits of cache lifetimes in seconds, and of the cache size in entries."""
 
-    floor: float = 0.5  # minimum lifetime; a shorter TTL is raised to it
-    ceiling: float = 300.0  # maximum lifetime of positive answers
-    negative: float = 30.0  # maximum lifetime of negative answers (no such name, no such record)
-    failure: float = 1.0  # how long a question is not sent again after all upstreams failed
-    stale: float = 3_600.0  # how long an expired answer may be used while all upstreams fail
-    entries: int = 20_000  # maximum number of questions; the least recently used one is evicted
+    min_ttl: float = 0.5  # minimum lifetime; a shorter TTL is raised to it
+    max_ttl: float = 300.0  # maximum lifetime of positive answers
+    max_negative_ttl: float = 30.0  # maximum lifetime of negative answers (no such name, no such record)
+    failure_ttl: float = 1.0  # how long a question is not sent again after all upstreams failed
+    max_stale_age: float = 3_600.0  # how long an expired answer may be used while all upstreams fail
+    max_entries: int = 20_000  # maximum number of questions; the least recently used one is evicted
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 
 class AnswerCache:
-    """LRU caches of answers and of failures, both limited to `Lifetimes.entries`."""
+    """LRU caches of answers and of failures, both limited to `Lifetimes.max_entries`."""
 
     def __init__(self, lifetimes: Lifetimes) -> None:
         self._lifetimes = lifetimes
@@ -52,12 +52,12 @@
     def put(self, question: Question, reply: Reply, upstream: str, now: float) -> None:
         """Cache an answer, with its TTL clamped to the configured limits."""
         is_negative = reply.kind is ReplyKind.NEGATIVE
-        ceiling = self._lifetimes.negative if is_negative else self._lifetimes.ceiling
-        lifetime = min(ceiling, max(self._lifetimes.floor, reply.ttl))
+        ceiling = self._lifetimes.max_negative_ttl if is_negative else self._lifetimes.max_ttl
+        lifetime = min(ceiling, max(self._lifetimes.min_ttl, reply.ttl))
         self._answers[question] = CachedAnswer(reply, upstream, now, now + lifetime)
         self._answers.move_to_end(question)
         self._failures.pop(question, None)
-        while len(self._answers) > self._lifetimes.entries:
+        while len(self._answers) > self._lifetimes.max_entries:
             self._answers.popitem(last=False)
 
     def get_fresh(self, question: Question, now: float) -> CachedAnswer | None:
@@ -69,11 +69,11 @@
         return answer
 
     def get_stale(self, question: Question, now: float) -> CachedAnswer | None:
-        """Return a positive answer that is within its lifetime or at most `Lifetimes.stale` past it."""
+        """Return a positive answer within its lifetime or at most `Lifetimes.max_stale_age` past it."""
         answer = self._answers.get(question)
         if answer is None or answer.reply.kind is ReplyKind.NEGATIVE:
             return None
-        if now - answer.expires_at > self._lifetimes.stale:
+        if now - answer.expires_at > self._lifetimes.max_stale_age:
             return None
         return answer
 
@@ -84,9 +84,9 @@
 
     def put_failure(self, question: Question, reason: str, now: float) -> None:
         """Cache the failure of all upstreams to answer a question."""
-        self._failures[question] = CachedFailure(now + self._lifetimes.failure, reason)
+        self._failures[question] = CachedFailure(now + self._lifetimes.failure_ttl, reason)
         self._failures.move_to_end(question)
-        while len(self._failures) > self._lifetimes.entries:
+        while len(self._failures) > self._lifetimes.max_entries:
             self._failures.popitem(last=False)
 
     def failure_reason(self, question: Question, now: float) -> str:
--- a/brackenlane/discovery/dns_source.py
+++ b/brackenlane/discovery/dns_source.py
@@ -43,19 +43,22 @@
         connect_timeout: float,
         nursery: trio.Nursery,
         name: str = "",
-        window: float = 0.0,
+        spread_seconds: float = 0.0,
     ) -> None:
-        """`name`: this router's name; `window`: seconds over which the site's routers spread one look-up."""
+        """`name`: this router's name.
+
+        `spread_seconds`: time over which the site's routers spread one look-up.
+        """
         self._registry = registry
         self._merge = registry.merge
         self._resolver = resolver
         self._nursery = nursery
         self._min_interval = limits.min_resolve_interval
-        self._schedule = LookUpSchedule(name, window, limits)
+        self._schedule = LookUpSchedule(name, spread_seconds, limits)
         self._probe = AddressProbe(connect_timeout, limits.max_discovery_dials)
         self._hosts: dict[str, HostWatch] = {}
         self._merge_changed = trio.Event()
-        registry.changed.append(self._on_change)
+        registry.on_change_callbacks.append(self._on_change)
 
     async def run(self) -> None:
         """Run all look-ups until cancelled."""
--- a/brackenlane/discovery/merge.py
+++ b/brackenlane/discovery/merge.py
@@ -17,8 +17,8 @@
     Change,
     DefinitionSource,
     OperatorOrder,
+    PersistedMembership,
     Policy,
-    RememberedMembers,
     SrvRecord,
     SrvWatch,
 )
@@ -87,11 +87,11 @@
 
     # Restart and the shared store
 
-    def to_remember(self) -> RememberedMembers:
+    def snapshot_content(self) -> PersistedMembership:
         """Return the state that a restarted router needs while no source responds."""
-        return self.sources.remember(dict(self.orders))
+        return self.sources.snapshot_content(dict(self.orders))
 
-    def restore_snapshot(self, remembered: RememberedMembers, saved: float, now: float) -> list[Change]:
+    def restore_snapshot(self, remembered: PersistedMembership, saved: float, now: float) -> list[Change]:
         """Restore a snapshot; only its orders if it is older than `Policy.max_snapshot_age`."""
         self.orders.restore(remembered.orders)
         self.sources.restore(remembered, saved, now)
--- a/brackenlane/discovery/operator_orders.py
+++ b/brackenlane/discovery/operator_orders.py
@@ -29,7 +29,7 @@
         At `max_orders` the oldest restore is discarded. Drains are never discarded: if there are only drains,
         the new order is rejected.
         """
-        if not order.beats(self._by_id.get(cache_id)):
+        if not order.supersedes(self._by_id.get(cache_id)):
             return False
         if cache_id not in self._by_id and len(self._by_id) >= self._max_orders:
             restored = [known_id for known_id, known in self._by_id.items() if not known.drained]
@@ -42,7 +42,7 @@
     def restore(self, orders: Mapping[str, OperatorOrder]) -> None:
         """Add the orders of a snapshot, except where the present one takes precedence."""
         for cache_id, order in orders.items():
-            if order.beats(self._by_id.get(cache_id)):
+            if order.supersedes(self._by_id.get(cache_id)):
                 self._by_id[cache_id] = order
 
     def drain_of(self, cache_ids: Iterable[str]) -> OperatorOrder | None:
--- a/brackenlane/discovery/records.py
+++ b/brackenlane/discovery/records.py
@@ -97,7 +97,7 @@
     at: float  # Unix time of issue
     by: str  # who issued it
 
-    def beats(self, other: OperatorOrder | None) -> bool:
+    def supersedes(self, other: OperatorOrder | None) -> bool:
         """Return whether this order takes precedence over another one, whichever was received first."""
         return other is None or (self.at, self.drained, self.by) > (other.at, other.drained, other.by)
 
@@ -137,7 +137,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RememberedMembers:
+class PersistedMembership:
     """The state of the merge that a snapshot keeps across restarts."""
 
     definitions: tuple[CacheDefinition, ...] = ()  # definitions by store and consoles
--- a/brackenlane/discovery/registry.py
+++ b/brackenlane/discovery/registry.py
@@ -28,7 +28,7 @@
     def __init__(self, merge: MembershipMerge, core: Callable[[Event], None], pools: UpdatePools) -> None:
         self.merge = merge
         self.endpoints: dict[str, Endpoint] = {}  # endpoints of the published caches, by id
-        self.changed: list[Callable[[], None]] = []  # callbacks after each update of the merge
+        self.on_change_callbacks: list[Callable[[], None]] = []  # callbacks after each update of the merge
         self._subscribers = Subscribers(core, pools)
 
     def apply(self, changes: list[Change]) -> None:
@@ -44,7 +44,7 @@
         if changes:
             members = tuple(change.member for change in changes)
             self._subscribers.core(Membership(MembershipKind.CHANGES, members))
-        for callback in self.changed:
+        for callback in self.on_change_callbacks:
             callback()
 
     def define(self, source: DefinitionSource, definition: CacheDefinition) -> None:
--- a/brackenlane/discovery/resolver.py
+++ b/brackenlane/discovery/resolver.py
@@ -69,15 +69,15 @@
         budget: float = 3.0,
         lifetimes: Lifetimes | None = None,
         timeouts: UpstreamTimeouts | None = None,
-        most: int = 256,
+        max_look_ups: int = 256,
         rng: random.Random | None = None,
     ) -> None:
-        """`budget`: seconds for one look-up; `most`: maximum of concurrent look-ups, each with one socket."""
+        """`budget`: seconds for one look-up; `max_look_ups`: how many run at once, each with one socket."""
         self.upstreams = Upstreams(upstreams, timeouts or UpstreamTimeouts())
         self.cache = AnswerCache(lifetimes or Lifetimes())
         self._nursery = nursery
         self._budget = budget
-        self._look_up_limiter = trio.CapacityLimiter(most)
+        self._look_up_limiter = trio.CapacityLimiter(max_look_ups)
         self._random = rng or random.SystemRandom()
         self._pending: dict[Question, PendingLookUp] = {}
 
--- a/brackenlane/discovery/snapshot.py
+++ b/brackenlane/discovery/snapshot.py
@@ -88,7 +88,7 @@
         self._store = store
         self._changed = trio.Event()
         self._written = b""  # last written document, encoded with `saved_at` 0 for comparison
-        registry.changed.append(self._notify_changed)
+        registry.on_change_callbacks.append(self._notify_changed)
 
     def _notify_changed(self) -> None:
         self._changed.set()
@@ -109,7 +109,7 @@
 
     async def write(self, is_shutdown: bool = False) -> None:
         """Write the state if it changed since the last write; `is_shutdown`: at a graceful shutdown."""
-        snapshot = Snapshot(self._registry.merge.to_remember(), 0.0, is_shutdown=is_shutdown)
+        snapshot = Snapshot(self._registry.merge.snapshot_content(), 0.0, is_shutdown=is_shutdown)
         if self._store:
             purges = tuple((obj, group, at) for (obj, group), at in self._store.purges.items())
             snapshot = replace(snapshot, position=self._store.position, purges=purges)
--- a/brackenlane/discovery/snapshot_codec.py
+++ b/brackenlane/discovery/snapshot_codec.py
@@ -15,7 +15,7 @@
 from brackenlane.discovery.definition_codec import encode_definition, read_definition
 from brackenlane.discovery.errors import SnapshotCorruptError, SnapshotError, SnapshotVersionError
 from brackenlane.discovery.order_codec import encode_order, read_order
-from brackenlane.discovery.records import RememberedMembers
+from brackenlane.discovery.records import PersistedMembership
 
 VERSION = 2
 # Version 1 has no stream position, purges or shutdown flag.
@@ -26,7 +26,7 @@
 class Snapshot:
     """The state of a router at the time of writing."""
 
-    memory: RememberedMembers
+    memory: PersistedMembership
     saved_at: float  # Unix time
     position: StreamPosition = (
         STREAM_START  # position in the store's event stream up to which events are included
@@ -53,10 +53,10 @@
             "orders": [encode_order(cache_id, order) for cache_id, order in memory.orders.items()],
         }
     )
-    return sign(body)
+    return wrap_with_checksum(body)
 
 
-def sign(body: bytes) -> bytes:
+def wrap_with_checksum(body: bytes) -> bytes:
     """Return a document in its envelope with version and checksum."""
     digest = hashlib.sha256(body).hexdigest()
     return orjson.dumps({"version": VERSION, "sha256": digest, "body": body.decode()})
@@ -98,12 +98,12 @@
     )
 
 
-def _read_members(document: dict[str, Any]) -> RememberedMembers:
+def _read_members(document: dict[str, Any]) -> PersistedMembership:
     srv_members = {
         str(srv): tuple(read_definition(raw) for raw in definitions)
         for srv, definitions in document["listed"].items()
     }
-    return RememberedMembers(
+    return PersistedMembership(
         tuple(read_definition(raw) for raw in document["others"]),
         srv_members,
         {str(host): str(address) for host, address in document["places"].items()},
--- a/brackenlane/discovery/sources.py
+++ b/brackenlane/discovery/sources.py
@@ -15,8 +15,8 @@
     CacheDefinition,
     DefinitionSource,
     OperatorOrder,
+    PersistedMembership,
     Policy,
-    RememberedMembers,
     SrvWatch,
     ip_address_of,
 )
@@ -95,15 +95,17 @@
             due += entry.removal_times()
         return min(due)
 
-    def remember(self, orders: dict[str, OperatorOrder]) -> RememberedMembers:
+    def snapshot_content(self, orders: dict[str, OperatorOrder]) -> PersistedMembership:
         """Return the state for a snapshot, with the operators' orders."""
         srv_members = {
             srv: tuple(member.definition for member in entry.members.values())
             for srv, entry in self.entries.items()
         }
-        return RememberedMembers(self.definitions.to_remember(), srv_members, self.addresses.in_use(), orders)
+        return PersistedMembership(
+            self.definitions.snapshot_content(), srv_members, self.addresses.in_use(), orders
+        )
 
-    def restore(self, remembered: RememberedMembers, saved: float, now: float) -> None:
+    def restore(self, remembered: PersistedMembership, saved: float, now: float) -> None:
         """Restore a snapshot written at `saved`, unless it is older than `Policy.max_snapshot_age`."""
         age = now - saved
         if not 0 <= age <= self._policy.max_snapshot_age:
--- a/brackenlane/dns/responder.py
+++ b/brackenlane/dns/responder.py
@@ -218,7 +218,7 @@
         )
         while (remaining := deadline - self._clock()) > 0:
             arrival = Arrival(
-                self._engine.new_id(),
+                self._engine.new_request_id(),
                 remaining,
                 cls.name,
                 question.obj,
--- a/brackenlane/lab/cache_servers.py
+++ b/brackenlane/lab/cache_servers.py
@@ -108,7 +108,7 @@
                 self._seen.writes[wire_id] += 1
             self._open.add(wire_id)
             wait = min(self._random.expovariate(1 / self._behaviour.delay), 10 * self._behaviour.delay)
-            self._timers.at(time.time() + wait, self._answer, wire_id, fields["queue"])
+            self._timers.call_at(time.time() + wait, self._answer, wire_id, fields["queue"])
 
     def _answer(self, wire_id: str, cls: str) -> None:
         if wire_id not in self._open:
@@ -136,7 +136,7 @@
         except OSError:
             return self._end()
         del self._out[:sent]
-        self._poller.want(self._sock.fileno(), READ | WRITE if self._out else READ)
+        self._poller.set_events(self._sock.fileno(), READ | WRITE if self._out else READ)
 
     def _end(self) -> None:
         if self._sock.fileno() >= 0:
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -409,7 +409,7 @@
         ports = [cache["port"] for cache in raw["others"]]
         for cache, port in zip(raw["others"], ports[1:] + ports[:1], strict=True):
             cache["port"] = port
-    path.write_bytes(snapshot_codec.sign(orjson.dumps(raw)))
+    path.write_bytes(snapshot_codec.wrap_with_checksum(orjson.dumps(raw)))
 
 
 def run_in_virtual_time(script: Script, seed: int, folder: Path) -> Outcome:
--- a/brackenlane/lab/cluster/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -115,7 +115,7 @@
 
     def _draw_ticket(self, n: int) -> None:
         pace = self.pacings[n]
-        window = pace.ticket_window(self.now)
+        window = pace.current_ticket_window(self.now)
         while ahead := pace.windows_ahead(ticket := self.store.ticket(window)):
             window += ahead
         self.at(self.now + pace.ticket_delay(window, ticket, self.now), partial(self._request_full_load, n))
--- a/brackenlane/lab/load.py
+++ b/brackenlane/lab/load.py
@@ -115,7 +115,7 @@
             b"Content-Length: %d\r\n" % len(body) if body else b"",
             body,
         )
-        self._timer = self._load.timers.at(now + ttl, self._give_up)
+        self._timer = self._load.timers.call_at(now + ttl, self._give_up)
         self._flush()
 
     def _flush(self) -> None:
@@ -126,7 +126,7 @@
         except OSError:
             return self.end("refused-connect")
         self._out = self._out[sent:]
-        self._load.poller.want(self._sock.fileno(), READ | WRITE if self._out else READ)
+        self._load.poller.set_events(self._sock.fileno(), READ | WRITE if self._out else READ)
 
     def _ready(self, events: int) -> None:
         if events & WRITE and self._out:
@@ -274,7 +274,7 @@
         # A write is retried only after a rejection, or if it was never sent.
         again = not operation.profile.write or status in ("503", "429", "no-connection")
         if again and operation.request_count < 3:
-            self.timers.at(now + self.random.uniform(0.1, 0.5), self._send_next_request, operation)
+            self.timers.call_at(now + self.random.uniform(0.1, 0.5), self._send_next_request, operation)
         else:
             self._pending -= 1
 
--- a/brackenlane/lab/simulation/routers.py
+++ b/brackenlane/lab/simulation/routers.py
@@ -30,14 +30,14 @@
 # Result of an attempt and cache status in its answer, by the failure of its stream.
 ATTEMPT_RESULTS = {
     Failure.FULL: (AttemptResult.FULL, CacheStatus.UNKNOWN),
-    Failure.NO_PLACE: (AttemptResult.FULL, CacheStatus.NO_PLACE),
+    Failure.NO_PLACE: (AttemptResult.FULL, CacheStatus.FILL_LIMIT_REACHED),
     Failure.UNREACHABLE: (AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN),
     Failure.LACKING: (AttemptResult.MISS, CacheStatus.UNKNOWN),
     Failure.ERROR: (AttemptResult.ERROR, CacheStatus.UNKNOWN),
     Failure.BROKEN: (AttemptResult.BROKEN, CacheStatus.UNKNOWN),
     Failure.SOURCE_REFUSED: (AttemptResult.FULL, CacheStatus.SOURCE_REFUSED),
     Failure.SOURCE_UNREACHABLE: (AttemptResult.FULL, CacheStatus.SOURCE_FAILED),
-    Failure.SOURCE_LACKING: (AttemptResult.MISS, CacheStatus.SOURCE_LACKS),
+    Failure.SOURCE_LACKING: (AttemptResult.MISS, CacheStatus.SOURCE_MISS),
     Failure.SOURCE_FAILED: (AttemptResult.ERROR, CacheStatus.SOURCE_FAILED),
     Failure.SLOW: (AttemptResult.ERROR, CacheStatus.SOURCE_FAILED),
     Failure.ORIGIN: (AttemptResult.ERROR, CacheStatus.ORIGIN_FAILED),
@@ -170,9 +170,9 @@
             arrival.group,
             open_request.work,
             action.source,
-            action.keep,
+            action.retention_rank,
             action.max_age,
-            action.join and self.world.site.may_join_fills,
+            action.may_join_fill and self.world.site.may_join_fills,
             action.revalidate,
             action.only_if_cached,
         )
--- a/brackenlane/lab/simulation/slow_start.py
+++ b/brackenlane/lab/simulation/slow_start.py
@@ -44,10 +44,10 @@
         if share >= 1:
             return None
         self._recent.append((now, work, notified))
-        while self._recent[0][0] < now - self._rule.span:
+        while self._recent[0][0] < now - self._rule.overload_duration:
             self._recent.popleft()
         received = sum(work for _, work, _ in self._recent)
-        budget = self._rule.factor * self._width * share * self._rule.span
+        budget = self._rule.overload_factor * self._width * share * self._rule.overload_duration
         if received <= budget + RANDOM_MARGIN * (math.sqrt(budget * mean_work) + mean_work):
             return None
         return sum(work for _, work, notified in self._recent if notified) / received
--- a/brackenlane/lifecycle.py
+++ b/brackenlane/lifecycle.py
@@ -169,21 +169,21 @@
     await trio.sleep(limits.shutdown_accept_time)
     with trio.move_on_after(limits.shutdown_response_timeout) as last_answers:
         await _close_listeners(front, limits.accept_pause)
-        front.leave()
-        await front.emptied()
+        front.start_draining()
+        await front.wait_until_closed()
     if last_answers.cancelled_caught:  # time is up: reject the rest, which is better than no answer
-        front.leave()
-        front.finish()
+        front.start_draining()
+        front.reject_open_requests()
         with trio.move_on_after(limits.shutdown_reject_timeout):
-            await front.emptied()
+            await front.wait_until_closed()
 
 
 async def _close_listeners(front: HttpFront, pause: float) -> None:
     """Stop accepting connections; if system resources are short, retry after a pause until it succeeds."""
-    are_closed = front.shut()
+    are_closed = front.stop_accepting()
     while not are_closed:
         await trio.sleep(pause)
-        are_closed = front.shut()
+        are_closed = front.stop_accepting()
 
 
 def _detach_socket(listener: trio.SocketListener) -> socket.socket:
--- a/brackenlane/limits.py
+++ b/brackenlane/limits.py
@@ -117,7 +117,8 @@
     max_change_log_frame: int = 1_048_576  # frame size; a larger frame closes the connection
     # Open connections, of which at most one is not silent; the one opened first is closed.
     max_change_log_connections: int = 4
-    change_log_connect_patience: float = 0.8  # time to connect; then a second connection attempt is started
+    # Time to connect; then a second connection attempt is started.
+    change_log_connection_attempt_delay: float = 0.8
     change_log_connect_timeout: float = 4.0  # time to connect; then the connection attempt has failed
     # Time without a byte, though the log sends one each second; then another connection is opened.
     change_log_silence_timeout: float = 2.0
--- a/brackenlane/net/admission_queue.py
+++ b/brackenlane/net/admission_queue.py
@@ -92,17 +92,17 @@
             connection, _ = taken
             self._call_guarded(connection, connection.reject, now)
 
-    def hold_off(self, now: float) -> float:
+    def retry_after(self, now: float) -> float:
         """Return the seconds after which a client that is rejected now may retry."""
-        return max(HOLD_OFF_STEP, min(self.admission.hold_off(now), self._context.limits.max_client_wait))
+        return max(HOLD_OFF_STEP, min(self.admission.retry_after(now), self._context.limits.max_client_wait))
 
-    def encode_rejection(self, hold_off: float = 0.0) -> EncodedResponse:
-        """Encode a rejection; hold_off: seconds before the client may retry, 0 for `Limits.retry_after`."""
-        return self._encoder.encode_rejection(hold_off)
+    def encode_rejection(self, retry_after: float = 0.0) -> EncodedResponse:
+        """Encode a rejection; retry_after: seconds until the client may retry, 0 for `Limits.retry_after`."""
+        return self._encoder.encode_rejection(retry_after)
 
     def prepare_rejection(self, now: float) -> bytes:
         """Return a complete rejection as bytes, encoded once for each hold-off time."""
-        steps = math.ceil(self.hold_off(now) / HOLD_OFF_STEP)
+        steps = math.ceil(self.retry_after(now) / HOLD_OFF_STEP)
         if steps not in self._rejections:
             status, headers, body = self.encode_rejection(steps * HOLD_OFF_STEP)
             self._rejections[steps] = encode_answer(status, headers, body, False) + body
--- a/brackenlane/net/answer_encoder.py
+++ b/brackenlane/net/answer_encoder.py
@@ -19,11 +19,11 @@
         """Encode a final answer; the retry headers depend on the site's `max_hold_off` setting."""
         return encode_final_answer(answer, self._core.settings.max_hold_off)
 
-    def encode_rejection(self, hold_off: float = 0.0) -> EncodedResponse:
+    def encode_rejection(self, retry_after: float = 0.0) -> EncodedResponse:
         """Encode a rejection made by the front.
 
-        hold_off: seconds before the client may retry; 0 for `Limits.retry_after`.
+        retry_after: seconds before the client may retry; 0 for `Limits.retry_after`.
         """
         return self.encode_answer(
-            Answer(Disposition.REJECTED, hold_off=hold_off or self._context.limits.retry_after)
+            Answer(Disposition.REJECTED, retry_after=retry_after or self._context.limits.retry_after)
         )
--- a/brackenlane/net/cache_codec.py
+++ b/brackenlane/net/cache_codec.py
@@ -30,8 +30,8 @@
     "stale": CacheStatus.STALE,
     "src_refused": CacheStatus.SOURCE_REFUSED,
     "src_broke": CacheStatus.SOURCE_FAILED,
-    "src_lacks": CacheStatus.SOURCE_LACKS,
-    "no_slot": CacheStatus.NO_PLACE,
+    "src_lacks": CacheStatus.SOURCE_MISS,
+    "no_slot": CacheStatus.FILL_LIMIT_REACHED,
     "origin_failed": CacheStatus.ORIGIN_FAILED,
 }
 REPORT_SEPARATOR = ";"
@@ -125,14 +125,14 @@
         fields["uniq"] = idempotency_key
     if fetch.source != fetch.server:
         fields["miss"] = fetch.source
-    if fetch.keep:
-        fields["prio"] = str(fetch.keep)
+    if fetch.retention_rank:
+        fields["prio"] = str(fetch.retention_rank)
     if max_age > 0:
         fields["within"] = str(max(1, int(max_age * MS_PER_S)))
     modes = [
         mode
         for mode, is_wanted in (
-            ("coalesce", fetch.join),
+            ("coalesce", fetch.may_join_fill),
             ("shallow", fetch.only_if_cached),
             ("freshen", fetch.revalidate),
         )
@@ -165,7 +165,7 @@
         self._head: tuple[str, str, dict[str, str], int] | None = None
 
     @property
-    def partial(self) -> bool:
+    def is_partial(self) -> bool:
         """Whether a response has been received in part."""
         return bool(self._buffer) or self._head is not None
 
--- a/brackenlane/net/cache_connection.py
+++ b/brackenlane/net/cache_connection.py
@@ -125,7 +125,7 @@
                 self.close()
                 return
             self._blocked_since = steady_time()
-            self._context.poller.want(self._sock.fileno(), READ | WRITE)
+            self._context.poller.set_events(self._sock.fileno(), READ | WRITE)
 
     def _has_written_attempt(self) -> bool:
         return any(dispatched.attempt.written for dispatched in self._in_flight.values())
@@ -189,7 +189,7 @@
             return b""
         request = attempt.request
         return cache_codec.encode_get(
-            request.wire_id,
+            request.client_request_id,
             request.arrival,
             attempt.fetch,
             remaining,
@@ -276,7 +276,7 @@
                 self._receive()
             if events & WRITE and self.is_open:
                 self._blocked_since = 0.0
-                self._context.poller.want(self._sock.fileno(), READ)
+                self._context.poller.set_events(self._sock.fileno(), READ)
                 self._flush()
         except Exception:  # attempts on this connection fail; other connections are not affected
             log.exception("unexpected error on a connection to a cache")
@@ -290,7 +290,7 @@
                 return
             data = b""
         if not data:
-            if self._parser.partial:
+            if self._parser.is_partial:
                 log.warning("connection closed by the cache mid-response, %d requests in flight", self.load)
             self.close()
             return
@@ -315,7 +315,7 @@
 
     def _track_open_response(self, any_complete: bool) -> None:
         """Update the time since which a response has been incomplete."""
-        if not self._parser.partial:
+        if not self._parser.is_partial:
             self._response_began_at = 0.0
         elif any_complete or not self._response_began_at:
             self._response_began_at = self._last_activity
--- a/brackenlane/net/change_log.py
+++ b/brackenlane/net/change_log.py
@@ -12,8 +12,8 @@
 
 from brackenlane.clock import steady_time
 from brackenlane.config import Endpoint, Site
-from brackenlane.core.stamp_ages import StampAges
 from brackenlane.core.timers import Timer, Timers
+from brackenlane.core.timestamp_ages import TimestampAges
 from brackenlane.limits import Limits
 from brackenlane.net.change_log_codec import Change, Frame, read_frame
 from brackenlane.net.change_log_connection import ChangeLogConnection
@@ -44,7 +44,7 @@
             return
         if isinstance(event, Membership):
             gone = {member.server for member in event.members if member.state is ServerState.GONE}
-            self._pools.follow(change.endpoints, gone, event.kind is MembershipKind.FULL)
+            self._pools.update_servers(change.endpoints, gone, event.kind is MembershipKind.FULL)
         self._notify(event)
         if isinstance(event, Membership):
             self._pools.recheck()
@@ -99,7 +99,7 @@
         self._timers = timers
         self._random = random_source
         self.counters = ChangeLogCounters()
-        self._purge_ages = StampAges()
+        self._purge_ages = TimestampAges()
         self._connections: list[ChangeLogConnection] = []  # oldest first
         self._active_connection: ChangeLogConnection | None = None  # the one that last delivered data
         self._connection_numbers = itertools.count(1)
@@ -200,7 +200,7 @@
         )
         self._connections.append(connection)
         self.counters.connections += 1
-        self._wait_for_bytes(self._limits.change_log_connect_patience)
+        self._wait_for_bytes(self._limits.change_log_connection_attempt_delay)
         connection.start(self._source.endpoint)
 
     def _open_another(self) -> None:
@@ -243,7 +243,7 @@
         if self._timer:
             self._timer.cancel()
         self._timer_due_at = self._next_connection_at
-        self._timer = self._timers.at(self._timer_due_at, self._on_timer)
+        self._timer = self._timers.call_at(self._timer_due_at, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
--- a/brackenlane/net/change_log_codec.py
+++ b/brackenlane/net/change_log_codec.py
@@ -89,7 +89,7 @@
     return Purged(obj, group, max(0.0, now - purged_at), purged_at)
 
 
-def read_known(known: dict[str, Any], site: Site, now: float) -> Iterator[Change]:
+def read_configured_changes(known: dict[str, Any], site: Site, now: float) -> Iterator[Change]:
     """Yield the changes contained in the configuration. now: Unix time. Raises ChangeLogFormatError."""
     try:
         for entry in known.get("results", ()):
--- a/brackenlane/net/change_log_connection.py
+++ b/brackenlane/net/change_log_connection.py
@@ -122,7 +122,7 @@
             if not is_temporary(error):
                 self._fail(str(error))
                 return
-        self._poller.want(self._sock.fileno(), READ | WRITE if self._unsent_cursor else READ)
+        self._poller.set_events(self._sock.fileno(), READ | WRITE if self._unsent_cursor else READ)
 
     def _on_ready(self, _: int) -> None:
         if self._unsent_cursor:
--- a/brackenlane/net/client_connection.py
+++ b/brackenlane/net/client_connection.py
@@ -11,11 +11,17 @@
 from http import HTTPStatus
 from typing import NamedTuple, Protocol
 
-from brackenlane.admission.figures import Reason
+from brackenlane.admission.load_metrics import Reason
 from brackenlane.core.requests import PendingRequest
 from brackenlane.net.client_transport import ClientDisconnectedError, ClientTransport
 from brackenlane.net.front_context import FrontContext
-from brackenlane.net.http_codec import CONTINUE, BadRequestError, ParsedRequest, encode_answer, read_plain
+from brackenlane.net.http_codec import (
+    CONTINUE,
+    BadRequestError,
+    ParsedRequest,
+    encode_answer,
+    read_simple_get,
+)
 from brackenlane.net.poller import READ, WRITE
 from brackenlane.net.request_codec import EncodedResponse, encode_fault, queue_class
 from brackenlane.net.request_input import RequestInput
@@ -71,11 +77,11 @@
     def has_cached_response(self, target: str) -> bool:
         """Return whether the response cache can serve this target."""
 
-    def hold_off(self, now: float) -> float:
+    def retry_after(self, now: float) -> float:
         """Return the seconds after which a rejected client may retry."""
 
-    def encode_rejection(self, hold_off: float = 0.0) -> EncodedResponse:
-        """Encode a rejection; hold_off: seconds before the client may retry, 0 for `Limits.retry_after`."""
+    def encode_rejection(self, retry_after: float = 0.0) -> EncodedResponse:
+        """Encode a rejection; retry_after: seconds until the client may retry, 0 for `Limits.retry_after`."""
 
 
 class RequestHandler(Protocol):
@@ -147,7 +153,7 @@
 
     # States
 
-    def wait(self, state: ClientState) -> None:
+    def enter_state(self, state: ClientState) -> None:
         """Enter a state; during a graceful shutdown a connection without a request is closed instead."""
         if not self.is_open:
             return
@@ -208,8 +214,8 @@
         a reset, which could destroy an answer that the client has not received yet.
         """
         self._closes_after_answer = True
-        self._input.bytes_allowed = self._context.limits.max_linger_size
-        self.wait(ClientState.CLOSING)
+        self._input.unrequested_bytes_left = self._context.limits.max_linger_size
+        self.enter_state(ClientState.CLOSING)
         try:
             self._transport.end_sending()
         except ClientDisconnectedError:
@@ -264,7 +270,7 @@
             self._discard(data)
         elif self._state in (ClientState.ACTIVE, ClientState.WRITING):
             self._buffer(data)
-        elif self._state is not ClientState.READING and (simple := read_plain(data)):
+        elif self._state is not ClientState.READING and (simple := read_simple_get(data)):
             self._queue_unparsed(data, *simple)
         else:
             self._input.feed(data)
@@ -303,8 +309,8 @@
         self._enqueue(target, is_retry)
 
     def _enqueue(self, target: str, is_retry: bool) -> None:
-        self._input.bytes_allowed = self._context.limits.max_head_size
-        self.wait(ClientState.ACTIVE)
+        self._input.unrequested_bytes_left = self._context.limits.max_head_size
+        self.enter_state(ClientState.ACTIVE)
         self._class_name = queue_class(target)
         self._queue_entry = QueueEntry(self._class_name, is_retry)
         self._request_arrived_after = min(self._context.poller.earliest_arrival, self._earliest_arrival)
@@ -349,7 +355,7 @@
             self._process_input()
             return
         self._closes_after_answer = not parsed.keep_alive
-        self.answer(self._queue.encode_rejection(self._queue.hold_off(now)))
+        self.answer(self._queue.encode_rejection(self._queue.retry_after(now)))
 
     def reject_connection(self) -> None:
         """Reject a connection beyond the connection limit, before its request is received."""
@@ -359,12 +365,12 @@
 
     def _reject_unparsed(self) -> None:
         """Send the encoded rejection and keep the connection open."""
-        self._input.bytes_allowed = self._context.limits.max_head_size
+        self._input.unrequested_bytes_left = self._context.limits.max_head_size
         self._closes_after_answer = False
         self._context.metrics.count_answer(self._class_name, HTTPStatus.SERVICE_UNAVAILABLE)
         self._send(self._queue.rejection)
         if self.is_open:
-            self.wait(ClientState.WRITING if self._transport.has_unsent else ClientState.IDLE)
+            self.enter_state(ClientState.WRITING if self._transport.has_unsent else ClientState.IDLE)
 
     def _next_request(self) -> ParsedRequest | None:
         self._queue_entry = None
@@ -377,7 +383,7 @@
         elif fault := self._input.fault:
             log.warning("closing a client connection after an invalid request: %s", fault)
             self._closes_after_answer = True
-            self.wait(ClientState.ACTIVE)
+            self.enter_state(ClientState.ACTIVE)
             self.answer(encode_fault(fault))
         else:
             self._wait_for_request()
@@ -387,9 +393,9 @@
             self._send(CONTINUE)
         if self._input.is_partial:
             if self._state is not ClientState.READING:
-                self.wait(ClientState.READING)
+                self.enter_state(ClientState.READING)
         elif self._state in (ClientState.ACTIVE, ClientState.WRITING):
-            self.wait(ClientState.IDLE)
+            self.enter_state(ClientState.IDLE)
 
     # Answers
 
@@ -408,7 +414,7 @@
         if not self.is_open:
             return
         if self._transport.has_unsent:
-            self.wait(ClientState.WRITING)
+            self.enter_state(ClientState.WRITING)
         else:
             self._on_answer_sent()
 
--- a/brackenlane/net/client_transport.py
+++ b/brackenlane/net/client_transport.py
@@ -49,7 +49,7 @@
             sent = 0
         if sent < len(head) + len(body):
             self._unsent = memoryview(head + body)[sent:]
-            self._poller.want(self._sock.fileno(), READ | WRITE)
+            self._poller.set_events(self._sock.fileno(), READ | WRITE)
 
     def flush(self) -> bool:
         """Continue sending; return whether the answer is now sent completely.
@@ -66,7 +66,7 @@
         if self._unsent:
             return False
         self._unsent = memoryview(b"")  # drops the reference to the answer's memory
-        self._poller.want(self._sock.fileno(), READ)
+        self._poller.set_events(self._sock.fileno(), READ)
         return True
 
     def end_sending(self) -> None:
--- a/brackenlane/net/connection_pool.py
+++ b/brackenlane/net/connection_pool.py
@@ -35,7 +35,7 @@
         attempt.stop = dispatched.stop
         # The timeout counts from the decision to make the attempt, not from its dispatch.
         deadline = attempt.started_at + attempt.fetch.timeout
-        dispatched.timer = self._context.timers.at(deadline, dispatched.stop)
+        dispatched.timer = self._context.timers.call_at(deadline, dispatched.stop)
         self._assign(dispatched)
         return True
 
--- a/brackenlane/net/connection_pools.py
+++ b/brackenlane/net/connection_pools.py
@@ -54,7 +54,7 @@
         self._are_all_idle = False  # no response is awaited, so checks run at the longer idle interval
         self._next_check = self._schedule_check(steady_time(), limits.connection_check_interval)
 
-    def place(self, attempt: Attempt) -> bool:
+    def dispatch(self, attempt: Attempt) -> bool:
         """Dispatch an attempt to the pool of its server; return False if the pool does not accept it."""
         pool = self._pool_for(attempt.fetch.server)
         if pool is None:
@@ -74,7 +74,7 @@
             self._pools[server] = pool
         return pool
 
-    def follow(self, endpoints: dict[str, Endpoint], gone: set[str], complete: bool) -> None:
+    def update_servers(self, endpoints: dict[str, Endpoint], gone: set[str], complete: bool) -> None:
         """Update the addresses of the servers from a new or changed list.
 
         gone: servers that were removed; complete: servers missing from `endpoints` are removed as well.
@@ -118,14 +118,14 @@
     # Periodic check
 
     def _schedule_check(self, now: float, delay: float) -> Timer:
-        return self._context.timers.at(now + delay, self._check_liveness, now + delay)
+        return self._context.timers.call_at(now + delay, self._check_liveness, now + delay)
 
     def _check_liveness(self, due: float) -> None:
         """Check all connections; due: Unix time at which this check was scheduled."""
         now = steady_time()
         # Time in which this process was too slow to read does not count as silence of a cache.
         lag = max(0.0, now - due)
-        # A check may dispatch an attempt through `place`, which must not schedule a second check.
+        # A check may dispatch an attempt through `dispatch`, which must not schedule a second check.
         self._are_all_idle = False
         for pool in list(self._pools.values()):
             self._check_pool(pool, now, lag)
--- a/brackenlane/net/connection_table.py
+++ b/brackenlane/net/connection_table.py
@@ -135,7 +135,7 @@
             for connection in overdue:
                 connection.expire()
 
-    async def emptied(self) -> None:
+    async def wait_until_closed(self) -> None:
         """Wait until no connection is open."""
         while self._count:
             self._emptied = trio.Event()
--- a/brackenlane/net/connector.py
+++ b/brackenlane/net/connector.py
@@ -92,7 +92,7 @@
             self.had_local_shortage = is_shortage(error_number)
             self._finish(None)
             return
-        self._timer = self._timers.at(steady_time() + self._timeout, self._finish, None)
+        self._timer = self._timers.call_at(steady_time() + self._timeout, self._finish, None)
         try:
             self._poller.add(self._sock.fileno(), self._on_writable, WRITE, urgent=True)
         except OSError:  # epoll cannot register the socket: treated like a lack of descriptors
--- a/brackenlane/net/dispatched_attempt.py
+++ b/brackenlane/net/dispatched_attempt.py
@@ -30,7 +30,7 @@
 
     def __init__(self, attempt: Attempt, report: ReportReply) -> None:
         self.attempt = attempt
-        self.id = attempt.request.wire_id
+        self.id = attempt.request.client_request_id
         self.sent_at = 0.0  # Unix time at which its first byte was written
         self.carrier: AttemptCarrier | None = None
         self.timer: Timer | None = None
--- a/brackenlane/net/front_context.py
+++ b/brackenlane/net/front_context.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from brackenlane.admission.figures import Figures
+from brackenlane.admission.load_metrics import LoadMetrics
 from brackenlane.core.metrics import RequestMetrics
 from brackenlane.limits import Limits
 from brackenlane.net.drain_state import DrainState
@@ -18,5 +18,5 @@
     limits: Limits
     poller: Poller
     metrics: RequestMetrics
-    figures: Figures = field(default_factory=Figures)
+    figures: LoadMetrics = field(default_factory=LoadMetrics)
     drain: DrainState = field(default_factory=DrainState)
--- a/brackenlane/net/http_codec.py
+++ b/brackenlane/net/http_codec.py
@@ -69,7 +69,7 @@
     return STATUS_LINES[status] + lines + length + (b"Connection: close\r\n\r\n" if close else b"\r\n")
 
 
-def read_plain(data: bytes) -> tuple[str, bool] | None:
+def read_simple_get(data: bytes) -> tuple[str, bool] | None:
     """Return the target and the retry mark of a simple request, which can be rejected unparsed.
 
     Returns None if the request must be parsed. A simple request is a single complete GET without Content-*,
@@ -101,7 +101,7 @@
         self._begin()
         self._in_head = False
         self._message_began = False  # a message began within the bytes that were fed last
-        self.partial = False  # a request was received in part
+        self.is_partial = False  # a request was received in part
         self.fault: BadRequestError | None = None
         self.wants_continue = False  # the client waits for 100 Continue before it sends its body
 
@@ -119,8 +119,8 @@
 
     def _feed(self, data: bytes) -> bytes:
         """Parse bytes; return the remaining bytes if they have to be fed to a new parser."""
-        if not self.partial:
-            self.partial = True
+        if not self.is_partial:
+            self.is_partial = True
             self._in_head = True
             self._head_size = 0
         self._message_began = False
@@ -162,7 +162,7 @@
     def on_message_begin(self) -> None:
         """Start a new request."""
         self._begin()
-        self.partial = True
+        self.is_partial = True
         self._in_head = True
         self._message_began = True
 
@@ -216,7 +216,7 @@
 
     def on_message_complete(self) -> None:
         """Add the request to the complete ones."""
-        self.partial = False
+        self.is_partial = False
         self.wants_continue = False
         self._complete.append(
             ParsedRequest(
--- a/brackenlane/net/http_front.py
+++ b/brackenlane/net/http_front.py
@@ -36,13 +36,13 @@
         poller: Poller,
         claims: ClaimStore | None = None,
         nursery: trio.Nursery | None = None,
-        counts: RequestMetrics | None = None,
+        metrics: RequestMetrics | None = None,
     ) -> None:
         """Create the components; if claims are given, they need a nursery to run in."""
         self._core = core
         self.poller = poller
-        self.counts = counts or RequestMetrics(c.name for c in core.settings.classes)
-        self._context = FrontContext(limits, poller, self.counts)
+        self.metrics = metrics or RequestMetrics(c.name for c in core.settings.classes)
+        self._context = FrontContext(limits, poller, self.metrics)
         self.figures = self._context.figures
         encoder = AnswerEncoder(core, self._context)
         self.table = ConnectionTable(self._context)
@@ -64,17 +64,21 @@
         return self.table.active
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether clients are accepted and can be served."""
-        return self.listener.is_open and self._core.membership.has_list and not self._context.drain.is_closing
+        return (
+            self.listener.is_open
+            and self._core.membership.has_cache_list
+            and not self._context.drain.is_closing
+        )
 
     @property
-    def ready(self) -> Callable[[], bool]:
+    def is_ready(self) -> Callable[[], bool]:
         """Additional condition of the health check, which also requires a cache list."""
         return self.intake.is_ready
 
-    @ready.setter
-    def ready(self, is_ready: Callable[[], bool]) -> None:
+    @is_ready.setter
+    def is_ready(self, is_ready: Callable[[], bool]) -> None:
         self.intake.is_ready = is_ready
 
     @property
@@ -116,32 +120,32 @@
 
     # Graceful shutdown, in the order of its steps
 
-    def shut(self) -> bool:
+    def stop_accepting(self) -> bool:
         """Stop accepting clients; accepted ones are still served. Return False to be called again later."""
-        return self.listener.shut()
+        return self.listener.stop_accepting()
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """Close idle connections now and all others after their current answer."""
         self._context.drain.is_closing = True
         self.table.close_idle_connections()
 
-    def finish(self) -> None:
+    def reject_open_requests(self) -> None:
         """Reject all queued requests and those in flight, and from now on every new one."""
         self.listener.close()
         self._context.drain.is_finished = True
-        self._core.end_all()
+        self._core.finish_all_requests()
         self.queue.reject_all(steady_time())
         self.intake.reject_all()
 
-    async def emptied(self) -> None:
+    async def wait_until_closed(self) -> None:
         """Wait until no connection is open."""
-        await self.table.emptied()
+        await self.table.wait_until_closed()
 
     # Periodic check of deadlines
 
     def _schedule_check(self, now: float) -> None:
         due = now + self.limits.client_check_interval
-        self._core.timers.at(due, self._check_deadlines, due)
+        self._core.timers.call_at(due, self._check_deadlines, due)
 
     def _check_deadlines(self, due: float) -> None:
         """Close the connections whose deadlines have passed, and log overload."""
--- a/brackenlane/net/listener.py
+++ b/brackenlane/net/listener.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Iterable
 
-from brackenlane.admission.figures import Reason
+from brackenlane.admission.load_metrics import Reason
 from brackenlane.clock import steady_time
 from brackenlane.core.timers import Timers
 from brackenlane.net.client_connection import ClientConnection, ClientState, ConnectionServices
@@ -51,7 +51,7 @@
             self._sockets.append(listening)
             self._context.poller.add(listening.fileno(), functools.partial(self._on_ready, listening))
 
-    def shut(self) -> bool:
+    def stop_accepting(self) -> bool:
         """Accept the clients in the backlogs, then close the listening sockets; return whether that is done.
 
         The kernel has already completed the connections in a backlog, and closing the socket would reset
@@ -107,7 +107,7 @@
         client = ClientConnection(sock, self._services)
         self._context.poller.add(sock.fileno(), client.on_ready)
         self._table.add()
-        client.wait(ClientState.NEW)
+        client.enter_state(ClientState.NEW)
         if is_rejected:  # an answer is sent, because a connection closed without one gives no reason
             self._context.figures.count_rejected(Reason.FULL)
             client.reject_connection()
@@ -149,7 +149,7 @@
             if failures + 1 < MAX_POLL_ADD_ATTEMPTS and has_room:
                 self._unpolled_count += 1
                 pause = min(FIRST_ACCEPT_PAUSE * 2**failures, self._context.limits.accept_pause)
-                self._timers.at(steady_time() + pause, self._retry, sock, earliest_arrival, failures + 1)
+                self._timers.call_at(steady_time() + pause, self._retry, sock, earliest_arrival, failures + 1)
                 return
             log.warning("client connection closed: its socket cannot be polled: %s", error.strerror)
             sock.close()
@@ -165,11 +165,11 @@
         """
         self.shortages += 1
         self._waiting_since = self._earliest_arrival()
-        self._context.poller.want(listening.fileno(), 0)
-        self._timers.at(steady_time() + self._accept_pause, self._resume, listening)
+        self._context.poller.set_events(listening.fileno(), 0)
+        self._timers.call_at(steady_time() + self._accept_pause, self._resume, listening)
         # The first pause is short, because a shortage may end at once and request deadlines are running.
         self._accept_pause = min(2 * self._accept_pause, self._context.limits.accept_pause)
 
     def _resume(self, listening: socket.socket) -> None:
         if listening in self._sockets:
-            self._context.poller.want(listening.fileno(), READ)
+            self._context.poller.set_events(listening.fileno(), READ)
--- a/brackenlane/net/poller.py
+++ b/brackenlane/net/poller.py
@@ -49,11 +49,11 @@
     longer polled.
     """
 
-    def __init__(self, batch: int, alone: bool = False) -> None:
+    def __init__(self, batch: int, blocks_thread: bool = False) -> None:
         """Create an empty poller.
 
         batch: maximum number of events of clients handled in one round.
-        alone: no other trio task waits on a socket, so the poller blocks in its own epoll.
+        blocks_thread: no other trio task waits on a socket, so the poller blocks in its own epoll.
         """
         self.round_callbacks: list[Callable[[], bool]] = []
         """Called once in each round, for work that belongs to no socket.
@@ -66,7 +66,7 @@
         self.earliest_arrival = self.polled_at
         self._last_ran_at = self.polled_at  # Unix time at which the process was last known to run
         self._batch = batch
-        self._alone = alone
+        self._alone = blocks_thread
         # Urgent sockets are registered with both epolls: they can be polled separately, and a wait on `_all`
         # covers all sockets.
         self._all = select.epoll()
@@ -88,7 +88,7 @@
             raise
         self._registered[fd] = Registration(urgent, handler)
 
-    def want(self, fd: int, events: int) -> None:
+    def set_events(self, fd: int, events: int) -> None:
         """Change the events for which a socket is polled; if memory is short, retried in the next round."""
         self._unapplied_events.pop(fd, None)
         try:
@@ -102,7 +102,7 @@
 
     def _retry_unapplied_events(self) -> None:
         for fd, events in list(self._unapplied_events.items()):
-            self.want(fd, events)
+            self.set_events(fd, events)
 
     def remove(self, fd: int) -> None:
         """Stop polling a socket; call it before the socket is closed."""
@@ -120,7 +120,7 @@
         try:
             while True:
                 await self._wait()
-                while self.turn():
+                while self.run_round():
                     await trio.lowlevel.checkpoint()  # lets the tasks for drains, purges and signals run
         finally:
             self._registered.clear()  # `remove` does nothing for sockets that are closed later
@@ -157,7 +157,7 @@
         """Handle the urgent sockets that are ready now."""
         self._handle(self._urgent, URGENT_BATCHES * self._batch)
 
-    def turn(self) -> bool:
+    def run_round(self) -> bool:
         """Run one round (urgent sockets, a batch of all, callbacks); return whether more may be ready."""
         if self._unapplied_events:
             self._retry_unapplied_events()
--- a/brackenlane/net/request_codec.py
+++ b/brackenlane/net/request_codec.py
@@ -147,20 +147,20 @@
         case Disposition.UNCHANGED:
             return EncodedResponse(HTTPStatus.NOT_MODIFIED.value, etag, b"")
         case Disposition.REJECTED:
-            headers = _encode_hold_off(answer.hold_off, max_hold_off)
+            headers = _encode_hold_off(answer.retry_after, max_hold_off)
             return EncodedResponse(HTTPStatus.SERVICE_UNAVAILABLE.value, headers, REJECTED_BODY)
     status = HTTPStatus.GATEWAY_TIMEOUT if answer.deadline_exceeded else HTTPStatus.BAD_GATEWAY
     return EncodedResponse(status.value, {}, FAILED_BODY)
 
 
-def _encode_hold_off(hold_off: float, max_hold_off: float) -> Headers:
+def _encode_hold_off(retry_after: float, max_hold_off: float) -> Headers:
     """Encode the time after which a rejected client may retry.
 
     Retry-After is in whole seconds for any HTTP client (RFC 9110, 10.2.3). X-Throttle-Ms is in milliseconds;
     it is added if the site's clients support it, and limited to the longest wait that they accept.
     """
-    headers = {"Retry-After": str(max(1, math.ceil(hold_off)))}
-    if max_hold_off and hold_off > 0:
-        milliseconds = math.floor(MS_PER_SECOND * min(hold_off, max_hold_off))
+    headers = {"Retry-After": str(max(1, math.ceil(retry_after)))}
+    if max_hold_off and retry_after > 0:
+        milliseconds = math.floor(MS_PER_SECOND * min(retry_after, max_hold_off))
         headers["X-Throttle-Ms"] = str(max(1, milliseconds))
     return headers
--- a/brackenlane/net/request_input.py
+++ b/brackenlane/net/request_input.py
@@ -12,14 +12,14 @@
     A simple GET is held unparsed, so that rejecting it does not cost a run of the parser.
     """
 
-    __slots__ = ("_parser", "_unparsed", "bytes_allowed", "has_overflowed", "target")
+    __slots__ = ("_parser", "_unparsed", "has_overflowed", "target", "unrequested_bytes_left")
 
     def __init__(self, limits: Limits) -> None:
         self._parser = RequestParser(limits)
         self._unparsed = b""
         self.target = ""  # target of the unparsed request; "" if there is none or bytes follow it
         # Bytes that the client may still send before its answer is sent, or before this side closes.
-        self.bytes_allowed = 0
+        self.unrequested_bytes_left = 0
         self.has_overflowed = False  # the bytes after a request exceeded the limit and were discarded
 
     @property
@@ -35,7 +35,7 @@
     @property
     def is_partial(self) -> bool:
         """Whether a request was received in part."""
-        return self._parser.partial
+        return self._parser.is_partial
 
     def feed(self, data: bytes) -> None:
         """Parse bytes."""
@@ -59,8 +59,8 @@
 
     def count_unrequested(self, data: bytes) -> bool:
         """Count bytes that the client sent before its answer; return whether the limit is reached."""
-        self.bytes_allowed -= len(data)
-        return self.bytes_allowed <= 0
+        self.unrequested_bytes_left -= len(data)
+        return self.unrequested_bytes_left <= 0
 
     def discard_unparsed(self) -> None:
         """Discard the request that is held unparsed."""
--- a/brackenlane/net/request_intake.py
+++ b/brackenlane/net/request_intake.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from brackenlane.admission.figures import Reason
+from brackenlane.admission.load_metrics import Reason
 from brackenlane.clock import steady_time
 from brackenlane.core.claims import ClaimResult, ClaimStore
 from brackenlane.core.engine import RequestEngine
@@ -72,7 +72,9 @@
         if self._context.drain.is_finished:
             client.answer(self._encoder.encode_rejection())
             return
-        request = read_request(parsed, self._classes, self._context.limits, self._core.new_id(), since)
+        request = read_request(
+            parsed, self._classes, self._context.limits, self._core.new_request_id(), since
+        )
         time_left = request.deadline - steady_time()
         if time_left <= 0:
             self._context.figures.count_rejected(Reason.LATE)
@@ -102,19 +104,21 @@
     def _answer_health_check(self, client: ClientConnection, parsed: ParsedRequest) -> None:
         if parsed.method != "GET":
             raise BadRequestError(HTTPStatus.METHOD_NOT_ALLOWED, "health takes GET", {"Allow": "GET"})
-        is_ready = self._core.membership.has_list and not self._context.drain.is_closing and self.is_ready()
+        is_ready = (
+            self._core.membership.has_cache_list and not self._context.drain.is_closing and self.is_ready()
+        )
         client.answer(HEALTHY_RESPONSE if is_ready else NOT_READY_RESPONSE)
 
     def _claim_in_router(self, request: PendingRequest) -> ClaimResult:
         """Check a request for duplicates in this process, and claim a write among the router's processes."""
-        if request.wire_id in self._clients_by_request or request.wire_id in self.writes:
+        if request.client_request_id in self._clients_by_request or request.client_request_id in self.writes:
             return ClaimResult.TAKEN
         if request.must_run_once:
-            return self.writes.claim(request.wire_id)
+            return self.writes.claim(request.client_request_id)
         return ClaimResult.OURS
 
     def _start(self, client: ClientConnection, request: PendingRequest) -> None:
-        self._clients_by_request[request.wire_id] = client
+        self._clients_by_request[request.client_request_id] = client
         client.request = request
         request.is_client_connected = client.is_client_connected
         request.on_answer = functools.partial(self._answer, client, request)
@@ -127,7 +131,7 @@
         self, client: ClientConnection, request: PendingRequest, claims: ClaimStore
     ) -> None:
         """Submit a write that other routers may also receive, after claiming it in the shared store."""
-        claim = await claims.claim(request.wire_id)
+        claim = await claims.claim(request.client_request_id)
         if client.request is not request:
             return  # the client has disconnected; its claim is kept as if the write had run, which is safe
         time_left = request.deadline - steady_time()
@@ -147,12 +151,12 @@
         self, client: ClientConnection, request: PendingRequest, claims: ClaimStore, answer: Answer
     ) -> None:
         if answer.disposition is Disposition.REJECTED and self._nursery:
-            self._nursery.start_soon(claims.release, request.wire_id)
+            self._nursery.start_soon(claims.release, request.client_request_id)
         self._answer(client, request, answer)
 
     def _reject(self, client: ClientConnection, request: PendingRequest) -> None:
-        hold_off = self._context.limits.retry_after
-        self._answer(client, request, Answer(Disposition.REJECTED, hold_off=hold_off))
+        retry_after = self._context.limits.retry_after
+        self._answer(client, request, Answer(Disposition.REJECTED, retry_after=retry_after))
 
     def _answer(self, client: ClientConnection, request: PendingRequest, answer: Answer) -> None:
         self._finish(request, answer.disposition is Disposition.REJECTED)
@@ -164,5 +168,5 @@
             client.close()
 
     def _finish(self, request: PendingRequest, is_rejected: bool) -> None:
-        self._clients_by_request.pop(request.wire_id, None)
+        self._clients_by_request.pop(request.client_request_id, None)
         self.writes.finish(request, is_rejected)
--- a/brackenlane/net/write_record.py
+++ b/brackenlane/net/write_record.py
@@ -32,8 +32,8 @@
         if not request.must_run_once:
             return
         if is_rejected:
-            self.release(request.wire_id)
+            self.release(request.client_request_id)
             return
-        self._ids[request.wire_id] = None
+        self._ids[request.client_request_id] = None
         if len(self._ids) > self._context.limits.max_remembered_submits:
             self._ids.popitem(last=False)
--- a/brackenlane/observe/__init__.py
+++ b/brackenlane/observe/__init__.py
@@ -1,4 +1,4 @@
 """Logging of the router: line format and rate limit.
 
-It makes no decisions and adds no latency to requests. Entry point: `throttle.Throttle`.
+It makes no decisions and adds no latency to requests. Entry point: `log_rate_limiter.LogRateLimiter`.
 """
--- a/brackenlane/observe/throttle.py
+++ b/brackenlane/observe/log_rate_limiter.py
@@ -18,7 +18,7 @@
     count: int = 1
 
 
-class Throttle(logging.Filter):
+class LogRateLimiter(logging.Filter):
     """Log filter that passes at most `max_lines` lines of one kind per window of `window` seconds.
 
     A kind is a logger and a format string. The first line after a window reports how many were suppressed.
--- a/brackenlane/ops/admin_api.py
+++ b/brackenlane/ops/admin_api.py
@@ -74,12 +74,12 @@
     def _pause_accepting(self) -> None:
         """Stop polling the listener for a while; otherwise a pending connection would make the loop spin."""
         assert self._listener is not None
-        self.poller.want(self._listener.fileno(), 0)
-        self._timers.at(steady_time() + self._accept_pause, self._resume_accepting)
+        self.poller.set_events(self._listener.fileno(), 0)
+        self._timers.call_at(steady_time() + self._accept_pause, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
         assert self._listener is not None
-        self.poller.want(self._listener.fileno(), READ)
+        self.poller.set_events(self._listener.fileno(), READ)
 
     def _close_for_new_connection(self) -> None:
         """Close the oldest answered connection, or the oldest one if none is answered.
@@ -102,7 +102,7 @@
         for connection, deadline in list(self._deadlines.items()):
             if deadline < now:
                 connection.close()
-        self._timers.at(now + self._connection_timeout / EXPIRY_CHECKS_PER_TIMEOUT, self._close_expired)
+        self._timers.call_at(now + self._connection_timeout / EXPIRY_CHECKS_PER_TIMEOUT, self._close_expired)
 
 
 class AdminConnection:
@@ -185,7 +185,7 @@
             sent = 0
         self._unsent = self._unsent[sent:]
         if self._unsent:
-            self._api.poller.want(self._sock.fileno(), READ | WRITE)
+            self._api.poller.set_events(self._sock.fileno(), READ | WRITE)
         elif self.is_answered:
-            self._api.poller.want(self._sock.fileno(), READ)
+            self._api.poller.set_events(self._sock.fileno(), READ)
             self._sock.shutdown(socket.SHUT_WR)
--- a/brackenlane/ops/handover.py
+++ b/brackenlane/ops/handover.py
@@ -49,7 +49,7 @@
         self._state = HandoverState.ALONE
         self.read_failures = 0
         handover_log.on_record = self._on_record
-        engine.membership.catch_up = self._catch_up
+        engine.membership.apply_pending_updates = self._catch_up
         claims = SubmitClaims(handover_log)
         front.claim = claims.claim
         front.release = claims.release
@@ -69,7 +69,7 @@
 
     def close(self) -> None:
         """Close the log, as this process terminates; the other processes detect that immediately."""
-        self._engine.membership.catch_up = lambda: None
+        self._engine.membership.apply_pending_updates = lambda: None
         self._handover_log.close()
 
     def _on_record(self, record: HandoverRecord) -> None:
@@ -95,7 +95,7 @@
 
     def _check_periodically(self) -> None:
         """Read the log, compact it if it has grown, and check which processes are alive."""
-        self._engine.timers.at(steady_time() + self._check_interval, self._check_periodically)
+        self._engine.timers.call_at(steady_time() + self._check_interval, self._check_periodically)
         self._catch_up()
         self._handover_log.compact()
         self._update_state()
@@ -136,5 +136,5 @@
         if member.role is Role.ORIGIN or member.started_at <= 0:
             return False
         settings = self._engine.settings
-        slow_start = settings.parent_cold if member.role is Role.PARENT else settings.edge_cold
+        slow_start = settings.parent_slow_start if member.role is Role.PARENT else settings.edge_slow_start
         return now - member.started_at < slow_start.ramp
--- a/brackenlane/platform_router.py
+++ b/brackenlane/platform_router.py
@@ -22,7 +22,7 @@
 from brackenlane.lifecycle import SignalWatcher, open_listening_socket, serve_until_signal
 from brackenlane.limits import Limits
 from brackenlane.net.change_log import ChangeApplier, ChangeLogClient, ChangeLogSource
-from brackenlane.net.change_log_codec import Change, ChangeLogFormatError, read_known
+from brackenlane.net.change_log_codec import Change, ChangeLogFormatError, read_configured_changes
 from brackenlane.net.connection_pools import ConnectionPools
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
@@ -75,13 +75,15 @@
 
 async def serve(config: Config, limits: Limits) -> None:
     """Run a router until it has shut down after SIGTERM."""
-    poller = Poller(limits.max_poll_events, alone=True)
+    poller = Poller(limits.max_poll_events, blocks_thread=True)
     with SignalWatcher(poller, signal.SIGHUP) as sighups:
         async with trio.open_nursery() as nursery:
             parts = build(config, limits, poller)
             nursery.start_soon(parts.engine.run)
             nursery.start_soon(poller.run)
-            parts.change_log.start(read_known(config.known, config.site, steady_time()), config.cursor)
+            parts.change_log.start(
+                read_configured_changes(config.known, config.site, steady_time()), config.cursor
+            )
             nursery.start_soon(Reloader(config, parts).run, sighups)
             _check_clock(parts)
             await _serve_clients(config, parts)
@@ -94,21 +96,21 @@
     """Check for steps of the wall clock, and schedule the next check."""
     parts.clock_steps.check()
     interval = parts.front.limits.clock_check_interval
-    parts.engine.timers.at(steady_time() + interval, _check_clock, parts)
+    parts.engine.timers.call_at(steady_time() + interval, _check_clock, parts)
 
 
 def build(config: Config, limits: Limits, poller: Poller) -> RouterParts:
     """Create the components, and open the admin API if one is configured. Raises ConfigError."""
     engine = RequestEngine(
         _engine_config(config, limits),
-        lambda attempt: pools.place(attempt),
+        lambda attempt: pools.dispatch(attempt),
     )
-    engine.timers.before_round = poller.handle_urgent
+    engine.timers.before_due_calls = poller.handle_urgent
     counts = RequestMetrics(cls.name for cls in config.settings.classes)
     pools = ConnectionPools(
         engine.membership, limits, config.settings, engine.report, poller, engine.timers, counts.count_attempt
     )
-    front = HttpFront(engine, limits, poller, counts=counts)
+    front = HttpFront(engine, limits, poller, metrics=counts)
     handover_log = open_handover_log(config, limits) if config.admin else None
     orders = MaintenanceOrders(engine, limits.max_taken_out_servers, handover_log)
     handover = Handover(engine, front, limits, handover_log, orders) if handover_log else None
@@ -126,8 +128,8 @@
 
     if config.admin:
         routes = AdminRoutes(
-            is_serving=lambda: front.serves,
-            metrics=lambda: orders.metrics(front.counts, front.active, fault_counts()),
+            is_serving=lambda: front.is_serving,
+            metrics=lambda: orders.metrics(front.metrics, front.active, fault_counts()),
             order=orders.order,
         )
         admin_api = AdminApi(poller, engine.timers, limits, routes)
@@ -218,7 +220,7 @@
             new = load_config()
             self._check_addresses(new)
             # Validate the whole file before any part of it is applied.
-            known = list(read_known(new.known, new.site, steady_time()))
+            known = list(read_configured_changes(new.known, new.site, steady_time()))
             self._reconfigure(new)
         except (ConfigError, ChangeLogFormatError) as error:
             log.warning("SIGHUP: the old configuration remains in force: %s", " ".join(str(error).split()))
--- a/brackenlane/routing/actions.py
+++ b/brackenlane/routing/actions.py
@@ -23,12 +23,12 @@
     server: str  # Member.server of the server that is sent the request
     timeout: float  # seconds
     source: str  # Member.server of the fill source; equal to `server`: a miss is not filled
-    keep: int = 1  # retention rank of the copy: 0: not stored; the lowest rank is evicted first
+    retention_rank: int = 1  # retention rank of the copy: 0: not stored; the lowest rank is evicted first
     max_age: float = 0.0  # largest accepted age of a copy, in seconds since the origin issued it; 0: any
-    join: bool = False  # whether the request may join a fill in progress
+    may_join_fill: bool = False  # whether the request may join a fill in progress
     revalidate: bool = False  # whether a copy that is about to expire is refreshed in the background
     only_if_cached: bool = False  # whether the source may answer only from its cache (RFC 9111, 5.2.1.7)
-    until: float = math.inf  # latest time at which its first byte may be written, in Unix seconds
+    send_before: float = math.inf  # latest time at which its first byte may be written, in Unix seconds
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,7 +37,7 @@
 
     request_id: str
     # Seconds for which the client is to wait (Retry-After: RFC 9110, 10.2.3); 0: not specified.
-    hold_off: float = 0.0
+    retry_after: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
--- a/brackenlane/routing/answer_learning.py
+++ b/brackenlane/routing/answer_learning.py
@@ -115,6 +115,8 @@
         """Store the smallest learned width of a warm cache, which is assumed for caches in slow start."""
         budget = self._capacity.slow_start_budget
         widths = [
-            edge.width for edge in self._servers.edges if edge.width and self._capacity.is_warm(edge, now)
+            edge.learned_width
+            for edge in self._servers.edges
+            if edge.learned_width and self._capacity.is_warm(edge, now)
         ]
-        budget.narrow = min(widths, default=budget.narrow)
+        budget.min_learned_width = min(widths, default=budget.min_learned_width)
--- a/brackenlane/routing/events.py
+++ b/brackenlane/routing/events.py
@@ -58,8 +58,8 @@
     STALE = 5  # answered from a copy past its freshness lifetime
     SOURCE_REFUSED = 6
     SOURCE_FAILED = 7  # the source was unreachable, broke off the transfer or was too slow
-    SOURCE_LACKS = 8  # the source has no copy and was not allowed to fetch one
-    NO_PLACE = 9  # the cache has reached its limit of concurrent fills
+    SOURCE_MISS = 8  # the source has no copy and was not allowed to fetch one
+    FILL_LIMIT_REACHED = 9  # the cache has reached its limit of concurrent fills
     ORIGIN_FAILED = 10  # the origin failed while the source was fetching from it
 
 
--- a/brackenlane/routing/fetch_actions.py
+++ b/brackenlane/routing/fetch_actions.py
@@ -17,7 +17,7 @@
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import Idempotency, Settings
 
-# Retention ranks of a copy in a cache (`Fetch.keep`).
+# Retention ranks of a copy in a cache (`Fetch.retention_rank`).
 RETENTION_NONE = 0
 RETENTION_NORMAL = 1
 RETENTION_REPEATED = 2  # requested more than once: not evicted in favour of copies of normal rank
@@ -67,12 +67,12 @@
             server=route.edge.member.server,
             timeout=timeout,
             source=self._named_source(route).member.server,
-            keep=self._retention_rank(request),
+            retention_rank=self._retention_rank(request),
             max_age=self._purges.max_age(request.arrival, cls, now, stale=is_retry or is_lookup),
-            join=self._settings.may_join_fills,
+            may_join_fill=self._settings.may_join_fills,
             revalidate=cls.fresh_for > 0,
             only_if_cached=route.is_parent_lookup,
-            until=self._last_write_at(request),
+            send_before=self._last_write_at(request),
         )
 
     def _named_source(self, route: Route) -> Server:
--- a/brackenlane/routing/outlier_detection.py
+++ b/brackenlane/routing/outlier_detection.py
@@ -63,7 +63,7 @@
         if server.ejection_seconds > RESTART_AFTER_EJECTIONS * self._first_seconds:
             # The server may have restarted with an empty cache, so slow start is repeated.
             server.slow_start_since = now
-            server.tokens = TokenBucket(now)
+            server.slow_start_bucket = TokenBucket(now)
         server.ejected_until = 0.0
         server.ejection_seconds = 0.0
         server.failure_score = 0.0
--- a/brackenlane/routing/router.py
+++ b/brackenlane/routing/router.py
@@ -248,8 +248,8 @@
         """Finish a request without a response: reject it if the client may retry it elsewhere, or fail it."""
         request_id = request.arrival.request_id
         if now < request.deadline and request.can_retry_elsewhere():
-            hold_off = min(self.settings.max_hold_off, request.cls.latency_objective)
-            self._actions.append(Reject(request_id, hold_off))
+            retry_after = min(self.settings.max_hold_off, request.cls.latency_objective)
+            self._actions.append(Reject(request_id, retry_after))
         else:
             self._actions.append(Fail(request_id))
         self._forget(request_id)
--- a/brackenlane/routing/server_capacity.py
+++ b/brackenlane/routing/server_capacity.py
@@ -86,11 +86,11 @@
     def charge_slow_start(self, server: Server, request: Request, now: float) -> None:
         """Charge a request to the budget of a server if the server is in slow start."""
         if not self.is_warm(server, now):
-            server.tokens.work -= self.slow_start_cost(server, request)
+            server.slow_start_bucket.work -= self.slow_start_cost(server, request)
 
     def refund_slow_start(self, server: Server, request: Request) -> None:
         """Refund the charge of a request to a server that took no part in it."""
-        server.tokens.work += self.slow_start_cost(server, request)
+        server.slow_start_bucket.work += self.slow_start_cost(server, request)
 
 
 def _local_link_width(settings: Settings) -> float:
--- a/brackenlane/routing/servers.py
+++ b/brackenlane/routing/servers.py
@@ -35,14 +35,14 @@
         "has_trial",
         "in_flight",
         "last_alive_at",
+        "learned_width",
         "lookup_overdue_at",
         "mean_in_flight",
         "member",
         "miss_share",
+        "slow_start_bucket",
         "slow_start_since",
         "timeliness",
-        "tokens",
-        "width",
         "window",
         "window_halved_at",
     )
@@ -64,9 +64,9 @@
         # Unix time from which slow start is measured: the listed start time, or the end of a long ejection.
         self.slow_start_since = member.started_at
         # Slow-start budget of this router; nothing accrues for the time before the router started.
-        self.tokens = TokenBucket(max(member.started_at, router_started_at))
+        self.slow_start_bucket = TokenBucket(max(member.started_at, router_started_at))
         # Link width in concurrent transfers, learned from answers; 0: not learned yet.
-        self.width = 0.0
+        self.learned_width = 0.0
         # Limit on concurrent transfers relative to the width, learned from timely and late answers.
         self.concurrency = ConcurrencyLimit(1.0 if is_width_known else math.inf)
         # Transfers of this router in flight: attempts at a cache, or fills of a source, each weighted by its
@@ -93,7 +93,7 @@
     @property
     def link_width(self) -> float:
         """Link width in concurrent transfers: the larger of the listed weight and the learned width."""
-        return max(self.width, self.member.weight)
+        return max(self.learned_width, self.member.weight)
 
     @property
     def transfer_limit(self) -> float:
@@ -107,9 +107,11 @@
         multiple of its transfer time alone.
         """
         if slowdown <= MAX_UNCONTENDED_SLOWDOWN:
-            self.width = max(self.width, transfers)
+            self.learned_width = max(self.learned_width, transfers)
         else:
-            self.width += (min(self.width, transfers / slowdown) - self.width) / WIDTH_SMOOTHING_TRANSFERS
+            self.learned_width += (
+                min(self.learned_width, transfers / slowdown) - self.learned_width
+            ) / WIDTH_SMOOTHING_TRANSFERS
 
     def grow_window(self, fill: float) -> None:
         """Raise the window after a timely fill: slow start until the first halving, then additive increase.
--- a/brackenlane/routing/settings.py
+++ b/brackenlane/routing/settings.py
@@ -89,15 +89,16 @@
 
     share: float = 1.0  # lowest share of its capacity, above 0 to 1, that a server has at its start
     ramp: float = 0.0  # seconds from the start to full capacity; 0: full capacity at once
-    factor: float = 1.0  # a load above this multiple of its present capacity for `span` makes a server fail
-    span: float = 1.0  # seconds
+    # A load above this multiple of its present capacity for `overload_duration` makes a server fail.
+    overload_factor: float = 1.0
+    overload_duration: float = 1.0  # seconds
 
     def __post_init__(self) -> None:
         """Raise InvalidSettingError where a field is out of its range."""
         _check_above_zero("cold share", self.share)
         _check_at_least("cold ramp", self.ramp)
-        _check_above_zero("cold factor", self.factor)
-        _check_above_zero("cold span", self.span)
+        _check_above_zero("cold factor", self.overload_factor)
+        _check_above_zero("cold span", self.overload_duration)
         if self.share > 1:
             raise InvalidSettingError("cold share", f"{self.share!r} must be at most 1")
 
@@ -119,8 +120,8 @@
     peer_index: int = UNKNOWN_PEER_INDEX  # index of this router among those of its location, from 0
     link_kb_per_s: tuple[float, ...] = ()  # rate of the link into each location; 0 or empty: unknown
     pace_kb_per_s: float = 0.0  # highest transfer rate of one answer, the unit of weights; 0: unknown
-    edge_cold: SlowStart = field(default_factory=SlowStart)  # slow start of edge caches
-    parent_cold: SlowStart = field(default_factory=SlowStart)  # slow start of parents
+    edge_slow_start: SlowStart = field(default_factory=SlowStart)  # slow start of edge caches
+    parent_slow_start: SlowStart = field(default_factory=SlowStart)  # slow start of parents
     tick: float = 0.001  # resolution of measured times, in seconds
     answer_slack: float = 0.0  # seconds past its deadline in which a final answer still counts as in time
     connect_timeout: float = 1.0  # seconds
--- a/brackenlane/routing/settings_codec.py
+++ b/brackenlane/routing/settings_codec.py
@@ -119,8 +119,8 @@
         routers_by_location=family.items_for_each("SeatsByZone", read_integer, len(locations), "Dcs"),
         link_kb_per_s=family.items_for_each("PipeKbPerS", read_number, len(locations), "Dcs"),
         pace_kb_per_s=_read_pace(family),
-        edge_cold=slow_starts.edge,
-        parent_cold=slow_starts.parent,
+        edge_slow_start=slow_starts.edge,
+        parent_slow_start=slow_starts.parent,
         tick=root.number("QuantumS", 0.001, TIMER_BOUNDS),
         answer_slack=sections.guarantees.number("AnswerSlackS", 0.0, TIMEOUT_BOUNDS),
         connect_timeout=limits.number("DialTimeoutS", 1.0, TIMEOUT_BOUNDS),
@@ -215,14 +215,16 @@
     edge = SlowStart(
         share=_read_slow_start_value(guarantees, "ColdFrom", 1.0, edge_ramp, SHARE_BOUNDS),
         ramp=edge_ramp,
-        factor=_read_slow_start_value(guarantees, "OverloadFactor", 1.0, edge_ramp, ABOVE_ZERO),
-        span=span,
+        overload_factor=_read_slow_start_value(guarantees, "OverloadFactor", 1.0, edge_ramp, ABOVE_ZERO),
+        overload_duration=span,
     )
     parent = SlowStart(
         share=_read_slow_start_value(family, "ParentStartsAt", edge.share, parent_ramp, SHARE_BOUNDS),
         ramp=parent_ramp,
-        factor=_read_slow_start_value(family, "ParentFallMultiple", edge.factor, parent_ramp, ABOVE_ZERO),
-        span=span,
+        overload_factor=_read_slow_start_value(
+            family, "ParentFallMultiple", edge.overload_factor, parent_ramp, ABOVE_ZERO
+        ),
+        overload_duration=span,
     )
     return _SlowStarts(edge, parent)
 
--- a/brackenlane/routing/simulator_codec.py
+++ b/brackenlane/routing/simulator_codec.py
@@ -276,11 +276,11 @@
         case Fetch():
             return (
                 f"FETCH_THROUGH I={instance} MsgId={action.request_id} Cache={action.server} "
-                f"PatienceS={action.timeout:.6f} Supplier={action.source} TierRank={action.keep} "
+                f"PatienceS={action.timeout:.6f} Supplier={action.source} TierRank={action.retention_rank} "
                 f"OldnessS={action.max_age:.6f} Mode={_mode_bits(action)}"
             )
         case Reject():
-            return f"BUSY I={instance} MsgId={action.request_id} HoldOffS={action.hold_off:.6f}"
+            return f"BUSY I={instance} MsgId={action.request_id} HoldOffS={action.retry_after:.6f}"
         case Fail():
             return f"FINISH_ERROR I={instance} MsgId={action.request_id}"
         case Cancel():
@@ -305,7 +305,7 @@
 
 def _mode_bits(fetch: Fetch) -> int:
     mode = 0
-    if fetch.join:
+    if fetch.may_join_fill:
         mode |= MODE_JOIN_FILL
     if fetch.only_if_cached:
         mode |= MODE_ONLY_IF_CACHED
--- a/brackenlane/routing/slow_start.py
+++ b/brackenlane/routing/slow_start.py
@@ -2,9 +2,9 @@
 
 The budget is divided among the routers without messages between them. Pure. Times are Unix seconds, work is
 in seconds of transfer at the highest pace, capacity and weight are in concurrent transfers. The rule (page
-WIRE-brackenlane, "Lines not to cross", 4): a server in slow start fails if it is sent more than `factor`
-times its capacity for `span` seconds. The limit is a token bucket: its depth is the permitted burst, and it
-fills at the rate at which the server completes work.
+WIRE-brackenlane, "Lines not to cross", 4): a server in slow start fails if it is sent more than
+`overload_factor` times its capacity for `overload_duration` seconds. The limit is a token bucket: its depth
+is the permitted burst, and it fills at the rate at which the server completes work.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from brackenlane.routing.members import Member
 from brackenlane.routing.settings import SlowStart
 
-MARGIN = 0.85  # share of a budget that is used, as weights and sizes are approximate
+BUDGET_SHARE = 0.85  # share of a budget that is used, as weights and sizes are approximate
 MIN_REQUEST_WORK = 1e-9  # seconds of transfer; avoids a division by zero
 
 
@@ -26,12 +26,12 @@
     since the clock of the server may be ahead. A ramp of 0 means full capacity at any age.
     """
     warmth = max(0.0, age) / rule.ramp if rule.ramp else 1.0
-    return MARGIN * weight * (rule.share + (1 - rule.share) * warmth)
+    return BUDGET_SHARE * weight * (rule.share + (1 - rule.share) * warmth)
 
 
 def burst(rule: SlowStart, capacity: float) -> float:
     """Return the work that may be sent at once, in addition to what the server completes meanwhile."""
-    return (rule.factor - 1) * capacity * rule.span
+    return (rule.overload_factor - 1) * capacity * rule.overload_duration
 
 
 def sharers_by_location(
--- a/brackenlane/routing/slow_start_budget.py
+++ b/brackenlane/routing/slow_start_budget.py
@@ -25,7 +25,7 @@
         self.local_router_count = topology.local_router_count  # number of routers that share an edge cache
         # Locations that share the parents of the hub, as servers so that rendezvous hashing can order them.
         self.peer_locations = [Server(location) for location in topology.peer_locations]
-        self.narrow = 0.0  # smallest learned width of a warm cache, in transfers; 0: none learned
+        self.min_learned_width = 0.0  # smallest learned width of a warm cache, in transfers; 0: none learned
         self._settings = settings
         self._hub_distance = topology.hub_distance
         self._sizes = sizes
@@ -47,10 +47,10 @@
         sharers = self._sharers(server, max_work)
         if not sharers or self._is_parent_elsewhere(server):
             return 0.0
-        return server.tokens.fill(now, bearable / sharers, max_work / sharers)
+        return server.slow_start_bucket.fill(now, bearable / sharers, max_work / sharers)
 
     def _rule(self, role: Role) -> SlowStart:
-        return self._settings.parent_cold if role is Role.PARENT else self._settings.edge_cold
+        return self._settings.parent_slow_start if role is Role.PARENT else self._settings.edge_slow_start
 
     def _weight(self, server: Server) -> float:
         """Return the concurrent transfers that a server carries after slow start.
@@ -60,7 +60,7 @@
         """
         is_shared = self.local_router_count >= 2 or server.member.role is not Role.EDGE
         # Halved, because more transfers are in flight than are on the link.
-        return max(server.member.weight, 0.0 if is_shared else self.narrow / 2)
+        return max(server.member.weight, 0.0 if is_shared else self.min_learned_width / 2)
 
     def _is_parent_elsewhere(self, server: Server) -> bool:
         """Return whether a server is a parent of another hub."""
--- a/brackenlane/settings/conversion.py
+++ b/brackenlane/settings/conversion.py
@@ -11,6 +11,8 @@
 
 # Keys of the file whose field in the routing settings has another name.
 SETTING_FIELDS = {
+    "edge_cold": "edge_slow_start",
+    "parent_cold": "parent_slow_start",
     "gateway": "router_index",
     "gateways": "router_count",
     "mate": "peer_index",
@@ -21,6 +23,7 @@
     "direct": "may_bypass_caches",
     "joins": "may_join_fills",
 }
+SLOW_START_FIELDS = {"factor": "overload_factor", "span": "overload_duration"}
 CLASS_FIELDS = {
     "aim": "latency_objective",
     "give_up": "time_limit",
@@ -41,8 +44,8 @@
         values["peer_index"] = _default_peer_index(table)
     for field in ("locations", "hub_of", "routers_by_location", "link_kb_per_s"):
         values[field] = tuple(values[field])
-    for field in ("edge_cold", "parent_cold"):
-        values[field] = SlowStart(**values[field])
+    for field in ("edge_slow_start", "parent_slow_start"):
+        values[field] = SlowStart(**_by_field_name(values[field], SLOW_START_FIELDS))
     classes = tuple(_request_class(cls) for cls in file.classes)
     return Settings(classes=classes, **values)
 
--- a/brackenlane/store/event_applier.py
+++ b/brackenlane/store/event_applier.py
@@ -103,7 +103,7 @@
         self._registry.define(DefinitionSource.STORE, event.definition)
 
     def _apply_order(self, event: OrderGiven) -> None:
-        if event.order.beats(self.orders_in_store.get(event.server)):
+        if event.order.supersedes(self.orders_in_store.get(event.server)):
             self.orders_in_store[event.server] = event.order
         self._registry.order(event.server, event.order)
 
--- a/brackenlane/store/load_tickets.py
+++ b/brackenlane/store/load_tickets.py
@@ -24,7 +24,7 @@
         """Draw a ticket and wait until it allows a full load. Raises StoreError."""
         if self._pacing.capacity.router_count == 1:
             return
-        window = self._pacing.ticket_window(steady_time())
+        window = self._pacing.current_ticket_window(steady_time())
         while True:
             ticket = await self._draw_ticket(window)
             windows_ahead = self._pacing.windows_ahead(ticket)
--- a/brackenlane/store/publisher.py
+++ b/brackenlane/store/publisher.py
@@ -95,7 +95,7 @@
         """Repair the store once. Raises StoreError."""
         await self._publisher.resend_unacknowledged()
         orders = self._registry.merge.orders
-        missing = missing_orders(orders, self._applier.orders_in_store, OperatorOrder.beats)
+        missing = missing_orders(orders, self._applier.orders_in_store, OperatorOrder.supersedes)
         if not missing:
             return
         # Other routers may have written these orders since this router read the store.
@@ -104,7 +104,7 @@
             stored = _stored_order(text)
             if stored:
                 self._applier.orders_in_store[server] = stored
-            if server in orders and orders[server].beats(stored):
+            if server in orders and orders[server].supersedes(stored):
                 await self._republish_order(server, orders[server])
 
     async def _republish_order(self, server: str, order: OperatorOrder) -> None:
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -38,8 +38,8 @@
         "hub_of": (0, 1, 2, 0),
         "routers_by_location": (0, 0, 0, 1),
         "pace_kb_per_s": 4000.0,
-        "edge_cold": SlowStart(0.18, 18.0, 4.0, 1.0),
-        "parent_cold": SlowStart(0.085, 22.0, 2.0, 1.0),
+        "edge_slow_start": SlowStart(0.18, 18.0, 4.0, 1.0),
+        "parent_slow_start": SlowStart(0.085, 22.0, 2.0, 1.0),
         "connect_timeout": 0.4,
         "purge_propagation_time": 6.0,
         "max_attempts": 8,
@@ -71,20 +71,22 @@
         self.router = Router(settings(**changes), seed)
         self.now = now
         self.request_numbers = itertools.count()
-        self.tell(members() if fleet is None else fleet, MembershipKind.REMEMBERED)
+        self.update_members(members() if fleet is None else fleet, MembershipKind.REMEMBERED)
 
-    def tell(self, fleet: list[Member], kind: MembershipKind = MembershipKind.CHANGES) -> list[Action]:
+    def update_members(
+        self, fleet: list[Member], kind: MembershipKind = MembershipKind.CHANGES
+    ) -> list[Action]:
         """Send a list of members, as discovery does."""
         return self.router.handle(Membership(kind, tuple(fleet)), self.now)
 
-    def ask(self, obj: str = "clip", cls: str = "video", **arrival_fields: Any) -> list[Action]:
+    def send_request(self, obj: str = "clip", cls: str = "video", **arrival_fields: Any) -> list[Action]:
         """Send the arrival of one request."""
         arrival_fields = {"time_left": 5.0, "size_kb": 1600.0, **arrival_fields}
         return self.router.handle(
             Arrival(f"r{next(self.request_numbers)}", cls=cls, obj=obj, **arrival_fields), self.now
         )
 
-    def end(
+    def finish_attempt(
         self,
         fetch: Fetch,
         result: AttemptResult = AttemptResult.OK,
@@ -106,7 +108,7 @@
             self.now,
         )
 
-    def serve(
+    def serve_request(
         self,
         obj: str = "clip",
         cls: str = "video",
@@ -114,18 +116,18 @@
         **arrival_fields: Any,
     ) -> Fetch:
         """Send one request and the success of its attempt; return the Fetch of that attempt."""
-        fetch = only(self.ask(obj, cls, **arrival_fields), Fetch)
-        self.end(fetch, cache_status=cache_status)
+        fetch = single_action(self.send_request(obj, cls, **arrival_fields), Fetch)
+        self.finish_attempt(fetch, cache_status=cache_status)
         return fetch
 
 
-def every(actions: list[Action], action_type: type[A]) -> list[A]:
+def actions_of(actions: list[Action], action_type: type[A]) -> list[A]:
     """Return the actions of one type."""
     return [a for a in actions if isinstance(a, action_type)]
 
 
-def only(actions: list[Action], action_type: type[A]) -> A:
+def single_action(actions: list[Action], action_type: type[A]) -> A:
     """Return the one action of a type; AssertionError if there are none or several."""
-    matching = every(actions, action_type)
+    matching = actions_of(actions, action_type)
     assert len(matching) == 1, actions
     return matching[0]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from brackenlane.admission.controller import AdmissionQueue
-from brackenlane.admission.figures import Figures, Reason
 from brackenlane.admission.lanes import Phase
+from brackenlane.admission.load_metrics import LoadMetrics, Reason
 from brackenlane.lab.queueing import CLASSES, Costs, Fifo, admission, run_queue
 
 CAPACITY = 200.0  # requests a second at 5 ms each
@@ -139,7 +139,7 @@
     assert joined["sheet-submit"] == joined["health"] == 100
     assert 0 < joined["sheet-pages"] < joined["sheet-pages"] + joined["video-parts"] <= 1000 * TARGET + 1
     assert not queue.has_capacity_for("video-parts", True)
-    assert queue.hold_off(now) > INTERVAL
+    assert queue.retry_after(now) > INTERVAL
 
 
 def service_rank(lane: tuple[str, bool]) -> int:
@@ -189,7 +189,7 @@
 
 def test_figures_count_each_period_and_the_total() -> None:
     """The counts of a period start at zero; the totals include all periods."""
-    figures = Figures()
+    figures = LoadMetrics()
     assert figures.tick(10.0, 0.0, 1.0) is not None
     for wait in (0.01, 0.03):
         figures.count_taken(wait)
--- a/tests/test_bounded_load.py
+++ b/tests/test_bounded_load.py
@@ -10,7 +10,7 @@
 from brackenlane.routing.bounded_load import below_bound_first
 from brackenlane.routing.events import Arrival
 from brackenlane.routing.members import Member, Role
-from tests.router_harness import RouterHarness, every
+from tests.router_harness import RouterHarness, actions_of
 
 EDGES = [Member(f"edge-{n}", "depot") for n in range(3)]
 FLEET = [
@@ -53,7 +53,7 @@
         if order[0].member.server != "edge-0":
             continue
         requested += 1
-        for fetch in every(harness.ask(obj, part=0, size_kb=0.0), Fetch):
+        for fetch in actions_of(harness.send_request(obj, part=0, size_kb=0.0), Fetch):
             sent[fetch.server] += 1
     return sent
 
@@ -63,7 +63,7 @@
     """Without the bound, all 8 requests went to one cache, whose link carries fewer; the others were idle."""
     harness = RouterHarness(FLEET, weights_known=reported)
     if reported:
-        harness.tell([Member(m.server, m.zone, m.role, weight=20.0) for m in FLEET])
+        harness.update_members([Member(m.server, m.zone, m.role, weight=20.0) for m in FLEET])
     sent = open_requests(harness, 8)
     assert sum(sent.values()) == 8
     assert (max(sent.values()) < 8) is not reported, sent
--- a/tests/test_change_log_outage.py
+++ b/tests/test_change_log_outage.py
@@ -182,7 +182,7 @@
     limits = Limits()
     jitter, retry_jitter = SILENCE_TIMEOUT_JITTER[1], RETRY_JITTER[1]
     silence = limits.change_log_silence_timeout * jitter
-    connect = limits.change_log_connect_patience * jitter
+    connect = limits.change_log_connection_attempt_delay * jitter
     retry = limits.max_change_log_retry_delay * retry_jitter
     assert retry + connect < NOTIFIED_AFTER_BREAK
     assert silence + connect < NOTIFIED_AFTER_STOP
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -16,7 +16,7 @@
 import trio
 
 from brackenlane.clock import ClockStepMonitor
-from brackenlane.core.stamp_ages import StampAges
+from brackenlane.core.timestamp_ages import TimestampAges
 from brackenlane.lab.faults.shim import FaultShim
 from tests.stand_ins import CacheStandIn, Program, ReceivedRequest, data, platform, with_trio
 from tests.test_change_log_outage import GROUP, GROUP_PURGE, HEARTBEAT, FaultyLog
@@ -109,7 +109,7 @@
 def test_age_of_a_timestamp_never_exceeds_its_true_age() -> None:
     """The clocks differ by an hour in either direction; timestamps arrive after 0.2 to 9 s."""
     for difference in (3600.0, -3600.0, 0.0):
-        ages = StampAges()
+        ages = TimestampAges()
         for made_at, delay in ((100.0, 0.5), (101.0, 0.2), (102.0, 9.0)):
             age = ages.age(made_at, made_at + delay + difference)
             assert 0.0 <= age <= delay
@@ -118,7 +118,7 @@
 
 def test_timestamp_from_the_future_does_not_make_later_ones_seem_old() -> None:
     """The source's clock is an hour ahead for one timestamp, and correct for the next."""
-    ages = StampAges()
+    ages = TimestampAges()
     assert ages.age(3700.0, 100.5) == 0.0
     assert ages.age(101.0, 101.3) == pytest.approx(0.3)
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -7,7 +7,13 @@
 from brackenlane.config import read_settings
 from brackenlane.limits import Limits
 from brackenlane.net.cache_codec import Parser, WireError
-from brackenlane.net.change_log_codec import ChangeLogFormatError, Frame, FrameReader, read_frame, read_known
+from brackenlane.net.change_log_codec import (
+    ChangeLogFormatError,
+    Frame,
+    FrameReader,
+    read_configured_changes,
+    read_frame,
+)
 from brackenlane.routing.events import AttemptResult, CacheStatus, Membership, Purged
 from brackenlane.routing.members import ServerState
 from tests.stand_ins import SETTINGS, CacheStandIn, record, target
@@ -85,7 +91,7 @@
         f for at in range(0, len(wire), chunk_size) for f in reader.feed(wire[at : at + chunk_size])
     ]
     change = read_frame(Frame(seq, kind, frame_payload), SITE, 0.0)
-    [from_json] = read_known(
+    [from_json] = read_configured_changes(
         {"results": [{"seq": 41, "fleet": {"all": True, "targets": [target(cache, command)]}}]}, SITE, 0.0
     )
     assert change == from_json
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -26,7 +26,7 @@
 )
 from brackenlane.discovery import snapshot_codec
 from brackenlane.discovery.merge import MembershipMerge
-from brackenlane.discovery.records import OperatorOrder, Policy, RememberedMembers
+from brackenlane.discovery.records import OperatorOrder, PersistedMembership, Policy
 from brackenlane.discovery.registry import Registry
 from brackenlane.lab.cluster.virtual import SimulatedFleet, Store, peak
 from brackenlane.limits import Limits
@@ -34,9 +34,9 @@
 from brackenlane.routing.events import CacheStatus, Purged
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.settings import SlowStart
-from brackenlane.routing.slow_start import MARGIN, capacity_by_age, sharers_by_turn
+from brackenlane.routing.slow_start import BUDGET_SHARE, capacity_by_age, sharers_by_turn
 from brackenlane.store.shared_store import SharedStore, StoreSettings
-from tests.router_harness import RouterHarness, every
+from tests.router_harness import RouterHarness, actions_of
 
 CAPACITY = Capacity(1000, request_rate=500.0, load_rate=20.0)
 
@@ -178,7 +178,7 @@
     assert pacing.windows_ahead(ticket) == ahead
     now = 1000.0
     if delay is not None:
-        assert pacing.ticket_delay(pacing.ticket_window(now), ticket, now) == pytest.approx(delay)
+        assert pacing.ticket_delay(pacing.current_ticket_window(now), ticket, now) == pytest.approx(delay)
 
 
 def test_rates_of_a_capacity_hint() -> None:
@@ -205,7 +205,7 @@
         with pytest.raises(ValueError):
             StreamPosition.parse(text)
     old, new = OperatorOrder(True, 1.0, "a"), OperatorOrder(False, 2.0, "b")
-    assert missing_orders({"x": new, "y": old, "z": old}, {"x": old, "y": new}, OperatorOrder.beats) == [
+    assert missing_orders({"x": new, "y": old, "z": old}, {"x": old, "y": new}, OperatorOrder.supersedes) == [
         "x",
         "z",
     ]
@@ -285,10 +285,12 @@
     for tick in range(1200):  # 3 s at 400 requests per second
         harness = rng.choice(harnesses)
         harness.now = 100.0 + tick / 400
-        for fetch in every(harness.ask(f"o{tick}", "tiles", time_left=2.5, size_kb=400.0), Fetch):
+        for fetch in actions_of(
+            harness.send_request(f"o{tick}", "tiles", time_left=2.5, size_kb=400.0), Fetch
+        ):
             per_cache[fetch.server] += 1
             served += fetch.server != "origin"
-            harness.end(fetch, cache_status=CacheStatus.FILLED, wait=0.1)
+            harness.finish_attempt(fetch, cache_status=CacheStatus.FILLED, wait=0.1)
     assert (served > 20) is (peer == 0)
     # After 3 s a cache can serve 2 x (0.18 + 0.82 / 6) concurrent transfers, each of 0.1 s. A burst may add
     # the load of four seconds.
@@ -307,7 +309,7 @@
     purge_ages = {(event.obj, event.group): event.age for event in events if isinstance(event, Purged)}
     assert purge_ages == {("clip", -1): pytest.approx(3.0, abs=0.2), ("", 7): pytest.approx(11.0, abs=0.2)}
     snapshot = snapshot_codec.Snapshot(
-        RememberedMembers(),
+        PersistedMembership(),
         now,
         StreamPosition(5, 1),
         True,
@@ -323,4 +325,6 @@
 )
 def test_capacity_by_age(ramp: float, age: float, share: float) -> None:
     """A negative age, from a server clock that is ahead, counts as 0; without a ramp capacity is full."""
-    assert capacity_by_age(SlowStart(0.25, ramp, 2.0, 1.0), 8.0, age) == pytest.approx(MARGIN * 8.0 * share)
+    assert capacity_by_age(SlowStart(0.25, ramp, 2.0, 1.0), 8.0, age) == pytest.approx(
+        BUDGET_SHARE * 8.0 * share
+    )
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -13,8 +13,8 @@
 from brackenlane.routing.actions import Fetch, Reject
 from brackenlane.routing.concurrency_limit import DECREASE_FACTOR, MIN_UTILIZATION, ConcurrencyLimit
 from brackenlane.routing.events import AttemptResult
-from tests.router_harness import RouterHarness, members, only
-from tests.test_portal_settings import PACE, Branch
+from tests.router_harness import RouterHarness, members, single_action
+from tests.test_portal_settings import TRANSFER_RATE, BranchSimulation
 
 WIDTH = 4.0
 COOLDOWN = 1.0
@@ -68,11 +68,11 @@
 def test_weight_that_becomes_zero_with_attempts_in_flight_is_no_error(wait: float) -> None:
     """A new list may set a weight to 0 at any time; outstanding answers then caused a division by zero."""
     harness = RouterHarness()
-    fetches = [only(harness.ask(f"o{n}"), Fetch) for n in range(12)]
-    harness.tell([replace(member, weight=0.0) for member in members()])
+    fetches = [single_action(harness.send_request(f"o{n}"), Fetch) for n in range(12)]
+    harness.update_members([replace(member, weight=0.0) for member in members()])
     for fetch in fetches:
-        harness.end(fetch, wait=wait)
-    assert only(harness.ask(), Reject)
+        harness.finish_attempt(fetch, wait=wait)
+    assert single_action(harness.send_request(), Reject)
 
 
 @pytest.mark.parametrize("assumed", [1 / 2, 1.0, 2.0, 4.0])
@@ -83,7 +83,7 @@
         "DEFAULT_WIDTH",
         {role: assumed * width for role, width in membership.DEFAULT_WIDTH.items()},
     )
-    branch = Branch(weights_known=False)
+    branch = BranchSimulation(weights_known=False)
     in_flight: dict[str, list[float]] = {}
 
     def end(fetch: Fetch) -> tuple[float, AttemptResult]:
@@ -93,15 +93,15 @@
         mine.append(now + wait)
         return wait, AttemptResult.OK
 
-    branch.end = end  # type: ignore[method-assign]
-    branch.run(140.0, rate=35.0, cls="video", size_kb=0.38 * PACE)
-    assert branch.share(110, 135) > 0.95
+    branch.fill_result = end  # type: ignore[method-assign]
+    branch.run(140.0, rate=35.0, cls="video", size_kb=0.38 * TRANSFER_RATE)
+    assert branch.served_share(110, 135) > 0.95
 
 
 @pytest.mark.parametrize("wait", [0.45, 2.0])
 def test_late_answer_alone_on_its_link_does_not_decrease_the_limit(wait: float) -> None:
     """Objects that miss their objective even on an idle link would lower the limit until none is admitted."""
-    branch = Branch()
-    branch.end = lambda fetch: (wait, AttemptResult.OK)  # type: ignore[method-assign]
+    branch = BranchSimulation()
+    branch.fill_result = lambda fetch: (wait, AttemptResult.OK)  # type: ignore[method-assign]
     branch.run(160.0, rate=0.3, cls="page")
     assert all(server.concurrency.factor == 1.0 for server in branch.harness.router.servers.values())
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -51,7 +51,7 @@
 
     async def request(self, cls: str = "video", time_left: float = 3.0) -> Answer:
         """Submit a request and return its final answer."""
-        arrival = Arrival(self.engine.new_id(), time_left, cls, "clip")
+        arrival = Arrival(self.engine.new_request_id(), time_left, cls, "clip")
         return await self.engine.request(PendingRequest(arrival, time.time() + time_left))
 
 
@@ -82,7 +82,7 @@
     async def test() -> None:
         answer = await harness.request()
         assert answer.disposition is Disposition.REJECTED
-        assert answer.hold_off > 0
+        assert answer.retry_after > 0
 
     await harness.run(test)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 
 from brackenlane.coldstart.stream_position import StreamPosition
 from brackenlane.discovery import snapshot, snapshot_codec
-from brackenlane.discovery.records import CacheDefinition, OperatorOrder, RememberedMembers, srv_cache_id
+from brackenlane.discovery.records import CacheDefinition, OperatorOrder, PersistedMembership, srv_cache_id
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault
 from tests.stand_ins import (
     ROOT,
@@ -389,7 +389,7 @@
     assert completed.stdout.strip() == "[]"
 
 
-REMEMBERED = RememberedMembers(
+REMEMBERED = PersistedMembership(
     (CacheDefinition("s1", "127.0.0.1", 80, "z"),),
     {SRV: (CacheDefinition("b-1", "b.test", 80, "z"),)},
     {"b.test": "127.0.0.2"},
--- a/tests/test_discovery_merge.py
+++ b/tests/test_discovery_merge.py
@@ -270,7 +270,7 @@
     old.order(IDS[0], OperatorOrder(True, 11.0, "console"))
     now = 12.0 + age
     merge = MembershipMerge(POLICY, [SrvWatch(SRV, "branch")])
-    merge.restore_snapshot(old.to_remember(), 12.0, now)
+    merge.restore_snapshot(old.snapshot_content(), 12.0, now)
     assert serving(merge) == ({*IDS[1:], "box-9"} if known else set())
     assert all((cache.cold_since == 0) is warm for cache in merge.caches.values())
     # An answer without most members needs confirmation first, and the drained cache stays drained.
@@ -393,7 +393,7 @@
     @rule(age=st.floats(0.1, 2000))
     def restart(self, age: float) -> None:
         """Restart the router with only its snapshot."""
-        memory, saved = self.merge.to_remember(), self.now
+        memory, saved = self.merge.snapshot_content(), self.now
         self.now += age
         self.merge, self.published = (
             MembershipMerge(POLICY, [SrvWatch(SRV, "branch", standby_threshold=2)]),
--- a/tests/test_fill_estimate.py
+++ b/tests/test_fill_estimate.py
@@ -18,7 +18,7 @@
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.servers import Server
 from brackenlane.routing.settings import CacheStatusReporting, SlowStart
-from tests.router_harness import VIDEO, RouterHarness, every, members
+from tests.router_harness import VIDEO, RouterHarness, actions_of, members
 
 PARENTS = ("parent-0", "parent-1")
 
@@ -39,12 +39,12 @@
     named = 0
     for n in range(requests):
         harness.now += 0.25
-        fetches = every(harness.ask(f"{result.value}{n}"), Fetch)
+        fetches = actions_of(harness.send_request(f"{result.value}{n}"), Fetch)
         for attempt in range(8):
             if not fetches:
                 break
             named += fetches[0].source in PARENTS
-            fetches = every(
+            fetches = actions_of(
                 harness.router.handle(outcome(fetches[0], result, wait, attempt), harness.now), Fetch
             )
     return named
@@ -114,14 +114,14 @@
     assert harness.router.fills.waiting_share == 0.0
     for n in range(200):
         harness.now += 5.0
-        harness.serve(f"hit{n}")
-        (fetch,) = every(harness.ask(f"fill{n}"), Fetch)
-        harness.end(fetch, cache_status=CacheStatus.FILLED, wait=0.8)
+        harness.serve_request(f"hit{n}")
+        (fetch,) = actions_of(harness.send_request(f"fill{n}"), Fetch)
+        harness.finish_attempt(fetch, cache_status=CacheStatus.FILLED, wait=0.8)
     assert harness.router.fills.waiting_share == pytest.approx(0.5, abs=0.05)
-    (fetch,) = every(harness.ask("last"), Fetch)
+    (fetch,) = actions_of(harness.send_request("last"), Fetch)
     in_flight = harness.router.servers[fetch.server].in_flight
     assert in_flight == pytest.approx(1 - 0.5 * 0.5, abs=0.1)
-    harness.end(fetch)
+    harness.finish_attempt(fetch)
     assert harness.router.servers[fetch.server].in_flight == 0.0
 
 
@@ -140,7 +140,7 @@
     """Every additional parent that is used for an object fetches it from the origin once more."""
     cls = replace(VIDEO, fresh_for=fresh)
     harness = RouterHarness(classes=(cls,))
-    sources = Counter(harness.serve("clip").source for _ in range(2000))
+    sources = Counter(harness.serve_request("clip").source for _ in range(2000))
     most, *others = sorted((sources[name] for name in PARENTS), reverse=True)
     assert sum(others) / most == pytest.approx(1 / 2 if fresh else 1 / 8, abs=0.06)
 
@@ -156,9 +156,9 @@
 
 
 def test_cache_with_a_clock_ahead_is_used_where_nothing_warms_up() -> None:
-    harness = RouterHarness(members(edges=1), now=100.0, edge_cold=SlowStart())
-    harness.tell([replace(members(edges=1)[0], started_at=160.0)])
-    (fetch,) = every(harness.ask(), Fetch)
+    harness = RouterHarness(members(edges=1), now=100.0, edge_slow_start=SlowStart())
+    harness.update_members([replace(members(edges=1)[0], started_at=160.0)])
+    (fetch,) = actions_of(harness.send_request(), Fetch)
     assert fetch.server == "edge-0"
 
 
@@ -168,7 +168,7 @@
     count_attempts_with_a_parent(harness, 12, AttemptResult.TIMEOUT, 3.0)
     assert harness.router.servers["parent-0"].ejected_until
     harness.router.servers["parent-0"].ejected_until = harness.now + 60  # no trial is due yet
-    (fetch,) = every(harness.ask("another"), Fetch)
+    (fetch,) = actions_of(harness.send_request("another"), Fetch)
     assert fetch.source == "origin"
 
 
@@ -178,7 +178,7 @@
     harness = RouterHarness(classes=(slow,))
     for n in range(100):
         harness.now += 5.0
-        harness.end(every(harness.ask(f"o{n}"), Fetch)[0], wait=0.45)
+        harness.finish_attempt(actions_of(harness.send_request(f"o{n}"), Fetch)[0], wait=0.45)
     assert not harness.router.latency.overloaded
 
 
@@ -192,7 +192,9 @@
     waits = [0.6] * BASELINE_ANSWERS + [0.4, 1.3] * 30
     for number, wait in enumerate(waits):
         harness.now += 5.0
-        harness.end(every(harness.ask(f"o{number}"), Fetch)[0], wait=wait * objective)
+        harness.finish_attempt(
+            actions_of(harness.send_request(f"o{number}"), Fetch)[0], wait=wait * objective
+        )
         assert number >= BASELINE_ANSWERS or not harness.router.latency.overloaded
     assert harness.router.latency.overloaded
 
--- a/tests/test_fill_source.py
+++ b/tests/test_fill_source.py
@@ -11,7 +11,7 @@
 from brackenlane.routing.actions import Fetch, Reject, SetTimer
 from brackenlane.routing.events import AttemptResult, CacheStatus, TimerFired
 from brackenlane.routing.members import Member, Role, ServerState
-from tests.router_harness import RouterHarness, every, members, only
+from tests.router_harness import RouterHarness, actions_of, members, single_action
 
 DRAWS = 4000
 
@@ -21,7 +21,7 @@
     seen: Counter[str] = Counter()
     for _ in range(draws):
         harness.now += 1.0
-        seen[harness.serve(obj, cls).source] += 1
+        seen[harness.serve_request(obj, cls).source] += 1
     return seen
 
 
@@ -42,7 +42,9 @@
     seen = 0
     for n in range(20):
         harness.now += 1.0
-        seen += len({harness.serve(f"o{n}", cache_status=CacheStatus.FILLED).source for _ in range(100)})
+        seen += len(
+            {harness.serve_request(f"o{n}", cache_status=CacheStatus.FILLED).source for _ in range(100)}
+        )
     assert seen / 20 <= reached
 
 
@@ -79,12 +81,12 @@
 
 def test_edge_selection_is_stable_and_moves_only_lost_objects() -> None:
     harness = RouterHarness(members(edges=4))
-    before = {f"o{n}": harness.serve(f"o{n}").server for n in range(200)}
+    before = {f"o{n}": harness.serve_request(f"o{n}").server for n in range(200)}
     harness.now += 100
-    harness.tell([m for m in members(edges=4) if m.server == "edge-0"])
+    harness.update_members([m for m in members(edges=4) if m.server == "edge-0"])
     gone = members(edges=4)[0]
-    harness.tell([type(gone)(gone.server, gone.zone, weight=gone.weight, state=ServerState.GONE)])
-    after = {obj: harness.serve(obj).server for obj in before}
+    harness.update_members([type(gone)(gone.server, gone.zone, weight=gone.weight, state=ServerState.GONE)])
+    after = {obj: harness.serve_request(obj).server for obj in before}
     assert {before[o] for o in before if before[o] != after[o]} == {"edge-0"}
     assert "edge-0" not in after.values()
 
@@ -94,29 +96,29 @@
     seen: Counter[str] = Counter()
     for _ in range(600):
         harness.now += 0.02
-        seen[harness.serve("hot").server] += 1
+        seen[harness.serve_request("hot").server] += 1
     assert len(seen) == 3
     cold = RouterHarness(members(edges=5))
     seen.clear()
     for _ in range(50):
         cold.now += 20
-        seen[cold.serve("cool").server] += 1
+        seen[cold.serve_request("cool").server] += 1
     assert len(seen) == 1
 
 
 def test_requests_bypass_missing_edges_and_are_rejected_without_servers() -> None:
-    assert only(RouterHarness(members(edges=0)).ask(), Fetch).server.startswith("parent")
-    actions = RouterHarness([]).ask()
-    assert not every(actions, Fetch)
-    assert only(actions, Reject)
+    assert single_action(RouterHarness(members(edges=0)).send_request(), Fetch).server.startswith("parent")
+    actions = RouterHarness([]).send_request()
+    assert not actions_of(actions, Fetch)
+    assert single_action(actions, Reject)
 
 
 def test_repeated_object_has_a_higher_retention_rank() -> None:
     harness = RouterHarness()
-    assert harness.serve("clip").keep == 1
+    assert harness.serve_request("clip").retention_rank == 1
     harness.now += 1
-    assert harness.serve("clip").keep == 2
-    assert harness.serve("clip", part=1).keep == 1
+    assert harness.serve_request("clip").retention_rank == 2
+    assert harness.serve_request("clip", part=1).retention_rank == 1
 
 
 def test_edge_selection_in_a_large_fleet_matches_a_direct_ranking() -> None:
@@ -133,7 +135,7 @@
 
         harness.now += 20
         best = max((m for m in fleet if m.zone == "depot"), key=rank)
-        assert harness.serve(f"o{n % 100}").server == best.server
+        assert harness.serve_request(f"o{n % 100}").server == best.server
 
 
 def test_rounding_error_does_not_close_a_window_of_one() -> None:
@@ -141,7 +143,7 @@
     harness = RouterHarness(members(parents=("hub-a",)))
     [parent] = harness.router.server_table.parents_by_distance[0]
     parent.window, parent.in_flight = 1.0, 1e-15
-    assert only(harness.ask(), Fetch).source == "parent-0"
+    assert single_action(harness.send_request(), Fetch).source == "parent-0"
 
 
 @pytest.mark.parametrize(
@@ -157,7 +159,9 @@
     harness.router.outcome_attribution.cache_error_share = 0.3 if alone else 0.0
     for n in range(3):
         harness.now += 1.0
-        harness.end(only(harness.ask(f"o{n}"), Fetch), AttemptResult.ERROR, wait=wait)
+        harness.finish_attempt(
+            single_action(harness.send_request(f"o{n}"), Fetch), AttemptResult.ERROR, wait=wait
+        )
     assert (parent.failure_score > 0) is attributed
     assert (parent.window < 8.0) is halved
 
@@ -166,8 +170,8 @@
     """It is learned from attempts in which no source took part."""
     harness = RouterHarness(members(parents=(), origin=False))
     for n in range(30):
-        for fetch in every(harness.ask(f"o{n}"), Fetch):
-            harness.end(fetch, AttemptResult.ERROR, wait=0.001)
+        for fetch in actions_of(harness.send_request(f"o{n}"), Fetch):
+            harness.finish_attempt(fetch, AttemptResult.ERROR, wait=0.001)
     assert harness.router.outcome_attribution.cache_error_share > 0.5
 
 
@@ -175,8 +179,8 @@
     """A retry after an immediate error is charged only a small part of a retry to the budget."""
     harness = RouterHarness()
     before = harness.router.retry_budget.available
-    fetch = only(harness.ask(), Fetch)
-    assert every(harness.end(fetch, AttemptResult.ERROR, wait=0.004), Fetch)
+    fetch = single_action(harness.send_request(), Fetch)
+    assert actions_of(harness.finish_attempt(fetch, AttemptResult.ERROR, wait=0.004), Fetch)
     assert harness.router.retry_budget.available > before - 0.1
 
 
@@ -188,10 +192,10 @@
 ) -> None:
     """All attempts on one connection end together when it breaks, which counts as a single failure."""
     harness = RouterHarness(members(edges=2))
-    open_there = [fetch for n in range(12) for fetch in every(harness.ask(f"o{n}"), Fetch)]
+    open_there = [fetch for n in range(12) for fetch in actions_of(harness.send_request(f"o{n}"), Fetch)]
     for fetch in open_there:
         if fetch.server == "edge-0":
-            harness.end(fetch, result)
+            harness.finish_attempt(fetch, result)
     assert bool(harness.router.servers["edge-0"].ejected_until) is out
 
 
@@ -204,8 +208,8 @@
             Member(f"new-{n}", "depot", weight=8.0),
             Member(f"new-{n - 1}", "depot", state=ServerState.GONE),
         ]
-        harness.tell(new if n else new[:1])
-        harness.serve(f"o{n}", size_kb=0.0)
+        harness.update_members(new if n else new[:1])
+        harness.serve_request(f"o{n}", size_kb=0.0)
     router = harness.router
     assert len(router.servers) == len(members()) + 1
     assert max(len(router.popularity), len(router.sizes.by_object), len(router.server_table.orders)) <= 51
@@ -221,18 +225,18 @@
         seen = 0
         for n in range(rounds):
             harness.now += 5.0
-            actions = harness.ask(f"o{n}", "video")
-            fetch = only(actions, Fetch)
+            actions = harness.send_request(f"o{n}", "video")
+            fetch = single_action(actions, Fetch)
             seen += fetch.source == "parent-0"
             if late and fetch.source == "parent-0" and n % 4:
                 harness.now += 0.1
                 for k in range(12):
-                    harness.serve(f"hit{k}", "video")  # hits prove that the caches are alive
-                timer = every(actions, SetTimer)[-1]
+                    harness.serve_request(f"hit{k}", "video")  # hits prove that the caches are alive
+                timer = actions_of(actions, SetTimer)[-1]
                 harness.now = max(harness.now, timer.at)
                 harness.router.handle(TimerFired(timer.token), harness.now)
                 harness.router.servers["parent-0"].ejected_until = 0.0  # as a timely fill would do
-            harness.end(fetch, cache_status=CacheStatus.FILLED)
+            harness.finish_attempt(fetch, cache_status=CacheStatus.FILLED)
         return seen / rounds
 
     assert drawn(200, late=False) > 0.35
@@ -248,4 +252,4 @@
     parent = harness.router.servers["parent-0"]
     parent.timeliness, parent.ejected_until, parent.ejection_seconds = 0.01, 1.0, 1.0
     harness.now = 1.5
-    assert only(harness.ask("clip", "video"), Fetch).source == "parent-0"
+    assert single_action(harness.send_request("clip", "video"), Fetch).source == "parent-0"
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -13,7 +13,7 @@
 from brackenlane.routing.events import AttemptResult, CacheStatus, Outcome, TimerFired
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.origin_throttle import MIN_SHARE, RECOVERY_SECONDS, OriginThrottle
-from tests.router_harness import RouterHarness, only
+from tests.router_harness import RouterHarness, single_action
 
 ROUTERS = 60
 RATE = 100.0  # requests per second at all routers together
@@ -63,7 +63,9 @@
             harness.now = self.now
             self.requested.append(self.now)
             self.perform(
-                harness, harness.ask(f"o{next(self.sequence)}", "tiles", time_left=2.5, size_kb=0.0), self.now
+                harness,
+                harness.send_request(f"o{next(self.sequence)}", "tiles", time_left=2.5, size_kb=0.0),
+                self.now,
             )
 
     def perform(self, harness: RouterHarness, actions: list[Action], requested_at: float) -> None:
@@ -163,10 +165,10 @@
     harness = RouterHarness(
         [Member("edge-0", "depot", weight=8.0), Member("origin", "hub-a", Role.ORIGIN)], now=100.0
     )
-    harness.serve(cache_status=CacheStatus.FILLED)
-    fetch = only(harness.ask("lost", "tiles", time_left=2.5, size_kb=0.0), Fetch)
+    harness.serve_request(cache_status=CacheStatus.FILLED)
+    fetch = single_action(harness.send_request("lost", "tiles", time_left=2.5, size_kb=0.0), Fetch)
     assert (fetch.server, fetch.source) == ("edge-0", "origin")
-    harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=0.015 if is_fast else 1.265)
+    harness.finish_attempt(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=0.015 if is_fast else 1.265)
     assert (harness.router.origin_throttle.current_share(harness.now) == 1.0) is is_fast
 
 
@@ -178,11 +180,11 @@
     parents = [Member(f"parent-{n}", "hub-a", Role.PARENT, weight=20.0) for n in range(5)]
     origin = Member("origin", "hub-a", Role.ORIGIN)
     harness = RouterHarness([Member("edge-0", "depot", weight=8.0), *parents, origin], now=100.0)
-    fetch = only(harness.ask("lost", time_left=5.0, size_kb=0.0), Fetch)
+    fetch = single_action(harness.send_request("lost", time_left=5.0, size_kb=0.0), Fetch)
     others = [name for name in (parent.server for parent in parents) if name != fetch.source]
     for name in others[:failing]:
         harness.router.servers[name].failure_score = 1.0
-    harness.end(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=3.0)
+    harness.finish_attempt(fetch, AttemptResult.ERROR, CacheStatus.UNKNOWN, wait=3.0)
     assert harness.router.origin_throttle.current_share(harness.now) == pytest.approx(share)
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,7 +10,7 @@
 import trio
 
 from brackenlane.limits import Limits
-from brackenlane.net.http_codec import BadRequestError, RequestParser, read_plain
+from brackenlane.net.http_codec import BadRequestError, RequestParser, read_simple_get
 from tests.stand_ins import CacheStandIn, Log, Program, ReceivedRequest, data, platform, record, with_trio
 from tests.test_platform import EDGE, ORIGIN, SMUGGLED
 
@@ -158,7 +158,7 @@
 )
 def test_read_plain_accepts_only_unambiguous_reads(sent: str, target: str | None) -> None:
     """Only a read that can't contain another request is recognized, so that it can be rejected unparsed."""
-    assert read_plain(sent.encode()) == ((target, "X-Second-Try" in sent) if target else None)
+    assert read_simple_get(sent.encode()) == ((target, "X-Second-Try" in sent) if target else None)
 
 
 @pytest.mark.parametrize(
@@ -214,7 +214,7 @@
     assert upgrade
     assert upgrade.target == "/u"
     assert requests.fault is None
-    assert not requests.partial
+    assert not requests.is_partial
     assert (first.method, first.target, first.body, first.keep_alive) == ("PUT", "/a", b"abcde", True)
     assert first.headers["x-txn"] == "1"
     assert "x-shard" not in first.headers
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -110,7 +110,7 @@
     for index, (ours, theirs) in enumerate(pairs):
         poller.add(ours.fileno(), partial(lambda index, _: close_other_socket(index), index))
         theirs.send(b"!")
-    poller.turn()
+    poller.run_round()
     assert reported[:1] == ["old"]
     assert reported.count("old") == 1
     assert "new" not in reported
@@ -181,8 +181,8 @@
         real = poller._all
         poller._all = cast("select.epoll", FailsOnce())
         far.send(b"!")
-        poller.want(near.fileno(), select.EPOLLIN)
-        poller.turn()
+        poller.set_events(near.fileno(), select.EPOLLIN)
+        poller.run_round()
         assert handled
         poller.remove(near.fileno())
 
--- a/tests/test_portal_settings.py
+++ b/tests/test_portal_settings.py
@@ -45,7 +45,7 @@
 )
 ZONES = ("north", "middle", "south", "north-1", "middle-1", "south-1")
 EDGE_COLD, PARENT_COLD = SlowStart(0.23, 17.0, 4.0, 1.5), SlowStart(0.067, 19.0, 2.0, 1.5)
-PACE = 4000.0  # KB per second
+TRANSFER_RATE = 4000.0  # KB per second
 PAGE_KB = 260.0
 PAGE_TIME = 0.065  # transfer time of a page, in seconds
 MISS_TIME = 0.005  # time until a cache reports a miss, in seconds
@@ -60,9 +60,9 @@
         "router_count": 4,
         "hub_of": (0, 1, 2, 0, 1, 2),
         "routers_by_location": (0, 0, 0, 2, 1, 1),
-        "pace_kb_per_s": PACE,
-        "edge_cold": EDGE_COLD,
-        "parent_cold": PARENT_COLD,
+        "pace_kb_per_s": TRANSFER_RATE,
+        "edge_slow_start": EDGE_COLD,
+        "parent_slow_start": PARENT_COLD,
         "max_hold_off": 0.5,
         "may_bypass_caches": False,
         "sibling_sources": SiblingSources.ANY,
@@ -79,7 +79,7 @@
     return [*edge_caches, *parents, Member("origin", "north", Role.ORIGIN)]
 
 
-class Branch:
+class BranchSimulation:
     """One router of a branch in virtual time, with requests, and attempts whose results a test determines."""
 
     def __init__(self, seed: int = 1, **changes: Any) -> None:
@@ -92,7 +92,7 @@
         self.attempt_numbers: dict[str, int] = {}  # latest attempt of each request
         self.arrival_times: dict[str, float] = {}
 
-    def end(self, fetch: Fetch) -> tuple[float, AttemptResult]:
+    def fill_result(self, fetch: Fetch) -> tuple[float, AttemptResult]:
         """Return the duration and result of a fill; tests replace this method."""
         return PAGE_TIME, AttemptResult.OK
 
@@ -136,7 +136,9 @@
         self.attempt_numbers[fetch.request_id] = number
         # All objects are new: an attempt without a fill is a miss, and so is one whose source may answer only
         # from its cache, unless the source fails.
-        wait, result = (MISS_TIME, AttemptResult.MISS) if fetch.source == fetch.server else self.end(fetch)
+        wait, result = (
+            (MISS_TIME, AttemptResult.MISS) if fetch.source == fetch.server else self.fill_result(fetch)
+        )
         if fetch.only_if_cached and result is AttemptResult.OK:
             wait, result = MISS_TIME, AttemptResult.MISS
         if wait > fetch.timeout:
@@ -147,7 +149,7 @@
         outcome = Outcome(fetch.request_id, number, fetch.server, result, wait, ok, CacheStatus.UNKNOWN)
         self.schedule(self.harness.now + wait, outcome)
 
-    def share(self, since: float, until: float) -> float:
+    def served_share(self, since: float, until: float) -> float:
         """Return the share of the requests that arrived in a period and were served."""
         results = [result for at, result in self.results if since <= at < until]
         return results.count("served") / max(1, len(results))
@@ -169,16 +171,16 @@
     transfers: list[tuple[float, float]] = []  # start time and duration
     worst = 0.0
     for harness in harnesses:
-        harness.tell([replace(known, started_at=100.0)])
+        harness.update_members([replace(known, started_at=100.0)])
     for n in range(int(400 * slow_start.ramp)):
         harness = harnesses[n % len(harnesses)]
         harness.now = now = 100.0 + n / 400
-        fetch = harness.serve(f"o{n}", "page", CacheStatus.UNKNOWN, time_left=3.0, size_kb=PAGE_KB)
+        fetch = harness.serve_request(f"o{n}", "page", CacheStatus.UNKNOWN, time_left=3.0, size_kb=PAGE_KB)
         if known.server in (fetch.server, fetch.source):
             transfers.append((now, PAGE_TIME))
         capacity = true_weight * (slow_start.share + (1 - slow_start.share) * (now - 100.0) / slow_start.ramp)
-        recent = sum(duration for at, duration in transfers if at > now - slow_start.span)
-        worst = max(worst, recent / (slow_start.factor * capacity * slow_start.span))
+        recent = sum(duration for at, duration in transfers if at > now - slow_start.overload_duration)
+        worst = max(worst, recent / (slow_start.overload_factor * capacity * slow_start.overload_duration))
     assert transfers  # the server must not be left idle either
     return worst
 
@@ -200,7 +202,7 @@
 @pytest.mark.parametrize("weights", [(4.0, 16.0, 8.0), (4.0, 4.0, 8.0)])
 def test_wrong_weights_of_warm_caches_cost_little(weights: tuple[float, ...]) -> None:
     """One or two of three caches have half of their configured weight; nearly all requests are served."""
-    branch = Branch()
+    branch = BranchSimulation()
     true_weights = {f"edge-{number}": weight for number, weight in enumerate(weights)}
     in_flight: dict[str, list[float]] = {server: [] for server in true_weights}  # end times of transfers
 
@@ -211,9 +213,9 @@
         end_times.append(now + wait)
         return wait, AttemptResult.OK
 
-    branch.end = end  # type: ignore[method-assign]
-    branch.run(140.0, rate=35.0, cls="video", size_kb=0.38 * PACE)
-    assert branch.share(110, 135) > 0.95
+    branch.fill_result = end  # type: ignore[method-assign]
+    branch.run(140.0, rate=35.0, cls="video", size_kb=0.38 * TRANSFER_RATE)
+    assert branch.served_share(110, 135) > 0.95
 
 
 @pytest.mark.parametrize(
@@ -230,19 +232,19 @@
     result: AttemptResult, wait: float, failing_share: float
 ) -> None:
     """When fills from the hub's parent fail, the next hub's parent takes over; no edge cache is ejected."""
-    branch = Branch()
+    branch = BranchSimulation()
     branch.run(110.0)
     assert set(branch.fill_sources(105.0)) <= {"parent-0", "origin"}
-    assert branch.share(105, 110) > 0.99
+    assert branch.served_share(105, 110) > 0.99
 
     def end(fetch: Fetch) -> tuple[float, AttemptResult]:
         fails = fetch.source == "parent-0" and branch.random.random() < failing_share
         return (wait, result) if fails else (PAGE_TIME, AttemptResult.OK)
 
-    branch.end = end  # type: ignore[method-assign]
+    branch.fill_result = end  # type: ignore[method-assign]
     branch.run(130.0)
     sources = branch.fill_sources(120.0)
-    assert branch.share(118, 128) > 0.95
+    assert branch.served_share(118, 128) > 0.95
     assert sources.count("parent-1") > 0.5 * len(sources)
     assert sources.count("origin") < 0.1 * len(sources)
     assert not any(edge.ejected_until for edge in branch.harness.router.server_table.edges)
@@ -250,7 +252,7 @@
 
 def test_branch_is_served_while_its_hub_is_lost_and_the_next_hub_is_cold() -> None:
     """The hub's parent is lost and the next hub's has just started: the origin does part of the fills."""
-    branch = Branch()
+    branch = BranchSimulation()
     branch.run(105.0)
     cold = replace(branch_members()[4], started_at=105.0)
     lost = replace(branch_members()[3], started_at=0.0)
@@ -258,7 +260,7 @@
     def end(fetch: Fetch) -> tuple[float, AttemptResult]:
         return (0.02, AttemptResult.FULL) if fetch.source == lost.server else (PAGE_TIME, AttemptResult.OK)
 
-    branch.end = end  # type: ignore[method-assign]
-    branch.harness.tell([cold])
+    branch.fill_result = end  # type: ignore[method-assign]
+    branch.harness.update_members([cold])
     branch.run(125.0, rate=20.0)
-    assert branch.share(110, 124) > 0.5
+    assert branch.served_share(110, 124) > 0.5
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -25,7 +25,7 @@
 from brackenlane.core.requests import Attempt, AttemptReply, PendingRequest
 from brackenlane.limits import Limits
 from brackenlane.net.cache_codec import CacheResponse, Parser, encode_get
-from brackenlane.net.change_log_codec import Frame, read_frame, read_known
+from brackenlane.net.change_log_codec import Frame, read_configured_changes, read_frame
 from brackenlane.net.http_codec import RequestParser
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "cls", "hold_off"),
+    ("limits", "cls", "retry_after"),
     [
         ({}, "video-parts", "500"),
         ({}, "sheet-pages", "300"),  # the router's own hold-off, below the bound
@@ -240,7 +240,7 @@
 )
 @with_trio
 async def test_rejection_carries_a_hold_off(
-    tmp_path: Path, limits: dict[str, Any], cls: str, hold_off: str | None
+    tmp_path: Path, limits: dict[str, Any], cls: str, retry_after: str | None
 ) -> None:
     """The hold-off is bounded by the longest one that clients honour, and left out if they honour none."""
     async with trio.open_nursery() as nursery:
@@ -250,7 +250,7 @@
         async with platform(tmp_path, [edge, origin], settings=site_settings(**limits)) as router:
             status, headers, _ = await router.ask(cls)
             assert status == 503
-            assert hold_off_header(headers) == hold_off
+            assert hold_off_header(headers) == retry_after
         nursery.cancel_scope.cancel()
 
 
@@ -279,21 +279,21 @@
 
 
 @pytest.mark.parametrize(("max_retry_after", "has_hold_off"), [(0.5, True), (0.0, False)])
-@pytest.mark.parametrize("hold_off", [0.0, 0.123, 0.5, 7.0, 1e6])
+@pytest.mark.parametrize("retry_after", [0.0, 0.123, 0.5, 7.0, 1e6])
 def test_rejection_of_a_stalled_queue(
-    monkeypatch: pytest.MonkeyPatch, max_retry_after: float, has_hold_off: bool, hold_off: float
+    monkeypatch: pytest.MonkeyPatch, max_retry_after: float, has_hold_off: bool, retry_after: float
 ) -> None:
     """A rejection prepared before the request is read has a bounded hold-off in whole milliseconds."""
     settings, _ = read_settings({**SETTINGS, **site_settings(MaxRetryAfterS=max_retry_after)})
     front = HttpFront(
         RequestEngine(EngineConfig(settings, 1, Limits()), lambda _: False), Limits(), Poller(1)
     )
-    monkeypatch.setattr(front.queue.admission, "hold_off", lambda now: hold_off)
+    monkeypatch.setattr(front.queue.admission, "retry_after", lambda now: retry_after)
     head = front.queue.prepare_rejection(time.time()).partition(b"\r\n\r\n")[0].decode()
     headers = dict(line.split(": ") for line in head.split("\r\n")[1:])
     assert int(headers["Retry-After"]) >= 1
     assert ("X-Throttle-Ms" in headers) is has_hold_off
-    assert not has_hold_off or min(1000 * hold_off, 500) <= int(headers["X-Throttle-Ms"]) <= 500
+    assert not has_hold_off or min(1000 * retry_after, 500) <= int(headers["X-Throttle-Ms"]) <= 500
 
 
 def test_prepared_rejections_follow_new_settings() -> None:
@@ -349,7 +349,7 @@
 # The router to caches
 
 
-ATTEMPT = Fetch("q0", EDGE, 1.0, EDGE, keep=0)
+ATTEMPT = Fetch("q0", EDGE, 1.0, EDGE, retention_rank=0)
 
 
 @pytest.mark.parametrize(
@@ -357,12 +357,12 @@
     [
         (ATTEMPT, {}),  # no source, no rank, no flags, any age that the class allows
         (replace(ATTEMPT, source=PARENT), {"miss": PARENT}),
-        *[(replace(ATTEMPT, keep=rank), {"prio": str(rank)}) for rank in (1, 2, 3)],
-        (replace(ATTEMPT, join=True), {"f": "coalesce"}),
+        *[(replace(ATTEMPT, retention_rank=rank), {"prio": str(rank)}) for rank in (1, 2, 3)],
+        (replace(ATTEMPT, may_join_fill=True), {"f": "coalesce"}),
         (replace(ATTEMPT, revalidate=True), {"f": "freshen"}),
         (replace(ATTEMPT, only_if_cached=True), {"f": "shallow"}),
         (
-            replace(ATTEMPT, join=True, revalidate=True, only_if_cached=True),
+            replace(ATTEMPT, may_join_fill=True, revalidate=True, only_if_cached=True),
             {"f": "coalesce+shallow+freshen"},
         ),
     ],
@@ -428,8 +428,8 @@
         ("stale", CacheStatus.STALE),
         ("src_refused", CacheStatus.SOURCE_REFUSED),
         ("src_broke", CacheStatus.SOURCE_FAILED),
-        ("src_lacks", CacheStatus.SOURCE_LACKS),
-        ("no_slot", CacheStatus.NO_PLACE),
+        ("src_lacks", CacheStatus.SOURCE_MISS),
+        ("no_slot", CacheStatus.FILL_LIMIT_REACHED),
         ("origin_failed", CacheStatus.ORIGIN_FAILED),
         ("never_heard_of", CacheStatus.UNKNOWN),
         ("", CacheStatus.UNKNOWN),
@@ -656,7 +656,7 @@
     _, record_names = read_settings(SETTINGS)
     frame = read_frame(Frame(7, 2, record(cache, 0)[:-8] + boot_ms.to_bytes(8, "big")), record_names, 0.0)
     entry = {"seq": 7, "fleet": {"targets": [{**target(cache), "boot_ms": boot_ms}]}}
-    [known_event] = read_known({"results": [entry]}, record_names, 0.0)
+    [known_event] = read_configured_changes({"results": [entry]}, record_names, 0.0)
     assert frame == known_event
     assert isinstance(frame.event, Membership)
     assert frame.event.members[0].started_at == boot_ms / 1000
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -176,20 +176,20 @@
     core.post(Membership(MembershipKind.FULL, (Member("box", "here"), Member("other", "here"))))
     core.post(Purged("thing", -1, 0.5))
     first = core.routers.current
-    first.servers["box"].width, first.servers["box"].ejected_until = 9.0, now + 60
+    first.servers["box"].learned_width, first.servers["box"].ejected_until = 9.0, now + 60
     request = PendingRequest(Arrival("q", 4.0, "a", "thing", is_write=True), now + 4.0, "1" * 16)
     core.submit(request)
     core.reconfigure(
         EngineConfig(Settings("here", ("here",), (new,), may_bypass_caches=True, max_attempts=4), 1, Limits())
     )
     assert core.routers.current is not first
-    assert {s.width for s in core.routers.current.servers.values()} == {0.0}
+    assert {s.learned_width for s in core.routers.current.servers.values()} == {0.0}
     assert not any(s.ejected_until for s in core.routers.current.servers.values())
     assert core.routers.current.purges.keys() == {"thing"}
-    assert first.servers["box"].tokens.fill(now + 99, 5.0, 5.0) == 0.0
+    assert first.servers["box"].slow_start_bucket.fill(now + 99, 5.0, 5.0) == 0.0
     core.post(Membership(MembershipKind.CHANGES, (Member("new", "here", started_at=now),)))
-    assert first.servers["new"].tokens.fill(now + 99, 5.0, 5.0) == 0.0
-    assert core.routers.current.servers["new"].tokens.fill(now + 99, 5.0, 5.0) == 5.0
+    assert first.servers["new"].slow_start_bucket.fill(now + 99, 5.0, 5.0) == 0.0
+    assert core.routers.current.servers["new"].slow_start_bucket.fill(now + 99, 5.0, 5.0) == 5.0
     placed[0].written = True
     # Under the new settings of its class, the request could be retried.
     core.report(placed[0], AttemptReply(AttemptResult.ERROR, 0.1))
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -36,7 +36,7 @@
 from brackenlane.net.http_front import HttpFront
 from brackenlane.net.poller import Poller
 from brackenlane.net.request_codec import EncodedResponse
-from brackenlane.observe.throttle import Throttle
+from brackenlane.observe.log_rate_limiter import LogRateLimiter
 from brackenlane.routing.actions import Fetch
 from brackenlane.routing.events import Arrival, Membership, MembershipKind
 from brackenlane.routing.members import Member
@@ -458,10 +458,10 @@
         front.listener.admit(SocketWithLateBytes(fileno=accepted.detach()))
         peer.sendall(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
         while not front.table.in_state(ClientState.IDLE):
-            poller.turn()
+            poller.run_round()
         [client] = front.table.in_state(ClientState.IDLE)
         if how == "leave":
-            front.leave()
+            front.start_draining()
         else:
             client.expire()
         received = b""
@@ -469,11 +469,11 @@
             received += chunk
         assert received.startswith(b"HTTP/1.1 503")
         assert received.count(b"HTTP/1.1") == 1
-        poller.turn()
+        poller.run_round()
         assert not core.open_request_count  # the bytes after the close are not sent to a cache
         peer.close()
         while client.is_open:
-            poller.turn()
+            poller.run_round()
 
 
 @with_trio
@@ -528,7 +528,7 @@
 
 
 def test_log_line_reports_suppressed_lines(monkeypatch: pytest.MonkeyPatch) -> None:
-    throttle, passed = Throttle(2, 1.0, max_kinds=3), []
+    throttle, passed = LogRateLimiter(2, 1.0, max_kinds=3), []
     for n in range(50):
         record = logging.LogRecord("a", logging.WARNING, "", 0, "%s is bad", (f"box {n}",), None)
         monkeypatch.setattr(time, "monotonic", lambda n=n: n / 10)  # five periods of ten lines
@@ -849,7 +849,7 @@
         while not received.endswith(b"z" * 2_000_000 + b"\r\n"):
             with contextlib.suppress(BlockingIOError):
                 received += peer.recv(65_536)
-            poller.turn()
+            poller.run_round()
             assert time.time() < now + 8, f"{len(received)} bytes came"
         assert ended_attempts == ["y"]
         assert received.count(b"GET ") == 2
@@ -876,8 +876,8 @@
         accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         front.listener.admit(accepted)
         [client] = front.table.in_state(ClientState.NEW)
-        client.wait(ClientState.ACTIVE)
-        client._input.bytes_allowed = Limits().max_head_size
+        client.enter_state(ClientState.ACTIVE)
+        client._input.unrequested_bytes_left = Limits().max_head_size
         client.answer(EncodedResponse(200, {}, bytes(8_000_000)))
         assert client in front.table.in_state(ClientState.WRITING)
         peer.sendall(b"x" * 20_000)
@@ -886,7 +886,7 @@
         received, is_closed, give_up_at = b"", False, time.time() + 20
         while not is_closed:
             assert time.time() < give_up_at, f"{received.count(b'HTTP/1.1')} answers"
-            poller.turn()
+            poller.run_round()
             with contextlib.suppress(BlockingIOError):
                 chunk = peer.recv(1_000_000)
                 received, is_closed = received + chunk, not chunk
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -122,7 +122,7 @@
         add_records(bad)
         add_records(good)
         bad.fail(fault)
-        resolver = create_resolver(nursery, bad, good, floor=0.0)
+        resolver = create_resolver(nursery, bad, good, min_ttl=0.0)
         assert set((await resolver.look_up(SRV, RecordType.SRV)).targets) == set(TARGETS)
         if fault in (Fault.LOST, Fault.LATE, Fault.WRONG_PORT):
             assert resolver.upstreams.order(0.0)[0].endpoint[1] == good.port
@@ -136,7 +136,7 @@
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
         add_records(server, ttl=0)
-        resolver = create_resolver(nursery, server, budget=1.0, floor=0.05)
+        resolver = create_resolver(nursery, server, budget=1.0, min_ttl=0.05)
         first = await resolver.look_up(SRV, RecordType.SRV)
         server.fail(Fault.CUT, fault)
         await trio.sleep(0.06)
@@ -145,7 +145,7 @@
         assert found.targets == first.targets
         assert "TCP" in found.stale_reason
         server.fail()
-        await trio.sleep(1.05)  # longer than `Lifetimes.failure`, for which no query is sent
+        await trio.sleep(1.05)  # longer than `Lifetimes.failure_ttl`, for which no query is sent
         assert not (await resolver.look_up(SRV, RecordType.SRV)).is_stale
         nursery.cancel_scope.cancel()
 
@@ -285,7 +285,7 @@
 @pytest.mark.parametrize(("ttl", "lifetime"), [(0, 0.5), (10, 10.0), (2**31 - 1, 300.0)])
 def test_lifetimes(ttl: int, lifetime: float) -> None:
     """TTLs of zero and of decades are clamped to the limits."""
-    cache, question = AnswerCache(Lifetimes(floor=0.5, ceiling=300.0)), Question("a.test", RecordType.A)
+    cache, question = AnswerCache(Lifetimes(min_ttl=0.5, max_ttl=300.0)), Question("a.test", RecordType.A)
     found = Reply(ReplyKind.FOUND, addresses=("127.0.0.1",), ttl=float(ttl))
     cache.put(question, found, "u", 100.0)
     assert cache.get_fresh(question, 100.0 + lifetime - 0.01)
@@ -296,8 +296,8 @@
 
 
 def test_cache_bounds() -> None:
-    """The least recently used answer is evicted at the limit; a failure is cached for `Lifetimes.failure`."""
-    cache = AnswerCache(Lifetimes(entries=3))
+    """The least recently used answer is evicted at the limit; failures stay for `Lifetimes.failure_ttl`."""
+    cache = AnswerCache(Lifetimes(max_entries=3))
     for number in range(5):
         cache.put(Question(f"{number}.test", RecordType.A), Reply(ReplyKind.FOUND, ttl=60.0), "u", 1.0)
         cache.get_fresh(Question("2.test", RecordType.A), 1.0)
--- a/tests/test_routing_settings.py
+++ b/tests/test_routing_settings.py
@@ -37,6 +37,12 @@
         RequestClass("video", latency_objective=0.0, time_limit=1.0)
     with pytest.raises(ValueError, match="fresh_for"):
         RequestClass("video", latency_objective=1.0, time_limit=1.0, fresh_for=-1.0)
-    for fields in ({"share": 0.0}, {"share": 1.5}, {"ramp": -1.0}, {"factor": 0.0}, {"span": 0.0}):
+    for fields in (
+        {"share": 0.0},
+        {"share": 1.5},
+        {"ramp": -1.0},
+        {"overload_factor": 0.0},
+        {"overload_duration": 0.0},
+    ):
         with pytest.raises(ValueError, match="cold"):
             SlowStart(**fields)
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -34,7 +34,7 @@
 from brackenlane.routing.router import Router
 from brackenlane.routing.settings import Idempotency, Scope, Settings, SiblingSources, SlowStart
 from brackenlane.routing.settings_codec import kind_roles, read_settings
-from tests.router_harness import every, only
+from tests.router_harness import actions_of, single_action
 
 Json = dict[str, Any]
 Path = tuple[str | int, ...]
@@ -327,8 +327,8 @@
         (0, 1, 0, 1),
         (0, 1, 2, 2),
     )
-    assert found.edge_cold == SlowStart(0.22, 16.0, 3.5, 1.5)
-    assert found.parent_cold == SlowStart(0.12, 14.0, 2.5, 1.5)
+    assert found.edge_slow_start == SlowStart(0.22, 16.0, 3.5, 1.5)
+    assert found.parent_slow_start == SlowStart(0.12, 14.0, 2.5, 1.5)
     assert found.weights_known
     assert not found.must_subscribe
     assert found.sibling_sources is SiblingSources.LOCATION
@@ -355,7 +355,7 @@
 def request_once(router: Router, cls: str, size_kb: float = 300.0) -> Fetch:
     """Send a new request and return its only attempt."""
     request = Arrival(f"q-{cls}", 1.5, cls, "thing", size_kb=size_kb)
-    return only(router.handle(request, 1.0), Fetch)
+    return single_action(router.handle(request, 1.0), Fetch)
 
 
 def test_site_without_parents_fills_from_the_origin() -> None:
@@ -538,8 +538,8 @@
         )
         attempts: dict[str, int] = {}
         for _ in range(12):
-            fetches = every(pending, Fetch)
-            timers = every(pending, SetTimer)
+            fetches = actions_of(pending, Fetch)
+            timers = actions_of(pending, SetTimer)
             pending, count = [], count + len(fetches)
             for fetch in fetches:
                 attempt = attempts.get(fetch.request_id, -1) + 1
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -23,7 +23,7 @@
 from brackenlane.routing.events import AttemptResult, CacheStatus, MembershipKind, Outcome
 from brackenlane.routing.members import Member, Role
 from brackenlane.routing.settings import RequestClass
-from tests.router_harness import VIDEO, RouterHarness, every, members, settings
+from tests.router_harness import VIDEO, RouterHarness, actions_of, members, settings
 
 
 class VirtualClock(Timers):
@@ -38,7 +38,7 @@
         """Return the current time."""
         return self.now
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> Timer:
+    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> Timer:
         """Schedule a call."""
         timer = Timer(call, args)
         heapq.heappush(self._heap, (when, len(self._heap) + self.call_count, timer))
@@ -142,7 +142,7 @@
     cache: Any = BusyPool()
     caches._pools["s-00000001"] = cache
     attempt: Any = type("Attempt", (), {"fetch": type("Fetch", (), {"server": "s-00000001"})})
-    caches.place(attempt)
+    caches.dispatch(attempt)
     calls_before = clock.call_count
     clock.run_to(clock.now + 1)
     assert clock.call_count - calls_before >= 0.8 / limits.connection_check_interval
@@ -202,7 +202,7 @@
             weights_known=False,
             classes=(VIDEO,),
         )
-        harness.tell(
+        harness.update_members(
             [
                 *(self._make_member(f"{location}/{n}", location, Role.EDGE) for n in range(4)),
                 *self.parents,
@@ -223,8 +223,8 @@
             self.now += self.random.expovariate(rate)
             [harness] = self.random.choices(self.harnesses, self.loads)
             harness.now = self.now
-            for fetch in every(harness.ask(f"o{self.random.randrange(9999)}"), Fetch):
-                harness.end(fetch, cache_status=CacheStatus.FILLED)
+            for fetch in actions_of(harness.send_request(f"o{self.random.randrange(9999)}"), Fetch):
+                harness.finish_attempt(fetch, cache_status=CacheStatus.FILLED)
                 for name in {fetch.server, fetch.source} & self.send_times.keys():
                     if self.now >= self.start_times[name]:
                         self.send_times[name].append(self.now)
@@ -236,11 +236,11 @@
         is_edge = "/" in name
         rule, weight = (EDGE_COLD, 4.0) if is_edge else (PARENT_COLD, 10.0)
         share = rule.share + (1 - rule.share) * min(1.0, (self.now - self.start_times[name]) / rule.ramp)
-        recent = sum(0.4 for at in self.send_times[name] if at > self.now - rule.span)
-        return share < 1 and recent > rule.factor * weight * share * rule.span
+        recent = sum(0.4 for at in self.send_times[name] if at > self.now - rule.overload_duration)
+        return share < 1 and recent > rule.overload_factor * weight * share * rule.overload_duration
 
 
-EDGE_COLD, PARENT_COLD = settings().edge_cold, settings().parent_cold
+EDGE_COLD, PARENT_COLD = settings().edge_slow_start, settings().parent_slow_start
 
 
 @pytest.mark.parametrize("uneven", [False, True])
@@ -323,19 +323,21 @@
             is_reported = True
             for harness in harnesses:
                 harness.now = now
-                harness.tell([cold_cache])
+                harness.update_members([cold_cache])
         if now > next_restart:
             next_restart += 0.4
             harnesses[count % router_count] = start_router(count)
         harness, obj = rng.choice(harnesses), rng.randrange(3000)
         harness.now = now
-        for fetch in every(harness.ask(f"o{obj}", "c", size_kb=0.0), Fetch):
+        for fetch in actions_of(harness.send_request(f"o{obj}", "c", size_kb=0.0), Fetch):
             heapq.heappush(in_flight, (now + sizes[obj] * 1.1, obj, harness, fetch))
             if fetch.server == "edge-0":
                 send_times.append(now)
                 share = EDGE_COLD.share + (1 - EDGE_COLD.share) * (now - 100.0) / EDGE_COLD.ramp
-                allowed = EDGE_COLD.factor * weight * share * EDGE_COLD.span / service_time
-                recent = sum(at > now - EDGE_COLD.span for at in send_times[-2000:])
+                allowed = (
+                    EDGE_COLD.overload_factor * weight * share * EDGE_COLD.overload_duration / service_time
+                )
+                recent = sum(at > now - EDGE_COLD.overload_duration for at in send_times[-2000:])
                 if recent > allowed + 2 * math.sqrt(allowed) + 2:
                     return len(send_times), True
     return len(send_times), False
@@ -377,10 +379,15 @@
                 weights_known=False,
             )
             harness.now = now
-            harness.tell([new_cache])
+            harness.update_members([new_cache])
             for n in range(20):
-                spent_seconds += 0.4 * (harness.serve(f"o{n}").server == "edge-0")
+                spent_seconds += 0.4 * (harness.serve_request(f"o{n}").server == "edge-0")
     rule = EDGE_COLD
     assert (
-        0 < spent_seconds <= rule.factor * 4.0 * (rule.share + (1 - rule.share) * 4.3 / rule.ramp) * rule.span
+        0
+        < spent_seconds
+        <= rule.overload_factor
+        * 4.0
+        * (rule.share + (1 - rule.share) * 4.3 / rule.ramp)
+        * rule.overload_duration
     )
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -23,7 +23,7 @@
 from brackenlane.core.claims import ClaimResult
 from brackenlane.discovery import snapshot, snapshot_codec
 from brackenlane.discovery.merge import MembershipMerge
-from brackenlane.discovery.records import CacheDefinition, OperatorOrder, Policy, RememberedMembers
+from brackenlane.discovery.records import CacheDefinition, OperatorOrder, PersistedMembership, Policy
 from brackenlane.discovery.registry import Registry
 from brackenlane.lab.stand_ins.redis import Redis
 from brackenlane.limits import Limits
@@ -58,7 +58,7 @@
 
 SAVED = 1_700_000_200.75
 SNAPSHOT = snapshot_codec.Snapshot(
-    RememberedMembers(
+    PersistedMembership(
         (EDGE, PARENT),
         {"_cache._tcp.branch.example": (ORIGIN,), "_empty._tcp.branch.example": ()},
         {"parent.branch.example": "192.0.2.8"},
@@ -184,7 +184,7 @@
             assert await shared.claims.claim("txn-1") is ClaimResult.TAKEN
             assert await shared.claims.claim("txn-2") is ClaimResult.OURS
             nursery.cancel_scope.cancel()
-        remembered = merge.to_remember()
+        remembered = merge.snapshot_content()
         assert set(remembered.definitions) == definitions
         assert not remembered.srv_members
         assert remembered.orders == {"e-1": DRAIN, "p-1": RESTORE}
