--- a/brackenlane/lab/cluster/clients.py
+++ b/brackenlane/lab/cluster/clients.py
@@ -82,7 +82,8 @@
 def served(record: Record, since: float = 0.0, until: float = float("inf")) -> float:
     """Return the share of the requested value that was answered within the latency objective of its class.
 
-    `since` and `until` bound the times of the requests, in seconds of the record.
+    The objective may be exceeded by 0.2 s. `since` and `until` bound the times of
+    the requests, in seconds of the record.
     """
     values = {c[0]: c[2] for c in CLASSES}
     objectives = {c[0]: c[3] for c in CLASSES}
--- a/brackenlane/lab/stand_ins/cache_server.py
+++ b/brackenlane/lab/stand_ins/cache_server.py
@@ -70,7 +70,7 @@
     alive: bool = True  # whether it answers PING
     most: int = 0  # maximum of requests on one connection
     links: int = 0  # number of connections so far
-    ended: int = 0  # number of connections that the router closed or broke
+    ended: int = 0  # number of ended connections, except those ended by a reply without line break
     updated: trio.Event = field(default_factory=trio.Event)
     _streams: list[trio.SocketStream] = field(default_factory=list)
 
