--- a/brackenlane/lab/faults/__init__.py
+++ b/brackenlane/lab/faults/__init__.py
@@ -1,6 +1,6 @@
-"""Faults put into one real process from outside: steps of its wall clock, failing system calls and storage.
+"""Fault injection for one real process: wall clock steps, failing system calls and storage errors.
 
-Owns a library that is compiled from `tools/fault_shim.c` and preloaded into that process alone, and the
-control file by which a test or the soak turns faults on and off while it runs. Never touches the machine's
-clock or another process. Entry point: `shim.FaultShim`.
+A library compiled from `tools/fault_shim.c` is preloaded into that process. A test or the soak test switches
+faults on and off through a control file while the process runs. The machine's clock and other processes are
+not affected. Entry point: `shim.FaultShim`.
 """
--- a/brackenlane/lab/faults/shim.py
+++ b/brackenlane/lab/faults/shim.py
@@ -1,4 +1,4 @@
-"""Builds the preloaded library, and turns its faults on and off while a process runs."""
+"""Builds the preloaded fault library and controls its faults while the process runs."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 from enum import IntEnum
 from pathlib import Path
 
-# Outside the package: what a router runs on is Python alone.
+# The source is outside the package, since the router itself needs Python alone.
 SOURCE = Path(__file__).parents[3] / "tools" / "fault_shim.c"
 COMPILER = ("gcc", "-O1", "-shared", "-fPIC", "-Wall", "-Werror")
 CONTROL_VARIABLE = "BRACKENLANE_FAULTS"
 BUILD_TIMEOUT = 60.0  # seconds
 
-# The layout of `struct control` in fault_shim.c, in doubles.
+# Layout of `struct control` in fault_shim.c; offsets are counted in doubles.
 DOUBLE = struct.Struct("=d")
 WALL_OFFSET = 0
 SEED = 1
 FIRST_CALL = 2
-# Within one call.
+# Offsets within the entry of one system call.
 PROBABILITY = 0
 COUNT = 1
 FIRST_ERROR = 2
-ERRORS = 4  # places for errors
-CALL_SIZE = FIRST_ERROR + ERRORS
+MAX_ERRORS = 4  # error numbers in an entry
+CALL_SIZE = FIRST_ERROR + MAX_ERRORS
 
 
 class SystemCall(IntEnum):
-    """The calls that can fail, in the order of `enum call` in fault_shim.c."""
+    """The system calls that can be made to fail, in the order of `enum call` in fault_shim.c."""
 
     ACCEPT = 0
     SOCKET = 1
     CONNECT = 2
-    RECV = 3  # short, never failed: no byte is lost
-    SEND = 4  # likewise
+    RECV = 3  # returns fewer bytes but never fails, so that no byte is lost
+    SEND = 4  # sends fewer bytes but never fails
     EPOLL_WAIT = 5
-    EPOLL_CTL = 6  # EPOLL_CTL_ADD alone
-    WRITE = 7  # of regular files; error 0: a part is written
+    EPOLL_CTL = 6  # only EPOLL_CTL_ADD
+    WRITE = 7  # to regular files; error 0: a partial write
     FSYNC = 8
     RENAME = 9
-    OPEN = 10  # for writing
+    OPEN = 10  # only files opened for writing
 
 
 class FaultShimError(Exception):
-    """The library cannot be built."""
+    """The fault library can't be built."""
 
 
 class FaultShim:
-    """The library and the control file of one process."""
+    """The fault library and the control file of one process."""
 
     def __init__(self, folder: Path, seed: int = 1, library: Path | None = None) -> None:
-        """Make a control file in a folder that has no fault on, and build the library unless one is given.
+        """Create the control file in a folder, with all faults off; build the library unless one is given.
 
         Raises FaultShimError.
         """
@@ -66,42 +66,42 @@
 
     @property
     def environment(self) -> dict[str, str]:
-        """What the process must have in its environment."""
+        """The environment variables that load the fault library into a process."""
         return {"LD_PRELOAD": str(self._library), CONTROL_VARIABLE: str(self._control_path)}
 
     def step_wall_clock(self, offset: float) -> None:
-        """Set the wall clock of the process to the machine's plus these seconds."""
+        """Offset the wall clock of the process from the machine's by this many seconds."""
         self._set(WALL_OFFSET, offset)
 
     def fail(self, call: SystemCall, probability: float, errors: Iterable[int] = ()) -> None:
-        """Fail this share of the calls from now on, with one of up to four errors, drawn alike."""
+        """Make this share of the calls fail from now on, with one of up to four equally likely errors."""
         numbers = list(errors) or [0]
-        if len(numbers) > ERRORS:
-            raise ValueError(f"{len(numbers)} errors, {ERRORS} at most")
-        for index in range(ERRORS):
-            self._set(self._place(call) + FIRST_ERROR + index, numbers[index % len(numbers)])
-        self._set(self._place(call) + PROBABILITY, probability)
+        if len(numbers) > MAX_ERRORS:
+            raise ValueError(f"{len(numbers)} errors given, but at most {MAX_ERRORS} fit into an entry")
+        for index in range(MAX_ERRORS):
+            self._set(self._call_offset(call) + FIRST_ERROR + index, numbers[index % len(numbers)])
+        self._set(self._call_offset(call) + PROBABILITY, probability)
 
     def recover(self) -> None:
-        """Let all calls pass again; the clock stays as it is."""
+        """Stop all failures of system calls; the clock offset stays."""
         for call in SystemCall:
-            self._set(self._place(call) + PROBABILITY, 0.0)
+            self._set(self._call_offset(call) + PROBABILITY, 0.0)
 
     def count(self, call: SystemCall) -> int:
-        """Return how many calls have been failed."""
-        offset = DOUBLE.size * (self._place(call) + COUNT)
+        """Return how many calls were made to fail so far."""
+        offset = DOUBLE.size * (self._call_offset(call) + COUNT)
         return int(DOUBLE.unpack_from(self._map, offset)[0])
 
     @staticmethod
-    def _place(call: SystemCall) -> int:
+    def _call_offset(call: SystemCall) -> int:
         return FIRST_CALL + CALL_SIZE * call
 
-    def _set(self, place: int, value: float) -> None:
-        DOUBLE.pack_into(self._map, DOUBLE.size * place, value)
+    def _set(self, offset: int, value: float) -> None:
+        DOUBLE.pack_into(self._map, DOUBLE.size * offset, value)
 
 
 def build_library(folder: Path) -> Path:
-    """Build the library in a folder, and return its path. Raises FaultShimError."""
+    """Compile the fault library into a folder and return its path. Raises FaultShimError."""
     library = folder / "shim.so"
     unfinished = library.with_suffix(".part")
     try:
