--- a/brackenlane/lab/soak/__init__.py
+++ b/brackenlane/lab/soak/__init__.py
@@ -1,6 +1,7 @@
-"""The soak: real routers under a seeded schedule of overlapping faults, judged by what their peers recorded.
+"""Soak test: runs real routers under seeded, overlapping faults and checks the records of their peers.
 
-Owns the drawing of deployments and faults, the peers (caches, change log, clients), the invariants, and the
-shrinking of a failing seed. Never reads what a router says of itself, but for its exit code and tracebacks.
+Contains the random generation of deployments and faults, the simulated peers (caches, change log, clients),
+the invariants, and the reduction of a failing schedule. Of a router's own output, only the exit code and
+tracebacks are checked.
 Entry point: `python -m brackenlane.lab.soak`; docs/operate/soak.md.
 """
--- a/brackenlane/lab/soak/change_log.py
+++ b/brackenlane/lab/soak/change_log.py
@@ -1,4 +1,4 @@
-"""The change log of a soak: one history, and for each router a place where it is followed."""
+"""Change log server of the soak test: one event history, served to each router at its own endpoint."""
 
 from __future__ import annotations
 
@@ -15,57 +15,60 @@
 from brackenlane.lab.soak.record import Notification, Record
 from brackenlane.lab.stand_ins.cache_server import CacheListener
 
-# Kinds of frames.
+# Frame types of the change log protocol.
 HEARTBEAT = 0
 LIST_CHANGES = 2
 GROUP_PURGE = 4
 HEARTBEAT_INTERVAL = 1.0  # seconds
-AT_MOST = 7.0  # seconds after which an event counts as received (pages)
-FOREVER = 1_000_000  # connections
-AFTER_TROUBLE = 4.0  # seconds after a move or a stop, likewise
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close with a reset
+MAX_NOTIFICATION_DELAY = 7.0  # seconds; documented limit, after which an event counts as received
+UNLIMITED_CONNECTIONS = 1_000_000  # more than any run opens
+RECOVERY_TIME = 4.0  # seconds; the documented limit after the endpoint moved or failed
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER value that makes close() send a reset
 
 
-class Trouble(Enum):
-    """How the first connections at a place fail."""
+class ConnectionFault(Enum):
+    """How an endpoint treats its first connections."""
 
     NONE = 0
     SILENT = 1
     RESETS = 2
-    LATE = 3
+    DELAYED = 3
 
 
 @dataclass(slots=True)
 class LogEvent:
-    """One event of the history."""
+    """One published event."""
 
     number: int
     frame: bytes
     published_at: float
     change: Notification
-    received: dict[int, float] = field(default_factory=dict)  # when the first connection of a router got it
+    first_received_at: dict[int, float] = field(default_factory=dict)  # by router number
 
 
-class History:
-    """All events so far, and when each router counts as notified of them."""
+class ChangeHistory:
+    """All published events, and the time at which each router counts as notified of them."""
 
     def __init__(self, first_number: int) -> None:
         self.events: list[LogEvent] = []
-        self.troubles: dict[int, list[float]] = {}  # by router: when its place failed or moved
+        self.fault_times: dict[int, list[float]] = {}  # by router: when its endpoint failed or moved
         self._next_number = first_number
-        self.grown = trio.Event()
+        self.event_added = trio.Event()
 
     def publish(self, kind: int, payload: bytes, change: Notification) -> None:
-        """Add an event."""
+        """Append an event and notify the connections that wait for one."""
         head = struct.pack(">IQB", 9 + len(payload), self._next_number, kind)
         event = LogEvent(self._next_number, head + payload, trio.current_time(), change)
         self.events.append(event)
         self._next_number += 1
-        grown, self.grown = self.grown, trio.Event()
-        grown.set()
+        event_added, self.event_added = self.event_added, trio.Event()
+        event_added.set()
 
     def notifications(self, record: Record) -> list[Notification]:
-        """Return when each router counts as notified of each event: as it came, or by the pages' bounds."""
+        """Return when each router counts as notified of each event.
+
+        This is the time of receipt, or the documented limit where that is earlier.
+        """
         found = []
         for event in self.events:
             for router in record.routers:
@@ -85,40 +88,43 @@
 
     def _notified_at(self, event: LogEvent, router: int) -> float:
         published_at = event.published_at
-        bound = published_at + AT_MOST
-        troubles = [at for at in self.troubles.get(router, ()) if at <= bound]
-        if troubles:
-            ended_by = max(troubles) + AFTER_TROUBLE
+        bound = published_at + MAX_NOTIFICATION_DELAY
+        fault_times = [at for at in self.fault_times.get(router, ()) if at <= bound]
+        if fault_times:
+            ended_by = max(fault_times) + RECOVERY_TIME
             if ended_by >= published_at:
                 bound = min(bound, ended_by)
-        return min(bound, event.received.get(router, math.inf))
+        return min(bound, event.first_received_at.get(router, math.inf))
 
 
-class LogPlace(CacheListener):
-    """One address of the change log, for one router."""
+class ChangeLogEndpoint(CacheListener):
+    """One address at which one router reads the change log."""
 
-    def __init__(self, history: History, router: int, trouble: Trouble = Trouble.NONE) -> None:
+    def __init__(
+        self, history: ChangeHistory, router: int, fault: ConnectionFault = ConnectionFault.NONE
+    ) -> None:
         self._history = history
         self._router = router
-        self._trouble = trouble
+        self._fault = fault
         self._connections = 0
-        self._silenced = 0  # connections up to this number say nothing more
+        self._last_silenced = 0  # connections up to this number send nothing more
         self._streams: list[trio.SocketStream] = []
 
-    def fall_silent(self) -> None:
-        """Say nothing more on the connections that are open now."""
-        self._silenced = self._connections
+    def silence_open_connections(self) -> None:
+        """Send nothing more on the connections that are open now."""
+        self._last_silenced = self._connections
 
-    def refuse_all(self) -> None:
-        """Reset the connections that are open now, and each that comes."""
-        self._trouble = Trouble.RESETS
-        self._connections = -FOREVER
+    def reset_all_and_refuse(self) -> None:
+        """Reset the connections that are open now, and each later one."""
+        self._fault = ConnectionFault.RESETS
+        # Keeps the numbers of all later connections within the range that is reset.
+        self._connections = -UNLIMITED_CONNECTIONS
         self.reset_all()
 
     def reset_all(self) -> None:
         """Reset the connections that are open now."""
         for stream in self._streams:
-            _reset(stream)
+            _reset_stream(stream)
         self._streams.clear()
 
     async def _serve(self, stream: trio.SocketStream) -> None:
@@ -127,39 +133,39 @@
             self._connections += 1
             number = self._connections
             self._streams.append(stream)
-            if number == 1 and self._trouble is Trouble.SILENT:
+            if number == 1 and self._fault is ConnectionFault.SILENT:
                 await trio.sleep_forever()
-            if number <= 3 and self._trouble is Trouble.RESETS:
-                _reset(stream)
+            if number <= 3 and self._fault is ConnectionFault.RESETS:
+                _reset_stream(stream)
                 return
-            if self._trouble is Trouble.LATE:
+            if self._fault is ConnectionFault.DELAYED:
                 await trio.sleep(1.0)
             await self._follow(stream, number, cursor)
 
     async def _follow(self, stream: trio.SocketStream, number: int, cursor: int) -> None:
         while True:
-            grown = self._history.grown
+            event_added = self._history.event_added
             for event in self._history.events:
-                if event.number > cursor and number > self._silenced:
+                if event.number > cursor and number > self._last_silenced:
                     await stream.send_all(event.frame)
                     cursor = event.number
-                    event.received.setdefault(self._router, trio.current_time())
+                    event.first_received_at.setdefault(self._router, trio.current_time())
             with trio.move_on_after(HEARTBEAT_INTERVAL) as quiet:
-                await grown.wait()
-            if number <= self._silenced:
+                await event_added.wait()
+            if number <= self._last_silenced:
                 await trio.sleep_forever()
             if quiet.cancelled_caught:
                 await stream.send_all(struct.pack(">IQB", 9, cursor, HEARTBEAT))
 
 
-def _reset(stream: trio.SocketStream) -> None:
+def _reset_stream(stream: trio.SocketStream) -> None:
     with contextlib.suppress(OSError, trio.ClosedResourceError):
-        stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         stream.socket.close()
 
 
-def purge(history: History, group: int) -> None:
-    """Publish the purge of a group, made now."""
+def publish_purge(history: ChangeHistory, group: int) -> None:
+    """Publish a purge of a group with the current time."""
     now_ms = int(time.time() * 1000)
     payload = struct.pack(">HQ", group, now_ms)
     history.publish(GROUP_PURGE, payload, Notification(-1, 0.0, purged_group=group, purged_at=now_ms / 1000))
--- a/brackenlane/lab/soak/record.py
+++ b/brackenlane/lab/soak/record.py
@@ -1,4 +1,4 @@
-"""What the peers of the routers saw, on the soak's own monotonic clock (seconds)."""
+"""What the peers of the routers observed; times are seconds of the soak's monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,54 +7,54 @@
 
 
 @dataclass(slots=True)
-class AttemptSeen:
+class ObservedAttempt:
     """One attempt as a server received it."""
 
     at: float
     server: str
     request_id: str
-    source: str  # that a miss is filled from; empty: none
-    budget: float  # seconds that the server was given
-    has_run: bool = True  # or the server said, truly, that it did not
+    source: str  # the server that a miss is filled from; empty: none
+    budget: float  # seconds that the request allowed the server
+    has_run: bool = True  # False: the server responded, correctly, that the request did not run
 
 
 @dataclass(slots=True)
-class RequestSeen:
-    """One request as its client sent and ended it."""
+class ObservedRequest:
+    """One request as its client sent it, with how it ended."""
 
     request_id: str
     router: int
-    sent_at: float  # its last byte was written
+    sent_at: float  # when its last byte was written
     time_limit: float
     is_write: bool
     obj: str
     group: int
     answered_at: float = math.inf
-    status: int = 0  # 0: no whole answer
+    status: int = 0  # 0: no complete response
     issued_at: float = 0.0  # Unix time at which the origin issued the copy that was served; 0: none
-    surplus: int = 0  # bytes behind the answer
-    left_at: float = math.inf  # the client closed before its answer
-    is_crossing: bool = False  # the router closed a resting connection as this was sent: no answer is owed
+    extra_bytes: int = 0  # received after the end of the response
+    client_left_at: float = math.inf  # when the client closed before the response
+    raced_with_close: bool = False  # the router closed the idle connection meanwhile: no response is due
 
 
 @dataclass(slots=True)
-class RouterSeen:
-    """One router process."""
+class ObservedRouter:
+    """One router process and how it ended."""
 
     number: int
-    stopped: list[tuple[float, float]] = field(default_factory=list)  # by SIGSTOP: from, until
-    term_at: float = math.inf
-    killed_at: float = math.inf
+    suspended: list[tuple[float, float]] = field(default_factory=list)  # by SIGSTOP: (start, end)
+    sigterm_at: float = math.inf
+    sigkill_at: float = math.inf
     exit_code: int | None = None
     log: bytes = b""
 
 
 @dataclass(slots=True)
 class Notification:
-    """A change as one router counts as notified of it."""
+    """One change, with the time from which a router counts as notified of it."""
 
     router: int
-    at: float  # of the monotonic clock
+    at: float  # monotonic clock
     server: str = ""
     is_serving: bool = False
     purged_group: int = -1
@@ -63,16 +63,16 @@
 
 @dataclass(slots=True)
 class Record:
-    """All that the peers saw in one run."""
+    """All that the peers observed in one run."""
 
-    attempts: list[AttemptSeen] = field(default_factory=list)
-    requests: dict[str, RequestSeen] = field(default_factory=dict)
-    routers: list[RouterSeen] = field(default_factory=list)
+    attempts: list[ObservedAttempt] = field(default_factory=list)
+    requests: dict[str, ObservedRequest] = field(default_factory=dict)
+    routers: list[ObservedRouter] = field(default_factory=list)
     notifications: list[Notification] = field(default_factory=list)
-    stalls: list[tuple[float, float]] = field(default_factory=list)  # of the soak itself: from, until
-    started_at: float = 0.0  # when the first fault's time began to count
-    timeline: list[tuple[float, str]] = field(default_factory=list)  # seconds since then, and what was done
+    stalls: list[tuple[float, float]] = field(default_factory=list)  # of the soak process: (start, end)
+    started_at: float = 0.0  # the time to which fault times are relative
+    timeline: list[tuple[float, str]] = field(default_factory=list)  # seconds after started_at, action
 
     def note(self, at: float, text: str) -> None:
-        """Add a line to the timeline."""
+        """Append an action to the timeline."""
         self.timeline.append((at - self.started_at, text))
--- a/brackenlane/lab/soak/running_router.py
+++ b/brackenlane/lab/soak/running_router.py
@@ -1,4 +1,4 @@
-"""One router process of a soak, and what is its own."""
+"""A router process of the soak test, with its files, fault shim and change log endpoint."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 import trio
 
 from brackenlane.lab.faults.shim import FaultShim
-from brackenlane.lab.soak.change_log import LogPlace
-from brackenlane.lab.soak.record import RouterSeen
+from brackenlane.lab.soak.change_log import ChangeLogEndpoint
+from brackenlane.lab.soak.record import ObservedRouter
 
 
 @dataclass
 class RunningRouter:
-    """One router and what is its own."""
+    """One router process with what belongs to it alone."""
 
-    seen: RouterSeen
+    observed: ObservedRouter
     port: int
     folder: Path
     config: dict[str, Any]
     shim: FaultShim
-    place: LogPlace
+    endpoint: ChangeLogEndpoint
     process: trio.Process
 
     def write_config(self) -> None:
-        """Write the file that SIGHUP has it read."""
+        """Write the configuration file, which the router reads again at SIGHUP."""
         (self.folder / "config.json").write_bytes(orjson.dumps(self.config))
--- a/brackenlane/lab/soak/schedule.py
+++ b/brackenlane/lab/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Deployments and schedules of faults, drawn by a seed. Pure."""
+"""Random deployments and fault schedules, determined by a seed. No I/O."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 
 from brackenlane.lab.faults.shim import SystemCall
 
-KILL_MARGIN = 0.7  # seconds after the longest deadline: the earliest SIGKILL after SIGTERM (pages)
-MAX_KILL_DEADLINE = 3.0  # the most of the longest deadline that counts for it
-QUIET_START = 1.0  # seconds before the first fault
+# SIGKILL follows SIGTERM no earlier than the longest deadline and this margin; documented limit.
+KILL_MARGIN = 0.7  # seconds
+MAX_KILL_DEADLINE = 3.0  # seconds; longer deadlines don't delay SIGKILL further
+FAULT_FREE_START = 1.0  # seconds before the first fault
 MAX_FAULTS = 12
 
 
 class FaultKind(Enum):
-    """What can go wrong."""
+    """Kinds of faults; the values appear in the printed timeline."""
 
     CLOCK_STEP = "the wall clock is stepped"
     SYSTEM_CALLS = "system calls fail"
     STORAGE = "writes to the folder fail"
     MOVE_SILENT = "the change log moves to a place whose first connections are silent"
     MOVE_RESET = "the change log moves to a place that resets its first connections"
-    MOVE_LATE = "the change log moves to a place that answers late"
+    MOVE_DELAYED = "the change log moves to a place that answers late"
     MOVE_SERIES = "the change log resets all connections, then moves three times, last to a silent place"
     LOG_SILENT = "the change log falls silent on its open connections"
     LOG_RESET = "the change log resets its open connections"
@@ -36,10 +37,10 @@
     SERVER_HANGS = "a server hangs"
     SERVER_RESETS = "a server resets its connections"
     SERVER_REPLACED = "a server is gone, and another takes its address"
-    CROWD = "idle clients connect"
+    IDLE_CLIENTS = "idle clients connect"
 
 
-CALL_ERRORS = {
+SYSTEM_CALL_ERRORS = {
     SystemCall.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EMFILE),
     SystemCall.SOCKET: (errno.ENFILE, errno.ENOBUFS, errno.EMFILE, errno.ENOMEM),
     SystemCall.CONNECT: (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ECONNREFUSED),
@@ -49,7 +50,8 @@
     SystemCall.EPOLL_CTL: (errno.ENOMEM, errno.ENOSPC),
 }
 CLOCK_STEPS = (1.0, -1.0, 5.0, -5.0, 3600.0, -3600.0)
-DEADLINES = ((0.5, 0.4, 0.5), (1.0, 0.8, 1.0), (2.0, 1.5, 2.0), (3.0, 2.5, 3.0))  # seconds by class
+# Seconds for each class of requests.
+DEADLINES = ((0.5, 0.4, 0.5), (1.0, 0.8, 1.0), (2.0, 1.5, 2.0), (3.0, 2.5, 3.0))
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,8 +61,8 @@
     kind: FaultKind
     at: float  # seconds after the start
     duration: float
-    target: int  # of a router, server or group, as the kind has it; taken modulo their number
-    amount: float = 0.0  # seconds of a step, share of failing calls
+    target: int  # index of a router, server or group, by kind; taken modulo their number
+    amount: float = 0.0  # CLOCK_STEP: seconds; SYSTEM_CALLS and STORAGE: share of calls that fail
 
     def __str__(self) -> str:
         return f"{self.kind.value} (target {self.target}, {self.duration:.2f} s, {self.amount:+g})"
@@ -68,16 +70,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One run of the soak."""
+    """The deployment and the fault schedule of one run."""
 
     seed: int
     seconds: float
     router_count: int
     deadlines: tuple[float, float, float]
-    has_folder: bool  # an admin API, and a folder that lasts
+    has_state_folder: bool  # the routers have an admin API and keep state in their folder
     client_count: int
     faults: tuple[Fault, ...]
-    more_signals: tuple[signal.Signals, ...] = ()  # behind SIGTERM
+    extra_signals: tuple[signal.Signals, ...] = ()  # sent after SIGTERM
 
     @property
     def kill_after(self) -> float:
@@ -86,10 +88,10 @@
 
 
 def draw_plan(seed: int, seconds: float) -> Plan:
-    """Return the plan of a seed, which is always the same."""
+    """Return the plan of a seed; equal arguments give equal plans."""
     rng = random.Random(f"soak {seed}")
-    has_folder = rng.random() < 0.5
-    kinds = [kind for kind in FaultKind if has_folder or kind is not FaultKind.STORAGE]
+    has_state_folder = rng.random() < 0.5
+    kinds = [kind for kind in FaultKind if has_state_folder or kind is not FaultKind.STORAGE]
     count = rng.randint(4, MAX_FAULTS)
     faults = tuple(sorted((_draw_fault(rng, kinds, seconds) for _ in range(count)), key=lambda f: f.at))
     return Plan(
@@ -97,7 +99,7 @@
         seconds,
         rng.choice((1, 1, 2, 3, 4)),
         rng.choice(DEADLINES),
-        has_folder,
+        has_state_folder,
         rng.choice((8, 16, 24)),
         faults,
         tuple(rng.choices((signal.SIGTERM, signal.SIGHUP), k=rng.randrange(4))),
@@ -114,4 +116,4 @@
         amount = rng.choice((0.03, 0.1, 0.2))
     elif kind is FaultKind.STOP:
         duration = rng.choice((0.01, 0.05, 0.3, 2.0))
-    return Fault(kind, rng.uniform(QUIET_START, seconds), duration, rng.randrange(100), amount)
+    return Fault(kind, rng.uniform(FAULT_FREE_START, seconds), duration, rng.randrange(100), amount)
