--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -1,7 +1,7 @@
-"""Endings: random races against the real program; every rule broken is told (docs/design/endings.md).
+"""How requests end: runs the randomized race test and prints each violation (docs/design/endings.md).
 
 python benchmarks/endings.py [--check] [--quick] [--seed N] [--root CHECKOUT]; the last line is a JSON object.
-Even seeds play it running on, odd ones with moments in which it stands still; every third may not cancel.
+The router is suspended for moments with odd seeds; with every third seed it may not cancel attempts.
 """
 
 from __future__ import annotations
@@ -22,34 +22,34 @@
 
 
 def main() -> int:
-    """Play some seeds."""
-    arguments = argparse.ArgumentParser(description=__doc__)
-    arguments.add_argument("--check", action="store_true")
-    arguments.add_argument("--quick", action="store_true")
-    arguments.add_argument("--seed", type=int, default=1)
-    arguments.add_argument("--root", type=Path, default=site.ROOT)
-    reported = arguments.parse_args()
-    runs, seconds = (3, 8.0) if reported.quick else (10, 15.0)
-    attempts = answers = 0
+    """Run the seeds; return 1 with --check if there is a violation or too few responses."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--check", action="store_true")
+    parser.add_argument("--quick", action="store_true")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--root", type=Path, default=site.ROOT)
+    options = parser.parse_args()
+    runs, seconds = (3, 8.0) if options.quick else (10, 15.0)
+    attempts = responses = 0
     found: list[str] = []
-    for seed in range(reported.seed, reported.seed + runs):
+    for seed in range(options.seed, options.seed + runs):
         gc.collect()
-        gc.disable()  # a collection stops the peers for a tenth of a second, which would count as lateness
+        gc.disable()  # a collection pauses the peers for a tenth of a second: responses would look late
         with tempfile.TemporaryDirectory() as folder:
             record = trio.run(
-                Scenario(seed, seconds, Path(folder), seed % 3 != 0, reported.root.resolve()).run
+                Scenario(seed, seconds, Path(folder), seed % 3 != 0, options.root.resolve()).run
             )
         gc.enable()
         broken = violations(record)
-        attempts = attempts + len(record.gets)
-        answers = answers + len(record.answers)
+        attempts = attempts + len(record.attempts)
+        responses = responses + len(record.responses)
         found += broken
         print(
-            f"seed {seed}: {len(record.gets)} attempts, {len(record.answers)} clients that stayed, "
-            f"{len(record.left)} in all, {len(broken)} broken {broken[:4]}"
+            f"seed {seed}: {len(record.attempts)} attempts, {len(record.responses)} clients that stayed, "
+            f"{len(record.client_left_at)} in all, {len(broken)} broken {broken[:4]}"
         )
-    print(json.dumps({"plays": runs, "attempts": attempts, "answers": answers, "broken": len(found)}))
-    return 1 if reported.check and (found or answers < 100 * runs) else 0
+    print(json.dumps({"plays": runs, "attempts": attempts, "answers": responses, "broken": len(found)}))
+    return 1 if options.check and (found or responses < 100 * runs) else 0
 
 
 if __name__ == "__main__":
--- a/brackenlane/lab/races.py
+++ b/brackenlane/lab/races.py
@@ -1,8 +1,9 @@
-"""Random races against one real router on loopback, and invariants checked by its peers' records alone.
+"""Randomized race test of one real router on loopback; invariants are checked on the records of its peers.
 
-Caches answer well, twice, spoilt, in part, for ever, late or not at all, and cut connections; clients leave
-at any moment, flood, or send half; caches drain and leave; SIGHUP brings other settings or no
-good file; the process may stand still for some milliseconds; at the end comes SIGTERM, while requests arrive.
+Caches send valid, duplicate, malformed, truncated, very slow, late or no responses, and close connections.
+Clients disconnect at any time, send too much, or send a partial request. Caches drain and are removed. SIGHUP
+loads changed settings or an invalid file. The process may be suspended for some milliseconds. SIGTERM comes
+at the end, while requests still arrive.
 """
 
 from __future__ import annotations
@@ -27,10 +28,10 @@
 from brackenlane.lab.stand_ins.cache_commands import CommandReader, Pinged, ReceivedRequest
 from brackenlane.lab.stand_ins.cache_server import CacheListener, CacheStandIn, data
 
-SLACK = 0.05  # seconds: the protocol's on sockets
-LEFT = 0.1  # after a client has left, no attempt
-DRAINED = 0.5  # after a drain was told, no attempt
-RESET = struct.pack("ii", 1, 0)
+SOCKET_SLACK = 0.05  # seconds that the protocol allows for delays on sockets
+CLIENT_LEFT_GRACE = 0.1  # seconds after a client has disconnected, from which no attempt may begin
+DRAIN_GRACE = 0.5  # seconds after a drain was sent, from which no attempt may begin
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER value that makes close() send a reset
 CACHES = {f"s-0000000{n}": "type-a" for n in range(1, 5)} | {"s-00000008": "parent", "s-00000009": "origin"}
 
 
@@ -39,141 +40,149 @@
     """One attempt as a cache received it."""
 
     at: float
-    box: str
+    cache: str
     id: str
-    write: bool
-    ran: bool = True  # or the cache said, in truth, that it did not
+    is_write: bool
+    has_run: bool = True  # False: the cache responded, correctly, that the request did not run
 
 
 @dataclass
-class ClientAnswer:
-    """What a client that stayed was told; no status: nothing whole in time."""
+class ClientResponse:
+    """The response to a client that waited for it; status 0: no complete response in time."""
 
-    write: bool
-    ttl: float
-    took: float
+    is_write: bool
+    time_limit: float
+    elapsed: float
     status: int = 0
-    more: bytes = b""  # that came behind the answer
+    extra_bytes: bytes = b""  # received after the end of the response
 
 
 @dataclass
 class Record:
-    """All that the peers saw."""
+    """All that the peers observed."""
 
-    gets: list[ReceivedAttempt] = field(default_factory=list)
-    left: dict[str, float] = field(default_factory=dict)  # id of a request: when its client had gone
-    answers: dict[str, ClientAnswer] = field(default_factory=dict)
-    told: list[tuple[float, str, bool]] = field(default_factory=list)  # when, cache, whether it serves
-    exit: int | None = None
-    said: bytes = b""
+    attempts: list[ReceivedAttempt] = field(default_factory=list)
+    client_left_at: dict[str, float] = field(default_factory=dict)  # by request ID
+    responses: dict[str, ClientResponse] = field(default_factory=dict)
+    state_changes: list[tuple[float, str, bool]] = field(default_factory=list)  # time, cache, is serving
+    exit_code: int | None = None
+    log: bytes = b""
 
 
 def violations(record: Record) -> list[str]:
-    """The rules that were broken."""
+    """Return a description of each violation of an invariant."""
     found = []
-    for got in record.gets:
-        gone = record.left.get(got.id)
-        if gone is not None and got.at > gone + LEFT:
-            found.append(f"sent {got.at - gone:.3f} s after its client had left: {got.id}")
-        last = [(at, serves) for at, cache, serves in record.told if cache == got.box and at <= got.at]
-        if last and not last[-1][1] and got.at > last[-1][0] + DRAINED + SLACK:
-            found.append(f"sent {got.at - last[-1][0]:.3f} s after its box was told to drain: {got.id}")
-    runs = Counter(got.id for got in record.gets if got.write and got.ran)
+    for attempt in record.attempts:
+        left_at = record.client_left_at.get(attempt.id)
+        if left_at is not None and attempt.at > left_at + CLIENT_LEFT_GRACE:
+            found.append(f"sent {attempt.at - left_at:.3f} s after its client had left: {attempt.id}")
+        last = [
+            (at, serves)
+            for at, cache, serves in record.state_changes
+            if cache == attempt.cache and at <= attempt.at
+        ]
+        if last and not last[-1][1] and attempt.at > last[-1][0] + DRAIN_GRACE + SOCKET_SLACK:
+            found.append(
+                f"sent {attempt.at - last[-1][0]:.3f} s after its box was told to drain: {attempt.id}"
+            )
+    runs = Counter(attempt.id for attempt in record.attempts if attempt.is_write and attempt.has_run)
     found += [f"a write ran {count} times: {name}" for name, count in runs.items() if count > 1]
-    for name, reported in record.answers.items():
-        if not reported.status:
+    for name, response in record.responses.items():
+        if not response.status:
             found.append(f"no whole answer: {name}")
-        elif reported.took > reported.ttl + SLACK:
-            found.append(f"answered {reported.took - reported.ttl:.3f} s late: {name}")
-        if reported.more:
-            found.append(f"more than one answer: {name}: {reported.more!r}")
-        if reported.write and reported.status == 503 and runs[name]:
+        elif response.elapsed > response.time_limit + SOCKET_SLACK:
+            found.append(f"answered {response.elapsed - response.time_limit:.3f} s late: {name}")
+        if response.extra_bytes:
+            found.append(f"more than one answer: {name}: {response.extra_bytes!r}")
+        if response.is_write and response.status == 503 and runs[name]:
             found.append(f"refused though it may have run: {name}")
-    if record.exit != 0:
-        found.append(f"exit {record.exit}")
-    if b"Traceback" in record.said:
+    if record.exit_code != 0:
+        found.append(f"exit {record.exit_code}")
+    if b"Traceback" in record.log:
         found.append("a traceback in the log")
     return found
 
 
-class ErraticCache(CacheStandIn):
-    """A cache whose answers are drawn."""
+class FaultyCache(CacheStandIn):
+    """A cache that draws each response at random, from valid ones and faulty ones."""
 
-    def __init__(self, name: str, model: str, draw: random.Random, record: Record) -> None:
+    def __init__(self, name: str, model: str, rng: random.Random, record: Record) -> None:
         super().__init__(name, model)
-        self._draw = draw
+        self._rng = rng
         self._record = record
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self._streams.append(stream)
-        self.links = link = self.links + 1
+        self.links = connection_number = self.links + 1
         async with trio.open_nursery() as nursery:
 
-            def take(requested: ReceivedRequest) -> None:
-                write = requested.fields["queue"] == "sheet-submit"
-                got = ReceivedAttempt(time.time(), self.id, requested.id, write)
-                self._record.gets.append(got)
-                nursery.start_soon(self._reply, stream, requested, got)
+            def on_request(request: ReceivedRequest) -> None:
+                is_write = request.fields["queue"] == "sheet-submit"
+                attempt = ReceivedAttempt(time.time(), self.id, request.id, is_write)
+                self._record.attempts.append(attempt)
+                nursery.start_soon(self._reply, stream, request, attempt)
 
             with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                await self._read(stream, link, take, nursery)
+                await self._read(stream, connection_number, on_request, nursery)
             nursery.cancel_scope.cancel()
 
-    async def _read(self, stream: trio.SocketStream, link: int, take: Any, nursery: trio.Nursery) -> None:
-        reader = CommandReader(link)
+    async def _read(
+        self, stream: trio.SocketStream, connection_number: int, on_request: Any, nursery: trio.Nursery
+    ) -> None:
+        reader = CommandReader(connection_number)
         while more := await stream.receive_some(65536):
             for command in reader.feed(more):
                 match command:
                     case ReceivedRequest():
-                        take(command)
-                    case Pinged() if self._draw.random() < 0.8:
-                        nursery.start_soon(self._say, stream, command.reply)
+                        on_request(command)
+                    case Pinged() if self._rng.random() < 0.8:
+                        nursery.start_soon(self._send, stream, command.reply)
 
-    async def _say(self, stream: trio.SocketStream, *texts: bytes) -> None:
-        """Say it, unless something else is being said there: then some bytes are lost, as by a bad cache."""
+    async def _send(self, stream: trio.SocketStream, *texts: bytes) -> None:
+        """Send texts in order; the rest is lost if another task is sending, as with a faulty cache."""
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
             for n, text in enumerate(texts):
                 if n:
-                    await trio.sleep(self._draw.choice([0, 0.001, 0.005, 0.02]))
+                    await trio.sleep(self._rng.choice([0, 0.001, 0.005, 0.02]))
                 await stream.send_all(text)
 
     async def _reply(
-        self, stream: trio.SocketStream, requested: ReceivedRequest, got: ReceivedAttempt
+        self, stream: trio.SocketStream, request: ReceivedRequest, attempt: ReceivedAttempt
     ) -> None:
-        await trio.sleep(self._draw.choice([0, 0, 0.005, 0.02, 0.1, 0.3]))
-        good = data(requested, b"" if got.write else bytes(self._draw.choice([5, 5, 500, 100_000])))
-        full = data(requested, b"", "full")
-        large = data(requested, bytes(200_000))
-        match self._draw.choices(range(10), (55, 7, 5, 6, 5, 4, 4, 4, 3, 7))[0]:
+        await trio.sleep(self._rng.choice([0, 0, 0.005, 0.02, 0.1, 0.3]))
+        good = data(request, b"" if attempt.is_write else bytes(self._rng.choice([5, 5, 500, 100_000])))
+        full = data(request, b"", "full")
+        large = data(request, bytes(200_000))
+        match self._rng.choices(range(10), (55, 7, 5, 6, 5, 4, 4, 4, 3, 7))[0]:
             case 0:
-                await self._say(stream, good)
+                await self._send(stream, good)
             case 1:
-                got.ran = False
-                await self._say(stream, data(requested, b"", self._draw.choice(["full", "absent", "moot"])))
+                attempt.has_run = False
+                await self._send(stream, data(request, b"", self._rng.choice(["full", "absent", "moot"])))
             case 2:
-                got.ran = False
-                await self._say(stream, full, full)
+                attempt.has_run = False
+                await self._send(stream, full, full)
             case 3:
-                await self._say(stream, data(requested, b"", "failed"))
+                await self._send(stream, data(request, b"", "failed"))
             case 4:
-                await self._say(stream, good, good)
+                await self._send(stream, good, good)
             case 5:
-                await self._say(stream, b"no line of a box\r\n")
+                await self._send(stream, b"no line of a box\r\n")
             case 6:
                 with contextlib.suppress(OSError):
-                    if self._draw.random() < 0.5:
-                        stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    if self._rng.random() < 0.5:
+                        stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 await stream.aclose()
             case 7:
-                await self._say(stream, large[:-150_000])
+                await self._send(stream, large[:-150_000])
             case 8:
-                await self._say(stream, large[:-150_000], *[b"x"] * 200)
+                await self._send(stream, large[:-150_000], *[b"x"] * 200)
             case 9:
                 pass
 
 
-class List(CacheListener):
-    """The change log: the latest connection is told."""
+class ChangeLogStandIn(CacheListener):
+    """The change log; events are sent on the latest connection."""
 
     def __init__(self) -> None:
         self.latest: trio.SocketStream | None = None
@@ -184,34 +193,34 @@
 
 
 class Scenario:
-    """One play by one seed."""
+    """One run, determined by a seed."""
 
     def __init__(
-        self, seed: int, seconds: float, folder: Path, cancel: bool = True, root: Path = site.ROOT
+        self, seed: int, seconds: float, folder: Path, may_cancel: bool = True, root: Path = site.ROOT
     ) -> None:
-        """cancel: whether attempts may be cancelled; root: the checkout whose program is played with."""
-        self.draw = random.Random(seed)
+        """may_cancel: whether the router may cancel attempts; root: the checkout whose router is run."""
+        self.rng = random.Random(seed)
         self.seconds = seconds
         self.folder = folder
         self.root = root
-        self.is_stalled = seed % 2 == 1
-        self.cancel = cancel
+        self.has_pauses = seed % 2 == 1
+        self.may_cancel = may_cancel
         self.record = Record()
-        self.end = 0.0
+        self.ends_at = 0.0
         self.port = site.free_ports(1)[0]
 
     async def run(self) -> Record:
-        """Play it; what the peers saw."""
+        """Run the scenario; return what the peers observed."""
         async with trio.open_nursery() as nursery:
             caches = [
-                await ErraticCache(name, model, self.draw, self.record).open(nursery)
+                await FaultyCache(name, model, self.rng, self.record).open(nursery)
                 for name, model in CACHES.items()
             ]
-            log = await List().open(nursery)
+            change_log = await ChangeLogStandIn().open(nursery)
             path = self.folder / "config.json"
-            path.write_bytes(orjson.dumps(self._config(caches, log.port)))
-            said = self.folder / "log"
-            with said.open("wb") as out:
+            path.write_bytes(orjson.dumps(self._config(caches, change_log.port)))
+            log_path = self.folder / "log"
+            with log_path.open("wb") as out:
                 process = await trio.lowlevel.open_process(
                     [sys.executable, "-m", "brackenlane"],
                     cwd=self.root,
@@ -219,30 +228,30 @@
                     stderr=out,
                 )
             try:
-                while b"serves on" not in said.read_bytes():
+                while b"serves on" not in log_path.read_bytes():
                     await trio.sleep(0.02)
-                self.end = time.time() + self.seconds
+                self.ends_at = time.time() + self.seconds
                 async with trio.open_nursery() as peers:
                     for _ in range(40):
                         peers.start_soon(self._client)
-                    peers.start_soon(self._lists, caches, log)
+                    peers.start_soon(self._publish_states, caches, change_log)
                     peers.start_soon(self._signals, process, path)
                     await trio.sleep(self.seconds - 1.0)
-                    self.end = time.time() + 0.45  # requests come on for a moment after SIGTERM
+                    self.ends_at = time.time() + 0.45  # seconds in which requests still arrive after SIGTERM
                     process.send_signal(signal.SIGTERM)
                 with trio.move_on_after(5):
-                    self.record.exit = await process.wait()
+                    self.record.exit_code = await process.wait()
             finally:
                 process.kill()
                 with trio.CancelScope(shield=True):
                     await process.wait()
-            self.record.said = said.read_bytes()
+            self.record.log = log_path.read_bytes()
             nursery.cancel_scope.cancel()
         return self.record
 
-    def _config(self, caches: list[ErraticCache], log: int) -> dict[str, Any]:
+    def _config(self, caches: list[FaultyCache], change_log_port: int) -> dict[str, Any]:
         raw: dict[str, Any] = orjson.loads(site.platform_config(self.port, [], 0, flow=1e6))
-        raw["settings"]["Limits"] |= {"Cancel": self.cancel, "KeepaliveS": 1.0}
+        raw["settings"]["Limits"] |= {"Cancel": self.may_cancel, "KeepaliveS": 1.0}
         raw["settings"]["Classes"] = [{**c, "GiveUpS": 2.0} for c in raw["settings"]["Classes"]]
         raw["known"]["results"][0]["fleet"]["targets"] = [
             {
@@ -257,21 +266,21 @@
             }
             for cache in caches
         ]
-        return {**raw, "changelog": f"127.0.0.1:{log}"}
+        return {**raw, "changelog": f"127.0.0.1:{change_log_port}"}
 
-    async def _lists(self, caches: list[ErraticCache], log: List) -> None:
+    async def _publish_states(self, caches: list[FaultyCache], change_log: ChangeLogStandIn) -> None:
         number = 1
-        while time.time() < self.end:
-            await trio.sleep(self.draw.choice([0.1, 0.3, 0.6]))
-            if log.latest is None:
+        while time.time() < self.ends_at:
+            await trio.sleep(self.rng.choice([0.1, 0.3, 0.6]))
+            if change_log.latest is None:
                 continue
             with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                if self.draw.random() < 0.2:
-                    await log.latest.aclose()
+                if self.rng.random() < 0.2:
+                    await change_log.latest.aclose()
                     continue
                 number += 1
-                cache = self.draw.choice(caches[:-1])
-                state = self.draw.choice([0, 0, 1, 2])
+                cache = self.rng.choice(caches[:-1])
+                state = self.rng.choice([0, 0, 1, 2])
                 kind = site.SETTINGS["Skus"].index(cache.model)
                 host = socket.inet_aton("127.0.0.1")
                 entry = (
@@ -282,17 +291,17 @@
                     + bytes(8)
                 )
                 head = (9 + len(entry)).to_bytes(4, "big") + number.to_bytes(8, "big") + b"\x02"
-                await log.latest.send_all(head + entry)
-                self.record.told.append((time.time(), cache.id, state == 0))
+                await change_log.latest.send_all(head + entry)
+                self.record.state_changes.append((time.time(), cache.id, state == 0))
 
     async def _signals(self, process: trio.Process, path: Path) -> None:
         good = orjson.loads(path.read_bytes())
         count = 0
-        while time.time() < self.end - 1.5:
+        while time.time() < self.ends_at - 1.5:
             await trio.sleep(0.4)
-            if self.is_stalled:
+            if self.has_pauses:
                 process.send_signal(signal.SIGSTOP)
-                await trio.sleep(self.draw.choice([0.002, 0.01, 0.03]))
+                await trio.sleep(self.rng.choice([0.002, 0.01, 0.03]))
                 process.send_signal(signal.SIGCONT)
             count += 1
             if count % 2:
@@ -301,59 +310,65 @@
                 process.send_signal(signal.SIGHUP)
 
     async def _client(self) -> None:
-        while time.time() < self.end:
-            with contextlib.suppress(OSError, trio.BrokenResourceError):  # nobody listens, or it left
+        while time.time() < self.ends_at:
+            # The router may not be listening, or may close the connection.
+            with contextlib.suppress(OSError, trio.BrokenResourceError):
                 await self._request(await trio.open_tcp_stream("127.0.0.1", self.port))
-            await trio.sleep(self.draw.choice([0, 0, 0.01, 0.05]))
+            await trio.sleep(self.rng.choice([0, 0, 0.01, 0.05]))
 
     async def _request(self, stream: trio.SocketStream) -> None:
-        draw = self.draw
-        write = draw.random() < 0.3
-        name = f"{draw.getrandbits(64):016x}"
-        ttl = draw.choice([0.1, 0.3, 1.0, 2.0])
-        cls = "sheet-submit" if write else draw.choice(["video-parts", "sheet-pages"])
+        rng = self.rng
+        is_write = rng.random() < 0.3
+        name = f"{rng.getrandbits(64):016x}"
+        time_limit = rng.choice([0.1, 0.3, 1.0, 2.0])
+        cls = "sheet-submit" if is_write else rng.choice(["video-parts", "sheet-pages"])
         text = (
-            f"{'PUT' if write else 'GET'} /api/v2/{cls}/{draw.randrange(40):016x}/n-3 HTTP/1.1\r\n"
-            f"Host: a\r\nX-Txn: {name}\r\nX-Ttl-Ms: {ttl * 1000:.0f}\r\nX-Shard: 1\r\n"
-            + ("Content-Length: 6\r\n\r\nsigned" if write else "\r\n")
+            f"{'PUT' if is_write else 'GET'} /api/v2/{cls}/{rng.randrange(40):016x}/n-3 HTTP/1.1\r\n"
+            f"Host: a\r\nX-Txn: {name}\r\nX-Ttl-Ms: {time_limit * 1000:.0f}\r\nX-Shard: 1\r\n"
+            + ("Content-Length: 6\r\n\r\nsigned" if is_write else "\r\n")
         ).encode()
-        cut = draw.randrange(1, len(text))
-        how = draw.random()
-        leaves = draw.choice([0, 0.001, 0.003, 0.01, 0.05, 0.2, 0.4]) if how < 0.5 else ttl + 1.0
+        cut = rng.randrange(1, len(text))
+        behaviour = rng.random()
+        stay_time = (
+            rng.choice([0, 0.001, 0.003, 0.01, 0.05, 0.2, 0.4]) if behaviour < 0.5 else time_limit + 1.0
+        )
         try:
-            if how < 0.1:
+            if behaviour < 0.1:
                 return await stream.send_all(text[:cut])
-            if how < 0.15:
+            if behaviour < 0.15:
                 with trio.move_on_after(0.5):
-                    await stream.send_all(text + b"z" * draw.choice([100, 20_000, 300_000]))
+                    await stream.send_all(text + b"z" * rng.choice([100, 20_000, 300_000]))
                 return
-            if 0.4 < how < 0.6:
+            if 0.4 < behaviour < 0.6:
                 await stream.send_all(text[:cut])
-                await trio.sleep(draw.choice([0, 0.001, 0.01]))
+                await trio.sleep(rng.choice([0, 0.001, 0.01]))
                 text = text[cut:]
             await stream.send_all(text)
             sent = time.time()
-            reported = ClientAnswer(write, ttl, 0.0)
-            with trio.move_on_after(leaves) as left, contextlib.suppress(trio.BrokenResourceError):
-                reported.status, reported.more = await _answer(stream)
-            reported.took = time.time() - sent
-            if how >= 0.5 or not left.cancelled_caught:
-                self.record.answers[name] = reported
-            elif draw.random() < 0.5:
-                stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            response = ClientResponse(is_write, time_limit, 0.0)
+            with (
+                trio.move_on_after(stay_time) as client_leaves,
+                contextlib.suppress(trio.BrokenResourceError),
+            ):
+                response.status, response.extra_bytes = await _receive_response(stream)
+            response.elapsed = time.time() - sent
+            if behaviour >= 0.5 or not client_leaves.cancelled_caught:
+                self.record.responses[name] = response
+            elif rng.random() < 0.5:
+                stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         finally:
             await trio.aclose_forcefully(stream)
-            self.record.left[name] = time.time()
+            self.record.client_left_at[name] = time.time()
 
 
-async def _answer(stream: trio.SocketStream) -> tuple[int, bytes]:
-    """Status and what came behind one whole answer; 0 if it was cut."""
-    got = b""
-    while b"\r\n\r\n" not in got:
+async def _receive_response(stream: trio.SocketStream) -> tuple[int, bytes]:
+    """Return the status of one response, 0 if it was truncated, and the bytes after its end."""
+    received = b""
+    while b"\r\n\r\n" not in received:
         if not (more := await stream.receive_some(65536)):
             return 0, b""
-        got += more
-    head, _, body = got.partition(b"\r\n\r\n")
+        received += more
+    head, _, body = received.partition(b"\r\n\r\n")
     length = next(
         (
             int(line.split(b":")[1])
