--- a/benchmarks/customers.py
+++ b/benchmarks/customers.py
@@ -1,9 +1,9 @@
-"""Whole sites drawn at random, each day under the decision module and under a plain policy, in virtual time.
+"""Random sites, each simulated for a day under the decision module and under a plain policy, in virtual time.
 
     python benchmarks/customers.py [--check] [--quick] [--first N] [--processes N]
 
-The plain policy hashes each copy to a cache, fills from the own hub's parent and tries once more. All figures
-are shares of the worth asked for on the same days; the rules are checked from the record of the caches.
+The plain policy hashes each copy to a cache, fills from the parent cache of its own hub and retries once. All
+figures are shares of the value of all requests of the same days. Invariants are checked on cache records.
 """
 
 from __future__ import annotations
@@ -23,22 +23,23 @@
 
 DAYS = 140
 QUICK_DAYS = 12
-LOSS = 0.10  # of the worth asked for: a day that loses more against the plain policy is named
+# Share of the value of all requests; days that lose more against the plain policy are listed.
+LOSS_THRESHOLD = 0.10
 BOUNDS = {
-    "broken": at_most(0),  # days on which a rule was broken
-    "mean_gain": at_least(0.05),  # over the plain policy
+    "broken": at_most(0),  # days that violate an invariant
+    "mean_gain": at_least(0.05),  # compared with the plain policy
     "worst_gain": at_least(-0.15),
-    "losing_share": at_most(0.03),  # of days that lose more than LOSS
+    "losing_share": at_most(0.03),  # share of days that lose more than LOSS_THRESHOLD
 }
 
 
-def run_scenario(number: int) -> Result:
-    """One drawn day under both policies."""
+def compare_drawn_site(number: int) -> Result:
+    """Simulate one random day under both policies."""
     return compare(drawn(number))
 
 
 def main() -> int:
-    """Measure; 1 with --check if a bound is missed."""
+    """Run the benchmark; return 1 with --check if a bound is missed."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -46,11 +47,13 @@
     parser.add_argument("--quick", action="store_true", help="within 50 s")
     parser.add_argument("--first", type=int, default=0, help="the first draw")
     parser.add_argument("--processes", type=int, default=2)
-    reported = parser.parse_args()
-    numbers = range(reported.first, reported.first + (QUICK_DAYS if reported.quick else DAYS))
-    with ProcessPoolExecutor(reported.processes) as pool:
-        results = dict(zip(numbers, pool.map(run_scenario, numbers), strict=True))
-    losing = {number: round(result.gain, 3) for number, result in results.items() if result.gain < -LOSS}
+    options = parser.parse_args()
+    numbers = range(options.first, options.first + (QUICK_DAYS if options.quick else DAYS))
+    with ProcessPoolExecutor(options.processes) as pool:
+        results = dict(zip(numbers, pool.map(compare_drawn_site, numbers), strict=True))
+    losing = {
+        number: round(result.gain, 3) for number, result in results.items() if result.gain < -LOSS_THRESHOLD
+    }
     for number, gain in losing.items():
         print(f"draw {number}: {gain:+.3f} against the plain policy")
     for number, result in results.items():
@@ -64,7 +67,7 @@
         "worst_gain": min(gains),
         "losing_share": len(losing) / len(results),
     }
-    return conclude(figures, BOUNDS, reported.check)
+    return conclude(figures, BOUNDS, options.check)
 
 
 if __name__ == "__main__":
