--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,9 +1,9 @@
-"""Cost of a request on the monotonic clock beside an earlier program, and a few seeds of the soak.
+"""CPU cost of a request compared with the last version on the wall clock, and a few seeds of the soak test.
 
     python benchmarks/soak.py [--check] [--quick] [--baseline REV] [--core N]
 
-The same open-loop load, well below capacity, is served by both programs in turn, several times; the ratio is
-that of the least processor times. The seeds must hold.
+Both versions serve the same open-loop load, well below capacity, alternately and several times; the ratio is
+that of their lowest CPU times. The seeds must show no violation.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from brackenlane.lab.soak.__main__ import run_plan  # noqa: E402
 from brackenlane.lab.soak.schedule import draw_plan  # noqa: E402
 
-BASELINE = "1fba9ee"  # the last landing whose timers ran on the wall clock
+BASELINE = "1fba9ee"  # the last version whose timers used the wall clock
 BOUNDS = {
-    "request_cost_ratio": at_most(1.05),  # processor seconds of a served request, ours to the baseline's
+    "request_cost_ratio": at_most(1.05),  # CPU time per served request, compared with the baseline
     "broken_seeds": at_most(0),
 }
-RATE = 300.0  # requests a second
-WARM_UP = 2.0  # seconds
-SOAK_SECONDS = 8.0  # of each seed
+RATE = 300.0  # requests per second
+WARM_UP = 2.0  # seconds before the measurement
+SOAK_SECONDS = 8.0  # per seed
 
 
 def request_cost(tree: Path, seconds: float, core: int) -> float:
-    """Return the processor seconds of a served request."""
+    """Return the CPU seconds per served request."""
     others = [core + 1, core + 2]
     with (
         site.stand_in_caches(4, others, delay=0.005) as (caches, origin, _),
