--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,18 +17,22 @@
 from brackenlane.lab.soak.schedule import FaultKind, draw_plan
 
 SEEDS = (2, 5, 7)  # run in CI
-SECONDS = 8.0
-NEW = 1000.0  # Unix time at which copies are issued
+RUN_SECONDS = 8.0
+COPY_ISSUED_AT = 1000.0  # Unix time at which copies are issued
 
 
 def valid_record() -> Record:
     """Return a valid record of a read, a retried write, an early client disconnect, a drain and a purge."""
     requests = [
-        ObservedRequest("read", 0, 10.0, 1.0, False, "o", 3, answered_at=10.4, status=200, issued_at=NEW),
+        ObservedRequest(
+            "read", 0, 10.0, 1.0, False, "o", 3, answered_at=10.4, status=200, issued_at=COPY_ISSUED_AT
+        ),
         ObservedRequest("write", 0, 10.0, 1.0, True, "o", 3, answered_at=10.9, status=200),
         ObservedRequest("left", 0, 10.0, 1.0, False, "o", 3, client_left_at=10.2),
         ObservedRequest("rejected", 0, 10.0, 1.0, True, "o", 3, answered_at=10.1, status=503),
-        ObservedRequest("later", 0, 20.0, 1.0, False, "o", 3, answered_at=20.1, status=200, issued_at=NEW),
+        ObservedRequest(
+            "later", 0, 20.0, 1.0, False, "o", 3, answered_at=20.1, status=200, issued_at=COPY_ISSUED_AT
+        ),
         ObservedRequest("crossing", 0, 10.0, 1.0, False, "o", 3, raced_with_close=True),
     ]
     attempts = [
@@ -39,7 +43,7 @@
     ]
     notifications = [
         Notification(0, 9.9, "cache", is_serving=False),
-        Notification(0, 15.0, purged_group=3, purged_at=NEW - 5.0),
+        Notification(0, 15.0, purged_group=3, purged_at=COPY_ISSUED_AT - 5.0),
     ]
     record = Record(attempts, {request.request_id: request for request in requests})
     record.routers.append(ObservedRouter(0, sigterm_at=30.0, exit_code=0, log=b"INFO serves"))
@@ -68,7 +72,7 @@
     (lambda r: r.attempts.append(ObservedAttempt(10.5, "origin", "read", "", 0.8)), "budget"),
     (lambda r: r.attempts.append(ObservedAttempt(10.6, "cache", "read", "", 0.3)), "drain"),
     (lambda r: r.attempts.append(ObservedAttempt(10.6, "origin", "read", "cache", 0.3)), "drain"),
-    (lambda r: change(r, "later", issued_at=NEW - 6.0), "purge"),
+    (lambda r: change(r, "later", issued_at=COPY_ISSUED_AT - 6.0), "purge"),
     (lambda r: setattr(r.routers[0], "exit_code", 1), "exit"),
     (lambda r: setattr(r.routers[0], "log", b"Traceback (most recent call last)"), "traceback"),
 ]
@@ -116,14 +120,16 @@
 
 
 def test_plans_are_reproducible_and_cover_every_kind_of_fault() -> None:
-    assert draw_plan(7, SECONDS) == draw_plan(7, SECONDS)
-    assert {fault.kind for seed in range(60) for fault in draw_plan(seed, SECONDS).faults} == set(FaultKind)
-    assert {draw_plan(seed, SECONDS).router_count for seed in range(60)} == {1, 2, 3, 4}
+    assert draw_plan(7, RUN_SECONDS) == draw_plan(7, RUN_SECONDS)
+    assert {fault.kind for seed in range(60) for fault in draw_plan(seed, RUN_SECONDS).faults} == set(
+        FaultKind
+    )
+    assert {draw_plan(seed, RUN_SECONDS).router_count for seed in range(60)} == {1, 2, 3, 4}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_short_run_has_no_violations(seed: int) -> None:
-    record, found = run_plan(draw_plan(seed, SECONDS))
+    record, found = run_plan(draw_plan(seed, RUN_SECONDS))
     assert len(record.requests) > 200
     assert found == []
 
