--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -59,21 +59,21 @@
     return int(reserved_sockets[-1].getsockname()[1])
 
 
-class Log(CacheListener):
+class ChangeLogStandIn(CacheListener):
     """A stand-in for the change log, whose frames the test sends."""
 
     def __init__(self) -> None:
-        self.since: list[int] = []  # the last event number that each connection reported
+        self.start_numbers: list[int] = []  # the last event number that each connection reported
         self.updated = trio.Event()
         self._streams: list[trio.SocketStream] = []
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        self.since.append(int.from_bytes(await stream.receive_some(8), "big"))
+        self.start_numbers.append(int.from_bytes(await stream.receive_some(8), "big"))
         self._streams.append(stream)
         self.updated.set()
         await trio.sleep_forever()
 
-    async def tell(self, event_number: int, kind: int, payload: bytes) -> None:
+    async def send_frame(self, event_number: int, kind: int, payload: bytes) -> None:
         """Send one frame on the latest connection; wait for a connection if there is none."""
         while not self._streams:
             await self.updated.wait()
@@ -81,7 +81,7 @@
             (9 + len(payload)).to_bytes(4, "big") + event_number.to_bytes(8, "big") + bytes([kind]) + payload
         )
 
-    async def cut(self) -> None:
+    async def reconnect(self) -> None:
         """Close the latest connection and wait until the router connects again."""
         self.updated = trio.Event()
         await self._streams.pop().aclose()
@@ -94,7 +94,7 @@
 }
 
 
-def target(cache: CacheStandIn, state: str = "in_service") -> dict[str, Any]:
+def cache_as_json(cache: CacheStandIn, state: str = "in_service") -> dict[str, Any]:
     """Return a cache as an entry of the JSON list in the configuration."""
     return {
         "uid": cache.id,
@@ -108,7 +108,7 @@
     }
 
 
-def record(cache: CacheStandIn, state: int) -> bytes:
+def cache_as_record(cache: CacheStandIn, state: int) -> bytes:
     """Return a cache as an entry of a change log frame."""
     model_index = SETTINGS["Skus"].index(cache.model)
     return (
@@ -121,23 +121,23 @@
 
 
 @dataclass
-class Program:
-    """A running router process; `said` is its log."""
+class RouterProcess:
+    """A running router process; `log_output` is its log."""
 
     process: trio.Process
     port: int
-    said: bytearray
+    log_output: bytearray
     updated: trio.Event = field(default_factory=trio.Event)
     log_closed: bool = False
 
-    async def says(self, text: bytes) -> None:
+    async def wait_for_log(self, text: bytes) -> None:
         """Wait until the log contains `text`; AssertionError if the process closes its log before."""
-        while text not in self.said:
-            assert not self.log_closed, self.said.decode()
+        while text not in self.log_output:
+            assert not self.log_closed, self.log_output.decode()
             self.updated = trio.Event()
             await self.updated.wait()
 
-    async def ask(
+    async def request_object(
         self,
         cls: str = "video-parts",
         obj: str = "7f3a9c21e0b4d655",
@@ -181,9 +181,9 @@
 
 
 @contextlib.asynccontextmanager
-async def program(
+async def run_program(
     port: int, *arguments: str, module: str = "brackenlane", max_descriptors: int = 0, **env: str
-) -> AsyncIterator[Program]:
+) -> AsyncIterator[RouterProcess]:
     """Start a router process, wait until it serves, and kill it at the end.
 
     max_descriptors: its limit of file descriptors; 0 leaves the usual one.
@@ -195,13 +195,13 @@
         env={**os.environ, **env},
         stderr=subprocess.PIPE,
     )
-    said = bytearray()
-    running = Program(process, port, said)
+    log_output = bytearray()
+    running = RouterProcess(process, port, log_output)
 
     async def read_log() -> None:
         assert process.stderr
         while chunk := await process.stderr.receive_some(4096):
-            said.extend(chunk)
+            log_output.extend(chunk)
             running.updated.set()
         running.log_closed = True
         running.updated.set()
@@ -209,7 +209,7 @@
     try:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(read_log)
-            await running.says(b"serves on")
+            await running.wait_for_log(b"serves on")
             yield running
             nursery.cancel_scope.cancel()
             process.kill()
@@ -217,26 +217,26 @@
         process.kill()
         with trio.CancelScope(shield=True):
             await process.wait()
-    assert b"Traceback" not in said, said.decode()
+    assert b"Traceback" not in log_output, log_output.decode()
 
 
 @contextlib.asynccontextmanager
-async def platform(
+async def run_platform(
     tmp_path: Path,
     caches: list[CacheStandIn],
-    log: Log | None = None,
+    log: ChangeLogStandIn | None = None,
     purges: list[dict[str, Any]] | None = None,
-    sockets: int = 1024,
+    max_sockets: int = 1024,
     may_probe: bool = False,
-    flow: float = 0.0,
-    ops: int = 0,
+    flow_bytes_per_s: float = 0.0,
+    ops_port: int = 0,
     port: int = 0,
     settings: dict[str, Any] | None = None,
     max_descriptors: int = 0,
     include_known: bool = True,
     env: dict[str, str] | None = None,
     **program_arguments: str,
-) -> AsyncIterator[Program]:
+) -> AsyncIterator[RouterProcess]:
     """Run the router with a platform configuration that lists `caches`.
 
     settings: those that differ from SETTINGS.
@@ -244,7 +244,7 @@
     """
     port = port or free_port()
     known_events = [
-        {"seq": 1, "fleet": {"rev": 1, "all": True, "targets": [target(cache) for cache in caches]}}
+        {"seq": 1, "fleet": {"rev": 1, "all": True, "targets": [cache_as_json(cache) for cache in caches]}}
     ]
     known_events += [{"seq": 2 + n, "invalidate": item} for n, item in enumerate(purges or [])]
     config = {
@@ -253,32 +253,32 @@
         "seed": "8c1f",
         "settings": {**SETTINGS, "Limits": {**SETTINGS["Limits"], "MayProbe": may_probe}, **(settings or {})},
         "known": {"seq": known_events[-1]["seq"], "results": known_events} if include_known else {},
-        "limits": {"sockets": sockets},
-        "flow_bytes_per_s": flow,
-        "link_bytes_per_s": 4 * flow,
+        "limits": {"sockets": max_sockets},
+        "flow_bytes_per_s": flow_bytes_per_s,
+        "link_bytes_per_s": 4 * flow_bytes_per_s,
     }
     if log:
         config["changelog"] = f"127.0.0.1:{log.port}"
-    if ops:
-        config["ops"] = f"127.0.0.1:{ops}"
-    path = tmp_path / f"config{ops or ''}.json"
+    if ops_port:
+        config["ops"] = f"127.0.0.1:{ops_port}"
+    path = tmp_path / f"config{ops_port or ''}.json"
     path.write_bytes(orjson.dumps(config))
-    async with program(
+    async with run_program(
         port, max_descriptors=max_descriptors, GW_CONFIG=str(path), **(env or {}), **program_arguments
     ) as running:
         yield running
 
 
 @contextlib.asynccontextmanager
-async def appliance(
+async def run_appliance(
     tmp_path: Path,
     caches: list[CacheStandIn],
     resolver: DnsServer | None = None,
     redis: Redis | None = None,
     name: str = "a1",
     hosts: dict[str, str] | None = None,
-    extra: str = "",
-) -> AsyncIterator[tuple[Program, int, Path]]:
+    extra_settings: str = "",
+) -> AsyncIterator[tuple[RouterProcess, int, Path]]:
     """Run the router of a small site with a settings file derived from deploy/appliance.toml.
 
     Yields the process, its DNS port and the path of the file.
@@ -304,6 +304,6 @@
             f'port = {cache.port}\nzone = "{zone}"\nrole = "{role}"\nweight = 8.0'
         )
     path = tmp_path / f"{name}.toml"
-    path.write_text("\n".join([*lines, extra]))
-    async with program(http_port, "appliance", str(path)) as running:
+    path.write_text("\n".join([*lines, extra_settings]))
+    async with run_program(http_port, "appliance", str(path)) as running:
         yield running, dns_port, path
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -16,13 +16,13 @@
 from brackenlane.routing.members import Member, ServerState
 from tests.stand_ins import (
     CacheStandIn,
-    Log,
+    ChangeLogStandIn,
     ReceivedRequest,
     ScriptedReply,
+    cache_as_record,
     data,
     free_port,
-    platform,
-    record,
+    run_platform,
     with_trio,
 )
 
@@ -124,13 +124,13 @@
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in (CacheStandIn(EDGE), CacheStandIn(ORIGIN, "origin"))]
         admin_port = free_port()
-        async with platform(tmp_path, caches, ops=admin_port) as router_process:
+        async with run_platform(tmp_path, caches, ops_port=admin_port) as router_process:
             actual_status, _ = await call_admin_api(admin_port, "", raw=raw)
             assert actual_status == status or (
                 status >= 400 and 400 <= actual_status < 500 and b"\xff" in raw
             )
             assert (await figures(admin_port))["gw_pool_ejected"] == 0
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
         nursery.cancel_scope.cancel()
 
 
@@ -140,7 +140,7 @@
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in (CacheStandIn(EDGE), CacheStandIn(ORIGIN, "origin"))]
         admin_port = free_port()
-        async with platform(tmp_path, caches, ops=admin_port):
+        async with run_platform(tmp_path, caches, ops_port=admin_port):
             idle = [await trio.open_tcp_stream("127.0.0.1", admin_port) for _ in range(40)]
             for stream in idle[::2]:
                 await stream.send_all(b"GET /status HT")
@@ -174,7 +174,7 @@
             for cache in (CacheStandIn(EDGE, answer=answer), CacheStandIn(ORIGIN, "origin", answer=answer))
         ]
         admin_port = free_port()
-        async with platform(tmp_path, caches, ops=admin_port) as router_process:
+        async with run_platform(tmp_path, caches, ops_port=admin_port) as router_process:
             expected = {
                 (name, cls): 0
                 for name in ("ok", "shed", "errors")
@@ -183,7 +183,9 @@
 
             async def request(cls: str, obj: str, **headers: str) -> None:
                 status = (
-                    await router_process.ask(cls, obj, b"signed" * (cls == "sheet-submit"), 600, **headers)
+                    await router_process.request_object(
+                        cls, obj, b"signed" * (cls == "sheet-submit"), 600, **headers
+                    )
                 )[0]
                 metric = "ok" if status in (200, 304) else "shed" if status in (429, 503) else "errors"
                 expected[metric, cls] += 1
@@ -193,7 +195,7 @@
                     await request(cls, f"00000000000000a{n}", If_None_Match='"e1"')
             # A malformed request of a known class.
             await request("video-parts", "00000000000000b0", X_Second_Try="7")
-            await router_process.ask("no-such-class")
+            await router_process.request_object("no-such-class")
             # A client that disconnects before it has a response.
             with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                 client.send(
@@ -221,17 +223,17 @@
     One exit order is enough after two enter orders.
     """
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         edge, other, origin = [
             await cache.open(nursery)
             for cache in (CacheStandIn(EDGE), CacheStandIn(OTHER), CacheStandIn(ORIGIN, "origin"))
         ]
         admin_port = free_port()
-        async with platform(tmp_path, [edge, other, origin], log, ops=admin_port) as router_process:
+        async with run_platform(tmp_path, [edge, other, origin], log, ops_port=admin_port) as router_process:
 
             async def request_all() -> None:
                 for n in range(12):
-                    assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
+                    assert (await router_process.request_object(obj=f"{n:016x}"))[0] == 200
 
             await request_all()
             assert edge.received
@@ -239,10 +241,12 @@
                 assert (await call_admin_api(admin_port, f"/maintenance/enter/{EDGE}", "PUT"))[0] == 200
             received_before = len(edge.received)
             await request_all()
-            await log.tell(2, 2, record(edge, 1))
-            await log.tell(3, 2, record(edge, 0))
-            await log.tell(4, 1, record(edge, 0) + record(other, 0) + record(origin, 0))
-            await log.cut()
+            await log.send_frame(2, 2, cache_as_record(edge, 1))
+            await log.send_frame(3, 2, cache_as_record(edge, 0))
+            await log.send_frame(
+                4, 1, cache_as_record(edge, 0) + cache_as_record(other, 0) + cache_as_record(origin, 0)
+            )
+            await log.reconnect()
             await request_all()
             assert len(edge.received) == received_before
             assert not [
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -18,7 +18,7 @@
 
 from brackenlane.dns.responder import encode_response
 from brackenlane.lab.stand_ins.dns import DnsServer
-from tests.stand_ins import ROOT, CacheStandIn, Program, Redis, appliance, data, with_trio
+from tests.stand_ins import ROOT, CacheStandIn, Redis, RouterProcess, data, run_appliance, with_trio
 
 OBJECT = "7f3a9c21e0b4d655"
 READ = f"n-3.{OBJECT}.video-parts.caches.test."
@@ -83,7 +83,7 @@
     """Checks code, records and authority section for each kind of name; no answer may be cached (TTL 0)."""
     async with trio.open_nursery() as nursery:
         cache_stand_in, origin = await start_caches(nursery, "box-1")
-        async with appliance(tmp_path, [cache_stand_in, origin]) as (router_process, port, _):
+        async with run_appliance(tmp_path, [cache_stand_in, origin]) as (router_process, port, _):
             if kind == "AXFR" and tcp:
                 # dnspython would start a zone transfer for AXFR, so another meta type is queried instead.
                 kind = "MAILB"
@@ -103,7 +103,7 @@
     Packets that aren't queries get no response, and the server still answers the next query.
     """
     async with trio.open_nursery() as nursery:
-        async with appliance(tmp_path, await start_caches(nursery, "box-1")) as (_, port, _path):
+        async with run_appliance(tmp_path, await start_caches(nursery, "box-1")) as (_, port, _path):
             sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
             await sock.connect(("127.0.0.1", port))
             good = dns.message.make_query(READ, "A")
@@ -144,7 +144,7 @@
     """Answers stop naming a drained cache within 500 ms, and name it again once it is restored."""
     async with trio.open_nursery() as nursery:
         first, second, origin = await start_caches(nursery, "box-1", "box-2")
-        async with appliance(tmp_path, [first, second, origin]) as (_, port, path):
+        async with run_appliance(tmp_path, [first, second, origin]) as (_, port, path):
 
             async def named() -> set[str]:
                 names = [f"_http._tcp.{n:x}.video-parts.caches.test." for n in range(30)]
@@ -170,7 +170,7 @@
     """If no cache and no origin is reachable, the response is SERVFAIL without records."""
     async with trio.open_nursery() as nursery:
         cache_stand_in, origin = await start_caches(nursery, "box-1")
-        async with appliance(tmp_path, [cache_stand_in, origin]) as (_, port, _path):
+        async with run_appliance(tmp_path, [cache_stand_in, origin]) as (_, port, _path):
             await cache_stand_in.close()
             await origin.close()
             found = await query(port, READ)
@@ -184,14 +184,14 @@
     """After a cache has died, reads through the router succeed, and DNS answers name another cache."""
     async with trio.open_nursery() as nursery:
         first, second, origin = await start_caches(nursery, "box-1", "box-2")
-        async with appliance(tmp_path, [first, second, origin]) as (router_process, port, _):
+        async with run_appliance(tmp_path, [first, second, origin]) as (router_process, port, _):
             stale = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             dead, alive = (first, second) if stale.startswith("box-1") else (second, first)
             await dead.close()
             # A client that uses the old answer beyond its TTL can't connect, but the router serves it.
             with pytest.raises(OSError):
                 await trio.open_tcp_stream("127.0.0.1", dead.port)
-            assert (await router_process.ask(obj=OBJECT))[0] == 200
+            assert (await router_process.request_object(obj=OBJECT))[0] == 200
             assert alive.received
             fresh = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             assert fresh.startswith(alive.id)
@@ -206,7 +206,11 @@
         resolver.put("named.branch.test", "A", "127.0.0.3", ttl=600)
         cache_stand_in, origin = await start_caches(nursery, "box-1")
         hosts = {"box-1": "named.branch.test."}
-        async with appliance(tmp_path, [cache_stand_in, origin], resolver, hosts=hosts) as (_, port, path):
+        async with run_appliance(tmp_path, [cache_stand_in, origin], resolver, hosts=hosts) as (
+            _,
+            port,
+            path,
+        ):
             # No cache listens on 127.0.0.3, so this answer is never used.
             await resolver.until(3)
             assert "not found" in await console(path, "boxes")
@@ -223,9 +227,9 @@
         nursery.cancel_scope.cancel()
 
 
-async def send_submit(router_process: Program, txn: str) -> int:
+async def send_submit(router_process: RouterProcess, txn: str) -> int:
     """Send a submit once over HTTP and return the status."""
-    return (await router_process.ask("sheet-submit", OBJECT, b"signed", txn=txn))[0]
+    return (await router_process.request_object("sheet-submit", OBJECT, b"signed", txn=txn))[0]
 
 
 @with_trio
@@ -235,8 +239,8 @@
         redis = await Redis().open(nursery)
         caches = await start_caches(nursery, "box-1")
         async with (
-            appliance(tmp_path, caches, redis=redis) as (first_router, port, _),
-            appliance(tmp_path, caches, redis=redis, name="a2") as (second_router, _port, _path),
+            run_appliance(tmp_path, caches, redis=redis) as (first_router, port, _),
+            run_appliance(tmp_path, caches, redis=redis, name="a2") as (second_router, _port, _path),
         ):
             assert texts(await query(port, f"_http._tcp.{WRITE}", "SRV"))[0].split()[2] == str(
                 first_router.port
@@ -267,7 +271,7 @@
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
         caches = await start_caches(nursery, "box-1")
-        async with appliance(tmp_path, caches, redis=redis) as (router_process, _, _path):
+        async with run_appliance(tmp_path, caches, redis=redis) as (router_process, _, _path):
             assert await send_submit(router_process, "00000000000000b1") == 200
             redis.late = 0.2
             async with trio.open_nursery() as client:
@@ -295,8 +299,8 @@
         first, second, origin = await start_caches(nursery, "box-1", "box-2")
         caches = [first, second, origin]
         async with (
-            appliance(tmp_path, caches, redis=redis) as (_, _port, path),
-            appliance(tmp_path, caches, redis=redis, name="a2") as (_other, port, _path),
+            run_appliance(tmp_path, caches, redis=redis) as (_, _port, path),
+            run_appliance(tmp_path, caches, redis=redis, name="a2") as (_other, port, _path),
         ):
             await redis.seen.wait()
             name = "box-1.boxes.caches.test."
@@ -306,7 +310,7 @@
             while texts(await query(port, name)):
                 assert time.monotonic() < ordered_at + 10, "no news of the drain"
             print(f"{(time.monotonic() - ordered_at) * 1000:.0f} ms from the console's answer to the other's")
-            async with appliance(tmp_path, caches, redis=redis, name="a3") as (_third, third_port, third):
+            async with run_appliance(tmp_path, caches, redis=redis, name="a3") as (_third, third_port, third):
                 while "draining" not in await console(third, "boxes"):
                     pass
                 assert not texts(await query(third_port, name))
@@ -319,13 +323,13 @@
     async with trio.open_nursery() as nursery:
         redis = await Redis().open(nursery)
         caches = await start_caches(nursery, "box-1", "box-2")
-        async with appliance(tmp_path, caches, redis=redis) as (router_process, port, path):
+        async with run_appliance(tmp_path, caches, redis=redis) as (router_process, port, path):
             await redis.seen.wait()
             await redis.close()
             assert texts(await query(port, READ)) == ["127.0.0.1"]
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
             before = [len(cache_stand_in.received) for cache_stand_in in caches]
-            status, headers, _ = await router_process.ask("sheet-submit", OBJECT, b"signed")
+            status, headers, _ = await router_process.request_object("sheet-submit", OBJECT, b"signed")
             assert status == 503
             assert "retry-after" in headers
             assert [len(cache_stand_in.received) for cache_stand_in in caches] == before
--- a/tests/test_change_log_outage.py
+++ b/tests/test_change_log_outage.py
@@ -23,10 +23,18 @@
 
 from brackenlane.limits import Limits
 from brackenlane.net.change_log import RETRY_JITTER, SILENCE_TIMEOUT_JITTER
-from tests.stand_ins import CacheStandIn, Log, Program, data, platform, record, with_trio
+from tests.stand_ins import (
+    CacheStandIn,
+    ChangeLogStandIn,
+    RouterProcess,
+    cache_as_record,
+    data,
+    run_platform,
+    with_trio,
+)
 
 EDGE, ORIGIN = "s-00000001", "s-00000009"
-GROUP = 17  # group (shard) of every request of `Program.ask`
+GROUP = 17  # group (shard) of every request of `RouterProcess.request_object`
 HEARTBEAT, LIST_CHANGES, GROUP_PURGE = 0, 2, 4
 RESPONSE_CACHE_RATE = 10_000_000.0  # bytes per second; a configured rate enables the router's response cache
 # Seconds after which an update must have been received, as promised in the operators' documentation.
@@ -38,7 +46,7 @@
 DRAIN_GRACE = 0.5  # seconds
 
 
-class FaultyLog(Log):
+class FaultyLog(ChangeLogStandIn):
     """A change log whose first `faulty` connections fail; later ones send the published frames.
 
     reset: failing connections are reset, otherwise they stay open without sending anything.
@@ -57,14 +65,14 @@
 
     async def until(self, connections: int) -> None:
         """Wait until this number of connections has been accepted since the start."""
-        while len(self.since) < connections:
+        while len(self.start_numbers) < connections:
             self.updated = trio.Event()
             await self.updated.wait()
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        self.since.append(int.from_bytes(await stream.receive_some(8), "big"))
+        self.start_numbers.append(int.from_bytes(await stream.receive_some(8), "big"))
         self.updated.set()
-        if len(self.since) <= self._faulty:
+        if len(self.start_numbers) <= self._faulty:
             if self._reset:
                 stream.setsockopt(1, 13, struct.pack("ii", 1, 0))  # SOL_SOCKET, SO_LINGER
                 await stream.aclose()
@@ -76,13 +84,13 @@
         await trio.sleep_forever()
 
 
-async def move(router_process: Program, path: Path, log: Log) -> float:
+async def move(router_process: RouterProcess, path: Path, log: ChangeLogStandIn) -> float:
     """Move the change log by a new configuration and SIGHUP; return the `trio.current_time` of the signal."""
     config = orjson.loads(path.read_bytes())
     path.write_bytes(orjson.dumps({**config, "changelog": f"127.0.0.1:{log.port}"}))
     router_process.process.send_signal(signal.SIGHUP)
     moved_at = trio.current_time()
-    await router_process.says(b"port %d" % log.port)
+    await router_process.wait_for_log(b"port %d" % log.port)
     return moved_at
 
 
@@ -102,18 +110,20 @@
         first.publish(1, HEARTBEAT, b"")
         silent = await FaultyLog(faulty=1).open(nursery)
         path = tmp_path / "config.json"
-        async with platform(tmp_path, [edge, origin], first, flow=RESPONSE_CACHE_RATE) as router_process:
-            assert (await router_process.ask("sheet-pages"))[1]["etag"] == '"old"'
+        async with run_platform(
+            tmp_path, [edge, origin], first, flow_bytes_per_s=RESPONSE_CACHE_RATE
+        ) as router_process:
+            assert (await router_process.request_object("sheet-pages"))[1]["etag"] == '"old"'
             await first.until(max(resets, 1))
-            silent.publish(2, LIST_CHANGES, record(edge, 1))
+            silent.publish(2, LIST_CHANGES, cache_as_record(edge, 1))
             silent.publish(3, GROUP_PURGE, struct.pack(">HQ", GROUP, int(time.time() * 1000)))
             moved_at = await move(router_process, path, silent)
             await trio.sleep_until(moved_at + NOTIFIED_AFTER_MOVE + DRAIN_GRACE)
             before = len(edge.received)
-            answer = await router_process.ask("sheet-pages")
+            answer = await router_process.request_object("sheet-pages")
             assert answer[0] == 200
             assert answer[1]["etag"] == '"new"'
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
             assert len(edge.received) == before
         nursery.cancel_scope.cancel()
 
@@ -125,13 +135,13 @@
         edge, origin = [await CacheStandIn(*name).open(nursery) for name in ((EDGE,), (ORIGIN, "origin"))]
         log = await FaultyLog().open(nursery)
         log.publish(1, HEARTBEAT, b"")
-        async with platform(tmp_path, [edge, origin], log) as router_process:
+        async with run_platform(tmp_path, [edge, origin], log) as router_process:
             await log.until(1)
             stopped_at = trio.current_time()
-            log.publish(2, LIST_CHANGES, record(edge, 1))
+            log.publish(2, LIST_CHANGES, cache_as_record(edge, 1))
             await log.until(2)
             await trio.sleep(0.2)
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
             assert not edge.received
             assert trio.current_time() - stopped_at < NOTIFIED_AFTER_STOP
         nursery.cancel_scope.cancel()
@@ -143,13 +153,13 @@
     async with trio.open_nursery() as nursery:
         edge, origin = [await CacheStandIn(*name).open(nursery) for name in ((EDGE,), (ORIGIN, "origin"))]
         log = await SlowLog(6.0).open(nursery)
-        log.publish(2, LIST_CHANGES, record(edge, 1))
-        async with platform(tmp_path, [edge, origin], log) as router_process:
+        log.publish(2, LIST_CHANGES, cache_as_record(edge, 1))
+        async with run_platform(tmp_path, [edge, origin], log) as router_process:
             await log.until(1)
             await trio.sleep(6.5)
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
             assert not edge.received
-            assert len(log.since) <= 4
+            assert len(log.start_numbers) <= 4
             await trio.sleep(1.0)
             assert log.open_count == 1
         nursery.cancel_scope.cancel()
@@ -164,7 +174,7 @@
         self.open_count = 0
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        self.since.append(int.from_bytes(await stream.receive_some(8), "big"))
+        self.start_numbers.append(int.from_bytes(await stream.receive_some(8), "big"))
         self.updated.set()
         self.open_count += 1
         with contextlib.suppress(trio.BrokenResourceError):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -18,7 +18,7 @@
 from brackenlane.clock import ClockStepMonitor
 from brackenlane.core.timestamp_ages import TimestampAges
 from brackenlane.lab.faults.shim import FaultShim
-from tests.stand_ins import CacheStandIn, Program, ReceivedRequest, data, platform, with_trio
+from tests.stand_ins import CacheStandIn, ReceivedRequest, RouterProcess, data, run_platform, with_trio
 from tests.test_change_log_outage import GROUP, GROUP_PURGE, HEARTBEAT, FaultyLog
 
 CACHES = ("s-00000001", "s-00000002", "s-00000003")
@@ -37,11 +37,11 @@
     return None if int(requested.id, 16) % HANG_EVERY == 0 else data(requested)
 
 
-async def measure_latency(router_process: Program, latencies: list[float]) -> None:
+async def measure_latency(router_process: RouterProcess, latencies: list[float]) -> None:
     """Send one request and record the seconds until its answer, 6 s if there is none."""
     sent_at = trio.current_time()
     with trio.move_on_after(6.0):
-        await router_process.ask(obj=os.urandom(8).hex(), ttl=int(TTL * 1000))
+        await router_process.request_object(obj=os.urandom(8).hex(), ttl=int(TTL * 1000))
     latencies.append(trio.current_time() - sent_at)
 
 
@@ -55,7 +55,7 @@
         caches.append(await CacheStandIn(ORIGIN, "origin", hang_in_some).open(nursery))
         latencies: list[float] = []
         async with (
-            platform(tmp_path, caches, env=shim.environment) as router_process,
+            run_platform(tmp_path, caches, env=shim.environment) as router_process,
             trio.open_nursery() as clients,
         ):
             started_at = trio.current_time()
@@ -92,15 +92,17 @@
         log = await FaultyLog().open(nursery)
         log.publish(1, HEARTBEAT, b"")
         flow = RESPONSE_CACHE_RATE
-        async with platform(tmp_path, [origin], log, flow=flow, env=shim.environment) as router_process:
-            assert (await router_process.ask(cls))[0] == 200
+        async with run_platform(
+            tmp_path, [origin], log, flow_bytes_per_s=flow, env=shim.environment
+        ) as router_process:
+            assert (await router_process.request_object(cls))[0] == 200
             await log.until(1)
             shim.step_wall_clock(0.0 if is_wrong_at_start else step)
             purged_at = time.time()
-            await log.tell(2, GROUP_PURGE, struct.pack(">HQ", GROUP, int(purged_at * 1000)))
+            await log.send_frame(2, GROUP_PURGE, struct.pack(">HQ", GROUP, int(purged_at * 1000)))
             await trio.sleep(0.5)
             before = len(limits)
-            assert (await router_process.ask(cls))[0] == 200
+            assert (await router_process.request_object(cls))[0] == 200
             assert len(limits) == before + 1
             assert 0 < limits[-1] <= time.time() - purged_at
         nursery.cancel_scope.cancel()
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -16,7 +16,7 @@
 )
 from brackenlane.routing.events import AttemptResult, CacheStatus, Membership, Purged
 from brackenlane.routing.members import ServerState
-from tests.stand_ins import SETTINGS, CacheStandIn, record, target
+from tests.stand_ins import SETTINGS, CacheStandIn, cache_as_json, cache_as_record
 
 _, SITE = read_settings(SETTINGS)
 
@@ -84,7 +84,7 @@
     """A server list in a frame decodes to the same change as its JSON form in the configuration."""
     cache = CacheStandIn("s-00c41f7a", "parent")
     cache.port = 7001
-    payload = record(cache, number)
+    payload = cache_as_record(cache, number)
     wire = (9 + len(payload)).to_bytes(4, "big") + (41).to_bytes(8, "big") + b"\x01" + payload
     reader = FrameReader(1000)
     [(seq, kind, frame_payload)] = [
@@ -92,7 +92,9 @@
     ]
     change = read_frame(Frame(seq, kind, frame_payload), SITE, 0.0)
     [from_json] = read_configured_changes(
-        {"results": [{"seq": 41, "fleet": {"all": True, "targets": [target(cache, command)]}}]}, SITE, 0.0
+        {"results": [{"seq": 41, "fleet": {"all": True, "targets": [cache_as_json(cache, command)]}}]},
+        SITE,
+        0.0,
     )
     assert change == from_json
     assert isinstance(change.event, Membership)
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -10,7 +10,15 @@
 
 import trio
 
-from tests.stand_ins import CacheStandIn, ReceivedRequest, ScriptedReply, data, free_port, platform, with_trio
+from tests.stand_ins import (
+    CacheStandIn,
+    ReceivedRequest,
+    ScriptedReply,
+    data,
+    free_port,
+    run_platform,
+    with_trio,
+)
 from tests.test_admin_api import figures
 from tests.test_handover import READ, read_answer
 
@@ -37,7 +45,7 @@
                 CacheStandIn(ORIGIN, "origin", answer=lambda _: None),
             )
         ]
-        async with platform(tmp_path, caches, sockets=SOCKETS) as router_process:
+        async with run_platform(tmp_path, caches, max_sockets=SOCKETS) as router_process:
             router_process.process.send_signal(signal.SIGSTOP)
             streams = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(84)]
             for stream in streams:
@@ -70,7 +78,9 @@
         ]
         ops = free_port()
         async with (
-            platform(tmp_path, caches, sockets=SOCKETS, ops=ops, TMPDIR=str(tmp_path)) as router_process,
+            run_platform(
+                tmp_path, caches, max_sockets=SOCKETS, ops_port=ops, TMPDIR=str(tmp_path)
+            ) as router_process,
             contextlib.AsyncExitStack() as open_streams,
         ):
             working = await open_streams.enter_async_context(
@@ -86,7 +96,7 @@
                     with contextlib.suppress(trio.BrokenResourceError):
                         await stream.send_all(request()[:40])
             for n in range(20):
-                assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
+                assert (await router_process.request_object(obj=f"{n:016x}"))[0] == 200
             assert len(os.listdir(f"/proc/{router_process.process.pid}/fd")) < SOCKETS * 2 / 3
             assert (await figures(ops))["gw_active"] == 1
             is_released.set()
@@ -108,7 +118,7 @@
             )
         ]
         async with (
-            platform(tmp_path, caches, sockets=SOCKETS) as router_process,
+            run_platform(tmp_path, caches, max_sockets=SOCKETS) as router_process,
             await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream,
         ):
             stream.socket.setsockopt(1, 8, 16_384)  # SOL_SOCKET, SO_RCVBUF: unread data stays at the router
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,11 +19,11 @@
 from tests.stand_ins import (
     ROOT,
     CacheStandIn,
-    Program,
     ReceivedRequest,
+    RouterProcess,
     ScriptedReply,
-    appliance,
     data,
+    run_appliance,
     with_trio,
 )
 from tests.test_appliance import OBJECT, console, query, texts
@@ -72,7 +72,7 @@
 SEARCH_LIMIT = 60.0  # seconds; over three times the ramp (18 s) that limits the load of a cold cache
 
 
-async def find_objects_of(router_process: Program, cache: CacheStandIn, count: int) -> list[str]:
+async def find_objects_of(router_process: RouterProcess, cache: CacheStandIn, count: int) -> list[str]:
     """Return `count` objects that the router requests from a cache; they depend on ports, so on the run.
 
     A cache whose connect failed is ejected for a while, then cold: its budget grows with time, not with
@@ -83,7 +83,7 @@
     with trio.move_on_after(SEARCH_LIMIT):
         for number in itertools.cycle(range(OBJECT_COUNT)):
             before, obj = len(cache.received), f"{number:016x}"
-            assert (await router_process.ask(obj=obj))[0] == 200
+            assert (await router_process.request_object(obj=obj))[0] == 200
             if len(cache.received) > before and obj not in found:
                 found.append(obj)
             if len(found) == count:
@@ -116,7 +116,7 @@
     """A drained cache is in no DNS answer and gets no request while SRV answers change and look-ups fail."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             router_process,
             port,
             path,
@@ -151,7 +151,7 @@
                 for obj in objects:
                     answer = await query(port, f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
                     named |= {text.split()[3].split(".")[0] for text in texts(answer)}
-                    await router_process.ask(obj=obj)
+                    await router_process.request_object(obj=obj)
             assert site.ids[0] not in named
             assert named
             assert len(drained_cache.received) == before
@@ -164,7 +164,7 @@
             why = await wait_for_explanation(path, site.ids[0], f"{site.ids[0]} is draining at 127.0.0.1")
             assert "drained by the console of a1" in why.splitlines()[0]
             for obj in objects:
-                await router_process.ask(obj=obj)
+                await router_process.request_object(obj=obj)
             assert len(drained_cache.received) == before
         nursery.cancel_scope.cancel()
 
@@ -174,7 +174,7 @@
     """A start without a resolver uses the snapshot, and the drained cache stays drained."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             _,
             _port,
             path,
@@ -185,7 +185,7 @@
                 await trio.sleep(0.05)  # the process is killed, so only what is on disk remains
         await site.server.close()
         long_confirmation = DISCOVERY_SETTINGS.replace("confirm = 0.2", "confirm = 600")
-        async with appliance(tmp_path, [site.origin], site.server, extra=long_confirmation) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=long_confirmation) as (
             router_process,
             _port,
             path,
@@ -193,7 +193,7 @@
             text = await wait_for_list(path, *site.ids)
             assert "draining" in next(line for line in text.splitlines() if line.startswith(site.ids[1]))
             for number in range(8):
-                assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
+                assert (await router_process.request_object(obj=f"{number:016x}"))[0] == 200
             assert site.caches[0].received
             assert not site.caches[1].received
             # The resolver is back with one of three caches: the removal needs confirmation.
@@ -209,7 +209,7 @@
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery, 4)
         site.set_srv_targets(0, 1)
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             router_process,
             _port,
             path,
@@ -219,14 +219,14 @@
             for cache in site.caches[:2]:
                 await cache.close()
             for number in range(8):
-                assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
+                assert (await router_process.request_object(obj=f"{number:016x}"))[0] == 200
             site.set_srv_targets(2, 3)
             site.server.fail()
             await wait_for_list(path, *site.ids[2:])
             while (text := await console(path, "boxes")) and (site.ids[0] in text or site.ids[1] in text):
-                assert (await router_process.ask())[0] == 200
+                assert (await router_process.request_object())[0] == 200
             for number in range(8):
-                assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
+                assert (await router_process.request_object(obj=f"{number:016x}"))[0] == 200
             assert site.caches[2].received or site.caches[3].received
         nursery.cancel_scope.cancel()
 
@@ -237,12 +237,12 @@
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
         (tmp_path / "last.json").write_bytes(b'{"version":1,"sha256":"00","body":"{}"}')
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             router_process,
             _port,
             path,
         ):
-            await router_process.says(b"checksum mismatch")
+            await router_process.wait_for_log(b"checksum mismatch")
             await wait_for_list(path, *site.ids)
             assert (tmp_path / "last.json.damaged").exists()
         nursery.cancel_scope.cancel()
@@ -261,7 +261,7 @@
 
         for cache in (*site.caches, site.origin):
             cache.answer = hold
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             router_process,
             _port,
             path,
@@ -270,7 +270,9 @@
             statuses: list[int] = []
 
             async def submit() -> None:
-                statuses.append((await router_process.ask("sheet-submit", OBJECT, b"signed", ttl=2500))[0])
+                statuses.append(
+                    (await router_process.request_object("sheet-submit", OBJECT, b"signed", ttl=2500))[0]
+                )
 
             async with trio.open_nursery() as client:
                 client.start_soon(submit)
@@ -308,7 +310,7 @@
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
         site.server.additional = False  # each address needs its own query
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             _,
             _port,
             path,
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 
-from tests.stand_ins import ROOT, free_port, program, with_trio
+from tests.stand_ins import ROOT, free_port, run_program, with_trio
 
 
 def copy_with_free_ports(tmp_path: Path, name: str) -> tuple[Path, dict[str, int]]:
@@ -36,11 +36,11 @@
         assert toy_site_process.stdout
         assert b"are up" in await toy_site_process.stdout.receive_some(4096)
         arguments = ("appliance", str(path)) if path.suffix == ".toml" else ()
-        async with program(ports[front], *arguments, GW_CONFIG=str(path)) as router_process:
-            status, _, body = await router_process.ask()
+        async with run_program(ports[front], *arguments, GW_CONFIG=str(path)) as router_process:
+            status, _, body = await router_process.request_object()
             assert status == 200
             assert body.startswith(b"7f3a9c21e0b4d655/3 as ")
-            status, _, body = await router_process.ask("sheet-submit", body=b"signed")
+            status, _, body = await router_process.request_object("sheet-submit", body=b"signed")
             assert status == 200
             assert body
     finally:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -32,12 +32,12 @@
 from brackenlane.ops.handover_state import HandoverState, handover_state
 from tests.stand_ins import (
     CacheStandIn,
-    Program,
     ReceivedRequest,
+    RouterProcess,
     ScriptedReply,
     data,
     free_port,
-    platform,
+    run_platform,
     with_trio,
 )
 from tests.test_admin_api import call_admin_api
@@ -188,11 +188,11 @@
         (tmp_path / "shared").mkdir()
 
     @contextlib.asynccontextmanager
-    async def process(self) -> AsyncIterator[tuple[Program, int]]:
+    async def process(self) -> AsyncIterator[tuple[RouterProcess, int]]:
         """Start another process at the same address; yield it and the port of its admin API."""
         admin_port = free_port()
-        async with platform(
-            self.path, self.caches, ops=admin_port, port=self.port, TMPDIR=str(self.path / "shared")
+        async with run_platform(
+            self.path, self.caches, ops_port=admin_port, port=self.port, TMPDIR=str(self.path / "shared")
         ) as running:
             while (await call_admin_api(admin_port, "/status"))[0] != 200:
                 await trio.sleep(0.01)
@@ -224,8 +224,8 @@
 
 @contextlib.asynccontextmanager
 async def start_while_in_use(
-    retained: trio.SocketStream, process: AbstractAsyncContextManager[tuple[Program, int]]
-) -> AsyncIterator[tuple[Program, int]]:
+    retained: trio.SocketStream, process: AbstractAsyncContextManager[tuple[RouterProcess, int]]
+) -> AsyncIterator[tuple[RouterProcess, int]]:
     """Start a process while requests keep a connection to another one open."""
     has_started, has_ended = trio.Event(), trio.Event()
 
@@ -248,7 +248,7 @@
 class Load:
     """Clients that send requests without a pause, half of them on persistent connections."""
 
-    def __init__(self, router_process: Program) -> None:
+    def __init__(self, router_process: RouterProcess) -> None:
         self._router_process, self.statuses, self.lost_requests = router_process, [0] * 600, 0
         self.stop = trio.Event()
         self.stopped = trio.Event()
@@ -267,7 +267,7 @@
         """Send each request on a new connection."""
         while True:
             try:
-                self.statuses[(await self._router_process.ask(obj=os.urandom(8).hex()))[0]] += 1
+                self.statuses[(await self._router_process.request_object(obj=os.urandom(8).hex()))[0]] += 1
             except (OSError, trio.BrokenResourceError, AssertionError):
                 self.lost_requests += 1
 
@@ -308,7 +308,7 @@
             old.process.send_signal(signal.SIGTERM)
             assert await old.process.wait() == 0
             old = new
-        await new.says(b"is alone")
+        await new.wait_for_log(b"is alone")
         load.stop.set()
         await load.stopped.wait()
         assert load.lost_requests == 0
@@ -327,16 +327,16 @@
             await retained.send_all(READ % (b"00000000000000aa", b"9b1f03aa5c7e2d41"))
             assert await read_answer(retained) == 200  # the old process answered
             for n in range(12):
-                assert (await new.ask(obj=f"{n:016x}"))[0] == 200
+                assert (await new.request_object(obj=f"{n:016x}"))[0] == 200
             old.process.kill()
-            await new.says(b"is alone")
+            await new.wait_for_log(b"is alone")
             async with site.process() as (last, _):
                 for n in range(12):
-                    assert (await last.ask(obj=f"{n:016x}"))[0] == 200
+                    assert (await last.request_object(obj=f"{n:016x}"))[0] == 200
             assert not site.caches[0].received
             assert (await call_admin_api(new_admin_port, f"/maintenance/exit/{EDGE}", "PUT"))[0] == 200
             while not site.caches[0].received:
-                await new.ask(obj=os.urandom(8).hex())
+                await new.request_object(obj=os.urandom(8).hex())
 
 
 @with_trio
@@ -352,7 +352,7 @@
                 await other.send_all(SUBMIT)
                 statuses = sorted([await read_answer(retained), await read_answer(other)])
             old.process.kill()
-            await new.says(b"is alone")
+            await new.wait_for_log(b"is alone")
             new.process.kill()
         async with site.process(), await trio.open_tcp_stream("127.0.0.1", site.port) as next_connection:
             await next_connection.send_all(SUBMIT)
@@ -366,13 +366,13 @@
     async with open_site(tmp_path) as site, site.process() as (old, _):
         for _ in range(2):
             async with site.process() as (new, _):
-                await old.says(b"is relieved")
+                await old.wait_for_log(b"is relieved")
                 new.process.kill()
                 await new.process.wait()
                 for n in range(20):
-                    assert (await old.ask(obj=f"{n:016x}"))[0] == 200
-            await old.says(b"is alone")
-            old.said.clear()
+                    assert (await old.request_object(obj=f"{n:016x}"))[0] == 200
+            await old.wait_for_log(b"is alone")
+            old.log_output.clear()
 
 
 @pytest.mark.parametrize("leftover", ["folder", "file", "large", "torn", "pipe", "stale"])
@@ -401,8 +401,8 @@
             )
         async with site.process() as (router_process, admin_port):
             for n in range(8):
-                assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
+                assert (await router_process.request_object(obj=f"{n:016x}"))[0] == 200
             assert bool(site.caches[0].received) is (leftover != "torn")  # the complete record is in force
             assert site.caches[1].received
             assert (await call_admin_api(admin_port, f"/maintenance/enter/{OTHER}", "PUT"))[0] == 200
-            assert b"relieved" not in router_process.said
+            assert b"relieved" not in router_process.log_output
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,7 +11,16 @@
 
 from brackenlane.limits import Limits
 from brackenlane.net.http_codec import BadRequestError, RequestParser, read_simple_get
-from tests.stand_ins import CacheStandIn, Log, Program, ReceivedRequest, data, platform, record, with_trio
+from tests.stand_ins import (
+    CacheStandIn,
+    ChangeLogStandIn,
+    ReceivedRequest,
+    RouterProcess,
+    cache_as_record,
+    data,
+    run_platform,
+    with_trio,
+)
 from tests.test_platform import EDGE, ORIGIN, SMUGGLED
 
 HEAD = "GET /api/v2/video-parts/7f3a9c21e0b4d655/n-0 HTTP/1.1\r\nHost: a\r\n"
@@ -23,11 +32,11 @@
 
 
 async def send_request(
-    router_process: Program, status_counts: Counter[tuple[str, int]], cls: str, number: int
+    router_process: RouterProcess, status_counts: Counter[tuple[str, int]], cls: str, number: int
 ) -> None:
     """Send one request and count its status; a rejection must have a Retry-After."""
     body = b"signed" * (cls == "sheet-submit")
-    status, headers, _ = await router_process.ask(cls, f"{number:016x}", body, ttl=9000)
+    status, headers, _ = await router_process.request_object(cls, f"{number:016x}", body, ttl=9000)
     status_counts[cls, status] += 1
     assert status != 503 or int(headers["retry-after"]) > 0
 
@@ -43,7 +52,7 @@
             await CacheStandIn(EDGE, answer=respond).open(nursery),
             await CacheStandIn(ORIGIN, "origin", answer=respond).open(nursery),
         ]
-        async with platform(tmp_path, caches, module="tests.slow_program", SLOW_MS="8") as router_process:
+        async with run_platform(tmp_path, caches, module="tests.slow_program", SLOW_MS="8") as router_process:
             status_counts: Counter[tuple[str, int]] = Counter()
             idle_connections = [
                 await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(400)
@@ -61,9 +70,9 @@
             # Rejected requests did not reach a cache, and no write reached one twice.
             requested = [one for cache in caches for one in cache.received]
             assert len(requested) == served + 6 == len({one.id for one in requested})
-            await router_process.says(b"short of CPU")
+            await router_process.wait_for_log(b"short of CPU")
             # The router recovers without intervention.
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
             for stream in idle_connections:
                 await stream.aclose()
@@ -74,12 +83,12 @@
 async def test_drain_is_applied_during_overload(tmp_path: Path) -> None:
     """From 500 ms after a drain is published, the drained cache gets no new requests, even under overload."""
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         edge, other, origin = [
             await CacheStandIn(i, m, answer=respond).open(nursery)
             for i, m in ((EDGE, "type-a"), ("s-00000002", "type-a"), (ORIGIN, "origin"))
         ]
-        async with platform(
+        async with run_platform(
             tmp_path, [edge, other, origin], log, module="tests.slow_program", SLOW_MS="4"
         ) as router_process:
             status_counts: Counter[tuple[str, int]] = Counter()
@@ -94,7 +103,7 @@
                     clients.start_soon(flood, number)
                 while not edge.received or not status_counts["video-parts", 503]:
                     await trio.sleep(0.01)
-                await log.tell(2, 2, record(edge, 1))
+                await log.send_frame(2, 2, cache_as_record(edge, 1))
                 await trio.sleep(0.5)
                 late, since = len(edge.received), len(other.received)
                 await other.until(lambda: len(other.received) > since + 30)
@@ -112,7 +121,7 @@
             await CacheStandIn(EDGE, answer=respond).open(nursery),
             await CacheStandIn(ORIGIN, "origin", answer=respond).open(nursery),
         ]
-        async with platform(tmp_path, caches) as router_process:
+        async with run_platform(tmp_path, caches) as router_process:
 
             def request(txn: str) -> bytes:
                 return f"{HEAD}X-Txn: {txn * 16}\r\nX-Ttl-Ms: 5000\r\nX-Shard: 1\r\n\r\n".encode()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -21,13 +21,13 @@
     ROOT,
     SETTINGS,
     CacheStandIn,
-    Log,
+    ChangeLogStandIn,
     ReceivedRequest,
     ScriptedReply,
+    cache_as_record,
     data,
     free_port,
-    platform,
-    record,
+    run_platform,
     with_trio,
 )
 
@@ -45,9 +45,9 @@
     """The cache gets class, object, part and ETag unchanged; the client gets the bytes and the ETag."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
-        async with platform(tmp_path, [edge, origin]) as router_process:
+        async with run_platform(tmp_path, [edge, origin]) as router_process:
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
-            status, headers, body = await router_process.ask(txn="9b1f03aa5c7e2d41")
+            status, headers, body = await router_process.request_object(txn="9b1f03aa5c7e2d41")
             assert (status, headers["etag"], body) == (200, '"e1"', b"bytes")
             [requested] = edge.received
             assert requested.id == "9b1f03aa5c7e2d41"
@@ -60,12 +60,12 @@
             assert fields["miss"] == ORIGIN
             assert 0 < int(fields["budget"]) <= 2000
             assert "uniq" not in fields
-            await router_process.ask("sheet-submit", body=b"signed", X_Txn_Key="aad3d43f3c9565f6")
+            await router_process.request_object("sheet-submit", body=b"signed", X_Txn_Key="aad3d43f3c9565f6")
             assert (edge.received + origin.received)[-1].fields["uniq"] == "aad3d43f3c9565f6"
-            assert (await router_process.ask(X_Txn_Key="a,b"))[0] == 400
+            assert (await router_process.request_object(X_Txn_Key="a,b"))[0] == 400
             edge.received = edge.received[:1]
             edge.answer = lambda requested: data(requested, b"", "unchanged")
-            status, headers, body = await router_process.ask(If_None_Match='"e1"')
+            status, headers, body = await router_process.request_object(If_None_Match='"e1"')
             assert (status, headers["etag"], body) == (304, '"e1"', b"")
             assert edge.received[1].fields["mine"] == "e1"
         nursery.cancel_scope.cancel()
@@ -85,14 +85,14 @@
             )
 
         edge, origin = [await cache.open(nursery) for cache in fleet(answer)]
-        async with platform(tmp_path, [edge, origin], flow=1e6) as router_process:
-            assert (await router_process.ask(If_None_Match='"made-up"'))[0] not in (200, 304)
+        async with run_platform(tmp_path, [edge, origin], flow_bytes_per_s=1e6) as router_process:
+            assert (await router_process.request_object(If_None_Match='"made-up"'))[0] not in (200, 304)
             current_tag = "e1"
-            assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
-            assert (await router_process.ask())[0] == 200  # the router holds a copy from here on
+            assert (await router_process.request_object(If_None_Match='"e1"'))[0] == 304
+            assert (await router_process.request_object())[0] == 200  # the router holds a copy from here on
             requested = len(edge.received) + len(origin.received)
-            assert (await router_process.ask(If_None_Match='"e1"'))[0] == 304
-            status, headers, body = await router_process.ask(If_None_Match='"made-up"')
+            assert (await router_process.request_object(If_None_Match='"e1"'))[0] == 304
+            status, headers, body = await router_process.request_object(If_None_Match='"made-up"')
             assert (status, headers["etag"], body) == (200, '"e1"', b"bytes")
             assert len(edge.received) + len(origin.received) == requested
         nursery.cancel_scope.cancel()
@@ -125,8 +125,8 @@
     """A response that is malformed, truncated or too old is not served; one of the largest size is."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet(answer)]
-        async with platform(tmp_path, caches) as router_process:
-            status, headers, _ = await router_process.ask(cls)
+        async with run_platform(tmp_path, caches) as router_process:
+            status, headers, _ = await router_process.request_object(cls)
             assert (status == 200) is is_served
             assert "retry-after" in headers or status != 503
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
@@ -161,8 +161,8 @@
 
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet(answer)]
-        async with platform(tmp_path, caches) as router_process:
-            first_status, headers, _ = await router_process.ask(
+        async with run_platform(tmp_path, caches) as router_process:
+            first_status, headers, _ = await router_process.request_object(
                 "sheet-submit", body=b"signed" * 8000, ttl=700
             )
             received = caches[0].received + caches[1].received
@@ -172,7 +172,7 @@
             assert "retry-after" in headers or first_status != 503
             # The same id again is a retry if the first request was rejected, otherwise a duplicate that must
             # not run.
-            repeated = await router_process.ask(
+            repeated = await router_process.request_object(
                 "sheet-submit", body=b"signed" * 8000, ttl=700, txn=received[0].id
             )
             assert repeated[0] == (503 if first_status == 503 else 409)
@@ -232,12 +232,12 @@
     """Each invalid request gets its 4xx status, and the next client is served."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet()]
-        async with platform(tmp_path, caches) as router_process:
+        async with run_platform(tmp_path, caches) as router_process:
             assert (await router_process.send(method, path, headers, body))[0] == status
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
                 await stream.send_all(b"\x16\x03\x01 no HTTP\r\n\r\n")
                 assert (await stream.receive_some(100)).startswith(b"HTTP/1.1 400")
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
         nursery.cancel_scope.cancel()
 
 
@@ -266,7 +266,7 @@
     """Each client gets a 4xx response or a close within 3 s of connecting; no cache receives anything."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet()]
-        async with platform(tmp_path, [edge, origin]) as router_process:
+        async with run_platform(tmp_path, [edge, origin]) as router_process:
             with trio.fail_after(3):
                 async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
                     await stream.send_all(sent.encode())
@@ -285,13 +285,13 @@
     """With more idle connections than descriptors, new clients are served; an active one stays connected."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet()]
-        async with platform(tmp_path, caches, sockets=64) as router_process:
+        async with run_platform(tmp_path, caches, max_sockets=64) as router_process:
             active = await trio.open_tcp_stream("127.0.0.1", router_process.port)
             for round_number in range(2):
                 await active.send_all(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n")
                 assert (await active.receive_some(1000)).startswith(b"HTTP/1.1 200")
                 idle = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(60)]
-                assert (await router_process.ask())[0] == 200
+                assert (await router_process.request_object())[0] == 200
                 assert await idle[0].receive_some(1) == b""
                 for stream in [*idle, *([] if round_number == 0 else [active])]:
                     await stream.aclose()
@@ -306,12 +306,17 @@
             await CacheStandIn(f"s-0000000{n}", answer=lambda requested: None).open(nursery)
             for n in range(1, 7)
         ]
-        async with platform(tmp_path, caches, sockets=64) as router_process, trio.open_nursery() as clients:
+        async with (
+            run_platform(tmp_path, caches, max_sockets=64) as router_process,
+            trio.open_nursery() as clients,
+        ):
             for n in range(25):
-                clients.start_soon(functools.partial(router_process.ask, obj=f"{n:016x}", ttl=5000))
+                clients.start_soon(
+                    functools.partial(router_process.request_object, obj=f"{n:016x}", ttl=5000)
+                )
             while len({requested.id for cache in caches for requested in cache.received}) < 25:
                 await trio.sleep(0.01)
-            status, headers, _ = await router_process.ask()
+            status, headers, _ = await router_process.request_object()
             assert status == 503
             assert headers["connection"] == "close"
             clients.cancel_scope.cancel()
@@ -323,9 +328,9 @@
     """When a client disconnects, the router sends DROP for its open request to the cache."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
-        async with platform(tmp_path, [edge, origin]) as router_process:
+        async with run_platform(tmp_path, [edge, origin]) as router_process:
             async with trio.open_nursery() as client:
-                client.start_soon(router_process.ask)
+                client.start_soon(router_process.request_object)
                 await edge.until(lambda: bool(edge.received))
                 client.cancel_scope.cancel()
             await edge.until(lambda: edge.dropped == [edge.received[0].id])
@@ -339,8 +344,10 @@
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         other = await CacheStandIn("s-00000002").open(nursery)
         await edge.close()
-        async with platform(tmp_path, [edge, other, origin]) as router_process:
-            responses = [await router_process.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)]
+        async with run_platform(tmp_path, [edge, other, origin]) as router_process:
+            responses = [
+                await router_process.request_object("sheet-submit", f"{n:016x}", b"signed") for n in range(8)
+            ]
             assert [status for status, _, _ in responses] == [200] * 8
             assert len(other.received) + len(origin.received) == 8
         nursery.cancel_scope.cancel()
@@ -360,11 +367,12 @@
                 filler.connect_ex(unresponsive.getsockname())
             silent = CacheStandIn("s-00000002")
             silent.port = unresponsive.getsockname()[1]
-            async with platform(tmp_path, [edge, silent, origin]) as router_process:
-                responses = [await router_process.ask(obj=f"{n:016x}", ttl=5000) for n in range(8)]
+            async with run_platform(tmp_path, [edge, silent, origin]) as router_process:
+                responses = [await router_process.request_object(obj=f"{n:016x}", ttl=5000) for n in range(8)]
                 assert [status for status, _, _ in responses] == [200] * 8
                 responses = [
-                    await router_process.ask("sheet-submit", f"{n:016x}", b"signed") for n in range(8)
+                    await router_process.request_object("sheet-submit", f"{n:016x}", b"signed")
+                    for n in range(8)
                 ]
                 assert [status for status, _, _ in responses] == [200] * 8
         nursery.cancel_scope.cancel()
@@ -409,9 +417,11 @@
                 for request_class in SETTINGS["Classes"]
             ],
         }
-        async with platform(tmp_path, [edge, origin], settings=long_deadlines) as router_process:
+        async with run_platform(tmp_path, [edge, origin], settings=long_deadlines) as router_process:
             body = b"signed" * (cls == "sheet-submit")
-            assert (await router_process.ask(cls, body=body, ttl=2000 if alive else 20_000))[0] == status
+            assert (await router_process.request_object(cls, body=body, ttl=2000 if alive else 20_000))[
+                0
+            ] == status
             assert len(edge.received) + len(origin.received) == (2 if status == 200 else 1)
         nursery.cancel_scope.cancel()
 
@@ -421,9 +431,9 @@
     """Open requests to a cache use several connections, so that the loss of one affects only some of them."""
     async with trio.open_nursery() as nursery:
         caches = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
-        async with platform(tmp_path, caches) as router_process, trio.open_nursery() as clients:
+        async with run_platform(tmp_path, caches) as router_process, trio.open_nursery() as clients:
             for n in range(16):
-                clients.start_soon(router_process.ask, "video-parts", f"{n:016x}")
+                clients.start_soon(router_process.request_object, "video-parts", f"{n:016x}")
                 await caches[0].until(lambda n=n: len(caches[0].received) > n)  # type: ignore[misc]
             assert caches[0].most < 12
             clients.cancel_scope.cancel()
@@ -434,16 +444,16 @@
 async def test_new_cache_at_a_reused_address_is_a_different_cache(tmp_path: Path) -> None:
     """A new cache at the address of a removed one gets requests under its own id."""
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         replacement = CacheStandIn("s-00000005")
         replacement.port = edge.port
-        async with platform(tmp_path, [edge, origin], log) as router_process:
-            assert (await router_process.ask())[0] == 200
-            await log.tell(2, 2, record(edge, 2) + record(replacement, 0))
-            await log.cut()
-            assert log.since == [1, 2]
-            assert (await router_process.ask())[0] == 200
+        async with run_platform(tmp_path, [edge, origin], log) as router_process:
+            assert (await router_process.request_object())[0] == 200
+            await log.send_frame(2, 2, cache_as_record(edge, 2) + cache_as_record(replacement, 0))
+            await log.reconnect()
+            assert log.start_numbers == [1, 2]
+            assert (await router_process.request_object())[0] == 200
             assert len(edge.received) == 2
             assert not origin.received
         nursery.cancel_scope.cancel()
@@ -453,25 +463,25 @@
 async def test_drained_cache_gets_no_requests_and_the_change_log_resumes(tmp_path: Path) -> None:
     """A drained cache gets no new requests; a reconnect resumes the change log after the last event."""
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         other = await CacheStandIn("s-00000002").open(nursery)
-        async with platform(tmp_path, [edge, other, origin], log) as router_process:
+        async with run_platform(tmp_path, [edge, other, origin], log) as router_process:
             # The reconnect after the purge frame shows that the frames before it were applied.
-            await log.tell(2, 2, record(edge, 1))
+            await log.send_frame(2, 2, cache_as_record(edge, 1))
             now = int(time.time() * 1000).to_bytes(8, "big")
-            await log.tell(3, 3, bytes.fromhex("7f3a9c21e0b4d655") + now)
-            await log.cut()
-            assert log.since == [1, 3]
+            await log.send_frame(3, 3, bytes.fromhex("7f3a9c21e0b4d655") + now)
+            await log.reconnect()
+            assert log.start_numbers == [1, 3]
             for n in range(12):
-                assert (await router_process.ask(obj=f"{n:016x}"))[0] == 200
+                assert (await router_process.request_object(obj=f"{n:016x}"))[0] == 200
             assert not edge.received
             assert len(other.received) == 12
-            await router_process.ask("video-parts", "7f3a9c21e0b4d655")
+            await router_process.request_object("video-parts", "7f3a9c21e0b4d655")
             assert 0 < int(other.received[-1].fields["within"]) < 6000
-            await log.tell(4, 2, record(edge, 0) + record(other, 2))
-            await log.cut()
-            assert (await router_process.ask())[0] == 200
+            await log.send_frame(4, 2, cache_as_record(edge, 0) + cache_as_record(other, 2))
+            await log.reconnect()
+            assert (await router_process.request_object())[0] == 200
             assert edge.received
         nursery.cancel_scope.cancel()
 
@@ -480,28 +490,28 @@
 async def test_sighup(tmp_path: Path) -> None:
     """SIGHUP applies a new change log address and keeps the event number; an invalid file changes nothing."""
     async with trio.open_nursery() as nursery:
-        log, other_log = await Log().open(nursery), await Log().open(nursery)
+        log, other_log = await ChangeLogStandIn().open(nursery), await ChangeLogStandIn().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
         path = tmp_path / "config.json"
-        async with platform(tmp_path, [edge, origin], log) as router_process:
-            await log.tell(2, 2, record(edge, 0))
-            await log.cut()
+        async with run_platform(tmp_path, [edge, origin], log) as router_process:
+            await log.send_frame(2, 2, cache_as_record(edge, 0))
+            await log.reconnect()
             valid_config = path.read_bytes()
             path.write_bytes(valid_config[:-1])
             router_process.process.send_signal(signal.SIGHUP)
-            await router_process.says(b"the old configuration remains in force")
-            # A request stays open during the reload; `ask` fails if its connection is lost.
+            await router_process.wait_for_log(b"the old configuration remains in force")
+            # A request stays open during the reload; `request_object` fails if its connection is lost.
             edge.answer = lambda requested: None
             async with trio.open_nursery() as client:
-                client.start_soon(router_process.ask)
+                client.start_soon(router_process.request_object)
                 await edge.until(lambda: bool(edge.received))
                 path.write_bytes(valid_config.replace(str(log.port).encode(), str(other_log.port).encode()))
                 router_process.process.send_signal(signal.SIGHUP)
-                await other_log.tell(3, 2, record(edge, 1))
-                await other_log.cut()
-            assert other_log.since == [2, 3]
-            assert log.since == [1, 2]
-            assert (await router_process.ask())[0] == 200
+                await other_log.send_frame(3, 2, cache_as_record(edge, 1))
+                await other_log.reconnect()
+            assert other_log.start_numbers == [2, 3]
+            assert log.start_numbers == [1, 2]
+            assert (await router_process.request_object())[0] == 200
             assert len(edge.received) == 1
             assert len(origin.received) > 0
         nursery.cancel_scope.cancel()
@@ -519,10 +529,10 @@
         ]
         # Long enough that both purges still apply, however long the start takes.
         long_propagation = {"FamilyInfo": {**SETTINGS["FamilyInfo"], "GoneEverywhereS": 60.0}}
-        async with platform(tmp_path, caches, purges=purges, settings=long_propagation) as router_process:
+        async with run_platform(tmp_path, caches, purges=purges, settings=long_propagation) as router_process:
             for obj, purged_at in (("00000000000000aa", now - 500), ("00000000000000bb", now - 3000)):
                 before = len(caches[0].received)
-                await router_process.ask("video-parts", obj)
+                await router_process.request_object("video-parts", obj)
                 max_age = time.time() * 1000 - purged_at
                 age = int(caches[0].received[before].fields["within"])
                 # The purge may count as later by the duration of the start, never as earlier.
@@ -535,11 +545,11 @@
     """After SIGTERM the router still answers new requests, finishes open ones and exits with status 0."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
-        async with platform(tmp_path, [edge, origin]) as router_process:
+        async with run_platform(tmp_path, [edge, origin]) as router_process:
             statuses: list[int] = []
 
             async def send_request() -> None:
-                statuses.append((await router_process.ask())[0])
+                statuses.append((await router_process.request_object())[0])
 
             async with trio.open_nursery() as clients:
                 clients.start_soon(send_request)
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -18,7 +18,7 @@
 
 from brackenlane.lifecycle import SignalWatcher
 from brackenlane.net.poller import Poller
-from tests.stand_ins import CacheStandIn, data, platform, with_trio
+from tests.stand_ins import CacheStandIn, data, run_platform, with_trio
 
 
 def read_descriptor_target(descriptor: Path) -> str:
@@ -56,8 +56,8 @@
             await cache.open(nursery)
             for cache in (CacheStandIn("s-00000001"), CacheStandIn("s-00000009", "origin"))
         ]
-        async with platform(tmp_path, caches) as router_process:
-            assert (await router_process.ask())[0] == 200
+        async with run_platform(tmp_path, caches) as router_process:
+            assert (await router_process.request_object())[0] == 200
             assert find_nested_epolls(router_process.process.pid) == []
         nursery.cancel_scope.cancel()
 
@@ -130,7 +130,7 @@
     async with trio.open_nursery() as nursery:
         origin = await CacheStandIn("s-00000009", "origin").open(nursery)
         slow = await CacheStandIn("s-00000001", answer=lambda requested: None).open(nursery)
-        async with platform(tmp_path, [slow, origin]) as router_process:
+        async with run_platform(tmp_path, [slow, origin]) as router_process:
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                 await client.send_all(
                     b"GET /api/v2/video-parts/7f3a9c21e0b4d655/n-3 HTTP/1.1\r\nHost: a\r\n"
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -35,15 +35,15 @@
 from tests.stand_ins import (
     SETTINGS,
     CacheStandIn,
-    Log,
-    Program,
+    ChangeLogStandIn,
     ReceivedRequest,
+    RouterProcess,
     ScriptedReply,
+    cache_as_json,
+    cache_as_record,
     data,
     free_port,
-    platform,
-    record,
-    target,
+    run_platform,
     with_trio,
 )
 
@@ -157,7 +157,7 @@
     port = free_port()
     async with trio.open_nursery() as nursery:
         edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        start = functools.partial(platform, tmp_path, [edge, origin], settings=site_settings(), port=port)
+        start = functools.partial(run_platform, tmp_path, [edge, origin], settings=site_settings(), port=port)
         async with start() as router:
             async with await trio.open_tcp_stream("127.0.0.1", port) as client:
                 await client.send_all(FIRST_TRY)
@@ -179,9 +179,11 @@
         nursery.cancel_scope.cancel()
 
 
-async def retry(router: Program) -> tuple[int, dict[str, str], bytes]:
+async def retry(router: RouterProcess) -> tuple[int, dict[str, str], bytes]:
     """Send the client's retry of its write: a new id, the same key."""
-    return await router.ask("sheet-submit", body=b"signed", txn="2" * 16, X_Txn_Key=KEY, X_Second_Try="1")
+    return await router.request_object(
+        "sheet-submit", body=b"signed", txn="2" * 16, X_Txn_Key=KEY, X_Second_Try="1"
+    )
 
 
 @with_trio
@@ -199,8 +201,10 @@
             return data(requested, b"", "failed")
 
         caches = await start_caches(nursery, EDGE, OTHER, ORIGIN, answer=fail)
-        async with platform(tmp_path, caches, settings=settings) as router:
-            status, _, _ = await router.ask("sheet-submit", body=b"signed", ttl=2500, X_Txn_Key=KEY)
+        async with run_platform(tmp_path, caches, settings=settings) as router:
+            status, _, _ = await router.request_object(
+                "sheet-submit", body=b"signed", ttl=2500, X_Txn_Key=KEY
+            )
             received = caches[0].received + caches[1].received
             assert status in (502, 503)
             assert len(received) > 1
@@ -216,8 +220,8 @@
         caches = await start_caches(
             nursery, EDGE, OTHER, ORIGIN, answer=lambda requested: data(requested, b"", "failed")
         )
-        async with platform(tmp_path, caches, settings=site_settings()) as router:
-            status, _, _ = await router.ask("sheet-submit", body=b"signed", ttl=2500)
+        async with run_platform(tmp_path, caches, settings=site_settings()) as router:
+            status, _, _ = await router.request_object("sheet-submit", body=b"signed", ttl=2500)
             assert status == 502
             assert len([requested for cache in caches for requested in cache.received]) == 1
         nursery.cancel_scope.cancel()
@@ -247,8 +251,8 @@
         edge, origin = await start_caches(
             nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, b"", "full")
         )
-        async with platform(tmp_path, [edge, origin], settings=site_settings(**limits)) as router:
-            status, headers, _ = await router.ask(cls)
+        async with run_platform(tmp_path, [edge, origin], settings=site_settings(**limits)) as router:
+            status, headers, _ = await router.request_object(cls)
             assert status == 503
             assert hold_off_header(headers) == retry_after
         nursery.cancel_scope.cancel()
@@ -264,14 +268,14 @@
         )
         settings = site_settings(RetryAfter=has_hold_off)
         async with (
-            platform(tmp_path, caches, sockets=64, settings=settings) as router,
+            run_platform(tmp_path, caches, max_sockets=64, settings=settings) as router,
             trio.open_nursery() as clients,
         ):
             for n in range(25):
-                clients.start_soon(functools.partial(router.ask, obj=f"{n:016x}", ttl=5000))
+                clients.start_soon(functools.partial(router.request_object, obj=f"{n:016x}", ttl=5000))
             while len({requested.id for cache in caches for requested in cache.received}) < 25:
                 await trio.sleep(0.01)
-            status, headers, _ = await router.ask()
+            status, headers, _ = await router.request_object()
             assert status == 503
             assert hold_off_header(headers) == ("500" if has_hold_off else None)
             clients.cancel_scope.cancel()
@@ -320,7 +324,7 @@
     """A retry after a failure may do harm, so its response has none of the headers that invite one."""
     async with trio.open_nursery() as nursery:
         edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        async with platform(tmp_path, [edge, origin], settings=site_settings()) as router:
+        async with run_platform(tmp_path, [edge, origin], settings=site_settings()) as router:
             received_status, headers, _ = await router.send(
                 "GET", path, {"X-Txn": "1" * 16, "X-Ttl-Ms": str(ttl), "X-Shard": "17"}
             )
@@ -336,7 +340,7 @@
     async with trio.open_nursery() as nursery:
         edge, origin = await start_caches(nursery, EDGE, ORIGIN)
         async with (
-            platform(tmp_path, [edge, origin], settings=site_settings()) as router,
+            run_platform(tmp_path, [edge, origin], settings=site_settings()) as router,
             await trio.open_tcp_stream("127.0.0.1", router.port) as client,
         ):
             for _ in range(2):
@@ -503,8 +507,8 @@
             return data(requested, b"bytes" if command == "data" else b"", command, use=report)
 
         edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=answer_with_report)
-        async with platform(tmp_path, [edge, origin], settings=site_settings()) as router:
-            statuses = [(await router.ask(obj=f"{n:016x}"))[0] for n in range(3)]
+        async with run_platform(tmp_path, [edge, origin], settings=site_settings()) as router:
+            statuses = [(await router.request_object(obj=f"{n:016x}"))[0] for n in range(3)]
             assert statuses == [200 if command == "data" else 503] * 3
             assert edge.links == 1
             assert edge.ended == 0
@@ -516,11 +520,11 @@
     """A response after its deadline is dropped with its report; the connection serves the next request."""
     async with trio.open_nursery() as nursery:
         edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        async with platform(tmp_path, [edge, origin], settings=site_settings(MaxAttempts=1)) as router:
-            assert (await router.ask(ttl=300))[0] == 504
+        async with run_platform(tmp_path, [edge, origin], settings=site_settings(MaxAttempts=1)) as router:
+            assert (await router.request_object(ttl=300))[0] == 504
             await edge.say(1, data(edge.received[0], use="inflight:1;x0:0.5"))
             edge.answer = functools.partial(data, use="inflight:1;x0:0.5")
-            assert (await router.ask())[::2] == (200, b"bytes")
+            assert (await router.request_object())[::2] == (200, b"bytes")
             assert edge.links == 1
         nursery.cancel_scope.cancel()
 
@@ -531,15 +535,15 @@
     async with trio.open_nursery() as nursery:
         edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
         async with (
-            platform(tmp_path, [edge, origin], settings=site_settings(StreamsPerConn=2)) as router,
+            run_platform(tmp_path, [edge, origin], settings=site_settings(StreamsPerConn=2)) as router,
             trio.open_nursery() as clients,
         ):
             for n in range(8):
-                clients.start_soon(functools.partial(router.ask, obj=f"{n:016x}", ttl=5000))
+                clients.start_soon(functools.partial(router.request_object, obj=f"{n:016x}", ttl=5000))
             await edge.until(lambda: len(edge.received) >= 8)
             assert edge.most == 2
             assert edge.links == 4
-            assert (await router.ask())[0] == 503
+            assert (await router.request_object())[0] == 503
             assert len(edge.received) == 8
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
@@ -557,10 +561,10 @@
 
         edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=answer_in_reverse)
         bodies: dict[str, bytes] = {}
-        async with platform(tmp_path, [edge, origin], settings=site_settings()) as router:
+        async with run_platform(tmp_path, [edge, origin], settings=site_settings()) as router:
 
             async def send_request(obj: str) -> None:
-                bodies[obj] = (await router.ask(obj=obj))[2]
+                bodies[obj] = (await router.request_object(obj=obj))[2]
 
             async with trio.open_nursery() as clients:
                 for n in range(4):
@@ -602,8 +606,8 @@
     async with trio.open_nursery() as nursery:
         edge = await RecordingCache(EDGE, answer=lambda requested: None).open(nursery)
         (origin,) = await start_caches(nursery, ORIGIN)
-        async with platform(tmp_path, [edge, origin], settings=site_settings(MayProbe=allowed)) as router:
-            assert (await router.ask(ttl=1800))[0] == 504
+        async with run_platform(tmp_path, [edge, origin], settings=site_settings(MayProbe=allowed)) as router:
+            assert (await router.request_object(ttl=1800))[0] == 504
             assert (b"PING" in edge.received_bytes) is allowed
             assert b"LOAD" not in edge.received_bytes
         nursery.cancel_scope.cancel()
@@ -615,16 +619,18 @@
 async def test_only_edge_caches_receive_requests_without_bypass(tmp_path: Path, cls: str, how: str) -> None:
     """If no edge cache takes requests, parent and origin get none, and the request is rejected."""
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         edge, parent, origin = await start_caches(nursery, EDGE, PARENT, ORIGIN)
         edge.answer = lambda requested: data(requested, b"", "full")
-        async with platform(tmp_path, [edge, parent, origin], log, settings=site_settings()) as router:
+        async with run_platform(tmp_path, [edge, parent, origin], log, settings=site_settings()) as router:
             if how == "down":
                 await edge.close()
             if how == "drained":
-                await log.tell(2, 2, record(edge, 1))
-                await log.cut()
-            status, _, _ = await router.ask(cls, body=b"signed" * (cls == "sheet-submit"), X_Txn_Key=KEY)
+                await log.send_frame(2, 2, cache_as_record(edge, 1))
+                await log.reconnect()
+            status, _, _ = await router.request_object(
+                cls, body=b"signed" * (cls == "sheet-submit"), X_Txn_Key=KEY
+            )
             assert status == 503
             assert not parent.received
             assert not origin.received
@@ -637,9 +643,11 @@
     """A write goes through an edge cache with the origin as its source, and without a rank for storing it."""
     async with trio.open_nursery() as nursery:
         edge, parent, origin = await start_caches(nursery, EDGE, PARENT, ORIGIN)
-        async with platform(tmp_path, [edge, parent, origin], settings=site_settings()) as router:
+        async with run_platform(tmp_path, [edge, parent, origin], settings=site_settings()) as router:
             for n in range(4):
-                assert (await router.ask("sheet-submit", f"{n:016x}", b"signed", X_Txn_Key=KEY))[0] == 200
+                assert (await router.request_object("sheet-submit", f"{n:016x}", b"signed", X_Txn_Key=KEY))[
+                    0
+                ] == 200
             assert {requested.fields["miss"] for requested in edge.received} == {ORIGIN}
             assert not any("prio" in requested.fields for requested in edge.received)
         nursery.cancel_scope.cancel()
@@ -654,8 +662,10 @@
     cache = CacheStandIn(EDGE)
     cache.port = 7001
     _, record_names = read_settings(SETTINGS)
-    frame = read_frame(Frame(7, 2, record(cache, 0)[:-8] + boot_ms.to_bytes(8, "big")), record_names, 0.0)
-    entry = {"seq": 7, "fleet": {"targets": [{**target(cache), "boot_ms": boot_ms}]}}
+    frame = read_frame(
+        Frame(7, 2, cache_as_record(cache, 0)[:-8] + boot_ms.to_bytes(8, "big")), record_names, 0.0
+    )
+    entry = {"seq": 7, "fleet": {"targets": [{**cache_as_json(cache), "boot_ms": boot_ms}]}}
     [known_event] = read_configured_changes({"results": [entry]}, record_names, 0.0)
     assert frame == known_event
     assert isinstance(frame.event, Membership)
@@ -669,7 +679,7 @@
 ) -> None:
     """A parent or an edge cache drains or is removed while requests keep arriving."""
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         uses: list[tuple[float, str, str]] = []
 
         def answer(requested: ReceivedRequest, cache: str) -> bytes:
@@ -679,12 +689,12 @@
         caches = await start_caches(nursery, EDGE, OTHER, NEXT_PARENT, PARENT, ORIGIN)
         for cache in caches:
             cache.answer = functools.partial(answer, cache=cache.id)
-        async with platform(tmp_path, caches, log, settings=site_settings()) as router:
+        async with run_platform(tmp_path, caches, log, settings=site_settings()) as router:
 
             async def send_requests(first: int, until: Callable[[], bool]) -> None:
                 n = first
                 while not until():
-                    assert (await router.ask(obj=f"{n:016x}"))[0] == 200
+                    assert (await router.request_object(obj=f"{n:016x}"))[0] == 200
                     n += 100
 
             def count_uses(since: float, until: float) -> int:
@@ -699,10 +709,10 @@
                 while not count_uses(0.0, math.inf):
                     await trio.sleep(0.01)
                 drained_at = time.time()
-                await log.tell(
+                await log.send_frame(
                     2,
                     2,
-                    record(next(cache for cache in caches if cache.id == drained_id), state),
+                    cache_as_record(next(cache for cache in caches if cache.id == drained_id), state),
                 )
             assert count_uses(drained_at + 0.25, math.inf) == 0
             assert sum(at >= drained_at + 0.25 for at, _, _ in uses) > 10
@@ -713,17 +723,19 @@
 async def test_group_purge_covers_caches_and_the_response_cache(tmp_path: Path) -> None:
     """After a purge frame, copies of the group must be newer than the purge; other groups are unaffected."""
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         edge, origin = await start_caches(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, [edge, origin], log, flow=1e6, settings=site_settings()) as router:
+        async with run_platform(
+            tmp_path, [edge, origin], log, flow_bytes_per_s=1e6, settings=site_settings()
+        ) as router:
             for group in ("17", "18"):
-                assert (await router.ask(obj=f"{group:0>16}", X_Shard=group))[0] == 200
+                assert (await router.request_object(obj=f"{group:0>16}", X_Shard=group))[0] == 200
             before = len(edge.received)
             purged_at = time.time()
-            await log.tell(2, 4, (17).to_bytes(2, "big") + int(purged_at * 1000).to_bytes(8, "big"))
-            await log.cut()
+            await log.send_frame(2, 4, (17).to_bytes(2, "big") + int(purged_at * 1000).to_bytes(8, "big"))
+            await log.reconnect()
             for group in ("18", "17"):
-                assert (await router.ask(obj=f"{group:0>16}", X_Shard=group))[0] == 200
+                assert (await router.request_object(obj=f"{group:0>16}", X_Shard=group))[0] == 200
             # The router still holds a valid copy of the object in the other group.
             [repeated] = edge.received[before:]
             assert repeated.fields["path"].endswith("17")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -27,12 +27,12 @@
     ROOT,
     SETTINGS,
     CacheStandIn,
-    Log,
-    Program,
+    ChangeLogStandIn,
     ReceivedRequest,
+    RouterProcess,
     data,
     free_port,
-    platform,
+    run_platform,
     with_trio,
 )
 
@@ -73,7 +73,7 @@
     path.write_bytes(orjson.dumps(raw))
 
 
-async def send_write(router_process: Program, cls: str) -> int:
+async def send_write(router_process: RouterProcess, cls: str) -> int:
     """Send a write of a class and return the status."""
     reported = {"X-Txn": "7" * 16, "X-Ttl-Ms": "1500", "X-Shard": "1"}
     return (await router_process.send("PUT", f"/api/v2/{cls}/7f3a9c21e0b4d655/n-0", reported, b"signed"))[0]
@@ -85,26 +85,26 @@
     async with trio.open_nursery() as nursery:
         unanswered: list[ReceivedRequest] = []
         edge, origin = await open_caches(nursery)
-        log, path = await Log().open(nursery), tmp_path / "config.json"
-        async with platform(tmp_path, [edge, origin], log) as router_process:
-            assert (await router_process.ask())[0] == 200
+        log, path = await ChangeLogStandIn().open(nursery), tmp_path / "config.json"
+        async with run_platform(tmp_path, [edge, origin], log) as router_process:
+            assert (await router_process.request_object())[0] == 200
             assert await send_write(router_process, "sheet-submit") == 200
             edge.answer = lambda requested: unanswered.append(requested)
             statuses: list[int] = []
 
             async def request() -> None:
-                statuses.append((await router_process.ask())[0])
+                statuses.append((await router_process.request_object())[0])
 
             async with trio.open_nursery() as clients:
                 clients.start_soon(request)
                 await edge.until(lambda: bool(unanswered))
                 write_configuration(path, settings=OTHER_SETTINGS)
                 router_process.process.send_signal(signal.SIGHUP)
-                await router_process.says(b"other settings hold")
+                await router_process.wait_for_log(b"other settings hold")
                 edge.answer = data
-                assert (await router_process.ask())[0] == 404
+                assert (await router_process.request_object())[0] == 404
                 assert await send_write(router_process, "sheet-submit") == 404
-                assert (await router_process.ask("plates"))[0] == 200
+                assert (await router_process.request_object("plates"))[0] == 200
                 assert edge.received[-1].fields["queue"] == "plates"
                 assert int(edge.received[-1].fields["budget"]) <= 2000
                 await edge.say(unanswered[0].link, data(unanswered[0]))
@@ -138,16 +138,16 @@
     """No part of an invalid file takes effect: classes, server list and the change log's address stay."""
     async with trio.open_nursery() as nursery:
         edge, origin = await open_caches(nursery)
-        log, path = await Log().open(nursery), tmp_path / "config.json"
-        async with platform(tmp_path, [edge, origin], log) as router_process:
+        log, path = await ChangeLogStandIn().open(nursery), tmp_path / "config.json"
+        async with run_platform(tmp_path, [edge, origin], log) as router_process:
             raw = orjson.loads(path.read_bytes())
             path.write_bytes(orjson.dumps({**raw, "changelog": f"127.0.0.1:{free_port()}", **change}))
             router_process.process.send_signal(signal.SIGHUP)
-            await router_process.says(b"the old configuration remains in force")
-            assert said in router_process.said
-            assert (await router_process.ask("plates"))[0] == 404
-            assert (await router_process.ask())[0] == 200
-            await log.cut()  # returns once the router has reconnected to the old address
+            await router_process.wait_for_log(b"the old configuration remains in force")
+            assert said in router_process.log_output
+            assert (await router_process.request_object("plates"))[0] == 404
+            assert (await router_process.request_object())[0] == 200
+            await log.reconnect()  # returns once the router has reconnected to the old address
         nursery.cancel_scope.cancel()
 
 
@@ -206,7 +206,7 @@
     """SIGHUP that arrives while the configuration is first read causes it to be read again."""
     async with trio.open_nursery() as nursery:
         caches = await open_caches(nursery)
-        async with platform(tmp_path, caches):
+        async with run_platform(tmp_path, caches):
             old = (tmp_path / "config.json").read_bytes()
         write_configuration(tmp_path / "config.json", settings=OTHER_SETTINGS)
         new, pipe = (tmp_path / "config.json").read_bytes(), tmp_path / "pipe"
@@ -235,7 +235,7 @@
             await notify(new)
             while True:
                 with contextlib.suppress(OSError):
-                    if (await Program(process, port, bytearray()).ask("plates"))[0] == 200:
+                    if (await RouterProcess(process, port, bytearray()).request_object("plates"))[0] == 200:
                         break
                 await trio.sleep(0.02)
         finally:
@@ -264,7 +264,7 @@
     """SIGHUP sent as soon as the process exists, before its first line runs, does not prevent the start."""
     async with trio.open_nursery() as nursery:
         caches = await open_caches(nursery)
-        async with platform(tmp_path, caches):
+        async with run_platform(tmp_path, caches):
             pass
         path = tmp_path / "config.json"
         port = int(orjson.loads(path.read_bytes())["listen"].partition(":")[2])
@@ -277,7 +277,7 @@
             process.send_signal(signal.SIGHUP)
             while process.poll() is None:
                 with contextlib.suppress(OSError):
-                    if (await Program(process, port, bytearray()).ask())[0] == 200:
+                    if (await RouterProcess(process, port, bytearray()).request_object())[0] == 200:
                         break
                 await trio.sleep(0.02)
             assert process.poll() is None
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -44,14 +44,14 @@
 from tests.stand_ins import (
     SETTINGS,
     CacheStandIn,
-    Log,
-    Program,
+    ChangeLogStandIn,
     ReceivedRequest,
+    RouterProcess,
     ScriptedReply,
+    cache_as_record,
     data,
     free_port,
-    platform,
-    record,
+    run_platform,
     with_trio,
 )
 
@@ -82,7 +82,7 @@
 
 
 @contextlib.asynccontextmanager
-async def stopped(router_process: Program) -> AsyncIterator[None]:
+async def stopped(router_process: RouterProcess) -> AsyncIterator[None]:
     """Stop the router process, so that it finds everything done in the meantime at once."""
     router_process.process.send_signal(signal.SIGSTOP)
     try:
@@ -144,14 +144,14 @@
     classes = [{**c, "GiveUpS": 2.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
         caches = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        async with platform(
+        async with run_platform(
             tmp_path, caches, may_probe=True, settings={"Classes": classes}
         ) as router_process:
             async with trio.open_nursery() as clients:
                 statuses: list[int] = []
 
                 async def send_request() -> None:
-                    statuses.append((await router_process.ask(ttl=20_000))[0])
+                    statuses.append((await router_process.request_object(ttl=20_000))[0])
 
                 clients.start_soon(send_request)
                 await caches[0].until(lambda: bool(caches[0].received))
@@ -169,12 +169,12 @@
     """The router finds a request, bytes after it and the client's disconnect at once; no cache gets it."""
     async with trio.open_nursery() as nursery:
         caches = await start_caches(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, caches) as router_process:
-            await router_process.ask()  # opens a connection to the cache
+        async with run_platform(tmp_path, caches) as router_process:
+            await router_process.request_object()  # opens a connection to the cache
             async with stopped(router_process):
                 with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                     client.sendall(request("1" * 16) + following_bytes)
-            assert (await router_process.ask(txn="3" * 16))[0] == 200
+            assert (await router_process.request_object(txn="3" * 16))[0] == 200
             ids = [requested.id for cache in caches for requested in cache.received]
             assert ids[1:] == ["3" * 16]
         nursery.cancel_scope.cancel()
@@ -193,9 +193,9 @@
 
         received = trio.Event()
         caches = await start_caches(nursery, EDGE, OTHER, ORIGIN)
-        async with platform(tmp_path, caches) as router_process:
+        async with run_platform(tmp_path, caches) as router_process:
             for n in range(8):  # opens connections to the caches
-                await router_process.ask(obj=f"{n:016x}")
+                await router_process.request_object(obj=f"{n:016x}")
             for cache in caches:
                 cache.answer = hold
             with socket.create_connection(("127.0.0.1", router_process.port)) as client:
@@ -207,7 +207,7 @@
                     await holder.say(held_requests[0].link, data(held_requests[0], b"", "failed"))
             for cache in caches:
                 cache.answer = data
-            assert (await router_process.ask(txn="3" * 16))[0] == 200
+            assert (await router_process.request_object(txn="3" * 16))[0] == 200
             assert [requested.id for cache in caches for requested in cache.received].count("1" * 16) == 1
         nursery.cancel_scope.cancel()
 
@@ -223,7 +223,7 @@
         unanswered = CacheStandIn(EDGE)
         with full_listener() as listener:
             unanswered.port = listener.port
-            async with platform(
+            async with run_platform(
                 tmp_path, [unanswered, origin], settings=limits(Cancel=cancel, DialTimeoutS=8.0)
             ) as router_process:
                 leaving_client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
@@ -231,7 +231,7 @@
                 staying_client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
                 await staying_client.send_all(request("2" * 16).replace(b"3000", b"9000"))
                 # After this response the router has read both requests.
-                await router_process.ask("sheet-submit", body=b"x", ttl=300)
+                await router_process.request_object("sheet-submit", body=b"x", ttl=300)
                 await listener.wait_for_connect()
                 await leaving_client.aclose()
                 accepted = await trio.to_thread.run_sync(listener.accept)
@@ -259,12 +259,14 @@
 
     async with trio.open_nursery() as nursery:
         caches = await start_caches(nursery, ORIGIN, answer=answer)
-        async with platform(tmp_path, caches) as router_process:
-            status, _, _ = await router_process.ask("sheet-submit", body=b"signed")
+        async with run_platform(tmp_path, caches) as router_process:
+            status, _, _ = await router_process.request_object("sheet-submit", body=b"signed")
             assert len(retried) == 1
             assert status == 200
-            await router_process.ask("sheet-submit", body=b"signed")  # answered twice, without effect
-            await router_process.says(b"a cache answered a request a second time")
+            await router_process.request_object(
+                "sheet-submit", body=b"signed"
+            )  # answered twice, without effect
+            await router_process.wait_for_log(b"a cache answered a request a second time")
         nursery.cancel_scope.cancel()
 
 
@@ -290,9 +292,11 @@
             ended.set()
 
         caches = await start_caches(nursery, EDGE, answer=answer)
-        async with platform(tmp_path, caches, settings={"Classes": classes}) as router_process:
-            assert (await router_process.ask(txn="1" * 16, ttl=400))[0] in (503, 504)
-            assert (await router_process.ask(ttl=900))[0] == 200  # not queued behind the slow response
+        async with run_platform(tmp_path, caches, settings={"Classes": classes}) as router_process:
+            assert (await router_process.request_object(txn="1" * 16, ttl=400))[0] in (503, 504)
+            assert (await router_process.request_object(ttl=900))[
+                0
+            ] == 200  # not queued behind the slow response
             await ended.wait()
         nursery.cancel_scope.cancel()
 
@@ -320,7 +324,7 @@
         unanswered = CacheStandIn(OTHER)
         with full_listener() as listener:
             unanswered.port = listener.port
-            async with platform(
+            async with run_platform(
                 tmp_path,
                 [edge, unanswered, origin],
                 settings={**limits(DialTimeoutS=8.0), "Classes": classes},
@@ -329,7 +333,7 @@
 
                 async def send_request() -> None:
                     nonlocal status
-                    pending_response = router_process.ask(
+                    pending_response = router_process.request_object(
                         "sheet-submit", obj, b"signed", ttl=8000, X_Txn_Key="2" * 16
                     )
                     status = (await pending_response)[0]
@@ -354,17 +358,17 @@
     """The change log is down while idle clients hold all descriptors; once it is up, its list is applied."""
     async with trio.open_nursery() as nursery:
         edge, other, origin = await start_caches(nursery, EDGE, OTHER, ORIGIN)
-        log = Log()
+        log = ChangeLogStandIn()
         log.port = free_port()
-        async with platform(tmp_path, [edge, other, origin], log, max_descriptors=64) as router_process:
+        async with run_platform(tmp_path, [edge, other, origin], log, max_descriptors=64) as router_process:
             idle_clients = [await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(80)]
-            router_process.said.clear()
-            await router_process.says(b"change log")  # a connect was tried while they are idle
+            router_process.log_output.clear()
+            await router_process.wait_for_log(b"change log")  # a connect was tried while they are idle
             await log.open(nursery)
-            await log.tell(2, 2, record(edge, 1) + record(other, 0))
-            await log.cut()  # the frame has been applied
-            assert log.since[-1] == 2
-            assert [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(8)] == [200] * 8
+            await log.send_frame(2, 2, cache_as_record(edge, 1) + cache_as_record(other, 0))
+            await log.reconnect()  # the frame has been applied
+            assert log.start_numbers[-1] == 2
+            assert [(await router_process.request_object(obj=f"{n:016x}"))[0] for n in range(8)] == [200] * 8
             assert not edge.received
             assert other.received
             for stream in idle_clients:
@@ -379,10 +383,10 @@
     long_deadlines = [{**c, "TargetS": 20.0, "GiveUpS": 25.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
         caches = await start_caches(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, caches, settings={"Classes": long_deadlines}) as router_process:
-            await router_process.ask()
+        async with run_platform(tmp_path, caches, settings={"Classes": long_deadlines}) as router_process:
+            await router_process.request_object()
             router_process.process.send_signal(signal.SIGTERM)
-            await router_process.says(b"leaves")
+            await router_process.wait_for_log(b"leaves")
             with contextlib.ExitStack() as clients:
                 async with stopped(router_process):
                     streams = []
@@ -406,14 +410,14 @@
     classes = [{**c, "GiveUpS": 1.0} for c in SETTINGS["Classes"]]
     async with trio.open_nursery() as nursery:
         caches = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
-        async with platform(
+        async with run_platform(
             tmp_path, caches, may_probe=True, settings={"Classes": classes}
         ) as router_process:
             complete, incomplete = [
                 await trio.open_tcp_stream("127.0.0.1", router_process.port) for _ in range(2)
             ]
             router_process.process.send_signal(signal.SIGTERM)
-            await router_process.says(b"leaves")
+            await router_process.wait_for_log(b"leaves")
             text = request("1" * 16).replace(b"3000", b"9000")
             await incomplete.send_all(text[:40])
             await complete.send_all(text.replace(b"1" * 16, b"2" * 16))
@@ -481,7 +485,7 @@
     """Two megabytes after an open request are discarded; the client gets one response, then a close."""
     async with trio.open_nursery() as nursery:
         (edge,) = await start_caches(nursery, EDGE, answer=lambda requested: None)
-        async with platform(tmp_path, [edge]) as router_process:
+        async with run_platform(tmp_path, [edge]) as router_process:
             before = resident_bytes(router_process)
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                 await client.send_all(request("1" * 16))
@@ -498,14 +502,14 @@
             assert response.count(b"HTTP/1.1") == 1
             assert response.endswith(b"bytes")
             edge.answer = data
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
             assert [requested.id for requested in edge.received].count("2" * 16) == 0
             assert resident_bytes(router_process) - before < 1_000_000
-            assert router_process.said.count(b"sends on and on behind its request") == 1
+            assert router_process.log_output.count(b"sends on and on behind its request") == 1
         nursery.cancel_scope.cancel()
 
 
-def resident_bytes(router_process: Program) -> int:
+def resident_bytes(router_process: RouterProcess) -> int:
     """Return the resident memory of the process in bytes (proc(5))."""
     pages = int(Path(f"/proc/{router_process.process.pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
@@ -518,10 +522,10 @@
         caches = await start_caches(
             nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, issued="soon")
         )
-        async with platform(tmp_path, caches) as router_process:
+        async with run_platform(tmp_path, caches) as router_process:
             for n in range(200):
-                await router_process.ask(obj=f"{n:016x}", ttl=300)
-            logged_count = router_process.said.count(b"answered with what can't be served")
+                await router_process.request_object(obj=f"{n:016x}", ttl=300)
+            logged_count = router_process.log_output.count(b"answered with what can't be served")
             assert sum(len(cache.received) for cache in caches) >= 200
             assert 0 < logged_count <= 100
         nursery.cancel_scope.cancel()
@@ -542,7 +546,7 @@
     assert len(throttle._windows) <= 3
 
 
-class SlowChangeLog(Log):
+class SlowChangeLog(ChangeLogStandIn):
     """A change log that sends the list of caches only after a delay."""
 
     def __init__(self, seconds: float, caches: list[CacheStandIn]) -> None:
@@ -550,9 +554,9 @@
         self._seconds, self._caches = seconds, caches
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        self.since.append(int.from_bytes(await stream.receive_some(8), "big"))
+        self.start_numbers.append(int.from_bytes(await stream.receive_some(8), "big"))
         await trio.sleep(self._seconds)
-        entries = b"".join(record(cache, 0) for cache in self._caches)
+        entries = b"".join(cache_as_record(cache, 0) for cache in self._caches)
         with contextlib.suppress(trio.BrokenResourceError):
             await stream.send_all((9 + len(entries)).to_bytes(4, "big") + bytes(7) + b"\x01\x01" + entries)
             await trio.sleep_forever()
@@ -564,15 +568,15 @@
     async with trio.open_nursery() as nursery:
         caches = await start_caches(nursery, EDGE)
         log = await SlowChangeLog(4.0, caches).open(nursery)
-        async with platform(tmp_path, [], log, include_known=False) as router_process:
+        async with run_platform(tmp_path, [], log, include_known=False) as router_process:
             with trio.fail_after(10):
                 await wait_until_ready(router_process)
-            assert (await router_process.ask())[0] == 200
-            assert len(log.since) == 2
+            assert (await router_process.request_object())[0] == 200
+            assert len(log.start_numbers) == 2
         nursery.cancel_scope.cancel()
 
 
-async def wait_until_ready(router_process: Program) -> None:
+async def wait_until_ready(router_process: RouterProcess) -> None:
     """Wait until the health check succeeds."""
     while (await router_process.send("GET", "/-/healthy", {}))[0] != 200:
         await trio.sleep(0.05)
@@ -590,7 +594,7 @@
             port = free_port()
             for start_number in range(2):
                 started_at = trio.current_time()
-                async with platform(folder, [], log, include_known=False, port=port) as router_process:
+                async with run_platform(folder, [], log, include_known=False, port=port) as router_process:
                     await wait_until_ready(router_process)
                     if start_number:
                         in_time.append(trio.current_time() - started_at < 10)
@@ -611,16 +615,16 @@
     """After an incomplete head, a FIN or a reset, no cache gets anything and the next client is served."""
     async with trio.open_nursery() as nursery:
         caches = await start_caches(nursery, EDGE, ORIGIN)
-        async with platform(tmp_path, caches) as router_process:
+        async with run_platform(tmp_path, caches) as router_process:
             for reset in (False, True):
                 with socket.create_connection(("127.0.0.1", router_process.port)) as client:
                     client.sendall(request("1" * 16)[:-2])
                     if reset:
                         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            assert (await router_process.ask(txn="3" * 16))[0] == 200
+            assert (await router_process.request_object(txn="3" * 16))[0] == 200
             assert [requested.id for cache in caches for requested in cache.received] == ["3" * 16]
-            assert (await router_process.ask("no-such-class"))[0] == 404
-            await router_process.says(b"a request that can't be served: no such class or object")
+            assert (await router_process.request_object("no-such-class"))[0] == 404
+            await router_process.wait_for_log(b"a request that can't be served: no such class or object")
         nursery.cancel_scope.cancel()
 
 
@@ -631,7 +635,7 @@
     body = bytes(range(256)) * 937
     async with trio.open_nursery() as nursery:
         caches = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, body))
-        async with platform(tmp_path, caches) as router_process:
+        async with run_platform(tmp_path, caches) as router_process:
             for n in range(1, 9):
                 with socket.socket() as client:
                     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -642,7 +646,7 @@
                     receiver.close()
                     if reset:
                         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                assert (await router_process.ask())[2] == body
+                assert (await router_process.request_object())[2] == body
         nursery.cancel_scope.cancel()
 
 
@@ -651,30 +655,32 @@
 async def test_request_is_not_sent_on_a_connection_that_came_too_late(tmp_path: Path, reason: str) -> None:
     """During the connect the deadline passes, or the cache or the fill's source drains or is removed."""
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         parent, origin, other = await start_caches(nursery, PARENT, ORIGIN, OTHER)
         unanswered = CacheStandIn(EDGE)
         with full_listener() as listener:
             unanswered.port = listener.port
             listed = [unanswered, parent, origin] if reason == "source" else [unanswered, origin]
-            async with platform(tmp_path, listed, log, settings=limits(DialTimeoutS=8.0)) as router_process:
+            async with run_platform(
+                tmp_path, listed, log, settings=limits(DialTimeoutS=8.0)
+            ) as router_process:
                 statuses: list[int] = []
 
                 async def send_request() -> None:
                     ttl = 400 if reason == "time" else 6000
-                    statuses.append((await router_process.ask(txn="1" * 16, ttl=ttl))[0])
+                    statuses.append((await router_process.request_object(txn="1" * 16, ttl=ttl))[0])
 
                 async with trio.open_nursery() as client:
                     client.start_soon(send_request)
                     await listener.wait_for_connect()
                     if reason != "time":
                         entries = {
-                            "drained": record(unanswered, 1),
-                            "gone": record(unanswered, 2),
-                            "source": record(parent, 1) + record(origin, 1),
+                            "drained": cache_as_record(unanswered, 1),
+                            "gone": cache_as_record(unanswered, 2),
+                            "source": cache_as_record(parent, 1) + cache_as_record(origin, 1),
                         }[reason]
-                        await log.tell(2, 2, entries + record(other, 0))
-                        await log.cut()  # the frame has been applied
+                        await log.send_frame(2, 2, entries + cache_as_record(other, 0))
+                        await log.reconnect()  # the frame has been applied
                     else:
                         while not statuses:
                             await trio.sleep(0.01)
@@ -693,8 +699,8 @@
     async with trio.open_nursery() as nursery:
         ids = [f"s-000001{n:02x}" for n in range(24)]
         caches = await start_caches(nursery, *ids, ORIGIN)
-        async with platform(tmp_path, caches, max_descriptors=64) as router_process:
-            statuses = [(await router_process.ask(obj=f"{n:016x}"))[0] for n in range(200)]
+        async with run_platform(tmp_path, caches, max_descriptors=64) as router_process:
+            statuses = [(await router_process.request_object(obj=f"{n:016x}"))[0] for n in range(200)]
             assert statuses == [200] * 200
             assert all(cache.received for cache in caches[:-1])
             assert sum(cache.links for cache in caches) > 30
@@ -706,11 +712,11 @@
     """The router closes an idle connection before the cache's keep-alive time ends, then opens a new one."""
     async with trio.open_nursery() as nursery:
         (edge,) = await start_caches(nursery, EDGE)
-        async with platform(tmp_path, [edge], settings=limits(KeepaliveS=0.6)) as router_process:
-            assert (await router_process.ask())[0] == 200
+        async with run_platform(tmp_path, [edge], settings=limits(KeepaliveS=0.6)) as router_process:
+            assert (await router_process.request_object())[0] == 200
             with trio.fail_after(5):
                 await edge.until(lambda: edge.ended == 1)
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
             assert edge.links == 2
         nursery.cancel_scope.cancel()
 
@@ -720,9 +726,9 @@
     """The cache closes the idle connection just as a submit arrives; it runs once, on another connection."""
     async with trio.open_nursery() as nursery:
         (origin,) = await start_caches(nursery, ORIGIN)
-        async with platform(tmp_path, [origin]) as router_process:
+        async with run_platform(tmp_path, [origin]) as router_process:
             for n in range(1, 6):
-                assert (await router_process.ask("sheet-submit", body=b"signed"))[0] == 200
+                assert (await router_process.request_object("sheet-submit", body=b"signed"))[0] == 200
                 text = request(f"{n:016x}", "sheet-submit").replace(b"GET", b"PUT")
                 async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                     async with stopped(router_process):
@@ -738,16 +744,16 @@
     """The change log connection stays open without bytes; the next connection gets the missed events."""
     async with trio.open_nursery() as nursery:
         edge, origin = await start_caches(nursery, EDGE, ORIGIN)
-        log = await Log().open(nursery)
-        async with platform(tmp_path, [edge, origin], log) as router_process:
-            await log.tell(2, 0, b"")
-            while len(log.since) < 2:
+        log = await ChangeLogStandIn().open(nursery)
+        async with run_platform(tmp_path, [edge, origin], log) as router_process:
+            await log.send_frame(2, 0, b"")
+            while len(log.start_numbers) < 2:
                 log.updated = trio.Event()
                 await log.updated.wait()
-            await log.tell(3, 2, record(edge, 1))
-            await log.cut()
-            assert log.since[-1] == 3
-            assert (await router_process.ask())[0] == 200
+            await log.send_frame(3, 2, cache_as_record(edge, 1))
+            await log.reconnect()
+            assert log.start_numbers[-1] == 3
+            assert (await router_process.request_object())[0] == 200
             assert not edge.received
         nursery.cancel_scope.cancel()
 
@@ -756,23 +762,23 @@
 async def test_moved_cache_is_reached_at_its_new_address(tmp_path: Path) -> None:
     """A request that waits for a connect to the old address is sent to the new one at once."""
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         (edge,) = await start_caches(nursery, EDGE)
         unanswered = CacheStandIn(EDGE)
         with full_listener() as listener:
             unanswered.port = listener.port
-            async with platform(
+            async with run_platform(
                 tmp_path, [unanswered], log, settings=limits(DialTimeoutS=8.0)
             ) as router_process:
                 statuses: list[int] = []
 
                 async def send_request() -> None:
-                    statuses.append((await router_process.ask())[0])
+                    statuses.append((await router_process.request_object())[0])
 
                 async with trio.open_nursery() as client:
                     client.start_soon(send_request)
                     await listener.wait_for_connect()
-                    await log.tell(2, 2, record(edge, 0))
+                    await log.send_frame(2, 2, cache_as_record(edge, 0))
                 assert statuses == [200]
         nursery.cancel_scope.cancel()
 
@@ -782,7 +788,7 @@
     """Without a free descriptor a request gets a 503 response; the cache is used again once there is one."""
     async with trio.open_nursery() as nursery:
         (edge,) = await start_caches(nursery, EDGE)
-        async with platform(tmp_path, [edge]) as router_process:
+        async with run_platform(tmp_path, [edge]) as router_process:
             client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
             health_request = b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n"
             await client.send_all(health_request)
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -11,7 +11,7 @@
 from brackenlane.core.response_cache import CacheEntry, ResponseCache
 from brackenlane.routing.events import Arrival, Purged
 from tests.router_harness import TILES, VIDEO, settings
-from tests.stand_ins import Log, platform, with_trio
+from tests.stand_ins import ChangeLogStandIn, run_platform, with_trio
 from tests.test_platform import fleet
 
 
@@ -87,16 +87,16 @@
 async def test_fetched_response_serves_the_next_request_until_a_purge(tmp_path: Path) -> None:
     """A client that has a current copy gets 304; after the purge the request goes to a cache again."""
     async with trio.open_nursery() as nursery:
-        log = await Log().open(nursery)
+        log = await ChangeLogStandIn().open(nursery)
         edge, origin = [await cache.open(nursery) for cache in fleet()]
-        async with platform(tmp_path, [edge, origin], log, flow=100_000.0) as router_process:
+        async with run_platform(tmp_path, [edge, origin], log, flow_bytes_per_s=100_000.0) as router_process:
             for _ in range(3):
-                assert (await router_process.ask())[::2] == (200, b"bytes")
-            assert (await router_process.ask(If_None_Match='"e1"'))[::2] == (304, b"")
+                assert (await router_process.request_object())[::2] == (200, b"bytes")
+            assert (await router_process.request_object(If_None_Match='"e1"'))[::2] == (304, b"")
             assert len(edge.received) == 1
             purged = int(time.time() * 1000).to_bytes(8, "big")
-            await log.tell(2, 3, bytes.fromhex("7f3a9c21e0b4d655") + purged)
-            await log.cut()
-            assert (await router_process.ask())[0] == 200
+            await log.send_frame(2, 3, bytes.fromhex("7f3a9c21e0b4d655") + purged)
+            await log.reconnect()
+            assert (await router_process.request_object())[0] == 200
             assert len(edge.received) == 2
         nursery.cancel_scope.cancel()
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -14,7 +14,7 @@
 import trio
 
 from brackenlane.lab.faults.shim import FaultShim, SystemCall
-from tests.stand_ins import CacheStandIn, platform, with_trio
+from tests.stand_ins import CacheStandIn, run_platform, with_trio
 from tests.test_request_lifecycle import request
 from tests.test_system_calls import answer
 
@@ -32,7 +32,7 @@
         edge = await CacheStandIn(EDGE).open(nursery)
         origin = await CacheStandIn(ORIGIN, "origin").open(nursery)
         async with (
-            platform(tmp_path, [edge, origin]) as router_process,
+            run_platform(tmp_path, [edge, origin]) as router_process,
             await trio.open_tcp_stream("127.0.0.1", router_process.port) as idle,
         ):
             await idle.send_all(request("1" * 16))
@@ -66,8 +66,8 @@
     async with trio.open_nursery() as nursery:
         edge = await CacheStandIn(EDGE).open(nursery)
         origin = await CacheStandIn(ORIGIN, "origin").open(nursery)
-        async with platform(tmp_path, [edge, origin], env=shim.environment) as router_process:
-            assert (await router_process.ask())[0] == 200
+        async with run_platform(tmp_path, [edge, origin], env=shim.environment) as router_process:
+            assert (await router_process.request_object())[0] == 200
             shim.fail(call, 1.0, [errno.ENFILE if call is SystemCall.ACCEPT else errno.ENOSPC])
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                 await client.send_all(request("2" * 16))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -19,7 +19,7 @@
 from brackenlane.limits import Limits
 from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
 from brackenlane.ops.handover_records import SubmitClaimed
-from tests.stand_ins import CacheStandIn, Program, free_port, platform, with_trio
+from tests.stand_ins import CacheStandIn, RouterProcess, free_port, run_platform, with_trio
 from tests.test_request_lifecycle import request
 
 EDGE, ORIGIN = "s-00000001", "s-00000009"
@@ -52,8 +52,8 @@
     shim = FaultShim(tmp_path)
     async with trio.open_nursery() as nursery:
         caches = await open_caches(nursery)
-        async with platform(tmp_path, caches, env=shim.environment) as router_process:
-            assert (await router_process.ask())[0] == 200
+        async with run_platform(tmp_path, caches, env=shim.environment) as router_process:
+            assert (await router_process.request_object())[0] == 200
             router_process.process.send_signal(signal.SIGTERM)
             await trio.sleep(Limits().shutdown_accept_time - 0.2)
             shim.fail(call, 1.0, ACCEPT_SHORTAGES if call is SystemCall.ACCEPT else WATCH_SHORTAGES)
@@ -75,10 +75,10 @@
     async with trio.open_nursery() as nursery:
         caches = await open_caches(nursery)
         ops = free_port()
-        async with platform(
-            tmp_path, caches, ops=ops, env=shim.environment, TMPDIR=str(tmp_path)
+        async with run_platform(
+            tmp_path, caches, ops_port=ops, env=shim.environment, TMPDIR=str(tmp_path)
         ) as router_process:
-            assert (await router_process.ask())[0] == 200
+            assert (await router_process.request_object())[0] == 200
             shim.fail(call, 1.0, ACCEPT_SHORTAGES if call is SystemCall.ACCEPT else WATCH_SHORTAGES)
             async with (
                 await trio.open_tcp_stream("127.0.0.1", ops) as admin,
@@ -99,7 +99,7 @@
         nursery.cancel_scope.cancel()
 
 
-def processor_time(router_process: Program) -> float:
+def processor_time(router_process: RouterProcess) -> float:
     """Return the CPU seconds used by the process so far (proc(5), utime and stime)."""
     fields = Path(f"/proc/{router_process.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -113,7 +113,7 @@
     async with trio.open_nursery() as nursery:
         caches = await open_caches(nursery)
         statuses: list[int] = []
-        async with platform(tmp_path, caches, env=shim.environment) as router_process:
+        async with run_platform(tmp_path, caches, env=shim.environment) as router_process:
             shim.fail(SystemCall.ACCEPT, FAILURE_SHARES[1], [errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS])
             shim.fail(SystemCall.SOCKET, FAILURE_SHARES[1], [errno.ENFILE, errno.ENOBUFS])
             shim.fail(
@@ -126,7 +126,7 @@
 
             async def ask() -> None:
                 started_at = trio.current_time()
-                status = (await router_process.ask(obj=os.urandom(8).hex(), ttl=1500))[0]
+                status = (await router_process.request_object(obj=os.urandom(8).hex(), ttl=1500))[0]
                 assert trio.current_time() - started_at < 1.65
                 statuses.append(status)
 
@@ -150,26 +150,36 @@
     shim = FaultShim(tmp_path)
     async with trio.open_nursery() as nursery:
         caches = await open_caches(nursery)
-        async with platform(
-            tmp_path, caches, ops=free_port(), env=shim.environment, TMPDIR=str(tmp_path)
+        async with run_platform(
+            tmp_path, caches, ops_port=free_port(), env=shim.environment, TMPDIR=str(tmp_path)
         ) as router_process:
-            assert (await router_process.ask("sheet-submit", body=b"signed", txn="1" * 16))[0] == 200
+            assert (await router_process.request_object("sheet-submit", body=b"signed", txn="1" * 16))[
+                0
+            ] == 200
             shim.fail(SystemCall.WRITE, 1.0, errors)
             for digit in "234":
-                assert (await router_process.ask("sheet-submit", body=b"signed", txn=digit * 16))[0] == 503
-            assert (await router_process.ask())[0] == 200  # reads need no claim
+                assert (await router_process.request_object("sheet-submit", body=b"signed", txn=digit * 16))[
+                    0
+                ] == 503
+            assert (await router_process.request_object())[0] == 200  # reads need no claim
             shim.recover()
             for digit in "234":
-                assert (await router_process.ask("sheet-submit", body=b"signed", txn=digit * 16))[0] == 200
-            assert (await router_process.ask("sheet-submit", body=b"signed", txn="1" * 16))[0] == 409
+                assert (await router_process.request_object("sheet-submit", body=b"signed", txn=digit * 16))[
+                    0
+                ] == 200
+            assert (await router_process.request_object("sheet-submit", body=b"signed", txn="1" * 16))[
+                0
+            ] == 409
         submits = [digit * 16 for digit in "1234"]
         runs = [received.id for cache in caches for received in cache.received if received.id in submits]
         assert sorted(runs) == submits
-        async with platform(
-            tmp_path, caches, ops=free_port(), port=router_process.port, TMPDIR=str(tmp_path)
+        async with run_platform(
+            tmp_path, caches, ops_port=free_port(), port=router_process.port, TMPDIR=str(tmp_path)
         ) as successor:
             for digit in "1234":  # the next process finds all stored claims, also those after torn records
-                assert (await successor.ask("sheet-submit", body=b"signed", txn=digit * 16))[0] == 409
+                assert (await successor.request_object("sheet-submit", body=b"signed", txn=digit * 16))[
+                    0
+                ] == 409
         nursery.cancel_scope.cancel()
 
 
