--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -41,7 +41,7 @@
     return int(head.split()[1]), body.decode()
 
 
-async def figures(port: int) -> dict[str, float]:
+async def read_metrics(port: int) -> dict[str, float]:
     """Return all samples of the metrics, by name and labels."""
     status, text = await call_admin_api(port, "/status/metrics")
     assert status == 200
@@ -129,7 +129,7 @@
             assert actual_status == status or (
                 status >= 400 and 400 <= actual_status < 500 and b"\xff" in raw
             )
-            assert (await figures(admin_port))["gw_pool_ejected"] == 0
+            assert (await read_metrics(admin_port))["gw_pool_ejected"] == 0
             assert (await router_process.request_object())[0] == 200
         nursery.cancel_scope.cancel()
 
@@ -204,10 +204,10 @@
                 )
                 received_before = len(caches[0].received)
                 await caches[0].until(lambda: len(caches[0].received) > received_before)
-                assert (await figures(admin_port))["gw_active"] == 1
-            metrics = await figures(admin_port)
+                assert (await read_metrics(admin_port))["gw_active"] == 1
+            metrics = await read_metrics(admin_port)
             while metrics["gw_active"]:
-                metrics = await figures(admin_port)
+                metrics = await read_metrics(admin_port)
             assert {(n, c): metrics[f'gw_{n}{{kind="{c}"}}'] for n, c in expected} == expected
             for cls in ("video-parts", "sheet-pages", "sheet-submit"):
                 attempt_count = sum(a.fields["queue"] == cls for cache in caches for a in cache.received)
@@ -254,12 +254,12 @@
                 for attempt in (*other.received, *origin.received)
                 if attempt.fields.get("miss") == EDGE
             ]
-            metrics = await figures(admin_port)
+            metrics = await read_metrics(admin_port)
             assert (metrics["gw_pool_size"], metrics["gw_pool_ejected"]) == (3, 1)
             assert (await call_admin_api(admin_port, f"/maintenance/exit/{EDGE}", "PUT"))[0] == 200
             deadline = time.monotonic() + 5
             while len(edge.received) == received_before:
                 assert time.monotonic() < deadline
                 await request_all()
-            assert (await figures(admin_port))["gw_pool_ejected"] == 0
+            assert (await read_metrics(admin_port))["gw_pool_ejected"] == 0
         nursery.cancel_scope.cancel()
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -25,7 +25,7 @@
 WRITE = f"{OBJECT}.sheet-submit.caches.test."
 
 
-async def query(
+async def send_query(
     port: int, name: str, kind: str = "A", tcp: bool = False, **more: object
 ) -> dns.message.Message:
     """Send one DNS query and return the response."""
@@ -34,13 +34,13 @@
     return await request(message, "127.0.0.1", port=port, timeout=5)
 
 
-def texts(message: dns.message.Message) -> list[str]:
+def record_texts(message: dns.message.Message) -> list[str]:
     """Return the data of the answer's records, after checking that every TTL is 0."""
     assert all(rrset.ttl == 0 for rrset in message.answer)
     return [record.to_text() for rrset in message.answer for record in rrset]
 
 
-async def console(path: Path, *arguments: str) -> str:
+async def run_console_command(path: Path, *arguments: str) -> str:
     """Run one console command from the command line and return its output."""
     done = await trio.run_process(
         [sys.executable, "-m", "brackenlane", "console", str(path), *arguments], capture_stdout=True, cwd=ROOT
@@ -87,9 +87,9 @@
             if kind == "AXFR" and tcp:
                 # dnspython would start a zone transfer for AXFR, so another meta type is queried instead.
                 kind = "MAILB"
-            found = await query(port, name, kind, tcp)
+            found = await send_query(port, name, kind, tcp)
             assert dns.rcode.to_text(found.rcode()) == code
-            assert texts(found) == [
+            assert record_texts(found) == [
                 text.format(box=cache_stand_in.port, http=router_process.port) for text in answer
             ]
             assert bool(found.authority) is (not answer and code != "REFUSED")
@@ -123,7 +123,7 @@
                 if code is not None:
                     reply = dns.message.from_wire(await sock.recv(4096))
                     assert (reply.rcode(), reply.id) == (code, int.from_bytes(wire[:2], "big"))
-            assert (await query(port, READ, use_edns=0)).edns == 0
+            assert (await send_query(port, READ, use_edns=0)).edns == 0
         nursery.cancel_scope.cancel()
 
 
@@ -148,20 +148,20 @@
 
             async def named() -> set[str]:
                 names = [f"_http._tcp.{n:x}.video-parts.caches.test." for n in range(30)]
-                found = [await query(port, name, "SRV") for name in names]
-                return {texts(message)[0].split()[3].split(".")[0] for message in found}
+                found = [await send_query(port, name, "SRV") for name in names]
+                return {record_texts(message)[0].split()[3].split(".")[0] for message in found}
 
             assert await named() == {"box-1", "box-2"}
-            assert await console(path, "drain", "box-1") == "box-1 drained\n"
+            assert await run_console_command(path, "drain", "box-1") == "box-1 drained\n"
             # The rule allows 500 ms, but the first answer after the drain already omits the cache.
             assert await named() == {"box-2"}
-            assert not texts(await query(port, "box-1.boxes.caches.test."))
-            assert "draining" in await console(path, "boxes")
-            await console(path, "drain", "box-2")
-            await console(path, "restore", "box-1")
+            assert not record_texts(await send_query(port, "box-1.boxes.caches.test."))
+            assert "draining" in await run_console_command(path, "boxes")
+            await run_console_command(path, "drain", "box-2")
+            await run_console_command(path, "restore", "box-1")
             assert await named() == {"box-1"}
-            assert "no such box" in await console(path, "drain", "box-9")
-            assert "not understood" in await console(path, "explode")
+            assert "no such box" in await run_console_command(path, "drain", "box-9")
+            assert "not understood" in await run_console_command(path, "explode")
         nursery.cancel_scope.cancel()
 
 
@@ -173,7 +173,7 @@
         async with run_appliance(tmp_path, [cache_stand_in, origin]) as (_, port, _path):
             await cache_stand_in.close()
             await origin.close()
-            found = await query(port, READ)
+            found = await send_query(port, READ)
             assert found.rcode() == dns.rcode.SERVFAIL
             assert not found.answer
         nursery.cancel_scope.cancel()
@@ -185,7 +185,7 @@
     async with trio.open_nursery() as nursery:
         first, second, origin = await start_caches(nursery, "box-1", "box-2")
         async with run_appliance(tmp_path, [first, second, origin]) as (router_process, port, _):
-            stale = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
+            stale = record_texts(await send_query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             dead, alive = (first, second) if stale.startswith("box-1") else (second, first)
             await dead.close()
             # A client that uses the old answer beyond its TTL can't connect, but the router serves it.
@@ -193,7 +193,7 @@
                 await trio.open_tcp_stream("127.0.0.1", dead.port)
             assert (await router_process.request_object(obj=OBJECT))[0] == 200
             assert alive.received
-            fresh = texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
+            fresh = record_texts(await send_query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3]
             assert fresh.startswith(alive.id)
         nursery.cancel_scope.cancel()
 
@@ -213,16 +213,20 @@
         ):
             # No cache listens on 127.0.0.3, so this answer is never used.
             await resolver.until(3)
-            assert "not found" in await console(path, "boxes")
+            assert "not found" in await run_console_command(path, "boxes")
             resolver.put("named.branch.test", "A", "127.0.0.1", ttl=600)
             # Look-ups are repeated; the new answer (TTL 600 s) may arrive before the first console command.
-            while "not found" in await console(path, "boxes"):
+            while "not found" in await run_console_command(path, "boxes"):
                 await trio.sleep(0.05)
             # Although its address has a TTL of 600 s, a cache that is down is omitted from answers and its
             # name is looked up again.
             await cache_stand_in.close()
             before = len(resolver.asked)
-            assert texts(await query(port, f"_http._tcp.{READ}", "SRV"))[0].split()[3].startswith("origin")
+            assert (
+                record_texts(await send_query(port, f"_http._tcp.{READ}", "SRV"))[0]
+                .split()[3]
+                .startswith("origin")
+            )
             await resolver.until(before + 1)
         nursery.cancel_scope.cancel()
 
@@ -242,7 +246,7 @@
             run_appliance(tmp_path, caches, redis=redis) as (first_router, port, _),
             run_appliance(tmp_path, caches, redis=redis, name="a2") as (second_router, _port, _path),
         ):
-            assert texts(await query(port, f"_http._tcp.{WRITE}", "SRV"))[0].split()[2] == str(
+            assert record_texts(await send_query(port, f"_http._tcp.{WRITE}", "SRV"))[0].split()[2] == str(
                 first_router.port
             )
             txn = "00000000000000a1"
@@ -304,16 +308,16 @@
         ):
             await redis.seen.wait()
             name = "box-1.boxes.caches.test."
-            assert texts(await query(port, name)) == ["127.0.0.1"]
-            await console(path, "drain", "box-1")
+            assert record_texts(await send_query(port, name)) == ["127.0.0.1"]
+            await run_console_command(path, "drain", "box-1")
             ordered_at = time.monotonic()
-            while texts(await query(port, name)):
+            while record_texts(await send_query(port, name)):
                 assert time.monotonic() < ordered_at + 10, "no news of the drain"
             print(f"{(time.monotonic() - ordered_at) * 1000:.0f} ms from the console's answer to the other's")
             async with run_appliance(tmp_path, caches, redis=redis, name="a3") as (_third, third_port, third):
-                while "draining" not in await console(third, "boxes"):
+                while "draining" not in await run_console_command(third, "boxes"):
                     pass
-                assert not texts(await query(third_port, name))
+                assert not record_texts(await send_query(third_port, name))
         nursery.cancel_scope.cancel()
 
 
@@ -326,18 +330,18 @@
         async with run_appliance(tmp_path, caches, redis=redis) as (router_process, port, path):
             await redis.seen.wait()
             await redis.close()
-            assert texts(await query(port, READ)) == ["127.0.0.1"]
+            assert record_texts(await send_query(port, READ)) == ["127.0.0.1"]
             assert (await router_process.request_object())[0] == 200
             before = [len(cache_stand_in.received) for cache_stand_in in caches]
             status, headers, _ = await router_process.request_object("sheet-submit", OBJECT, b"signed")
             assert status == 503
             assert "retry-after" in headers
             assert [len(cache_stand_in.received) for cache_stand_in in caches] == before
-            assert "the store is away" in await console(path, "drain", "box-1")
+            assert "the store is away" in await run_console_command(path, "drain", "box-1")
             redis.seen = trio.Event()
             await redis.open(nursery)
             await redis.seen.wait()
-            assert "draining" in (await console(path, "boxes")).split("box-2")[0]
+            assert "draining" in (await run_console_command(path, "boxes")).split("box-2")[0]
             assert '"drained":true' in redis.keys["brackenlane:caches.test.:orders"]["box-1"]
             assert await send_submit(router_process, "00000000000000b1") == 200
         nursery.cancel_scope.cancel()
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -19,15 +19,15 @@
     run_platform,
     with_trio,
 )
-from tests.test_admin_api import figures
-from tests.test_handover import READ, read_answer
+from tests.test_admin_api import read_metrics
+from tests.test_handover import READ_REQUEST, read_status
 
 EDGE, ORIGIN = "s-00000001", "s-00000009"
 SOCKETS = 192  # file descriptors of the router, of which two fifths are for client connections
 
 
 def request(obj: str = "7f3a9c21e0b4d655") -> bytes:
-    return READ % (obj.encode(), os.urandom(8).hex().encode())
+    return READ_REQUEST % (obj.encode(), os.urandom(8).hex().encode())
 
 
 @with_trio
@@ -51,7 +51,7 @@
             for stream in streams:
                 await stream.send_all(request(os.urandom(8).hex()).replace(b"Ms: 2000", b"Ms: 600"))
             router_process.process.send_signal(signal.SIGCONT)
-            statuses = [await read_answer(stream) for stream in streams]
+            statuses = [await read_status(stream) for stream in streams]
             # 504: accepted, and unanswered by the cache until its deadline; 503: beyond the connection limit.
             assert set(statuses) == {503, 504}
             for stream in streams:
@@ -98,10 +98,10 @@
             for n in range(20):
                 assert (await router_process.request_object(obj=f"{n:016x}"))[0] == 200
             assert len(os.listdir(f"/proc/{router_process.process.pid}/fd")) < SOCKETS * 2 / 3
-            assert (await figures(ops))["gw_active"] == 1
+            assert (await read_metrics(ops))["gw_active"] == 1
             is_released.set()
             # 504 if the cache's held response came after the deadline; the connection must not be closed.
-            assert await read_answer(working) in (200, 504)
+            assert await read_status(working) in (200, 504)
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -26,7 +26,7 @@
     run_appliance,
     with_trio,
 )
-from tests.test_appliance import OBJECT, console, query, texts
+from tests.test_appliance import OBJECT, record_texts, run_console_command, send_query
 
 SRV = "_cache._tcp.branch.test"
 DISCOVERY_SETTINGS = f"""
@@ -96,7 +96,7 @@
 async def wait_for_list(path: Path, *words: str) -> str:
     """Wait until the console's list of caches contains all of these words; return the list."""
     while True:
-        text = await console(path, "boxes", "-v")
+        text = await run_console_command(path, "boxes", "-v")
         if all(word in text for word in words):
             return text
         await trio.sleep(0.05)
@@ -105,7 +105,7 @@
 async def wait_for_explanation(path: Path, cache_id: str, state: str) -> str:
     """Wait until the console's explanation of a cache begins with `state`; return the explanation."""
     while True:
-        text = await console(path, "why", cache_id)
+        text = await run_console_command(path, "why", cache_id)
         if text.startswith(state):
             return text
         await trio.sleep(0.05)
@@ -124,7 +124,7 @@
             await wait_for_list(path, *site.ids)
             drained_cache = site.caches[0]
             objects = await find_objects_of(router_process, drained_cache, 4)
-            assert await console(path, "drain", site.ids[0]) == f"{site.ids[0]} drained\n"
+            assert await run_console_command(path, "drain", site.ids[0]) == f"{site.ids[0]} drained\n"
             drained_at, before = time.monotonic(), len(drained_cache.received)
 
             async def churn() -> None:
@@ -149,13 +149,13 @@
             named: set[str] = set()
             while time.monotonic() < drained_at + 2.5:
                 for obj in objects:
-                    answer = await query(port, f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
-                    named |= {text.split()[3].split(".")[0] for text in texts(answer)}
+                    answer = await send_query(port, f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
+                    named |= {text.split()[3].split(".")[0] for text in record_texts(answer)}
                     await router_process.request_object(obj=obj)
             assert site.ids[0] not in named
             assert named
             assert len(drained_cache.received) == before
-            assert "drained by the console of a1" in await console(path, "why", site.ids[0])
+            assert "drained by the console of a1" in await run_console_command(path, "why", site.ids[0])
             # The cache may have been missing from SRV for longer than the grace period, or its address may be
             # unknown. Once all answers contain it again, it has to be drained, not only absent.
             churn_scope.cancel()
@@ -180,7 +180,7 @@
             path,
         ):
             await wait_for_list(path, *site.ids)
-            await console(path, "drain", site.ids[1])
+            await run_console_command(path, "drain", site.ids[1])
             while b'drained\\":true' not in (path.parent / "last.json").read_bytes():
                 await trio.sleep(0.05)  # the process is killed, so only what is on disk remains
         await site.server.close()
@@ -223,7 +223,9 @@
             site.set_srv_targets(2, 3)
             site.server.fail()
             await wait_for_list(path, *site.ids[2:])
-            while (text := await console(path, "boxes")) and (site.ids[0] in text or site.ids[1] in text):
+            while (text := await run_console_command(path, "boxes")) and (
+                site.ids[0] in text or site.ids[1] in text
+            ):
                 assert (await router_process.request_object())[0] == 200
             for number in range(8):
                 assert (await router_process.request_object(obj=f"{number:016x}"))[0] == 200
@@ -283,7 +285,7 @@
                 # Two answers without targets: the second one confirms the removal of all.
                 site.set_srv_targets()
                 site.server.put(SRV, "SRV", "0 0 0 .", ttl=0)
-                while site.ids[0] in await console(path, "boxes"):
+                while site.ids[0] in await run_console_command(path, "boxes"):
                     await trio.sleep(0.05)
             assert statuses[0] in (502, 504)
             assert len(received) == 1
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -43,7 +43,7 @@
 from tests.test_admin_api import call_admin_api
 
 EDGE, OTHER, ORIGIN = "s-00000001", "s-00000002", "s-00000009"
-READ = (
+READ_REQUEST = (
     b"GET /api/v2/video-parts/%b/n-0 HTTP/1.1\r\nHost: o\r\nX-Txn: %b\r\nX-Ttl-Ms: 2000\r\nX-Shard: 1\r\n\r\n"
 )
 HEALTHY = b"GET /-/healthy HTTP/1.1\r\nHost: o\r\n\r\n"
@@ -212,7 +212,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def read_answer(stream: trio.SocketStream) -> int:
+async def read_status(stream: trio.SocketStream) -> int:
     """Read one response with a short body from a connection; return its status."""
     received = b""
     while b"\r\n\r\n" not in received:
@@ -232,7 +232,7 @@
     async def send_requests() -> None:
         while not has_started.is_set():
             await retained.send_all(HEALTHY)
-            assert await read_answer(retained) == 200
+            assert await read_status(retained) == 200
             with trio.move_on_after(KEEPALIVE_INTERVAL):
                 await has_started.wait()
         has_ended.set()
@@ -278,7 +278,9 @@
             received, is_closing = b"", False
             async with stream:
                 while not is_closing:
-                    await stream.send_all(READ % (os.urandom(8).hex().encode(), os.urandom(8).hex().encode()))
+                    await stream.send_all(
+                        READ_REQUEST % (os.urandom(8).hex().encode(), os.urandom(8).hex().encode())
+                    )
                     received = b""
                     while not received.endswith(b"\r\n\r\nbytes"):
                         more = await stream.receive_some(65_536)
@@ -324,8 +326,8 @@
         async with retained, start_while_in_use(retained, site.process()) as (new, new_admin_port):
             order_port = admin_port if is_sent_to_old else new_admin_port
             assert (await call_admin_api(order_port, f"/maintenance/enter/{EDGE}", "PUT"))[0] == 200
-            await retained.send_all(READ % (b"00000000000000aa", b"9b1f03aa5c7e2d41"))
-            assert await read_answer(retained) == 200  # the old process answered
+            await retained.send_all(READ_REQUEST % (b"00000000000000aa", b"9b1f03aa5c7e2d41"))
+            assert await read_status(retained) == 200  # the old process answered
             for n in range(12):
                 assert (await new.request_object(obj=f"{n:016x}"))[0] == 200
             old.process.kill()
@@ -350,13 +352,13 @@
             async with await trio.open_tcp_stream("127.0.0.1", site.port) as other:
                 await retained.send_all(SUBMIT)
                 await other.send_all(SUBMIT)
-                statuses = sorted([await read_answer(retained), await read_answer(other)])
+                statuses = sorted([await read_status(retained), await read_status(other)])
             old.process.kill()
             await new.wait_for_log(b"is alone")
             new.process.kill()
         async with site.process(), await trio.open_tcp_stream("127.0.0.1", site.port) as next_connection:
             await next_connection.send_all(SUBMIT)
-            assert [*statuses, await read_answer(next_connection)] == [200, 409, 409]
+            assert [*statuses, await read_status(next_connection)] == [200, 409, 409]
         assert sum(len(cache.received) for cache in site.caches) == 1
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -21,7 +21,7 @@
     run_platform,
     with_trio,
 )
-from tests.test_platform import EDGE, ORIGIN, SMUGGLED
+from tests.test_platform import EDGE, ORIGIN, SMUGGLED_REQUEST
 
 HEAD = "GET /api/v2/video-parts/7f3a9c21e0b4d655/n-0 HTTP/1.1\r\nHost: a\r\n"
 
@@ -161,7 +161,7 @@
         (HEAD + "\r\nx", None),
         (HEAD.replace("1.1", "1.0") + "\r\n", None),
         (HEAD.replace("GET", "PUT") + "\r\n", None),
-        (SMUGGLED % "Content-Length: 5", None),
+        (SMUGGLED_REQUEST % "Content-Length: 5", None),
         ("", None),
     ],
 )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -35,7 +35,7 @@
 TICK_MS = 1000 * SETTINGS["QuantumS"]  # resolution of the router's clock
 
 
-def fleet(answer: Callable[[ReceivedRequest], ScriptedReply] = data) -> list[CacheStandIn]:
+def make_caches(answer: Callable[[ReceivedRequest], ScriptedReply] = data) -> list[CacheStandIn]:
     """Return an edge cache and the origin."""
     return [CacheStandIn(EDGE, answer=answer), CacheStandIn(ORIGIN, "origin", answer=answer)]
 
@@ -44,7 +44,7 @@
 async def test_read(tmp_path: Path) -> None:
     """The cache gets class, object, part and ETag unchanged; the client gets the bytes and the ETag."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await cache.open(nursery) for cache in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in make_caches()]
         async with run_platform(tmp_path, [edge, origin]) as router_process:
             assert (await router_process.send("GET", "/-/healthy", {}))[0] == 200
             status, headers, body = await router_process.request_object(txn="9b1f03aa5c7e2d41")
@@ -84,7 +84,7 @@
                 else data(requested)
             )
 
-        edge, origin = [await cache.open(nursery) for cache in fleet(answer)]
+        edge, origin = [await cache.open(nursery) for cache in make_caches(answer)]
         async with run_platform(tmp_path, [edge, origin], flow_bytes_per_s=1e6) as router_process:
             assert (await router_process.request_object(If_None_Match='"made-up"'))[0] not in (200, 304)
             current_tag = "e1"
@@ -124,7 +124,7 @@
 ) -> None:
     """A response that is malformed, truncated or too old is not served; one of the largest size is."""
     async with trio.open_nursery() as nursery:
-        caches = [await cache.open(nursery) for cache in fleet(answer)]
+        caches = [await cache.open(nursery) for cache in make_caches(answer)]
         async with run_platform(tmp_path, caches) as router_process:
             status, headers, _ = await router_process.request_object(cls)
             assert (status == 200) is is_served
@@ -160,7 +160,7 @@
         )
 
     async with trio.open_nursery() as nursery:
-        caches = [await cache.open(nursery) for cache in fleet(answer)]
+        caches = [await cache.open(nursery) for cache in make_caches(answer)]
         async with run_platform(tmp_path, caches) as router_process:
             first_status, headers, _ = await router_process.request_object(
                 "sheet-submit", body=b"signed" * 8000, ttl=700
@@ -231,7 +231,7 @@
 ) -> None:
     """Each invalid request gets its 4xx status, and the next client is served."""
     async with trio.open_nursery() as nursery:
-        caches = [await cache.open(nursery) for cache in fleet()]
+        caches = [await cache.open(nursery) for cache in make_caches()]
         async with run_platform(tmp_path, caches) as router_process:
             assert (await router_process.send(method, path, headers, body))[0] == status
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
@@ -241,7 +241,7 @@
         nursery.cancel_scope.cancel()
 
 
-SMUGGLED = (
+SMUGGLED_REQUEST = (
     f"PUT {WRITE_PATH} HTTP/1.1\r\nHost: a\r\nX-Txn: {'1' * 16}\r\nX-Ttl-Ms: 900\r\nX-Shard: 1\r\n"
     "%s\r\n\r\n" + f"GET {READ_PATH} HTTP/1.1\r\nHost: a\r\nX-Txn: {'2' * 16}\r\nX-Ttl-Ms: 900\r\n"
     "X-Shard: 1\r\n\r\n"
@@ -251,12 +251,12 @@
 @pytest.mark.parametrize(
     ("sent", "status"),
     [
-        (SMUGGLED % "Content-Length: 5\r\nTransfer-Encoding: chunked", b"400"),
-        (SMUGGLED % "Transfer-Encoding: chunked\r\nContent-Length: 0", b"400"),
-        (SMUGGLED % "Content-Length: 0\r\nContent-Length: 5", b"400"),
-        (SMUGGLED % "Content-Length: 63000000", b"413"),
-        (SMUGGLED % f"Content-Length: {'9' * 5000}", b"400"),
-        (SMUGGLED % "Content-Length: -5", b"400"),
+        (SMUGGLED_REQUEST % "Content-Length: 5\r\nTransfer-Encoding: chunked", b"400"),
+        (SMUGGLED_REQUEST % "Transfer-Encoding: chunked\r\nContent-Length: 0", b"400"),
+        (SMUGGLED_REQUEST % "Content-Length: 0\r\nContent-Length: 5", b"400"),
+        (SMUGGLED_REQUEST % "Content-Length: 63000000", b"413"),
+        (SMUGGLED_REQUEST % f"Content-Length: {'9' * 5000}", b"400"),
+        (SMUGGLED_REQUEST % "Content-Length: -5", b"400"),
         (f"GET {READ_PATH} HTTP/1.1\r\nHost: a\r\nX-Txn: 1", b""),  # an incomplete request
         ("", b""),  # no bytes at all
     ],
@@ -265,7 +265,7 @@
 async def test_malformed_http_is_rejected(tmp_path: Path, sent: str, status: bytes) -> None:
     """Each client gets a 4xx response or a close within 3 s of connecting; no cache receives anything."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await cache.open(nursery) for cache in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in make_caches()]
         async with run_platform(tmp_path, [edge, origin]) as router_process:
             with trio.fail_after(3):
                 async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as stream:
@@ -284,7 +284,7 @@
 async def test_idle_connections_above_the_descriptor_limit_are_closed(tmp_path: Path) -> None:
     """With more idle connections than descriptors, new clients are served; an active one stays connected."""
     async with trio.open_nursery() as nursery:
-        caches = [await cache.open(nursery) for cache in fleet()]
+        caches = [await cache.open(nursery) for cache in make_caches()]
         async with run_platform(tmp_path, caches, max_sockets=64) as router_process:
             active = await trio.open_tcp_stream("127.0.0.1", router_process.port)
             for round_number in range(2):
@@ -327,7 +327,7 @@
 async def test_disconnect_of_the_client_drops_its_request(tmp_path: Path) -> None:
     """When a client disconnects, the router sends DROP for its open request to the cache."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
+        edge, origin = [await cache.open(nursery) for cache in make_caches(lambda requested: None)]
         async with run_platform(tmp_path, [edge, origin]) as router_process:
             async with trio.open_nursery() as client:
                 client.start_soon(router_process.request_object)
@@ -341,7 +341,7 @@
 async def test_refused_connection_is_retried_at_another_cache(tmp_path: Path) -> None:
     """After a refused connection nothing can have run, so even a submit is sent to another cache."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await cache.open(nursery) for cache in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in make_caches()]
         other = await CacheStandIn("s-00000002").open(nursery)
         await edge.close()
         async with run_platform(tmp_path, [edge, other, origin]) as router_process:
@@ -357,7 +357,7 @@
 async def test_connect_timeout_is_retried_at_another_cache(tmp_path: Path) -> None:
     """A connect to an unreachable machine times out; another cache serves the request in time."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await cache.open(nursery) for cache in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in make_caches()]
         with socket.socket() as unresponsive, contextlib.ExitStack() as stack:
             unresponsive.bind(("127.0.0.1", 0))
             unresponsive.listen(0)
@@ -393,7 +393,7 @@
 ) -> None:
     """A connection without further bytes is closed after an unanswered PING; a read is retried in time."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await cache.open(nursery) for cache in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in make_caches()]
         edge.alive = origin.alive = alive
 
         def answer_later_requests(requested: ReceivedRequest) -> ScriptedReply:
@@ -430,7 +430,7 @@
 async def test_open_requests_are_spread_over_connections(tmp_path: Path) -> None:
     """Open requests to a cache use several connections, so that the loss of one affects only some of them."""
     async with trio.open_nursery() as nursery:
-        caches = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
+        caches = [await cache.open(nursery) for cache in make_caches(lambda requested: None)]
         async with run_platform(tmp_path, caches) as router_process, trio.open_nursery() as clients:
             for n in range(16):
                 clients.start_soon(router_process.request_object, "video-parts", f"{n:016x}")
@@ -445,7 +445,7 @@
     """A new cache at the address of a removed one gets requests under its own id."""
     async with trio.open_nursery() as nursery:
         log = await ChangeLogStandIn().open(nursery)
-        edge, origin = [await cache.open(nursery) for cache in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in make_caches()]
         replacement = CacheStandIn("s-00000005")
         replacement.port = edge.port
         async with run_platform(tmp_path, [edge, origin], log) as router_process:
@@ -464,7 +464,7 @@
     """A drained cache gets no new requests; a reconnect resumes the change log after the last event."""
     async with trio.open_nursery() as nursery:
         log = await ChangeLogStandIn().open(nursery)
-        edge, origin = [await cache.open(nursery) for cache in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in make_caches()]
         other = await CacheStandIn("s-00000002").open(nursery)
         async with run_platform(tmp_path, [edge, other, origin], log) as router_process:
             # The reconnect after the purge frame shows that the frames before it were applied.
@@ -491,7 +491,7 @@
     """SIGHUP applies a new change log address and keeps the event number; an invalid file changes nothing."""
     async with trio.open_nursery() as nursery:
         log, other_log = await ChangeLogStandIn().open(nursery), await ChangeLogStandIn().open(nursery)
-        edge, origin = [await cache.open(nursery) for cache in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in make_caches()]
         path = tmp_path / "config.json"
         async with run_platform(tmp_path, [edge, origin], log) as router_process:
             await log.send_frame(2, 2, cache_as_record(edge, 0))
@@ -521,7 +521,7 @@
 async def test_purge_in_the_configuration_bounds_the_age_of_copies(tmp_path: Path) -> None:
     """A purge of an object or group in the configuration bounds the age of copies from the start."""
     async with trio.open_nursery() as nursery:
-        caches = [await cache.open(nursery) for cache in fleet()]
+        caches = [await cache.open(nursery) for cache in make_caches()]
         now = int(time.time() * 1000)
         purges: list[dict[str, Any]] = [
             {"object": "00000000000000aa", "time": now - 500},
@@ -544,7 +544,7 @@
 async def test_sigterm(tmp_path: Path) -> None:
     """After SIGTERM the router still answers new requests, finishes open ones and exits with status 0."""
     async with trio.open_nursery() as nursery:
-        edge, origin = [await cache.open(nursery) for cache in fleet(lambda requested: None)]
+        edge, origin = [await cache.open(nursery) for cache in make_caches(lambda requested: None)]
         async with run_platform(tmp_path, [edge, origin]) as router_process:
             statuses: list[int] = []
 
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -73,7 +73,7 @@
     return {"Limits": {**SETTINGS["Limits"], **changes}}
 
 
-def request(txn: str, cls: str = "video-parts", obj: str = "7f3a9c21e0b4d655") -> bytes:
+def read_request_bytes(txn: str, cls: str = "video-parts", obj: str = "7f3a9c21e0b4d655") -> bytes:
     """Return a read request as bytes."""
     return (
         f"GET /api/v2/{cls}/{obj}/n-3 HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\nX-Ttl-Ms: 3000\r\n"
@@ -163,7 +163,7 @@
         nursery.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("following_bytes", [b"", request("2" * 16), b"x" * 9_000])
+@pytest.mark.parametrize("following_bytes", [b"", read_request_bytes("2" * 16), b"x" * 9_000])
 @with_trio
 async def test_request_of_a_disconnected_client_is_not_sent(tmp_path: Path, following_bytes: bytes) -> None:
     """The router finds a request, bytes after it and the client's disconnect at once; no cache gets it."""
@@ -173,7 +173,7 @@
             await router_process.request_object()  # opens a connection to the cache
             async with stopped(router_process):
                 with socket.create_connection(("127.0.0.1", router_process.port)) as client:
-                    client.sendall(request("1" * 16) + following_bytes)
+                    client.sendall(read_request_bytes("1" * 16) + following_bytes)
             assert (await router_process.request_object(txn="3" * 16))[0] == 200
             ids = [requested.id for cache in caches for requested in cache.received]
             assert ids[1:] == ["3" * 16]
@@ -199,7 +199,7 @@
             for cache in caches:
                 cache.answer = hold
             with socket.create_connection(("127.0.0.1", router_process.port)) as client:
-                client.sendall(request("1" * 16))
+                client.sendall(read_request_bytes("1" * 16))
                 await received.wait()
                 holder = next(cache for cache in caches if held_requests[0] in cache.received)
                 async with stopped(router_process):
@@ -227,9 +227,9 @@
                 tmp_path, [unanswered, origin], settings=limits(Cancel=cancel, DialTimeoutS=8.0)
             ) as router_process:
                 leaving_client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
-                await leaving_client.send_all(request("1" * 16))
+                await leaving_client.send_all(read_request_bytes("1" * 16))
                 staying_client = await trio.open_tcp_stream("127.0.0.1", router_process.port)
-                await staying_client.send_all(request("2" * 16).replace(b"3000", b"9000"))
+                await staying_client.send_all(read_request_bytes("2" * 16).replace(b"3000", b"9000"))
                 # After this response the router has read both requests.
                 await router_process.request_object("sheet-submit", body=b"x", ttl=300)
                 await listener.wait_for_connect()
@@ -394,7 +394,7 @@
                         client = clients.enter_context(
                             socket.create_connection(("127.0.0.1", router_process.port))
                         )
-                        client.sendall(request(f"{n:016x}").replace(b"3000", b"25000"))
+                        client.sendall(read_request_bytes(f"{n:016x}").replace(b"3000", b"25000"))
                         streams.append(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
                     # By the clock of the router it is then time to close the listener.
                     await trio.sleep(Limits().shutdown_accept_time)
@@ -418,7 +418,7 @@
             ]
             router_process.process.send_signal(signal.SIGTERM)
             await router_process.wait_for_log(b"leaves")
-            text = request("1" * 16).replace(b"3000", b"9000")
+            text = read_request_bytes("1" * 16).replace(b"3000", b"9000")
             await incomplete.send_all(text[:40])
             await complete.send_all(text.replace(b"1" * 16, b"2" * 16))
             assert (await complete.receive_some(12)) == b"HTTP/1.1 503"
@@ -455,7 +455,7 @@
             try:
                 return super().recv(*args)
             except BlockingIOError:
-                peer.sendall(request("1" * 16))
+                peer.sendall(read_request_bytes("1" * 16))
                 raise
 
     with peer:
@@ -488,10 +488,10 @@
         async with run_platform(tmp_path, [edge]) as router_process:
             before = resident_bytes(router_process)
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
-                await client.send_all(request("1" * 16))
+                await client.send_all(read_request_bytes("1" * 16))
                 await edge.until(lambda: bool(edge.received))
                 # 2.2 MB; this blocks unless the router reads them.
-                await client.send_all(request("2" * 16) * 16_000)
+                await client.send_all(read_request_bytes("2" * 16) * 16_000)
                 await edge.say(1, data(edge.received[0]))
                 response = b""
                 with contextlib.suppress(trio.BrokenResourceError):
@@ -618,7 +618,7 @@
         async with run_platform(tmp_path, caches) as router_process:
             for reset in (False, True):
                 with socket.create_connection(("127.0.0.1", router_process.port)) as client:
-                    client.sendall(request("1" * 16)[:-2])
+                    client.sendall(read_request_bytes("1" * 16)[:-2])
                     if reset:
                         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             assert (await router_process.request_object(txn="3" * 16))[0] == 200
@@ -640,7 +640,7 @@
                 with socket.socket() as client:
                     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
                     client.connect(("127.0.0.1", router_process.port))
-                    client.sendall(request(f"{n:016x}"))
+                    client.sendall(read_request_bytes(f"{n:016x}"))
                     receiver = trio.socket.from_stdlib_socket(client.dup())
                     assert (await receiver.recv(100)).startswith(b"HTTP/1.1 200")
                     receiver.close()
@@ -729,7 +729,7 @@
         async with run_platform(tmp_path, [origin]) as router_process:
             for n in range(1, 6):
                 assert (await router_process.request_object("sheet-submit", body=b"signed"))[0] == 200
-                text = request(f"{n:016x}", "sheet-submit").replace(b"GET", b"PUT")
+                text = read_request_bytes(f"{n:016x}", "sheet-submit").replace(b"GET", b"PUT")
                 async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                     async with stopped(router_process):
                         await origin.end(origin.links)
@@ -799,11 +799,11 @@
             )
             limits_before = resource.prlimit(pid, resource.RLIMIT_NOFILE)
             resource.prlimit(pid, resource.RLIMIT_NOFILE, (open_count, limits_before[1]))
-            await client.send_all(request("1" * 16))
+            await client.send_all(read_request_bytes("1" * 16))
             assert (await client.receive_some(1000)).startswith(b"HTTP/1.1 503")
             assert not edge.received
             resource.prlimit(pid, resource.RLIMIT_NOFILE, limits_before)
-            await client.send_all(request("2" * 16))
+            await client.send_all(read_request_bytes("2" * 16))
             assert (await client.receive_some(1000)).startswith(b"HTTP/1.1 200")
         nursery.cancel_scope.cancel()
 
--- a/tests/test_response_cache.py
+++ b/tests/test_response_cache.py
@@ -12,7 +12,7 @@
 from brackenlane.routing.events import Arrival, Purged
 from tests.router_harness import TILES, VIDEO, settings
 from tests.stand_ins import ChangeLogStandIn, run_platform, with_trio
-from tests.test_platform import fleet
+from tests.test_platform import make_caches
 
 
 def arrival(obj: str = "a", cls: str = "video", part: int = 0, group: int = 7) -> Arrival:
@@ -88,7 +88,7 @@
     """A client that has a current copy gets 304; after the purge the request goes to a cache again."""
     async with trio.open_nursery() as nursery:
         log = await ChangeLogStandIn().open(nursery)
-        edge, origin = [await cache.open(nursery) for cache in fleet()]
+        edge, origin = [await cache.open(nursery) for cache in make_caches()]
         async with run_platform(tmp_path, [edge, origin], log, flow_bytes_per_s=100_000.0) as router_process:
             for _ in range(3):
                 assert (await router_process.request_object())[::2] == (200, b"bytes")
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -15,8 +15,8 @@
 
 from brackenlane.lab.faults.shim import FaultShim, SystemCall
 from tests.stand_ins import CacheStandIn, run_platform, with_trio
-from tests.test_request_lifecycle import request
-from tests.test_system_calls import answer
+from tests.test_request_lifecycle import read_request_bytes
+from tests.test_system_calls import read_status_line
 
 EDGE, ORIGIN = "s-00000001", "s-00000009"
 TTL = 3.0  # time limit that `request` sets, in seconds
@@ -35,17 +35,17 @@
             run_platform(tmp_path, [edge, origin]) as router_process,
             await trio.open_tcp_stream("127.0.0.1", router_process.port) as idle,
         ):
-            await idle.send_all(request("1" * 16))
-            assert await answer(idle) == b"HTTP/1.1 200"
+            await idle.send_all(read_request_bytes("1" * 16))
+            assert await read_status_line(idle) == b"HTTP/1.1 200"
             await trio.sleep(0.3)
             router_process.process.send_signal(signal.SIGSTOP)
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as new:
-                await new.send_all(request("2" * 16, obj="1" * 16))
-                await idle.send_all(request("3" * 16, obj="2" * 16))
+                await new.send_all(read_request_bytes("2" * 16, obj="1" * 16))
+                await idle.send_all(read_request_bytes("3" * 16, obj="2" * 16))
                 await trio.sleep(STOP_DURATION)
                 router_process.process.send_signal(signal.SIGCONT)
-                assert await answer(new) == b"HTTP/1.1 200"
-                assert await answer(idle) == b"HTTP/1.1 200"
+                assert await read_status_line(new) == b"HTTP/1.1 200"
+                assert await read_status_line(idle) == b"HTTP/1.1 200"
             budgets = {
                 received.id: int(received.fields["budget"]) / 1000
                 for cache in (edge, origin)
@@ -70,10 +70,10 @@
             assert (await router_process.request_object())[0] == 200
             shim.fail(call, 1.0, [errno.ENFILE if call is SystemCall.ACCEPT else errno.ENOSPC])
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
-                await client.send_all(request("2" * 16))
+                await client.send_all(read_request_bytes("2" * 16))
                 await trio.sleep(SHORTAGE_DURATION)
                 shim.recover()
-                assert await answer(client) == b"HTTP/1.1 200"
+                assert await read_status_line(client) == b"HTTP/1.1 200"
             [received] = [one for cache in (edge, origin) for one in cache.received if one.id == "2" * 16]
             assert int(received.fields["budget"]) / 1000 <= TTL - SHORTAGE_DURATION + BUDGET_SLACK
         nursery.cancel_scope.cancel()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -20,7 +20,7 @@
 from brackenlane.ops.handover_log import HandoverLog, HandoverLogError
 from brackenlane.ops.handover_records import SubmitClaimed
 from tests.stand_ins import CacheStandIn, RouterProcess, free_port, run_platform, with_trio
-from tests.test_request_lifecycle import request
+from tests.test_request_lifecycle import read_request_bytes
 
 EDGE, ORIGIN = "s-00000001", "s-00000009"
 ACCEPT_SHORTAGES = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]
@@ -35,7 +35,7 @@
     return [await CacheStandIn(*name).open(nursery) for name in ((EDGE,), (ORIGIN, "origin"))]
 
 
-async def answer(stream: trio.SocketStream) -> bytes:
+async def read_status_line(stream: trio.SocketStream) -> bytes:
     """Return the start of one answer up to the status code, or what was received before the end."""
     received = b""
     while b"\r\n\r\n" not in received and (more := await stream.receive_some(4096)):
@@ -58,10 +58,10 @@
             await trio.sleep(Limits().shutdown_accept_time - 0.2)
             shim.fail(call, 1.0, ACCEPT_SHORTAGES if call is SystemCall.ACCEPT else WATCH_SHORTAGES)
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
-                await client.send_all(request("1" * 16))
+                await client.send_all(read_request_bytes("1" * 16))
                 await trio.sleep(0.2 + SHORTAGE_DURATION)
                 shim.recover()
-                assert await answer(client) == b"HTTP/1.1 200"
+                assert await read_status_line(client) == b"HTTP/1.1 200"
             assert shim.count(call) > 0
             assert await router_process.process.wait() == 0
         nursery.cancel_scope.cancel()
@@ -85,17 +85,17 @@
                 await trio.open_tcp_stream("127.0.0.1", router_process.port) as client,
             ):
                 await admin.send_all(b"GET /status HTTP/1.1\r\nHost: ops\r\n\r\n")
-                await client.send_all(request("2" * 16))
+                await client.send_all(read_request_bytes("2" * 16))
                 before = processor_time(router_process)
                 await trio.sleep(SHORTAGE_DURATION)
                 assert processor_time(router_process) - before < SHORTAGE_DURATION / 2  # no busy loop
                 shim.recover()
-                assert await answer(client) == b"HTTP/1.1 200"
+                assert await read_status_line(client) == b"HTTP/1.1 200"
                 if call is SystemCall.ACCEPT:
-                    assert await answer(admin) == b"HTTP/1.1 200"
+                    assert await read_status_line(admin) == b"HTTP/1.1 200"
             async with await trio.open_tcp_stream("127.0.0.1", ops) as admin:
                 await admin.send_all(b"GET /status/metrics HTTP/1.1\r\nHost: ops\r\n\r\n")
-                assert await answer(admin) == b"HTTP/1.1 200"
+                assert await read_status_line(admin) == b"HTTP/1.1 200"
         nursery.cancel_scope.cancel()
 
 
