--- a/brackenlane/lab/races.py
+++ b/brackenlane/lab/races.py
@@ -26,7 +26,7 @@
 
 from brackenlane.lab import site
 from brackenlane.lab.stand_ins.cache_commands import CommandReader, Pinged, ReceivedRequest
-from brackenlane.lab.stand_ins.cache_server import CacheListener, CacheStandIn, data
+from brackenlane.lab.stand_ins.cache_server import CacheListener, CacheStandIn, data_reply
 
 SOCKET_SLACK = 0.05  # seconds that the protocol allows for delays on sockets
 CLIENT_LEFT_GRACE = 0.1  # seconds after a client has disconnected, from which no attempt may begin
@@ -113,7 +113,7 @@
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self._streams.append(stream)
-        self.links = connection_number = self.links + 1
+        self.connection_count = connection_number = self.connection_count + 1
         async with trio.open_nursery() as nursery:
 
             def on_request(request: ReceivedRequest) -> None:
@@ -150,20 +150,22 @@
         self, stream: trio.SocketStream, request: ReceivedRequest, attempt: ReceivedAttempt
     ) -> None:
         await trio.sleep(self._rng.choice([0, 0, 0.005, 0.02, 0.1, 0.3]))
-        good = data(request, b"" if attempt.is_write else bytes(self._rng.choice([5, 5, 500, 100_000])))
-        full = data(request, b"", "full")
-        large = data(request, bytes(200_000))
+        good = data_reply(request, b"" if attempt.is_write else bytes(self._rng.choice([5, 5, 500, 100_000])))
+        full = data_reply(request, b"", "full")
+        large = data_reply(request, bytes(200_000))
         match self._rng.choices(range(10), (55, 7, 5, 6, 5, 4, 4, 4, 3, 7))[0]:
             case 0:
                 await self._send(stream, good)
             case 1:
                 attempt.has_run = False
-                await self._send(stream, data(request, b"", self._rng.choice(["full", "absent", "moot"])))
+                await self._send(
+                    stream, data_reply(request, b"", self._rng.choice(["full", "absent", "moot"]))
+                )
             case 2:
                 attempt.has_run = False
                 await self._send(stream, full, full)
             case 3:
-                await self._send(stream, data(request, b"", "failed"))
+                await self._send(stream, data_reply(request, b"", "failed"))
             case 4:
                 await self._send(stream, good, good)
             case 5:
--- a/brackenlane/lab/stand_ins/cache_commands.py
+++ b/brackenlane/lab/stand_ins/cache_commands.py
@@ -16,7 +16,7 @@
     id: str
     fields: dict[str, str]
     body: bytes
-    link: int = 0  # number of the connection, from 1
+    connection: int = 0  # number of the connection, from 1
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,9 +44,9 @@
 class CommandReader:
     """Parses the commands of one connection, however the bytes are split across reads."""
 
-    def __init__(self, link: int = 0) -> None:
+    def __init__(self, connection: int = 0) -> None:
         """link: the number of the connection, copied into each request."""
-        self._link = link
+        self._connection = connection
         self._buffer = b""
 
     def feed(self, data: bytes) -> Iterator[Command]:
@@ -71,7 +71,7 @@
                 if len(rest) < size + len(LINE_END):
                     return None
                 self._buffer = rest[size + len(LINE_END) :]
-                return ReceivedRequest(wire_id, _read_fields(fields_text), rest[:size], self._link)
+                return ReceivedRequest(wire_id, _read_fields(fields_text), rest[:size], self._connection)
         raise ValueError(f"not a command of the cache protocol: {line[:80]!r}")
 
 
--- a/brackenlane/lab/stand_ins/cache_server.py
+++ b/brackenlane/lab/stand_ins/cache_server.py
@@ -47,7 +47,7 @@
         raise NotImplementedError
 
 
-def data(requested: ReceivedRequest, body: bytes = b"bytes", token: str = "data", **more: str) -> bytes:
+def data_reply(requested: ReceivedRequest, body: bytes = b"bytes", token: str = "data", **more: str) -> bytes:
     """Return a cache's reply with a body; `more` sets further fields or replaces the defaults."""
     fields = {"entity": "e1", "issued": str(int(time.time() * 1000)), "detail": "hit", **more}
     fields_text = ",".join(f"{k}={v}" for k, v in fields.items())
@@ -64,35 +64,35 @@
 
     id: str
     model: str = "type-a"
-    answer: Callable[[ReceivedRequest], ScriptedReply] = data
+    answer: Callable[[ReceivedRequest], ScriptedReply] = data_reply
     received: list[ReceivedRequest] = field(default_factory=list)
     dropped: list[str] = field(default_factory=list)
-    alive: bool = True  # whether it answers PING
-    most: int = 0  # maximum of requests on one connection
-    links: int = 0  # number of connections so far
-    ended: int = 0  # number of ended connections, except those ended by a reply without line break
+    answers_ping: bool = True  # whether it answers PING
+    max_requests_per_connection: int = 0  # maximum of requests on one connection
+    connection_count: int = 0  # number of connections so far
+    ended_count: int = 0  # number of ended connections, except those ended by a reply without line break
     updated: trio.Event = field(default_factory=trio.Event)
     _streams: list[trio.SocketStream] = field(default_factory=list)
 
-    async def until(self, true: Callable[[], bool]) -> None:
+    async def wait_until(self, true: Callable[[], bool]) -> None:
         """Wait until a condition is true; it is checked whenever this cache has received something."""
         while not true():
             self.updated = trio.Event()
             await self.updated.wait()
 
-    async def say(self, link: int, text: bytes) -> None:
+    async def send_raw(self, link: int, text: bytes) -> None:
         """Send raw bytes on one connection, by its number."""
         await self._streams[link - 1].send_all(text)
 
-    async def end(self, link: int) -> None:
+    async def close_connection(self, link: int) -> None:
         """Close one connection, by its number."""
         await self._streams[link - 1].aclose()
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self._streams.append(stream)
         requests_here = 0
-        self.links += 1
-        reader = CommandReader(self.links)
+        self.connection_count += 1
+        reader = CommandReader(self.connection_count)
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             while chunk := await stream.receive_some(65536):
                 for command in reader.feed(chunk):
@@ -100,16 +100,18 @@
                         case Dropped(wire_id):
                             self.dropped.append(wire_id)
                         case Pinged():
-                            if self.alive:
+                            if self.answers_ping:
                                 await stream.send_all(command.reply)
                         case ReceivedRequest():
                             self.received.append(command)
                             requests_here += 1
-                            self.most = max(self.most, requests_here)
+                            self.max_requests_per_connection = max(
+                                self.max_requests_per_connection, requests_here
+                            )
                             if reply := self.answer(command):
                                 await stream.send_all(reply)
                                 if not reply.endswith(b"\r\n"):
                                     return await stream.aclose()
                     self.updated.set()
-        self.ended += 1
+        self.ended_count += 1
         self.updated.set()
--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -20,7 +20,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from brackenlane.lab.stand_ins.cache_commands import ReceivedRequest
-from brackenlane.lab.stand_ins.cache_server import CacheStandIn, data
+from brackenlane.lab.stand_ins.cache_server import CacheStandIn, data_reply
 from brackenlane.lab.stand_ins.dns import DnsServer
 
 Endpoint = tuple[str, int]
@@ -61,7 +61,7 @@
     def answer(requested: ReceivedRequest) -> bytes:
         reported = ",".join(f"{field}={value}" for field, value in requested.fields.items())
         print(f"{name} GET {requested.id} {reported} {len(requested.body)}", flush=True)
-        return data(
+        return data_reply(
             requested,
             f"{requested.fields['path']}/{requested.fields['blk']} as {name} keeps it\n".encode(),
             entity="toy1",
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -22,11 +22,11 @@
 from brackenlane.lab import site
 from brackenlane.lab.cluster.ports import reserve_port
 from brackenlane.lab.stand_ins.cache_commands import ReceivedRequest
-from brackenlane.lab.stand_ins.cache_server import CacheListener, CacheStandIn, ScriptedReply, data
+from brackenlane.lab.stand_ins.cache_server import CacheListener, CacheStandIn, ScriptedReply, data_reply
 from brackenlane.lab.stand_ins.dns import DnsServer
 from brackenlane.lab.stand_ins.redis import Redis
 
-__all__ = ["CacheStandIn", "ReceivedRequest", "Redis", "ScriptedReply", "data"]
+__all__ = ["CacheStandIn", "ReceivedRequest", "Redis", "ScriptedReply", "data_reply"]
 
 FIRST_PORT, PORT_COUNT = 10_000, 10_000  # below the kernel's ephemeral ports and the ports of lab clusters
 PORT_OFFSETS = itertools.count(os.getpid() * 97)  # each pytest worker starts at an offset of its own
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -20,7 +20,7 @@
     ReceivedRequest,
     ScriptedReply,
     cache_as_record,
-    data,
+    data_reply,
     free_port,
     run_platform,
     with_trio,
@@ -165,8 +165,8 @@
     def answer(requested: ReceivedRequest) -> ScriptedReply:
         reply = replies.get(requested.fields["path"], b"")
         if requested.fields["path"] == "00000000000000a4":
-            return data(requested, b"", "unchanged")
-        return data(requested) if reply == b"" else reply and reply % requested.id.encode()
+            return data_reply(requested, b"", "unchanged")
+        return data_reply(requested) if reply == b"" else reply and reply % requested.id.encode()
 
     async with trio.open_nursery() as nursery:
         caches = [
@@ -203,7 +203,7 @@
                     b"9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 9000\r\nX-Shard: 1\r\n\r\n"
                 )
                 received_before = len(caches[0].received)
-                await caches[0].until(lambda: len(caches[0].received) > received_before)
+                await caches[0].wait_until(lambda: len(caches[0].received) > received_before)
                 assert (await read_metrics(admin_port))["gw_active"] == 1
             metrics = await read_metrics(admin_port)
             while metrics["gw_active"]:
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -18,7 +18,7 @@
 
 from brackenlane.dns.responder import encode_response
 from brackenlane.lab.stand_ins.dns import DnsServer
-from tests.stand_ins import ROOT, CacheStandIn, Redis, RouterProcess, data, run_appliance, with_trio
+from tests.stand_ins import ROOT, CacheStandIn, Redis, RouterProcess, data_reply, run_appliance, with_trio
 
 OBJECT = "7f3a9c21e0b4d655"
 READ = f"n-3.{OBJECT}.video-parts.caches.test."
@@ -259,10 +259,10 @@
             assert executed == [txn]
             # If the caches refuse a submit without running it, it may be sent again.
             for cache_stand_in in caches:
-                cache_stand_in.answer = lambda requested: data(requested, b"", "full")
+                cache_stand_in.answer = lambda requested: data_reply(requested, b"", "full")
             assert await send_submit(first_router, "00000000000000a2") == 503
             for cache_stand_in in caches:
-                cache_stand_in.answer = data
+                cache_stand_in.answer = data_reply
             while any(key.endswith("claim:00000000000000a2") for key in redis.keys):
                 await trio.sleep(0.01)  # the response is sent before the claim is released
             assert await send_submit(second_router, "00000000000000a2") == 200
--- a/tests/test_cache_commands.py
+++ b/tests/test_cache_commands.py
@@ -18,12 +18,12 @@
 @pytest.mark.parametrize("cut", range(len(LINES) + 1))
 def test_cut_anywhere(cut: int) -> None:
     """Input split at any byte, also inside a body with line breaks, gives the same commands."""
-    reader = CommandReader(link=7)
+    reader = CommandReader(connection=7)
     assert [*reader.feed(LINES[:cut]), *reader.feed(LINES[cut:])] == COMMANDS
 
 
 def test_byte_by_byte() -> None:
-    reader = CommandReader(link=7)
+    reader = CommandReader(connection=7)
     assert [command for n in range(len(LINES)) for command in reader.feed(LINES[n : n + 1])] == COMMANDS
 
 
--- a/tests/test_change_log_outage.py
+++ b/tests/test_change_log_outage.py
@@ -28,7 +28,7 @@
     ChangeLogStandIn,
     RouterProcess,
     cache_as_record,
-    data,
+    data_reply,
     run_platform,
     with_trio,
 )
@@ -96,7 +96,7 @@
 
 def entity(tag: str) -> Callable[..., bytes]:
     """Return a handler that answers requests to a cache with this entity tag."""
-    return lambda requested: data(requested, entity=tag)
+    return lambda requested: data_reply(requested, entity=tag)
 
 
 @pytest.mark.parametrize("resets", [0, 3])
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -18,7 +18,7 @@
 from brackenlane.clock import ClockStepMonitor
 from brackenlane.core.timestamp_ages import TimestampAges
 from brackenlane.lab.faults.shim import FaultShim
-from tests.stand_ins import CacheStandIn, ReceivedRequest, RouterProcess, data, run_platform, with_trio
+from tests.stand_ins import CacheStandIn, ReceivedRequest, RouterProcess, data_reply, run_platform, with_trio
 from tests.test_change_log_outage import GROUP, GROUP_PURGE, HEARTBEAT, FaultyLog
 
 CACHES = ("s-00000001", "s-00000002", "s-00000003")
@@ -34,7 +34,7 @@
 
 def hang_in_some(requested: ReceivedRequest) -> bytes | None:
     """Answer, except for one in four request ids."""
-    return None if int(requested.id, 16) % HANG_EVERY == 0 else data(requested)
+    return None if int(requested.id, 16) % HANG_EVERY == 0 else data_reply(requested)
 
 
 async def measure_latency(router_process: RouterProcess, latencies: list[float]) -> None:
@@ -86,7 +86,7 @@
 
         def note_age(requested: ReceivedRequest) -> bytes:
             limits.append(int(requested.fields.get("within", 0)) / 1000)
-            return data(requested)
+            return data_reply(requested)
 
         origin = await CacheStandIn(ORIGIN, "origin", note_age).open(nursery)
         log = await FaultyLog().open(nursery)
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -14,7 +14,7 @@
     CacheStandIn,
     ReceivedRequest,
     ScriptedReply,
-    data,
+    data_reply,
     free_port,
     run_platform,
     with_trio,
@@ -68,7 +68,7 @@
         return (
             None
             if requested.fields["path"] == "00000000000000aa" and not is_released.is_set()
-            else data(requested)
+            else data_reply(requested)
         )
 
     async with trio.open_nursery() as nursery:
@@ -87,7 +87,7 @@
                 await trio.open_tcp_stream("127.0.0.1", router_process.port)
             )
             await working.send_all(request("00000000000000aa"))
-            await caches[0].until(lambda: bool(caches[0].received))
+            await caches[0].wait_until(lambda: bool(caches[0].received))
             for n in range(300):
                 stream = await open_streams.enter_async_context(
                     await trio.open_tcp_stream("127.0.0.1", router_process.port)
@@ -113,8 +113,8 @@
         caches = [
             await cache.open(nursery)
             for cache in (
-                CacheStandIn(EDGE, answer=lambda requested: data(requested, body)),
-                CacheStandIn(ORIGIN, "origin", answer=lambda requested: data(requested, body)),
+                CacheStandIn(EDGE, answer=lambda requested: data_reply(requested, body)),
+                CacheStandIn(ORIGIN, "origin", answer=lambda requested: data_reply(requested, body)),
             )
         ]
         async with (
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,7 +22,7 @@
     ReceivedRequest,
     RouterProcess,
     ScriptedReply,
-    data,
+    data_reply,
     run_appliance,
     with_trio,
 )
@@ -281,7 +281,7 @@
                 while not received:
                     await trio.sleep(0.01)
                 for cache in (*site.caches, site.origin):
-                    cache.answer = data
+                    cache.answer = data_reply
                 # Two answers without targets: the second one confirms the removal of all.
                 site.set_srv_targets()
                 site.server.put(SRV, "SRV", "0 0 0 .", ttl=0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -35,7 +35,7 @@
     ReceivedRequest,
     RouterProcess,
     ScriptedReply,
-    data,
+    data_reply,
     free_port,
     run_platform,
     with_trio,
@@ -201,7 +201,7 @@
 
 @contextlib.asynccontextmanager
 async def open_site(
-    tmp_path: Path, answer: Callable[[ReceivedRequest], ScriptedReply] = data
+    tmp_path: Path, answer: Callable[[ReceivedRequest], ScriptedReply] = data_reply
 ) -> AsyncIterator[Site]:
     async with trio.open_nursery() as nursery:
         caches = [
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -17,7 +17,7 @@
     ReceivedRequest,
     RouterProcess,
     cache_as_record,
-    data,
+    data_reply,
     run_platform,
     with_trio,
 )
@@ -28,7 +28,7 @@
 
 def respond(requested: ReceivedRequest) -> bytes:
     """Answer reads and writes successfully."""
-    return data(requested, b"" if requested.fields["queue"] == "sheet-submit" else b"bytes")
+    return data_reply(requested, b"" if requested.fields["queue"] == "sheet-submit" else b"bytes")
 
 
 async def send_request(
@@ -106,7 +106,7 @@
                 await log.send_frame(2, 2, cache_as_record(edge, 1))
                 await trio.sleep(0.5)
                 late, since = len(edge.received), len(other.received)
-                await other.until(lambda: len(other.received) > since + 30)
+                await other.wait_until(lambda: len(other.received) > since + 30)
                 assert len(edge.received) == late
                 assert status_counts["video-parts", 503]
                 clients.cancel_scope.cancel()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -25,7 +25,7 @@
     ReceivedRequest,
     ScriptedReply,
     cache_as_record,
-    data,
+    data_reply,
     free_port,
     run_platform,
     with_trio,
@@ -35,7 +35,7 @@
 TICK_MS = 1000 * SETTINGS["QuantumS"]  # resolution of the router's clock
 
 
-def make_caches(answer: Callable[[ReceivedRequest], ScriptedReply] = data) -> list[CacheStandIn]:
+def make_caches(answer: Callable[[ReceivedRequest], ScriptedReply] = data_reply) -> list[CacheStandIn]:
     """Return an edge cache and the origin."""
     return [CacheStandIn(EDGE, answer=answer), CacheStandIn(ORIGIN, "origin", answer=answer)]
 
@@ -64,7 +64,7 @@
             assert (edge.received + origin.received)[-1].fields["uniq"] == "aad3d43f3c9565f6"
             assert (await router_process.request_object(X_Txn_Key="a,b"))[0] == 400
             edge.received = edge.received[:1]
-            edge.answer = lambda requested: data(requested, b"", "unchanged")
+            edge.answer = lambda requested: data_reply(requested, b"", "unchanged")
             status, headers, body = await router_process.request_object(If_None_Match='"e1"')
             assert (status, headers["etag"], body) == (304, '"e1"', b"")
             assert edge.received[1].fields["mine"] == "e1"
@@ -79,9 +79,9 @@
 
         def answer(requested: ReceivedRequest) -> ScriptedReply:
             return (
-                data(requested, b"", "unchanged", entity=current_tag)
+                data_reply(requested, b"", "unchanged", entity=current_tag)
                 if "mine" in requested.fields
-                else data(requested)
+                else data_reply(requested)
             )
 
         edge, origin = [await cache.open(nursery) for cache in make_caches(answer)]
@@ -100,22 +100,26 @@
 
 def outdated(requested: ReceivedRequest) -> bytes:
     """Answer with a copy that is older than any class allows."""
-    return data(requested, issued=str(int(time.time() * 1000) - 60_000))
+    return data_reply(requested, issued=str(int(time.time() * 1000) - 60_000))
 
 
 @pytest.mark.parametrize(
     ("cls", "answer", "is_served"),
     [
         ("sheet-pages", outdated, False),
-        ("sheet-pages", lambda a: data(a, b"", "unchanged"), False),  # the request had no ETag
-        ("video-parts", lambda a: data(a)[:-4], False),  # truncated body
+        ("sheet-pages", lambda a: data_reply(a, b"", "unchanged"), False),  # the request had no ETag
+        ("video-parts", lambda a: data_reply(a)[:-4], False),  # truncated body
         ("video-parts", lambda a: f"{a.id} data - 5\r\nbytes\r\n".encode(), False),  # no ETag and no time
-        ("video-parts", lambda a: data(a, issued="soon"), False),
+        ("video-parts", lambda a: data_reply(a, issued="soon"), False),
         ("video-parts", lambda a: b"no answer at all\r\n", False),
         ("video-parts", lambda a: f"{a.id} data - 999999999\r\n".encode(), False),
         ("video-parts", lambda a: b"x" * 5000, False),
-        ("video-parts", lambda a: data(a, bytes(240_000)), True),
-        ("video-parts", lambda a: b"else " + data(a).split(b" ", 1)[1] + data(a), True),  # unknown id first
+        ("video-parts", lambda a: data_reply(a, bytes(240_000)), True),
+        (
+            "video-parts",
+            lambda a: b"else " + data_reply(a).split(b" ", 1)[1] + data_reply(a),
+            True,
+        ),  # unknown id first
     ],
 )
 @with_trio
@@ -152,7 +156,7 @@
 
     def answer(requested: ReceivedRequest) -> ScriptedReply:
         return (
-            data(requested, b"", command)
+            data_reply(requested, b"", command)
             if command not in ("", "cut")
             else b"x"
             if command == "cut"
@@ -331,9 +335,9 @@
         async with run_platform(tmp_path, [edge, origin]) as router_process:
             async with trio.open_nursery() as client:
                 client.start_soon(router_process.request_object)
-                await edge.until(lambda: bool(edge.received))
+                await edge.wait_until(lambda: bool(edge.received))
                 client.cancel_scope.cancel()
-            await edge.until(lambda: edge.dropped == [edge.received[0].id])
+            await edge.wait_until(lambda: edge.dropped == [edge.received[0].id])
         nursery.cancel_scope.cancel()
 
 
@@ -394,11 +398,11 @@
     """A connection without further bytes is closed after an unanswered PING; a read is retried in time."""
     async with trio.open_nursery() as nursery:
         edge, origin = [await cache.open(nursery) for cache in make_caches()]
-        edge.alive = origin.alive = alive
+        edge.answers_ping = origin.answers_ping = alive
 
         def answer_later_requests(requested: ReceivedRequest) -> ScriptedReply:
             if len(edge.received) + len(origin.received) > 1 and not alive:
-                return data(requested)
+                return data_reply(requested)
             return partial_response % requested.id.encode() if partial_response else None
 
         edge.answer = origin.answer = answer_later_requests
@@ -434,8 +438,8 @@
         async with run_platform(tmp_path, caches) as router_process, trio.open_nursery() as clients:
             for n in range(16):
                 clients.start_soon(router_process.request_object, "video-parts", f"{n:016x}")
-                await caches[0].until(lambda n=n: len(caches[0].received) > n)  # type: ignore[misc]
-            assert caches[0].most < 12
+                await caches[0].wait_until(lambda n=n: len(caches[0].received) > n)  # type: ignore[misc]
+            assert caches[0].max_requests_per_connection < 12
             clients.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
@@ -504,7 +508,7 @@
             edge.answer = lambda requested: None
             async with trio.open_nursery() as client:
                 client.start_soon(router_process.request_object)
-                await edge.until(lambda: bool(edge.received))
+                await edge.wait_until(lambda: bool(edge.received))
                 path.write_bytes(valid_config.replace(str(log.port).encode(), str(other_log.port).encode()))
                 router_process.process.send_signal(signal.SIGHUP)
                 await other_log.send_frame(3, 2, cache_as_record(edge, 1))
@@ -553,11 +557,11 @@
 
             async with trio.open_nursery() as clients:
                 clients.start_soon(send_request)
-                await edge.until(lambda: bool(edge.received))
+                await edge.wait_until(lambda: bool(edge.received))
                 router_process.process.send_signal(signal.SIGTERM)
-                edge.answer = data
+                edge.answer = data_reply
                 clients.start_soon(send_request)
-                await edge.until(lambda: len(edge.received) > 1)
+                await edge.wait_until(lambda: len(edge.received) > 1)
                 # The first client is served by the next attempt or gets an error response, not just a close.
             assert await router_process.process.wait() == 0
             assert 200 in statuses
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -18,7 +18,7 @@
 
 from brackenlane.lifecycle import SignalWatcher
 from brackenlane.net.poller import Poller
-from tests.stand_ins import CacheStandIn, data, run_platform, with_trio
+from tests.stand_ins import CacheStandIn, data_reply, run_platform, with_trio
 
 
 def read_descriptor_target(descriptor: Path) -> str:
@@ -136,12 +136,12 @@
                     b"GET /api/v2/video-parts/7f3a9c21e0b4d655/n-3 HTTP/1.1\r\nHost: a\r\n"
                     b"X-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 30000\r\nX-Shard: 1\r\n\r\n"
                 )
-                await slow.until(lambda: bool(slow.received))
+                await slow.wait_until(lambda: bool(slow.received))
                 for number in (signal.SIGTERM, second_signal, second_signal):
                     router_process.process.send_signal(number)
                     await trio.sleep(0.2)
                 if second_signal is signal.SIGTERM:
-                    await slow.say(slow.received[0].link, data(slow.received[0]))
+                    await slow.send_raw(slow.received[0].connection, data_reply(slow.received[0]))
                 received = b""
                 with contextlib.suppress(trio.BrokenResourceError):
                     received = await client.receive_some(12)
--- a/tests/test_protocol_page.py
+++ b/tests/test_protocol_page.py
@@ -41,7 +41,7 @@
     ScriptedReply,
     cache_as_json,
     cache_as_record,
-    data,
+    data_reply,
     free_port,
     run_platform,
     with_trio,
@@ -81,7 +81,7 @@
 
 
 async def start_caches(
-    nursery: trio.Nursery, *ids: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data
+    nursery: trio.Nursery, *ids: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data_reply
 ) -> list[CacheStandIn]:
     """Start caches that all use the same answer function."""
     return [
@@ -161,16 +161,16 @@
         async with start() as router:
             async with await trio.open_tcp_stream("127.0.0.1", port) as client:
                 await client.send_all(FIRST_TRY)
-                await edge.until(lambda: bool(edge.received))
+                await edge.wait_until(lambda: bool(edge.received))
                 if restart:
                     router.process.send_signal(restart)
             if restart is None:
-                edge.answer = data
+                edge.answer = data_reply
                 assert (await retry(router))[0] == 200
             else:
                 await router.process.wait()
         if restart:
-            edge.answer = data
+            edge.answer = data_reply
             async with start() as router:
                 assert (await retry(router))[0] == 200
         assert {requested.fields["uniq"] for requested in edge.received} == {KEY}
@@ -198,7 +198,7 @@
         def fail(requested: ReceivedRequest) -> bytes:
             sent_at.append(time.time())
             time.sleep(0.1)  # only this cache is slow: four attempts would take 0.4 s
-            return data(requested, b"", "failed")
+            return data_reply(requested, b"", "failed")
 
         caches = await start_caches(nursery, EDGE, OTHER, ORIGIN, answer=fail)
         async with run_platform(tmp_path, caches, settings=settings) as router:
@@ -218,7 +218,7 @@
     """Without its key no cache can recognize a duplicate, so a write that may have run fails at once."""
     async with trio.open_nursery() as nursery:
         caches = await start_caches(
-            nursery, EDGE, OTHER, ORIGIN, answer=lambda requested: data(requested, b"", "failed")
+            nursery, EDGE, OTHER, ORIGIN, answer=lambda requested: data_reply(requested, b"", "failed")
         )
         async with run_platform(tmp_path, caches, settings=site_settings()) as router:
             status, _, _ = await router.request_object("sheet-submit", body=b"signed", ttl=2500)
@@ -249,7 +249,7 @@
     """The hold-off is bounded by the longest one that clients honour, and left out if they honour none."""
     async with trio.open_nursery() as nursery:
         edge, origin = await start_caches(
-            nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, b"", "full")
+            nursery, EDGE, ORIGIN, answer=lambda requested: data_reply(requested, b"", "full")
         )
         async with run_platform(tmp_path, [edge, origin], settings=site_settings(**limits)) as router:
             status, headers, _ = await router.request_object(cls)
@@ -504,14 +504,14 @@
     async with trio.open_nursery() as nursery:
 
         def answer_with_report(requested: ReceivedRequest) -> bytes:
-            return data(requested, b"bytes" if command == "data" else b"", command, use=report)
+            return data_reply(requested, b"bytes" if command == "data" else b"", command, use=report)
 
         edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=answer_with_report)
         async with run_platform(tmp_path, [edge, origin], settings=site_settings()) as router:
             statuses = [(await router.request_object(obj=f"{n:016x}"))[0] for n in range(3)]
             assert statuses == [200 if command == "data" else 503] * 3
-            assert edge.links == 1
-            assert edge.ended == 0
+            assert edge.connection_count == 1
+            assert edge.ended_count == 0
         nursery.cancel_scope.cancel()
 
 
@@ -522,10 +522,10 @@
         edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: None)
         async with run_platform(tmp_path, [edge, origin], settings=site_settings(MaxAttempts=1)) as router:
             assert (await router.request_object(ttl=300))[0] == 504
-            await edge.say(1, data(edge.received[0], use="inflight:1;x0:0.5"))
-            edge.answer = functools.partial(data, use="inflight:1;x0:0.5")
+            await edge.send_raw(1, data_reply(edge.received[0], use="inflight:1;x0:0.5"))
+            edge.answer = functools.partial(data_reply, use="inflight:1;x0:0.5")
             assert (await router.request_object())[::2] == (200, b"bytes")
-            assert edge.links == 1
+            assert edge.connection_count == 1
         nursery.cancel_scope.cancel()
 
 
@@ -540,9 +540,9 @@
         ):
             for n in range(8):
                 clients.start_soon(functools.partial(router.request_object, obj=f"{n:016x}", ttl=5000))
-            await edge.until(lambda: len(edge.received) >= 8)
-            assert edge.most == 2
-            assert edge.links == 4
+            await edge.wait_until(lambda: len(edge.received) >= 8)
+            assert edge.max_requests_per_connection == 2
+            assert edge.connection_count == 4
             assert (await router.request_object())[0] == 503
             assert len(edge.received) == 8
             clients.cancel_scope.cancel()
@@ -557,7 +557,9 @@
         def answer_in_reverse(requested: ReceivedRequest) -> ScriptedReply:
             if len(edge.received) < 4:
                 return None
-            return b"".join(data(held, held.fields["path"].encode()) for held in reversed(edge.received))
+            return b"".join(
+                data_reply(held, held.fields["path"].encode()) for held in reversed(edge.received)
+            )
 
         edge, origin = await start_caches(nursery, EDGE, ORIGIN, answer=answer_in_reverse)
         bodies: dict[str, bytes] = {}
@@ -571,7 +573,7 @@
                     clients.start_soon(send_request, f"{n:016x}")
             assert len(bodies) == 4
             assert all(body == obj.encode() for obj, body in bodies.items())
-            assert edge.links == 1
+            assert edge.connection_count == 1
         nursery.cancel_scope.cancel()
 
 
@@ -621,7 +623,7 @@
     async with trio.open_nursery() as nursery:
         log = await ChangeLogStandIn().open(nursery)
         edge, parent, origin = await start_caches(nursery, EDGE, PARENT, ORIGIN)
-        edge.answer = lambda requested: data(requested, b"", "full")
+        edge.answer = lambda requested: data_reply(requested, b"", "full")
         async with run_platform(tmp_path, [edge, parent, origin], log, settings=site_settings()) as router:
             if how == "down":
                 await edge.close()
@@ -684,7 +686,7 @@
 
         def answer(requested: ReceivedRequest, cache: str) -> bytes:
             uses.append((time.time(), cache, requested.fields.get("miss", "")))
-            return data(requested)
+            return data_reply(requested)
 
         caches = await start_caches(nursery, EDGE, OTHER, NEXT_PARENT, PARENT, ORIGIN)
         for cache in caches:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -30,7 +30,7 @@
     ChangeLogStandIn,
     ReceivedRequest,
     RouterProcess,
-    data,
+    data_reply,
     free_port,
     run_platform,
     with_trio,
@@ -97,17 +97,17 @@
 
             async with trio.open_nursery() as clients:
                 clients.start_soon(request)
-                await edge.until(lambda: bool(unanswered))
+                await edge.wait_until(lambda: bool(unanswered))
                 write_configuration(path, settings=OTHER_SETTINGS)
                 router_process.process.send_signal(signal.SIGHUP)
                 await router_process.wait_for_log(b"other settings hold")
-                edge.answer = data
+                edge.answer = data_reply
                 assert (await router_process.request_object())[0] == 404
                 assert await send_write(router_process, "sheet-submit") == 404
                 assert (await router_process.request_object("plates"))[0] == 200
                 assert edge.received[-1].fields["queue"] == "plates"
                 assert int(edge.received[-1].fields["budget"]) <= 2000
-                await edge.say(unanswered[0].link, data(unanswered[0]))
+                await edge.send_raw(unanswered[0].connection, data_reply(unanswered[0]))
             assert statuses == [200]
             # The id of a submit that may have run is remembered across a change of settings.
             assert await send_write(router_process, "filing") == 409
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -49,7 +49,7 @@
     RouterProcess,
     ScriptedReply,
     cache_as_record,
-    data,
+    data_reply,
     free_port,
     run_platform,
     with_trio,
@@ -60,7 +60,7 @@
 
 
 async def start_caches(
-    nursery: trio.Nursery, *ids: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data
+    nursery: trio.Nursery, *ids: str, answer: Callable[[ReceivedRequest], ScriptedReply] = data_reply
 ) -> list[CacheStandIn]:
     """Start caches that all use the same answer function."""
     return [
@@ -154,7 +154,7 @@
                     statuses.append((await router_process.request_object(ttl=20_000))[0])
 
                 clients.start_soon(send_request)
-                await caches[0].until(lambda: bool(caches[0].received))
+                await caches[0].wait_until(lambda: bool(caches[0].received))
                 router_process.process.send_signal(signal.SIGTERM)
                 with trio.move_on_after(2.7):
                     assert await router_process.process.wait() == 0
@@ -204,9 +204,11 @@
                 holder = next(cache for cache in caches if held_requests[0] in cache.received)
                 async with stopped(router_process):
                     client.close()
-                    await holder.say(held_requests[0].link, data(held_requests[0], b"", "failed"))
+                    await holder.send_raw(
+                        held_requests[0].connection, data_reply(held_requests[0], b"", "failed")
+                    )
             for cache in caches:
-                cache.answer = data
+                cache.answer = data_reply
             assert (await router_process.request_object(txn="3" * 16))[0] == 200
             assert [requested.id for cache in caches for requested in cache.received].count("1" * 16) == 1
         nursery.cancel_scope.cancel()
@@ -251,11 +253,13 @@
     def answer(requested: ReceivedRequest) -> ScriptedReply:
         received.append(requested)
         if len(received) == 1:
-            return data(requested, b"", "full")
+            return data_reply(requested, b"", "full")
         retried.append(requested)
         if len(received) > 2:
-            return data(requested) + data(requested)
-        return data(requested, b"", "full" if requested.link == received[0].link else "data")
+            return data_reply(requested) + data_reply(requested)
+        return data_reply(
+            requested, b"", "full" if requested.connection == received[0].connection else "data"
+        )
 
     async with trio.open_nursery() as nursery:
         caches = await start_caches(nursery, ORIGIN, answer=answer)
@@ -279,15 +283,17 @@
 
         def answer(requested: ReceivedRequest) -> ScriptedReply:
             if requested.id != "1" * 16:
-                return data(requested)
+                return data_reply(requested)
             nursery.start_soon(send_slowly, requested)
             return None
 
         async def send_slowly(requested: ReceivedRequest) -> None:
             with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                await caches[0].say(requested.link, data(requested, bytes(200_000))[:-190_000])
+                await caches[0].send_raw(
+                    requested.connection, data_reply(requested, bytes(200_000))[:-190_000]
+                )
                 while True:
-                    await caches[0].say(requested.link, b"x")
+                    await caches[0].send_raw(requested.connection, b"x")
                     await trio.sleep(0.02)
             ended.set()
 
@@ -319,7 +325,7 @@
     )
     async with trio.open_nursery() as nursery:
         edge, origin = await start_caches(
-            nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, b"", "failed")
+            nursery, EDGE, ORIGIN, answer=lambda requested: data_reply(requested, b"", "failed")
         )
         unanswered = CacheStandIn(OTHER)
         with full_listener() as listener:
@@ -340,7 +346,7 @@
 
                 async with trio.open_nursery() as client:
                     client.start_soon(send_request)
-                    await edge.until(lambda: bool(edge.received))
+                    await edge.wait_until(lambda: bool(edge.received))
                     await listener.wait_for_connect()
                     # Accepts after TCP's first retransmission, 1 s.
                     accepted = await trio.to_thread.run_sync(listener.accept)
@@ -489,10 +495,10 @@
             before = resident_bytes(router_process)
             async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                 await client.send_all(read_request_bytes("1" * 16))
-                await edge.until(lambda: bool(edge.received))
+                await edge.wait_until(lambda: bool(edge.received))
                 # 2.2 MB; this blocks unless the router reads them.
                 await client.send_all(read_request_bytes("2" * 16) * 16_000)
-                await edge.say(1, data(edge.received[0]))
+                await edge.send_raw(1, data_reply(edge.received[0]))
                 response = b""
                 with contextlib.suppress(trio.BrokenResourceError):
                     while chunk := await client.receive_some(65536):
@@ -501,7 +507,7 @@
             assert b"Connection: close" in response
             assert response.count(b"HTTP/1.1") == 1
             assert response.endswith(b"bytes")
-            edge.answer = data
+            edge.answer = data_reply
             assert (await router_process.request_object())[0] == 200
             assert [requested.id for requested in edge.received].count("2" * 16) == 0
             assert resident_bytes(router_process) - before < 1_000_000
@@ -520,7 +526,7 @@
     """Two hundred invalid responses give at most a hundred log lines."""
     async with trio.open_nursery() as nursery:
         caches = await start_caches(
-            nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, issued="soon")
+            nursery, EDGE, ORIGIN, answer=lambda requested: data_reply(requested, issued="soon")
         )
         async with run_platform(tmp_path, caches) as router_process:
             for n in range(200):
@@ -634,7 +640,9 @@
     """Clients read little of the largest response and disconnect; the next client gets its response whole."""
     body = bytes(range(256)) * 937
     async with trio.open_nursery() as nursery:
-        caches = await start_caches(nursery, EDGE, ORIGIN, answer=lambda requested: data(requested, body))
+        caches = await start_caches(
+            nursery, EDGE, ORIGIN, answer=lambda requested: data_reply(requested, body)
+        )
         async with run_platform(tmp_path, caches) as router_process:
             for n in range(1, 9):
                 with socket.socket() as client:
@@ -703,7 +711,7 @@
             statuses = [(await router_process.request_object(obj=f"{n:016x}"))[0] for n in range(200)]
             assert statuses == [200] * 200
             assert all(cache.received for cache in caches[:-1])
-            assert sum(cache.links for cache in caches) > 30
+            assert sum(cache.connection_count for cache in caches) > 30
         nursery.cancel_scope.cancel()
 
 
@@ -715,9 +723,9 @@
         async with run_platform(tmp_path, [edge], settings=limits(KeepaliveS=0.6)) as router_process:
             assert (await router_process.request_object())[0] == 200
             with trio.fail_after(5):
-                await edge.until(lambda: edge.ended == 1)
+                await edge.wait_until(lambda: edge.ended_count == 1)
             assert (await router_process.request_object())[0] == 200
-            assert edge.links == 2
+            assert edge.connection_count == 2
         nursery.cancel_scope.cancel()
 
 
@@ -732,7 +740,7 @@
                 text = read_request_bytes(f"{n:016x}", "sheet-submit").replace(b"GET", b"PUT")
                 async with await trio.open_tcp_stream("127.0.0.1", router_process.port) as client:
                     async with stopped(router_process):
-                        await origin.end(origin.links)
+                        await origin.close_connection(origin.connection_count)
                         await client.send_all(text[:-2] + b"Content-Length: 6\r\n\r\nsigned")
                     assert (await client.receive_some(12)) == b"HTTP/1.1 200"
                 assert [requested.id for requested in origin.received].count(f"{n:016x}") == 1
