--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -143,12 +143,12 @@
 floor = 0.1
 """)
         for number in range(len(caches)):
-            server.put(f"box-{number}.branch.test", "A", "127.0.0.1", ttl=1)
+            server.set_records(f"box-{number}.branch.test", "A", "127.0.0.1", ttl=1)
         self.publish_srv(*range(len(caches)))
 
     def publish_srv(self, *numbers: int, priority: int = 0, ttl: int = 1) -> None:
         """Publish SRV records of these caches."""
-        self.server.put(
+        self.server.set_records(
             SRV, "SRV", *(f"{priority} 8 {self.caches[n]} box-{n}.branch.test." for n in numbers), ttl=ttl
         )
 
@@ -185,7 +185,7 @@
             *[n for n in range(len(harness.caches)) if n != number % 7], priority=number % 3, ttl=0
         )
         faults = [Fault.SERVFAIL, Fault.LOST, Fault.CUT, Fault.HALF]
-        harness.server.fail(*faults[number % 4 : number % 4 + 1] if number % 2 else [])
+        harness.server.set_faults(*faults[number % 4 : number % 4 + 1] if number % 2 else [])
         await trio.sleep(0.05)
 
 
@@ -220,7 +220,7 @@
             await command(console, f"restore {server}")
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
-    harness.server.fail()
+    harness.server.set_faults()
     harness.publish_srv(*range(len(harness.caches)))
     return {"drain_worst_ms": max(0.0, worst) * 1000, "drain_broken": broken, "drains": count}
 
@@ -308,7 +308,7 @@
             cache.host = "127.0.1.1"
             cache.port = port
             await cache.open(nursery)
-            server.put("moving.branch.test", "A", cache.host)
+            server.set_records("moving.branch.test", "A", cache.host)
             file = Path(folder) / "a.toml"
             head = appliance_file(http, dns_port, server.port, origin)
             file.write_text(f"""{head}[[box]]
@@ -331,7 +331,7 @@
                 while f"{cache.host}:{port}" not in await command(console, "boxes"):
                     await trio.sleep(0.02)
                 wrong_address_time = 0.0
-                start = len(server.asked)
+                start = len(server.queries)
                 started_at = time.monotonic()
                 for number in range(moves):
                     await cache.close()
@@ -339,18 +339,18 @@
                     cache.host = f"127.0.1.{number + 2}"
                     cache.port = port
                     await cache.open(nursery)
-                    server.put("moving.branch.test", "A", cache.host)
-                    server.fail(*[(), (Fault.LOST,), (Fault.SERVFAIL,), (Fault.SPOOFED,)][number % 4])
+                    server.set_records("moving.branch.test", "A", cache.host)
+                    server.set_faults(*[(), (Fault.LOST,), (Fault.SERVFAIL,), (Fault.SPOOFED,)][number % 4])
                     moved_at = time.monotonic()
                     while f"{cache.host}:{port}" not in await command(console, "boxes"):
                         if time.monotonic() > moved_at + 2:
-                            server.fail()
+                            server.set_faults()
                         await trio.sleep(0.02)
                     wrong_address_time += time.monotonic() - moved_at
                     await trio.sleep(1.5)
                 return {
                     "wrong_s": wrong_address_time / moves,
-                    "queries_per_s": (len(server.asked) - start) / (time.monotonic() - started_at),
+                    "queries_per_s": (len(server.queries) - start) / (time.monotonic() - started_at),
                 }
             finally:
                 process.kill()
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -263,9 +263,9 @@
                 for link in self.store_links.values():
                     await link.set(refuse=False)
             case "lose":
-                self.store.lose(step.seconds or float("inf"))
+                self.store.undo_writes(step.seconds or float("inf"))
             case "late":
-                self.store.late = step.seconds
+                self.store.extra_delay = step.seconds
             case "refuse_share":
                 self.store.refuse_share = step.share
             case "drain" | "restore":
--- a/brackenlane/lab/stand_ins/dns.py
+++ b/brackenlane/lab/stand_ins/dns.py
@@ -68,17 +68,17 @@
         )  # faults by (name, type); "" stands for any
         self.default = ""  # address of names that have no A record in the table; "": they have none
         self.delay = 30.0  # seconds until the answer for LATE, for TCP_STALL and for LOST over TCP
-        self.minimum = 5  # MINIMUM of the SOA record: seconds for which a negative answer may be cached
+        self.negative_ttl = 5  # MINIMUM of the SOA record: seconds for which a negative answer may be cached
         self.additional = True  # whether answers to SRV queries include the targets' addresses
         self.forged = "127.0.9.9"  # address in forged answers
-        self.asked: deque[ReceivedQuery] = deque(maxlen=100_000)
+        self.queries: deque[ReceivedQuery] = deque(maxlen=100_000)
         self.port = 0
         self.updated = trio.Event()
         self._random = random.Random(seed)
         self._scope = trio.CancelScope()
         self._closed = trio.Event()
 
-    def put(self, name: str, kind: str, *records: str, ttl: int = 1) -> None:
+    def set_records(self, name: str, kind: str, *records: str, ttl: int = 1) -> None:
         """Set the records of a name and type, or remove them if none are given."""
         key = name.rstrip(".").lower(), kind
         if records:
@@ -86,7 +86,7 @@
         else:
             self.table.pop(key, None)
 
-    def fail(self, *faults: Fault, name: str = "", kind: str = "") -> None:
+    def set_faults(self, *faults: Fault, name: str = "", kind: str = "") -> None:
         """Set the faults of one question, or of all questions; without faults, remove them."""
         self.faults[name.rstrip(".").lower(), kind] = set(faults)
 
@@ -106,9 +106,9 @@
         self._scope.cancel()
         await self._closed.wait()
 
-    async def until(self, count: int) -> None:
+    async def wait_for_queries(self, count: int) -> None:
         """Wait until `count` queries have been received in total."""
-        while len(self.asked) < count:
+        while len(self.queries) < count:
             self.updated = trio.Event()
             await self.updated.wait()
 
@@ -166,7 +166,7 @@
         [question_rrset] = query.question
         name = question_rrset.name.to_text(omit_final_dot=True)
         kind = dns.rdatatype.to_text(question_rrset.rdtype)
-        self.asked.append(ReceivedQuery(name, kind, tcp, query.edns >= 0, port, query.id))
+        self.queries.append(ReceivedQuery(name, kind, tcp, query.edns >= 0, port, query.id))
         self.updated.set()
         keys = ((name.lower(), kind), (name.lower(), ""), ("", kind), ("", ""))
         return set().union(*(self.faults.get(key, set()) for key in keys))
@@ -203,7 +203,7 @@
             response.set_rcode(dns.rcode.NOERROR if name_exists else dns.rcode.NXDOMAIN)
             response.authority.append(
                 dns.rrset.from_text(
-                    "test.", 60, "IN", "SOA", f"ns.test. admin.test. 1 60 60 60 {self.minimum}"
+                    "test.", 60, "IN", "SOA", f"ns.test. admin.test. 1 60 60 60 {self.negative_ttl}"
                 )
             )
         response.answer.extend(found)
--- a/brackenlane/lab/stand_ins/redis.py
+++ b/brackenlane/lab/stand_ins/redis.py
@@ -1,7 +1,7 @@
 """A scripted Redis on loopback: the commands that the routers use, with a set capacity and faults.
 
 It keeps strings, hashes and streams. Beyond its capacity it slows down, then refuses, as a real server does.
-`lose` simulates a restart that lost the latest writes, or all of them.
+`undo_writes` simulates a restart that lost the latest writes, or all of them.
 """
 
 from __future__ import annotations
@@ -43,17 +43,17 @@
     def __init__(self, capacity: Capacity = Capacity(), seen: Observer = lambda *_, **__: None) -> None:
         self.keys: dict[str, Any] = {}
         self.updated = trio.Event()
-        self.seen = trio.Event()
+        self.read_started = trio.Event()
         self.capacity = capacity
         self._notify = seen
-        self.late = 0.0  # seconds that each reply is delayed in addition
+        self.extra_delay = 0.0  # seconds that each reply is delayed in addition
         self.refuse_share = 0.0  # share of connections that are refused whatever the load
         self._rng = random.Random(1)
         self._busy_until = 0.0  # monotonic time at which all accepted work is done
         self._undo: deque[tuple[float, Callable[[], None]]] = deque(maxlen=100_000)
         self.commands = self.connections = self.sent = self.refused = 0
 
-    def lose(self, seconds: float = math.inf) -> None:
+    def undo_writes(self, seconds: float = math.inf) -> None:
         """Undo the writes of the last seconds, or all, as a restart from an older state does."""
         since = time.monotonic() - seconds
         while self._undo and self._undo[-1][0] >= since:
@@ -96,7 +96,7 @@
                 refused = False
                 # Commands received together are answered together.
                 while (command := reader.gets()) is not False:
-                    reply, queue = await self._turn(command, queue)
+                    reply, queue = await self._execute(command, queue)
                     cost = 1 / self.capacity.commands + len(reply) / self.capacity.bytes
                     wait = self._queue_work(cost)
                     claim = len(command) > 1 and ":claim:" in command[1]
@@ -114,12 +114,12 @@
                     replies += reply
                 if refused:
                     self._notify("refuse", peer_port)
-                if wait > 0.001 or self.late:
-                    await trio.sleep(wait + self.late)
+                if wait > 0.001 or self.extra_delay:
+                    await trio.sleep(wait + self.extra_delay)
                 self.sent += len(replies)
                 await stream.send_all(replies)
 
-    async def _turn(
+    async def _execute(
         self, command: list[str], queue: list[list[str]] | None
     ) -> tuple[bytes, list[list[str]] | None]:
         """Run one command.
@@ -138,7 +138,7 @@
         return await self._run_command(command), None
 
     def _write(self, key: str, name: str | None, value: Any) -> None:
-        """Set a string (no name) or a field of a hash, or delete it if value is None; `lose` can undo it."""
+        """Set a string (no name) or a hash field, or delete it if value is None; `undo_writes` undoes it."""
         table = self.keys if name is None else self.keys.setdefault(key, {})
         at = key if name is None else name
         previous = table.get(at)
@@ -222,7 +222,7 @@
                 return _encode_reply([[_format_entry_id(p), f] for p, f in self.keys.get(key, [])[-1:]])
             case ["XREAD", *arguments, "STREAMS", key, after]:
                 options = dict(zip(arguments[::2], arguments[1::2], strict=True))
-                self.seen.set()
+                self.read_started.set()
                 if "BLOCK" in options:
                     with trio.move_on_after(int(options["BLOCK"]) / 1000):
                         while not self._entries_after(key, after):
--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -79,7 +79,7 @@
     server.default = "127.0.0.1"
     for srv, ports in services.items():
         domain = srv.rstrip(".").split(".", 2)[2]
-        server.put(
+        server.set_records(
             srv,
             "SRV",
             *(f"{10 * (index > 1)} 8 {port} cache-{index + 1}.{domain}." for index, port in enumerate(ports)),
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -203,7 +203,7 @@
     """A cache's host name is resolved, and looked up again before its TTL ends if the cache is down."""
     async with trio.open_nursery() as nursery:
         resolver = await DnsServer().open(nursery)
-        resolver.put("named.branch.test", "A", "127.0.0.3", ttl=600)
+        resolver.set_records("named.branch.test", "A", "127.0.0.3", ttl=600)
         cache_stand_in, origin = await start_caches(nursery, "box-1")
         hosts = {"box-1": "named.branch.test."}
         async with run_appliance(tmp_path, [cache_stand_in, origin], resolver, hosts=hosts) as (
@@ -212,22 +212,22 @@
             path,
         ):
             # No cache listens on 127.0.0.3, so this answer is never used.
-            await resolver.until(3)
+            await resolver.wait_for_queries(3)
             assert "not found" in await run_console_command(path, "boxes")
-            resolver.put("named.branch.test", "A", "127.0.0.1", ttl=600)
+            resolver.set_records("named.branch.test", "A", "127.0.0.1", ttl=600)
             # Look-ups are repeated; the new answer (TTL 600 s) may arrive before the first console command.
             while "not found" in await run_console_command(path, "boxes"):
                 await trio.sleep(0.05)
             # Although its address has a TTL of 600 s, a cache that is down is omitted from answers and its
             # name is looked up again.
             await cache_stand_in.close()
-            before = len(resolver.asked)
+            before = len(resolver.queries)
             assert (
                 record_texts(await send_query(port, f"_http._tcp.{READ}", "SRV"))[0]
                 .split()[3]
                 .startswith("origin")
             )
-            await resolver.until(before + 1)
+            await resolver.wait_for_queries(before + 1)
         nursery.cancel_scope.cancel()
 
 
@@ -277,13 +277,13 @@
         caches = await start_caches(nursery, "box-1")
         async with run_appliance(tmp_path, caches, redis=redis) as (router_process, _, _path):
             assert await send_submit(router_process, "00000000000000b1") == 200
-            redis.late = 0.2
+            redis.extra_delay = 0.2
             async with trio.open_nursery() as client:
                 client.start_soon(send_submit, router_process, "00000000000000b2")
                 while not any(key.endswith("claim:00000000000000b2") for key in redis.keys):
                     await trio.sleep(0.005)
                 client.cancel_scope.cancel()
-            redis.late = 0.0
+            redis.extra_delay = 0.0
             # This claim is answered after that of the client that has disconnected.
             assert await send_submit(router_process, "00000000000000b3") == 200
             assert [
@@ -306,7 +306,7 @@
             run_appliance(tmp_path, caches, redis=redis) as (_, _port, path),
             run_appliance(tmp_path, caches, redis=redis, name="a2") as (_other, port, _path),
         ):
-            await redis.seen.wait()
+            await redis.read_started.wait()
             name = "box-1.boxes.caches.test."
             assert record_texts(await send_query(port, name)) == ["127.0.0.1"]
             await run_console_command(path, "drain", "box-1")
@@ -328,7 +328,7 @@
         redis = await Redis().open(nursery)
         caches = await start_caches(nursery, "box-1", "box-2")
         async with run_appliance(tmp_path, caches, redis=redis) as (router_process, port, path):
-            await redis.seen.wait()
+            await redis.read_started.wait()
             await redis.close()
             assert record_texts(await send_query(port, READ)) == ["127.0.0.1"]
             assert (await router_process.request_object())[0] == 200
@@ -338,9 +338,9 @@
             assert "retry-after" in headers
             assert [len(cache_stand_in.received) for cache_stand_in in caches] == before
             assert "the store is away" in await run_console_command(path, "drain", "box-1")
-            redis.seen = trio.Event()
+            redis.read_started = trio.Event()
             await redis.open(nursery)
-            await redis.seen.wait()
+            await redis.read_started.wait()
             assert "draining" in (await run_console_command(path, "boxes")).split("box-2")[0]
             assert '"drained":true' in redis.keys["brackenlane:caches.test.:orders"]["box-1"]
             assert await send_submit(router_process, "00000000000000b1") == 200
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -57,13 +57,13 @@
         caches = [await CacheStandIn(f"b{n}").open(nursery) for n in range(count)]
         site = cls(server, caches, await CacheStandIn("origin", "origin").open(nursery))
         for number in range(count):
-            server.put(f"box-{number}.branch.test", "A", "127.0.0.1")
+            server.set_records(f"box-{number}.branch.test", "A", "127.0.0.1")
         site.set_srv_targets(*range(count))
         return site
 
     def set_srv_targets(self, *numbers: int, priority: int = 0) -> None:
         """Set the caches that the SRV answer contains."""
-        self.server.put(
+        self.server.set_records(
             SRV, "SRV", *(f"{priority} 8 {self.caches[n].port} box-{n}.branch.test." for n in numbers), ttl=0
         )
 
@@ -130,7 +130,7 @@
             async def churn() -> None:
                 for number in range(10_000):
                     site.set_srv_targets(*[n for n in range(3) if n != number % 4], priority=number % 3)
-                    site.server.fail(
+                    site.server.set_faults(
                         *(
                             [Fault.SERVFAIL, Fault.LOST, Fault.CUT][number % 3 : number % 3 + 1]
                             if number % 2
@@ -159,7 +159,7 @@
             # The cache may have been missing from SRV for longer than the grace period, or its address may be
             # unknown. Once all answers contain it again, it has to be drained, not only absent.
             churn_scope.cancel()
-            site.server.fail()
+            site.server.set_faults()
             site.set_srv_targets(*range(3))
             why = await wait_for_explanation(path, site.ids[0], f"{site.ids[0]} is draining at 127.0.0.1")
             assert "drained by the console of a1" in why.splitlines()[0]
@@ -215,13 +215,13 @@
             path,
         ):
             await wait_for_list(path, *site.ids[:2])
-            site.server.fail(Fault.LOST)
+            site.server.set_faults(Fault.LOST)
             for cache in site.caches[:2]:
                 await cache.close()
             for number in range(8):
                 assert (await router_process.request_object(obj=f"{number:016x}"))[0] == 200
             site.set_srv_targets(2, 3)
-            site.server.fail()
+            site.server.set_faults()
             await wait_for_list(path, *site.ids[2:])
             while (text := await run_console_command(path, "boxes")) and (
                 site.ids[0] in text or site.ids[1] in text
@@ -284,7 +284,7 @@
                     cache.answer = data_reply
                 # Two answers without targets: the second one confirms the removal of all.
                 site.set_srv_targets()
-                site.server.put(SRV, "SRV", "0 0 0 .", ttl=0)
+                site.server.set_records(SRV, "SRV", "0 0 0 .", ttl=0)
                 while site.ids[0] in await run_console_command(path, "boxes"):
                     await trio.sleep(0.05)
             assert statuses[0] in (502, 504)
@@ -318,7 +318,7 @@
             path,
         ):
             for fails in (False, True):
-                site.server.fail(*[Fault.SERVFAIL] * fails, name="box-1.branch.test")
+                site.server.set_faults(*[Fault.SERVFAIL] * fails, name="box-1.branch.test")
                 completed = await trio.to_thread.run_sync(run, "discover", str(path), "--json")
                 view = orjson.loads(completed.stdout)
                 assert completed.returncode == int(fails)
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -30,9 +30,9 @@
 
 def add_records(server: DnsServer, count: int = 4, ttl: int = 1) -> None:
     """Add the SRV and address records of a site with `count` caches."""
-    server.put(SRV, "SRV", *(f"0 8 {7100 + n} box-{n}.branch.test." for n in range(count)), ttl=ttl)
+    server.set_records(SRV, "SRV", *(f"0 8 {7100 + n} box-{n}.branch.test." for n in range(count)), ttl=ttl)
     for number in range(count):
-        server.put(f"box-{number}.branch.test", "A", f"127.0.1.{number % 250 + 1}", ttl=ttl)
+        server.set_records(f"box-{number}.branch.test", "A", f"127.0.1.{number % 250 + 1}", ttl=ttl)
 
 
 def create_resolver(
@@ -64,18 +64,18 @@
         for number in range(4):
             one = await resolver.addresses(f"box-{number}.branch.test")
             assert one.addresses == (f"127.0.1.{number + 1}",)
-        assert len(server.asked) == 1  # the addresses came in the additional section
+        assert len(server.queries) == 1  # the addresses came in the additional section
         server.additional = False
         another = create_resolver(nursery, server)
         assert not (await another.look_up(SRV, RecordType.SRV)).additional
         for number in range(3):
             await another.addresses(f"box-{number}.branch.test")
-        assert len(server.asked) == 5
-        assert all(query.edns for query in server.asked)
-        assert len({query.id for query in server.asked}) == 5
+        assert len(server.queries) == 5
+        assert all(query.edns for query in server.queries)
+        assert len({query.id for query in server.queries}) == 5
         # The kernel chooses among 28,000 ports: two of five are equal once in 3,000 runs, three never.
-        assert len({query.port for query in server.asked}) >= 4
-        assert any(query.name != query.name.lower() for query in server.asked)
+        assert len({query.port for query in server.queries}) >= 4
+        assert any(query.name != query.name.lower() for query in server.queries)
         nursery.cancel_scope.cancel()
 
 
@@ -97,12 +97,12 @@
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
         add_records(server)
-        server.fail(fault)
+        server.set_faults(fault)
         resolver = create_resolver(nursery, server)
         try:
             found = await resolver.look_up(SRV, RecordType.SRV)
             assert set(found.targets) == set(TARGETS)
-            assert any(query.tcp for query in server.asked) is tcp or fault is Fault.SPOOFED
+            assert any(query.tcp for query in server.queries) is tcp or fault is Fault.SPOOFED
         except LookUpFailedError:
             # After mismatched datagrams the query goes over TCP; a mismatched reply is not used there either.
             assert fault in (Fault.WRONG_ID, Fault.WRONG_NAME, Fault.WRONG_CASE, Fault.NOISE)
@@ -121,7 +121,7 @@
         bad, good = await DnsServer().open(nursery), await DnsServer().open(nursery)
         add_records(bad)
         add_records(good)
-        bad.fail(fault)
+        bad.set_faults(fault)
         resolver = create_resolver(nursery, bad, good, min_ttl=0.0)
         assert set((await resolver.look_up(SRV, RecordType.SRV)).targets) == set(TARGETS)
         if fault in (Fault.LOST, Fault.LATE, Fault.WRONG_PORT):
@@ -138,13 +138,13 @@
         add_records(server, ttl=0)
         resolver = create_resolver(nursery, server, budget=1.0, min_ttl=0.05)
         first = await resolver.look_up(SRV, RecordType.SRV)
-        server.fail(Fault.CUT, fault)
+        server.set_faults(Fault.CUT, fault)
         await trio.sleep(0.06)
         found = await resolver.look_up(SRV, RecordType.SRV)
         assert found.is_stale
         assert found.targets == first.targets
         assert "TCP" in found.stale_reason
-        server.fail()
+        server.set_faults()
         await trio.sleep(1.05)  # longer than `Lifetimes.failure_ttl`, for which no query is sent
         assert not (await resolver.look_up(SRV, RecordType.SRV)).is_stale
         nursery.cancel_scope.cancel()
@@ -155,16 +155,16 @@
     """If no upstream answers, an uncached name fails within the budget, and is not queried again at once."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
-        server.fail(Fault.LOST)
+        server.set_faults(Fault.LOST)
         resolver = create_resolver(nursery, server, budget=0.4)
         started = trio.current_time()
         with pytest.raises(LookUpFailedError, match=r"no answer|no upstream"):
             await resolver.look_up(SRV, RecordType.SRV)
         assert trio.current_time() - started >= 0.1
-        query_count = len(server.asked)
+        query_count = len(server.queries)
         with pytest.raises(LookUpFailedError):  # from the cache of failures, without a query
             await resolver.look_up(SRV, RecordType.SRV)
-        assert len(server.asked) == query_count
+        assert len(server.queries) == query_count
         nursery.cancel_scope.cancel()
 
 
@@ -199,7 +199,7 @@
             for _ in range(50):
                 callers.start_soon(look_up)
         assert len(found) >= 50
-        assert len(server.asked) == 1
+        assert len(server.queries) == 1
         nursery.cancel_scope.cancel()
 
 
@@ -208,16 +208,16 @@
     """Aliases are followed over several replies; a loop of aliases is an error."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
-        server.put("a.test", "CNAME", "b.test.")
-        server.put("b.test", "CNAME", "c.test.")
-        server.put("c.test", "A", "127.0.1.7")
-        server.put("x.test", "CNAME", "y.test.")
-        server.put("y.test", "CNAME", "x.test.")
+        server.set_records("a.test", "CNAME", "b.test.")
+        server.set_records("b.test", "CNAME", "c.test.")
+        server.set_records("c.test", "A", "127.0.1.7")
+        server.set_records("x.test", "CNAME", "y.test.")
+        server.set_records("y.test", "CNAME", "x.test.")
         resolver = create_resolver(nursery, server)
         assert (await resolver.addresses("a.test")).addresses == ("127.0.1.7",)
         with pytest.raises(LookUpFailedError, match="loop"):
             await resolver.look_up("x.test", RecordType.A)
-        assert len(server.asked) < 20
+        assert len(server.queries) < 20
         nursery.cancel_scope.cancel()
 
 
@@ -226,15 +226,15 @@
     """No such name and no such record are answers, cached for the SOA minimum and never served stale."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
-        server.minimum = 60
-        server.put("only-a.test", "A", "127.0.1.1")
+        server.negative_ttl = 60
+        server.set_records("only-a.test", "A", "127.0.1.1")
         resolver = create_resolver(nursery, server)
         for name in ("no-such.test", "only-a.test"):
             for _ in range(2):
                 found = await resolver.look_up(name, RecordType.SRV)
                 assert not found.targets
                 assert not found.is_stale
-        assert len(server.asked) == 2
+        assert len(server.queries) == 2
         assert (await resolver.addresses("only-a.test")).addresses == ("127.0.1.1",)
         nursery.cancel_scope.cancel()
 
@@ -244,7 +244,7 @@
     """2,000 targets don't fit in a datagram: they are received over TCP and define 2,000 caches."""
     async with trio.open_nursery() as nursery:
         server = await DnsServer().open(nursery)
-        server.put("_c._tcp.x", "SRV", *(f"0 8 80 b{n}.x." for n in range(2000)))
+        server.set_records("_c._tcp.x", "SRV", *(f"0 8 80 b{n}.x." for n in range(2000)))
         server.additional = False
         # Long timeouts: encoding and decoding so many records takes seconds on a slow machine.
         resolver = Resolver(
@@ -255,7 +255,7 @@
         )
         found = await resolver.look_up("_c._tcp.x", RecordType.SRV)
         assert len(found.targets) == 2000
-        assert server.asked[-1].tcp
+        assert server.queries[-1].tcp
         merge = MembershipMerge(Policy(), [SrvWatch("_c._tcp.x", "branch")])
         merge.apply_srv_answer("_c._tcp.x", found.targets, found.upstream, 1.0)
         assert len(merge.caches) == len(merge.sources.hosts) == 2000
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -91,11 +91,11 @@
         self.received_commands: list[list[str]] = []
         self.keys.update(keys or {})
 
-    async def _turn(
+    async def _execute(
         self, command: list[str], queue: list[list[str]] | None
     ) -> tuple[bytes, list[list[str]] | None]:
         self.received_commands.append([re.sub(r":loads:\d+$", ":loads:BUCKET", text) for text in command])
-        return await super()._turn(command, queue)
+        return await super()._execute(command, queue)
 
 
 def open_shared_store(
@@ -113,7 +113,7 @@
     """Run a router's shared store until it has read everything and waits for updates."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(shared.run, file_caches)
-        await redis.seen.wait()
+        await redis.read_started.wait()
         nursery.cancel_scope.cancel()
 
 
