--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -22,7 +22,7 @@
 from brackenlane.lab.cluster.clients import served
 from brackenlane.lab.cluster.record import Event, Record
 from brackenlane.lab.cluster.scenario import Outcome, Scenario, median
-from brackenlane.lab.cluster.virtual import SimulatedFleet, Store, peak
+from brackenlane.lab.cluster.virtual import SimulatedFleet, SimulatedStore, max_count_in_span
 
 BASELINE = "f8edb49"  # the last version without brackenlane.coldstart
 REQUESTS_PER_S = 100.0
@@ -104,17 +104,19 @@
         "current": len(first["follow"]) / routers,
         "current_lag_worst": round(max(lag, default=0.0), 2),
         # Counts the offered load, including refused connections: a store that refuses all would seem idle.
-        "store_peak": invariants.heaviest(
+        "store_peak": invariants.highest_sum_in_span(
             ((e.at, 1.0) for e in record.of("store_command", "store_connect")), 1.0
         )[0],
-        "store_connects_peak": invariants.heaviest(((e.at, 1.0) for e in record.of("store_connect")), 1.0)[0],
+        "store_connects_peak": invariants.highest_sum_in_span(
+            ((e.at, 1.0) for e in record.of("store_connect")), 1.0
+        )[0],
         "store_commands": sum(1 for _ in record.of("store_command")),
         "store_bytes": sum(e.what["sent"] for e in record.of("store_command")),
         "store_refused": sum(1 for _ in record.of("store_refuse")),
         "handshakes_worst": max(handshakes.values(), default=0),
         "handshakes_median": median(handshakes.values()),
-        "pushed_over": len(invariants.standing(record)),
-        "once": len(invariants.once(record)),
+        "pushed_over": len(invariants.no_cache_failed(record)),
+        "once": len(invariants.submits_executed_once(record)),
         "served": round(served(record, 0.0, seconds), 4),
         "memory_mb": round(outcome.figures["memory_mb"], 1),
         "answers": sum(1 for _ in record.of("answer")),
@@ -134,11 +136,11 @@
     """Return the figures of simulated fleets of 20, 200 and 1,000 routers, in virtual time."""
     found = {}
     for count in (20, 200, 1000):
-        store = Store(store_capacity(count))
+        store = SimulatedStore(store_capacity(count))
         fleet = SimulatedFleet(count, store, 1)
         fleet.run(600.0)
         found[str(count)] = {
-            "asked_peak": peak(store.asked),
+            "asked_peak": max_count_in_span(store.request_times),
             "refused": store.refused,
             "current_last": round(max(fleet.current.values()), 2),
             "least": count / store.capacity.request_rate,
--- a/brackenlane/lab/cluster/invariants.py
+++ b/brackenlane/lab/cluster/invariants.py
@@ -13,7 +13,7 @@
 Faults = list[str]
 
 
-def answered(record: Record) -> Faults:
+def requests_answered(record: Record) -> Faults:
     """Each request gets exactly one answer in time, unless its router was killed or stopped meanwhile."""
     faults: Faults = []
     answers: dict[str, list[Event]] = defaultdict(list)
@@ -48,13 +48,13 @@
     return faults
 
 
-def once(record: Record) -> Faults:
+def submits_executed_once(record: Record) -> Faults:
     """No submit is executed twice."""
     runs = Counter(event.what["id"] for event in record.of("run"))
     return [f"submit {id} ran {n} times" for id, n in runs.items() if n > 1]
 
 
-def drained(record: Record) -> Faults:
+def drains_respected(record: Record) -> Faults:
     """A router uses no cache, as target or fill source, more than 500 ms after it received its drain."""
     faults: Faults = []
     drained_since: dict[tuple[int, str], float] = {}
@@ -75,7 +75,7 @@
     return faults
 
 
-def purged(record: Record) -> Faults:
+def purges_respected(record: Record) -> Faults:
     """A router serves no copy older than a purge later than 1 s after it received the purge."""
     faults = []
     purges = defaultdict(list)
@@ -92,15 +92,15 @@
     return faults
 
 
-def within(
+def rate_bounded(
     record: Record, kind: str, bound: float, span: float = 1.0, cost: Callable[[Event], float] = lambda _: 1.0
 ) -> Faults:
     """The cost of events of one kind stays at most `bound` in any `span` seconds."""
-    worst, at = heaviest(((event.at, cost(event)) for event in record.of(kind)), span)
+    worst, at = highest_sum_in_span(((event.at, cost(event)) for event in record.of(kind)), span)
     return [f"{worst:.0f} {kind} within {span:g} s of {at:.2f} s; {bound:.0f} are allowed"] * (worst > bound)
 
 
-def heaviest(costs: Iterable[tuple[float, float]], span: float) -> tuple[float, float]:
+def highest_sum_in_span(costs: Iterable[tuple[float, float]], span: float) -> tuple[float, float]:
     """Return the highest sum of costs in any `span` seconds, and the time at which that interval ends."""
     window: list[tuple[float, float]] = []
     low = 0
@@ -119,7 +119,7 @@
     return worst, when
 
 
-def standing(record: Record) -> Faults:
+def no_cache_failed(record: Record) -> Faults:
     """No cache failed under overload, by the requests that it counted itself."""
     return [f"{event.what['box']} fell at {event.at:.2f} s" for event in record.of("fall")]
 
--- a/brackenlane/lab/cluster/scenario.py
+++ b/brackenlane/lab/cluster/scenario.py
@@ -316,15 +316,15 @@
     def _check_invariants(self) -> dict[str, list[str]]:
         s = self.script.store
         found = {
-            "answered": invariants.answered(self.record),
-            "once": invariants.once(self.record),
-            "purged": invariants.purged(self.record),
-            "store commands": invariants.within(self.record, "store_command", s.commands),
-            "store connections": invariants.within(self.record, "store_connect", s.connections),
-            "store bytes": invariants.within(
+            "answered": invariants.requests_answered(self.record),
+            "once": invariants.submits_executed_once(self.record),
+            "purged": invariants.purges_respected(self.record),
+            "store commands": invariants.rate_bounded(self.record, "store_command", s.commands),
+            "store connections": invariants.rate_bounded(self.record, "store_connect", s.connections),
+            "store bytes": invariants.rate_bounded(
                 self.record, "store_command", s.bytes, cost=lambda e: float(e.what["sent"])
             ),
-            "standing": invariants.standing(self.record),
+            "standing": invariants.no_cache_failed(self.record),
             "spared": invariants.cold_caches_not_overloaded(
                 self.record,
                 0.3,
@@ -338,7 +338,7 @@
             ),
         }
         if self.script.pairs:
-            found["drained"] = invariants.drained(self.record)
+            found["drained"] = invariants.drains_respected(self.record)
         return found
 
     def _figures(self, memory: list[float]) -> dict[str, float]:
@@ -347,7 +347,7 @@
         run_start = next((e.at for e in record.of("begin")), 0.0)
 
         def peak(kind: str, field: str = "") -> float:
-            return invariants.heaviest(
+            return invariants.highest_sum_in_span(
                 ((e.at, float(e.what[field]) if field else 1.0) for e in record.of(kind)), 1.0
             )[0]
 
--- a/brackenlane/lab/cluster/virtual.py
+++ b/brackenlane/lab/cluster/virtual.py
@@ -17,18 +17,20 @@
 
 
 @dataclass
-class Store:
+class SimulatedStore:
     """A store that serves small requests and full loads in two independent queues."""
 
     capacity: Capacity
     patience: float = 0.5
     refuses: Callable[[float], bool] = lambda _: False  # whether it refuses at a time, whatever the load
-    away: Callable[[float], bool] = lambda _: False  # whether it is unreachable at a time
+    is_unreachable: Callable[[float], bool] = lambda _: False  # whether it is unreachable at a time
     # End of the work accepted so far, of small requests and of full loads.
     busy_until: list[float] = field(default_factory=lambda: [0.0, 0.0])
     # Arrival times of small requests, including refused ones.
-    asked: list[float] = field(default_factory=list)
-    loaded: list[float] = field(default_factory=list)  # arrival times of full loads, including refused ones
+    request_times: list[float] = field(default_factory=list)
+    load_times: list[float] = field(
+        default_factory=list
+    )  # arrival times of full loads, including refused ones
     refused: int = 0
     tickets: dict[int, int] = field(default_factory=dict)  # number of tickets drawn in each window
 
@@ -37,10 +39,10 @@
 
         complete: whether it is a full load instead of a small request.
         """
-        (self.loaded if complete else self.asked).append(now)
+        (self.load_times if complete else self.request_times).append(now)
         cost = 1 / (self.capacity.load_rate if complete else self.capacity.request_rate)
         begin = max(self.busy_until[complete], now)
-        if self.away(now) or self.refuses(now) or begin - now > self.patience:
+        if self.is_unreachable(now) or self.refuses(now) or begin - now > self.patience:
             self.refused += 1
             return None
         self.busy_until[complete] = begin + cost
@@ -58,7 +60,7 @@
     def __init__(
         self,
         count: int,
-        store: Store,
+        store: SimulatedStore,
         seed: int,
         *,
         remembers: float = 1.0,
@@ -99,7 +101,7 @@
 
     def _retry_later(self, n: int) -> None:
         self.at(
-            self.now + self.pacings[n].record_failure(not self.store.away(self.now)),
+            self.now + self.pacings[n].record_failure(not self.store.is_unreachable(self.now)),
             partial(self._send_request, n),
         )
 
@@ -131,7 +133,7 @@
         self.current[n] = self.now
 
 
-def peak(times: list[float], span: float = 1.0) -> int:
+def max_count_in_span(times: list[float], span: float = 1.0) -> int:
     """Return the largest number of times within any interval of `span` seconds."""
     times = sorted(times)
     low = 0
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -28,7 +28,7 @@
 from brackenlane.discovery.merge import MembershipMerge
 from brackenlane.discovery.records import OperatorOrder, PersistedMembership, Policy
 from brackenlane.discovery.registry import Registry
-from brackenlane.lab.cluster.virtual import SimulatedFleet, Store, peak
+from brackenlane.lab.cluster.virtual import SimulatedFleet, SimulatedStore, max_count_in_span
 from brackenlane.limits import Limits
 from brackenlane.routing.actions import Fetch
 from brackenlane.routing.events import CacheStatus, Purged
@@ -57,13 +57,13 @@
 
     All are current within twice the shortest time in which the store can serve them.
     """
-    fleet = SimulatedFleet(1000, store := Store(CAPACITY), seed)
+    fleet = SimulatedFleet(1000, store := SimulatedStore(CAPACITY), seed)
     fleet.run(60.0)
     assert len(fleet.current) == 1000
     assert not store.refused
-    assert peak(store.asked) <= 1.1 * CAPACITY.request_rate
+    assert max_count_in_span(store.request_times) <= 1.1 * CAPACITY.request_rate
     assert max(fleet.current.values()) <= 2 * 1000 / CAPACITY.request_rate
-    assert peak(store.asked, 0.05) <= 3 * 0.05 * CAPACITY.request_rate
+    assert max_count_in_span(store.request_times, 0.05) <= 3 * 0.05 * CAPACITY.request_rate
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -72,28 +72,30 @@
 
     A single router without a snapshot loads without waiting.
     """
-    fleet = SimulatedFleet(1000, store := Store(CAPACITY), seed, remembers=0.9)
+    fleet = SimulatedFleet(1000, store := SimulatedStore(CAPACITY), seed, remembers=0.9)
     fleet.run(60.0)
     assert len(fleet.current) == 1000
-    assert peak(store.loaded) <= 2.1 * CAPACITY.load_rate  # tickets of two windows (1 s each) may overlap
-    shortest = len(store.loaded) / CAPACITY.load_rate
+    assert (
+        max_count_in_span(store.load_times) <= 2.1 * CAPACITY.load_rate
+    )  # tickets of two windows (1 s each) may overlap
+    shortest = len(store.load_times) / CAPACITY.load_rate
     assert max(fleet.current.values()) <= 2 * shortest + 1000 / CAPACITY.request_rate
-    single = SimulatedFleet(1, Store(CAPACITY), seed, remembers=0.0)
+    single = SimulatedFleet(1, SimulatedStore(CAPACITY), seed, remembers=0.0)
     single.run(60.0)
     assert single.current[0] < 1000 / CAPACITY.request_rate + 0.2
 
 
 def test_store_is_not_flooded_after_an_outage() -> None:
     """After an outage of a minute, retries stay within the store's capacity and all are soon current."""
-    store = Store(CAPACITY, away=lambda now: 20.0 <= now < 80.0)
+    store = SimulatedStore(CAPACITY, is_unreachable=lambda now: 20.0 <= now < 80.0)
     fleet = SimulatedFleet(1000, store, 1)
     fleet.run(20.0)
     fleet.lose()
     fleet.run(110.0)
-    after_outage = [at for at in store.asked if at >= 80.0]
+    after_outage = [at for at in store.request_times if at >= 80.0]
     assert len(fleet.current) == 1000
-    assert peak(after_outage) <= CAPACITY.request_rate
-    assert peak([at for at in store.asked if 40.0 <= at < 80.0]) <= CAPACITY.request_rate
+    assert max_count_in_span(after_outage) <= CAPACITY.request_rate
+    assert max_count_in_span([at for at in store.request_times if 40.0 <= at < 80.0]) <= CAPACITY.request_rate
     assert max(fleet.current.values()) < 80.0 + 6 * CAPACITY.window
 
 
@@ -102,30 +104,30 @@
     """The store refuses half or nine tenths of the requests for 30 s: the rate of requests stays within its
     capacity, and all routers are current afterwards."""
     rng = random.Random(7)
-    store = Store(CAPACITY, refuses=lambda now: now < 30.0 and rng.random() < share)
+    store = SimulatedStore(CAPACITY, refuses=lambda now: now < 30.0 and rng.random() < share)
     fleet = SimulatedFleet(1000, store, 3)
     fleet.run(90.0)
     assert len(fleet.current) == 1000
-    assert peak(store.asked) <= 1.1 * CAPACITY.request_rate
+    assert max_count_in_span(store.request_times) <= 1.1 * CAPACITY.request_rate
     assert max(fleet.current.values()) < 60.0
 
 
 def test_start_in_two_groups() -> None:
     """Power returns to two halves of the fleet 5 s apart: no request of either half is refused."""
-    fleet = SimulatedFleet(1000, store := Store(CAPACITY), 1, starts=lambda n: 5.0 * (n % 2))
+    fleet = SimulatedFleet(1000, store := SimulatedStore(CAPACITY), 1, starts=lambda n: 5.0 * (n % 2))
     fleet.run(60.0)
     assert len(fleet.current) == 1000
     assert not store.refused
-    assert peak(store.asked) <= CAPACITY.request_rate
+    assert max_count_in_span(store.request_times) <= CAPACITY.request_rate
 
 
 def test_checks_detect_a_fleet_without_pacing() -> None:
     """Without offsets, jitter and tickets the limits that the tests above check are exceeded."""
-    fleet = SimulatedFleet(1000, store := Store(CAPACITY), 1, remembers=0.9, pace=unpaced)
+    fleet = SimulatedFleet(1000, store := SimulatedStore(CAPACITY), 1, remembers=0.9, pace=unpaced)
     fleet.run(60.0)
-    assert peak(store.asked) > 1.1 * CAPACITY.request_rate
+    assert max_count_in_span(store.request_times) > 1.1 * CAPACITY.request_rate
     assert store.refused > 100
-    assert peak(store.loaded) > 2.1 * CAPACITY.load_rate
+    assert max_count_in_span(store.load_times) > 2.1 * CAPACITY.load_rate
 
 
 def test_hashed_offsets_are_evenly_spread() -> None:
--- a/tests/test_lab_cluster.py
+++ b/tests/test_lab_cluster.py
@@ -182,22 +182,22 @@
     ("check", "good", "bad"),
     [
         (
-            invariants.answered,
+            invariants.requests_answered,
             [(0, "healthy", 1, {}), (1, "ask", 1, ASK), (2, "answer", 1, {"id": "x"})],
             [(0, "healthy", 1, {}), (1, "ask", 1, ASK)],
         ),
         (
-            invariants.answered,
+            invariants.requests_answered,
             [(0, "healthy", 1, {}), (1, "ask", 1, ASK), (2, "kill", 1, {})],
             [(0, "healthy", 1, {}), (1, "ask", 1, ASK), (4, "answer", 1, {"id": "x"})],
         ),
         (
-            invariants.once,
+            invariants.submits_executed_once,
             [(1, "run", -1, {"id": "x"}), (2, "run", -1, {"id": "y"})],
             [(1, "run", -1, {"id": "x"}), (9, "run", -1, {"id": "x"})],
         ),
         (
-            invariants.drained,
+            invariants.drains_respected,
             [
                 (1, "told_order", 1, {"box": "b", "drained": True}),
                 (1.4, "sent", 1, {"box": "b", "miss": ""}),
@@ -209,7 +209,7 @@
             ],
         ),
         (
-            invariants.purged,
+            invariants.purges_respected,
             [
                 (1, "told_purge", 1, {"obj": "o", "time": 50}),
                 (3, "answer", 1, {"obj": "o", "issued": 60, "asked": 2.5}),
@@ -220,7 +220,7 @@
             ],
         ),
         (
-            lambda r: invariants.within(r, "k", 2),
+            lambda r: invariants.rate_bounded(r, "k", 2),
             [(1, "k", -1, {}), (1.5, "k", -1, {}), (2.1, "k", -1, {})],
             [(1, "k", -1, {}), (1.5, "k", -1, {}), (1.9, "k", -1, {})],
         ),
@@ -229,7 +229,7 @@
             [(0, "box_start", -1, {"box": "b"}), *[(n / 9, "got", -1, {"box": "b"}) for n in range(20)]],
             [(0, "box_start", -1, {"box": "b"}), *[(n / 99, "got", -1, {"box": "b"}) for n in range(20)]],
         ),
-        (invariants.standing, [(1, "got", -1, {"box": "b"})], [(1, "fall", -1, {"box": "b"})]),
+        (invariants.no_cache_failed, [(1, "got", -1, {"box": "b"})], [(1, "fall", -1, {"box": "b"})]),
         (
             lambda r: invariants.handshakes_bounded(r, 1),
             [(1, "handshake", -1, {"box": "b"})] * 2,
