--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -60,14 +60,14 @@
     models = []
     for members, depth in ((2, 8), (3, 6)) if options.quick else ((2, 10), (3, 8)):
         model = Model(LeasePolicy(2, 3.0, 0.0), members)
-        found = explore(model.first(), model.steps, model.holds, depth)
+        found = explore(model.initial_world(), model.successors, model.within_budget, depth)
         models.append(
             {
                 "members": members,
                 "depth": found.depth,
                 "states": found.states,
                 "whole": found.complete,
-                "fault": list(found.fault),
+                "fault": list(found.counterexample),
             }
         )
     small = time_per_call(lambda: divide(200.0, requests), 20)
--- a/brackenlane/lab/budget_model.py
+++ b/brackenlane/lab/budget_model.py
@@ -50,15 +50,15 @@
 class Model:
     """Size of the model, and the fault that is injected into the protocol."""
 
-    rule: LeasePolicy
+    policy: LeasePolicy
     members: int = 3
-    until: int = 8  # end of the model, in time of the store
+    end_time: int = 8  # end of the model, in time of the store
     crashes: int = 1
     losses: int = 1
     rates: tuple[float, ...] = (1.0, 1.0, 1.0)  # rates of the members' clocks, relative to the store's
     fault: str = ""
 
-    def first(self) -> World:
+    def initial_world(self) -> World:
         """Return the initial state: no leases, and a store that was started long ago."""
         return World(0, -100, (), (), tuple(Member() for _ in range(self.members)))
 
@@ -66,23 +66,23 @@
         """Return the time of a member's clock at a time of the store."""
         return now * self.rates[n]
 
-    def holds(self, world: World) -> bool:
+    def within_budget(self, world: World) -> bool:
         """Whether spendable amounts stay within the budget, now and just before the next tick."""
         leases_in_use = [*enumerate(m.held for m in world.members), *world.stale_leases]
         return all(
             sum(leases.spendable_amount(held, self.clock(n, now)) for n, held in leases_in_use)
-            <= self.rule.total
+            <= self.policy.total
             for now in (world.now, world.now + 0.999)
         )
 
-    def steps(self, world: World) -> Iterator[tuple[str, World]]:
+    def successors(self, world: World) -> Iterator[tuple[str, World]]:
         """Yield the name and the resulting state of every possible step."""
         entries = dict(world.entries)
-        if world.now < self.until:
+        if world.now < self.end_time:
             yield "time passes", replace(world, now=world.now + 1, persisted=world.entries)
         for n, member in enumerate(world.members):
             name = f"{n}.{member.incarnation}"
-            for wanted in (0, self.rule.total):
+            for wanted in (0, self.policy.total):
                 entry = self._renew(entries, name, wanted, world)
                 if entry and entry != entries.get(name):
                     yield (
@@ -108,7 +108,7 @@
                     else answer.requested_at
                 )
                 held = leases.accept_grant(
-                    self.rule, member.held, answer.grant, answer.remaining, requested_at
+                    self.policy, member.held, answer.grant, answer.remaining, requested_at
                 )
                 yield (
                     f"{n} takes in {answer.grant.amount}",
@@ -140,7 +140,7 @@
         )
         if self.fault == "giving before confirmation":
             entries = {who: replace(entry, previous=None) for who, entry in entries.items()}
-        return leases.renew(self.rule, entries, name, wanted, world.now, store_uptime)
+        return leases.renew(self.policy, entries, name, wanted, world.now, store_uptime)
 
     @staticmethod
     def _with(world: World, n: int, member: Member) -> World:
--- a/brackenlane/lab/model.py
+++ b/brackenlane/lab/model.py
@@ -17,7 +17,7 @@
     states: int  # number of distinct states
     depth: int  # steps to the deepest state that was checked
     complete: bool  # whether all states within the depth were explored
-    fault: tuple[str, ...] = ()  # names of the steps to the first state that violates the invariant
+    counterexample: tuple[str, ...] = ()  # names of the steps to the first state that violates the invariant
 
 
 def explore(
--- a/brackenlane/lab/queueing.py
+++ b/brackenlane/lab/queueing.py
@@ -108,9 +108,9 @@
 class Costs:
     """CPU time in seconds."""
 
-    serve: float = 0.005  # mean time of serving one request, exponentially distributed
-    refuse: float = 0.0  # time of rejecting one request
-    turn: float = 0.004  # longest time of service between two looks at new arrivals
+    service_s: float = 0.005  # mean time of serving one request, exponentially distributed
+    rejection_s: float = 0.0  # time of rejecting one request
+    batch_s: float = 0.004  # longest time of service between two looks at new arrivals
 
 
 @dataclass
@@ -118,21 +118,21 @@
     """Counts of one run; by second means the second of the first request."""
 
     requested: Counter[int] = field(default_factory=Counter)
-    good: Counter[int] = field(default_factory=Counter)
-    ends: Counter[str] = field(default_factory=Counter)  # requests by outcome
+    in_time: Counter[int] = field(default_factory=Counter)
+    requests_by_outcome: Counter[str] = field(default_factory=Counter)
     classes: Counter[tuple[str, str]] = field(default_factory=Counter)
-    refusing: float = 0.0  # CPU seconds spent on rejections
+    rejection_cpu_s: float = 0.0  # CPU seconds spent on rejections
     served_twice: int = 0
 
-    def share(self, start: int, end: int) -> float:
+    def in_time_share(self, start: int, end: int) -> float:
         """Share of the operations started in these seconds that were served in time."""
-        return sum(self.good[n] for n in range(start, end)) / max(
+        return sum(self.in_time[n] for n in range(start, end)) / max(
             1, sum(self.requested[n] for n in range(start, end))
         )
 
     def goodput(self, start: int, end: int) -> float:
         """Operations served in time, per second."""
-        return sum(self.good[n] for n in range(start, end)) / (end - start)
+        return sum(self.in_time[n] for n in range(start, end)) / (end - start)
 
 
 def run_queue(
@@ -142,11 +142,11 @@
     seed: int = 1,
     costs: Costs | None = None,
     shares: Sequence[float] = SHARES,
-    slow: Callable[[float], float] = lambda now: 1.0,
+    service_factor: Callable[[float], float] = lambda now: 1.0,
 ) -> Result:
     """Run the queue.
 
-    rate: first requests per second, by time; slow: factor of the service time, by time.
+    rate: first requests per second, by time; service_factor: factor of the service time, by time.
     """
     costs = costs or Costs()
     rng = random.Random(seed)
@@ -170,10 +170,10 @@
     def end(item: QueuedRequest, outcome: str, now: float) -> None:
         assert not item.outcome, (item, outcome)
         item.outcome = outcome
-        result.ends[outcome] += 1
+        result.requests_by_outcome[outcome] += 1
         result.classes[item.cls.name, outcome] += 1
         if outcome == "served" and now - item.started_at <= item.cls.latency_objective:
-            result.good[int(item.started_at)] += 1
+            result.in_time[int(item.started_at)] += 1
         elif outcome != "served":
             schedule_retry(item, now, outcome == "refused")
 
@@ -195,8 +195,8 @@
 
     def refuse(item: QueuedRequest) -> None:
         nonlocal now
-        now += costs.refuse
-        result.refusing += costs.refuse
+        now += costs.rejection_s
+        result.rejection_cpu_s += costs.rejection_s
         end(item, "refused", now)
 
     while events or waiting:
@@ -218,11 +218,11 @@
         for item in policy.shed(now):
             waiting -= 1
             refuse(item)
-        stop = now + costs.turn
+        stop = now + costs.batch_s
         while now < stop and (taken := policy.take(now)):
             item, _ = taken
             waiting -= 1
-            now += rng.expovariate(1 / costs.serve) * slow(now)
+            now += rng.expovariate(1 / costs.service_s) * service_factor(now)
             end(item, "served" if now <= item.leaves_at else "left", now)
     return result
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -23,7 +23,7 @@
 
 def goodput_at(factor: float) -> float:
     """Return the answers in time per second at `factor` times the capacity, without the first seconds."""
-    return run_queue(admission(), lambda _: factor * 1000, 10, costs=Costs(serve=0.001)).goodput(3, 9)
+    return run_queue(admission(), lambda _: factor * 1000, 10, costs=Costs(service_s=0.001)).goodput(3, 9)
 
 
 def test_goodput_does_not_fall_under_overload() -> None:
@@ -37,8 +37,8 @@
 @pytest.mark.parametrize("factor", [2, 4, 6])
 def test_rejections_cost_only_their_own_time(factor: float) -> None:
     """A rejection costs a thirtieth of the CPU time of a request; goodput drops by no more than that."""
-    result = run_queue(admission(), lambda _: factor * CAPACITY, 12, costs=Costs(refuse=0.005 / 30))
-    remaining_capacity = CAPACITY * max(0.0, 1 - result.refusing / 12)
+    result = run_queue(admission(), lambda _: factor * CAPACITY, 12, costs=Costs(rejection_s=0.005 / 30))
+    remaining_capacity = CAPACITY * max(0.0, 1 - result.rejection_cpu_s / 12)
     assert result.goodput(3, 10) >= 0.85 * remaining_capacity
 
 
@@ -50,7 +50,7 @@
         lambda now: CAPACITY * (3.0 if 5 <= now < 11 else 0.8),
         25,
     )
-    before, after = result.share(1, 5), result.share(13, 25)
+    before, after = result.in_time_share(1, 5), result.in_time_share(13, 25)
     assert before > 0.95
     assert (after > before - 0.02) is (policy == "admission"), (before, after)
 
@@ -78,12 +78,12 @@
         16,
         seed,
         shares=(video, 1 - video, submit),
-        slow=lambda now: slow if 4 <= now < 4 + length else 1.0,
+        service_factor=lambda now: slow if 4 <= now < 4 + length else 1.0,
     )
-    tries = sum(result.ends.values())
+    tries = sum(result.requests_by_outcome.values())
     assert tries >= sum(result.requested.values())
     # With some 550 requests, random variation alone accounts for 0.1.
-    assert result.share(11, 15) > result.share(1, 4) - 0.12
+    assert result.in_time_share(11, 15) > result.in_time_share(1, 4) - 0.12
     # Submits have priority, so how many are shed depends only on the load of submits during the burst.
     submit_load = burst * submit * slow
     refused = result.classes["sheet-submit", "refused"]
@@ -97,7 +97,7 @@
 
 def test_non_idempotent_requests_are_served_first() -> None:
     """At five times the capacity all submits are served in time, while other requests are rejected."""
-    result = run_queue(admission(), lambda _: 5 * CAPACITY, 8, costs=Costs(refuse=0.0001))
+    result = run_queue(admission(), lambda _: 5 * CAPACITY, 8, costs=Costs(rejection_s=0.0001))
     assert result.classes["sheet-submit", "refused"] == result.classes["sheet-submit", "left"] == 0
     assert result.classes["sheet-submit", "served"] > 200
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -88,18 +88,18 @@
 def test_leases_never_exceed_the_budget(members: int, depth: int) -> None:
     """All states up to this depth, including lost answers, surviving old incarnations and lost writes."""
     model = Model(LeasePolicy(2, 3.0, 0.0), members)
-    result = explore(model.first(), model.steps, model.holds, depth)
+    result = explore(model.initial_world(), model.successors, model.within_budget, depth)
     assert result.complete
-    assert not result.fault
+    assert not result.counterexample
     assert result.depth == depth
 
 
 def test_leases_never_exceed_the_budget_with_clock_drift() -> None:
     """Clocks that run a tenth slow and fast are safe if the policy's drift is a tenth."""
     model = Model(LeasePolicy(2, 3.0, 0.1), 2, rates=(0.9, 1.1))
-    result = explore(model.first(), model.steps, model.holds, 7)
+    result = explore(model.initial_world(), model.successors, model.within_budget, 7)
     assert result.complete
-    assert not result.fault
+    assert not result.counterexample
 
 
 @pytest.mark.parametrize(
@@ -114,14 +114,14 @@
 def test_model_detects_injected_faults(fault: str) -> None:
     """With each fault injected into the protocol, the exploration finds a state that exceeds the budget."""
     model = Model(LeasePolicy(2, 3.0, 0.0), 2, fault=fault)
-    result = explore(model.first(), model.steps, model.holds, 9)
-    assert result.fault, result
+    result = explore(model.initial_world(), model.successors, model.within_budget, 9)
+    assert result.counterexample, result
 
 
 def test_clock_slower_than_assumed_is_found() -> None:
     """If a holder's clock is slower than the policy's drift allows, the model finds overspending."""
-    model = Model(LeasePolicy(2, 3.0, 0.0), 2, until=4, rates=(0.7, 1.0), crashes=0, losses=0)
-    assert explore(model.first(), model.steps, model.holds, 9).fault
+    model = Model(LeasePolicy(2, 3.0, 0.0), 2, end_time=4, rates=(0.7, 1.0), crashes=0, losses=0)
+    assert explore(model.initial_world(), model.successors, model.within_budget, 9).counterexample
 
 
 def test_reduced_grant_is_available_to_others_once_confirmed() -> None:
