--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -37,7 +37,7 @@
     srv_cache_id,
 )
 from brackenlane.lab.bounds import at_least, at_most, conclude  # noqa: E402
-from brackenlane.lab.cache_servers import Behaviour, Seen, serve  # noqa: E402
+from brackenlane.lab.cache_servers import Behaviour, RequestCounts, serve  # noqa: E402
 from brackenlane.lab.site import checkout, free_ports  # noqa: E402
 from brackenlane.lab.stand_ins.cache_server import CacheStandIn  # noqa: E402
 from brackenlane.lab.stand_ins.dns import DnsServer, Fault  # noqa: E402
@@ -263,7 +263,7 @@
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
             ports = free_ports(7)
-            nursery.start_soon(serve, ports, Behaviour(delay=0.005), 1, Seen())
+            nursery.start_soon(serve, ports, Behaviour(delay=0.005), 1, RequestCounts())
             server = await DnsServer().open(nursery)
             server.additional = False
             harness = ApplianceHarness(Path(folder), server, ports[:6], ports[6])
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -63,11 +63,11 @@
     """Start one router, apply the phases of load, and return the results."""
     with contextlib.ExitStack() as stack:
         ports, origin, cache_record = stack.enter_context(site.stand_in_caches(4, [other_cores[0]]))
-        stack.enter_context(site.burner(core))
-        running = stack.enter_context(site.doorman(tree, ports, origin, [core]))
+        stack.enter_context(site.busy_loop(core))
+        running = stack.enter_context(site.router_process(tree, ports, origin, [core]))
         time.sleep(0.3)
         before = running.cpu()
-        load_result = site.collect(site.load(running.port, phases, other_cores[1:]))
+        load_result = site.collect_reports(site.start_load(running.port, phases, other_cores[1:]))
         cpu = running.cpu() - before
         memory = running.memory()
         log = running.log.read_text()
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -36,11 +36,11 @@
     others = [core + 1, core + 2]
     with (
         site.stand_in_caches(4, others, delay=0.005) as (caches, origin, _),
-        site.doorman(tree, caches, origin, [core]) as router,
+        site.router_process(tree, caches, origin, [core]) as router,
     ):
-        site.collect(site.load(router.port, [(WARM_UP, RATE)], [core + 3]))
+        site.collect_reports(site.start_load(router.port, [(WARM_UP, RATE)], [core + 3]))
         before = router.cpu()
-        total = site.collect(site.load(router.port, [(seconds, RATE)], [core + 3]))
+        total = site.collect_reports(site.start_load(router.port, [(seconds, RATE)], [core + 3]))
         served: int = total["statuses"].get("200", 0)
         return (router.cpu() - before) / max(1, served)
 
--- a/brackenlane/lab/cache_servers.py
+++ b/brackenlane/lab/cache_servers.py
@@ -34,7 +34,7 @@
     writes: frozenset[str] = frozenset({"sheet-submit"})
 
 
-class Seen:
+class RequestCounts:
     """Counts of the requests that the caches received."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         poller: Poller,
         timers: Timers,
         behaviour: Behaviour,
-        seen: Seen,
+        seen: RequestCounts,
         rng: random.Random,
         payload: bytes,
     ) -> None:
@@ -145,7 +145,7 @@
         self._open.clear()
 
 
-async def serve(ports: list[int], behaviour: Behaviour, seed: int, seen: Seen) -> None:
+async def serve(ports: list[int], behaviour: Behaviour, seed: int, seen: RequestCounts) -> None:
     """Serve one cache at each port of 127.0.0.1 until cancelled."""
     poller = Poller(256)
     timers = Timers()
@@ -178,7 +178,7 @@
     parser.add_argument("--delay", type=float, default=0.02, help="mean seconds to an answer")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args(arguments)
-    seen = Seen()
+    seen = RequestCounts()
 
     async def serve_until_end_of_input() -> None:
         async with trio.open_nursery() as nursery:
--- a/brackenlane/lab/site.py
+++ b/brackenlane/lab/site.py
@@ -107,7 +107,7 @@
 
 
 @dataclass
-class Running:
+class RouterProcess:
     """A running router process."""
 
     process: subprocess.Popen[bytes]
@@ -125,15 +125,15 @@
         return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-def pinned(arguments: list[str], cores: Sequence[int], **options: Any) -> subprocess.Popen[bytes]:
+def start_pinned(arguments: list[str], cores: Sequence[int], **options: Any) -> subprocess.Popen[bytes]:
     """Start a process that runs on these cores only."""
     return subprocess.Popen(arguments, preexec_fn=lambda: os.sched_setaffinity(0, cores), **options)
 
 
 @contextlib.contextmanager
-def burner(core: int) -> Iterator[None]:
+def busy_loop(core: int) -> Iterator[None]:
     """Run a busy loop on a core: another process pinned to the core gets about half of it."""
-    process = pinned([sys.executable, "-c", "while True: pass"], [core])
+    process = start_pinned([sys.executable, "-c", "while True: pass"], [core])
     try:
         yield
     finally:
@@ -142,14 +142,14 @@
 
 
 @contextlib.contextmanager
-def doorman(
+def router_process(
     tree: Path,
     caches: Sequence[int],
     origin: int,
     cores: Sequence[int],
     env: dict[str, str] | None = None,
     **config: Any,
-) -> Iterator[Running]:
+) -> Iterator[RouterProcess]:
     """Run the router of a checkout, and kill it at the end."""
     [port] = free_ports(1)
     with tempfile.TemporaryDirectory() as folder:
@@ -157,14 +157,14 @@
         log = Path(folder) / "log"
         path.write_bytes(platform_config(port, caches, origin, **config))
         with log.open("wb") as out:
-            process = pinned(
+            process = start_pinned(
                 [sys.executable, "-m", "brackenlane"],
                 cores,
                 cwd=tree,
                 stderr=out,
                 env={**os.environ, "GW_CONFIG": str(path), **(env or {})},
             )
-        running = Running(process, port, log)
+        running = RouterProcess(process, port, log)
         try:
             for _ in range(200):
                 if b"serves on" in log.read_bytes():
@@ -187,7 +187,7 @@
     """
     ports = free_ports(count + 1)
     seen: dict[str, Any] = {}
-    process = pinned(
+    process = start_pinned(
         [sys.executable, "-m", "brackenlane.lab.cache_servers", *map(str, ports), "--delay", str(delay)],
         cores,
         cwd=ROOT,
@@ -205,7 +205,7 @@
         process.wait()
 
 
-def load(
+def start_load(
     port: int,
     phases: Sequence[tuple[float, float]],
     cores: Sequence[int],
@@ -214,9 +214,9 @@
     connections: int = 320,
     objects: int = 100_000,
 ) -> list[subprocess.Popen[bytes]]:
-    """Start a load process on each core, with the rates divided among them; `collect` waits for them."""
+    """Start a load process on each core, the rates divided among them; `collect_reports` waits for them."""
     return [
-        pinned(
+        start_pinned(
             [
                 sys.executable,
                 "-m",
@@ -238,7 +238,7 @@
     ]
 
 
-def collect(loads: list[subprocess.Popen[bytes]]) -> dict[str, Any]:
+def collect_reports(loads: list[subprocess.Popen[bytes]]) -> dict[str, Any]:
     """Wait for the load processes and return the sum of their reports."""
     total: dict[str, Any] = {}
     for process in loads:
