--- a/benchmarks/customers.py
+++ b/benchmarks/customers.py
@@ -18,8 +18,8 @@
 sys.path.insert(0, str(ROOT))
 
 from brackenlane.lab.bounds import at_least, at_most, conclude  # noqa: E402
-from brackenlane.lab.simulation.comparison import Result, compare  # noqa: E402
-from brackenlane.lab.simulation.drawn_sites import drawn  # noqa: E402
+from brackenlane.lab.simulation.comparison import Comparison, compare  # noqa: E402
+from brackenlane.lab.simulation.drawn_sites import random_site  # noqa: E402
 
 DAYS = 140
 QUICK_DAYS = 12
@@ -33,9 +33,9 @@
 }
 
 
-def compare_drawn_site(number: int) -> Result:
+def compare_drawn_site(number: int) -> Comparison:
     """Simulate one random day under both policies."""
-    return compare(drawn(number))
+    return compare(random_site(number))
 
 
 def main() -> int:
@@ -57,12 +57,12 @@
     for number, gain in losing.items():
         print(f"draw {number}: {gain:+.3f} against the plain policy")
     for number, result in results.items():
-        if result.broken:
-            print(f"draw {number}: broken {result.broken}")
+        if result.violations:
+            print(f"draw {number}: broken {result.violations}")
     gains = [result.gain for result in results.values()]
     figures = {
         "days": len(results),
-        "broken": sum(bool(result.broken) for result in results.values()),
+        "broken": sum(bool(result.violations) for result in results.values()),
         "mean_gain": mean(gains),
         "worst_gain": min(gains),
         "losing_share": len(losing) / len(results),
--- a/brackenlane/lab/simulation/comparison.py
+++ b/brackenlane/lab/simulation/comparison.py
@@ -16,11 +16,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Result:
+class Comparison:
     """Outcome of one site under both policies."""
 
     site: Site
-    broken: dict[str, Any]
+    violations: dict[str, Any]
     exercised: frozenset[str]  # conditions that the invariants cover and that occurred in this run
     module: float
     plain: float
@@ -31,12 +31,14 @@
         return self.module - self.plain
 
 
-def compare(site: Site, policy: PolicyFactory = Router) -> Result:
+def compare(site: Site, policy: PolicyFactory = Router) -> Comparison:
     """Run a site under a policy and under the plain policy."""
     world = World(site, policy)
     record = world.run()
     plain = served_value(run_site(site, PlainPolicy))
-    return Result(site, violations(site, record), exercised_conditions(world), served_value(record), plain)
+    return Comparison(
+        site, violations(site, record), exercised_conditions(world), served_value(record), plain
+    )
 
 
 def exercised_conditions(world: World) -> frozenset[str]:
--- a/brackenlane/lab/simulation/drawn_sites.py
+++ b/brackenlane/lab/simulation/drawn_sites.py
@@ -198,7 +198,7 @@
     return replace(site, seconds=seconds, faults=draw_faults(rng, seconds))
 
 
-def drawn(number: int) -> Site:
+def random_site(number: int) -> Site:
     """Return the random site of a seed.
 
     Hypothesis does not draw these sites: it also picks up constants from this code, so that any change of the
--- a/tests/test_drawn_sites.py
+++ b/tests/test_drawn_sites.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from brackenlane.lab.simulation.comparison import Result, compare
-from brackenlane.lab.simulation.drawn_sites import drawn
+from brackenlane.lab.simulation.comparison import Comparison, compare
+from brackenlane.lab.simulation.drawn_sites import random_site
 from brackenlane.lab.simulation.plain_policy import PlainPolicy
 from brackenlane.routing.actions import Action, Reject
 from brackenlane.routing.events import Arrival
@@ -37,18 +37,18 @@
 MEAN_LOSS = 0.02  # the same for the mean of a group
 
 
-def complaint(number: int, result: Result) -> str:
+def complaint(number: int, result: Comparison) -> str:
     """Describe a violation or loss of one run; empty if there is none."""
-    if not result.broken and result.gain >= -WORST_LOSS:
+    if not result.violations and result.gain >= -WORST_LOSS:
         return ""
     figures = f"module {result.module:.3f}, plain {result.plain:.3f}"
-    return f"draw {number}: {figures}, broken {result.broken}: {result.site}"
+    return f"draw {number}: {figures}, broken {result.violations}: {result.site}"
 
 
 @pytest.mark.parametrize("group", range(GROUP_COUNT))
 def test_invariants_hold_and_loss_against_the_plain_policy_is_bounded(group: int) -> None:
     """On every random site; each group also has the bound on the mean and exercises all conditions."""
-    results = {number: compare(drawn(number)) for number in EXAMPLES[group::GROUP_COUNT]}
+    results = {number: compare(random_site(number)) for number in EXAMPLES[group::GROUP_COUNT]}
     complaints = [complaint(number, result) for number, result in results.items()]
     assert not any(complaints), "\n\n".join(filter(None, complaints))
     assert mean(result.gain for result in results.values()) >= -MEAN_LOSS
@@ -68,5 +68,5 @@
                 else super()._arrive(request, now)
             )
 
-    results = {number: compare(drawn(number), RejectsFifth) for number in EASY}
+    results = {number: compare(random_site(number), RejectsFifth) for number in EASY}
     assert all(complaint(number, result) for number, result in results.items())
