--- a/example/toy_site.py
+++ b/example/toy_site.py
@@ -20,7 +20,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from brackenlane.lab.stand_ins.cache_commands import ReceivedRequest
-from brackenlane.lab.stand_ins.cache_server import CacheStandIn, data
+from brackenlane.lab.stand_ins.cache_server import CacheStandIn, data_reply
 from brackenlane.lab.stand_ins.dns import DnsServer
 
 Endpoint = tuple[str, int]
@@ -61,7 +61,7 @@
     def answer(requested: ReceivedRequest) -> bytes:
         reported = ",".join(f"{field}={value}" for field, value in requested.fields.items())
         print(f"{name} GET {requested.id} {reported} {len(requested.body)}", flush=True)
-        return data(
+        return data_reply(
             requested,
             f"{requested.fields['path']}/{requested.fields['blk']} as {name} keeps it\n".encode(),
             entity="toy1",
@@ -79,7 +79,7 @@
     server.default = "127.0.0.1"
     for srv, ports in services.items():
         domain = srv.rstrip(".").split(".", 2)[2]
-        server.put(
+        server.set_records(
             srv,
             "SRV",
             *(f"{10 * (index > 1)} 8 {port} cache-{index + 1}.{domain}." for index, port in enumerate(ports)),
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,14 +19,14 @@
 from tests.stand_ins import (
     ROOT,
     CacheStandIn,
-    Program,
     ReceivedRequest,
+    RouterProcess,
     ScriptedReply,
-    appliance,
-    data,
+    data_reply,
+    run_appliance,
     with_trio,
 )
-from tests.test_appliance import OBJECT, console, query, texts
+from tests.test_appliance import OBJECT, record_texts, run_console_command, send_query
 
 SRV = "_cache._tcp.branch.test"
 DISCOVERY_SETTINGS = f"""
@@ -57,13 +57,13 @@
         caches = [await CacheStandIn(f"b{n}").open(nursery) for n in range(count)]
         site = cls(server, caches, await CacheStandIn("origin", "origin").open(nursery))
         for number in range(count):
-            server.put(f"box-{number}.branch.test", "A", "127.0.0.1")
+            server.set_records(f"box-{number}.branch.test", "A", "127.0.0.1")
         site.set_srv_targets(*range(count))
         return site
 
     def set_srv_targets(self, *numbers: int, priority: int = 0) -> None:
         """Set the caches that the SRV answer contains."""
-        self.server.put(
+        self.server.set_records(
             SRV, "SRV", *(f"{priority} 8 {self.caches[n].port} box-{n}.branch.test." for n in numbers), ttl=0
         )
 
@@ -72,7 +72,7 @@
 SEARCH_LIMIT = 60.0  # seconds; over three times the ramp (18 s) that limits the load of a cold cache
 
 
-async def find_objects_of(router_process: Program, cache: CacheStandIn, count: int) -> list[str]:
+async def find_objects_of(router_process: RouterProcess, cache: CacheStandIn, count: int) -> list[str]:
     """Return `count` objects that the router requests from a cache; they depend on ports, so on the run.
 
     A cache whose connect failed is ejected for a while, then cold: its budget grows with time, not with
@@ -83,7 +83,7 @@
     with trio.move_on_after(SEARCH_LIMIT):
         for number in itertools.cycle(range(OBJECT_COUNT)):
             before, obj = len(cache.received), f"{number:016x}"
-            assert (await router_process.ask(obj=obj))[0] == 200
+            assert (await router_process.request_object(obj=obj))[0] == 200
             if len(cache.received) > before and obj not in found:
                 found.append(obj)
             if len(found) == count:
@@ -96,7 +96,7 @@
 async def wait_for_list(path: Path, *words: str) -> str:
     """Wait until the console's list of caches contains all of these words; return the list."""
     while True:
-        text = await console(path, "boxes", "-v")
+        text = await run_console_command(path, "boxes", "-v")
         if all(word in text for word in words):
             return text
         await trio.sleep(0.05)
@@ -105,7 +105,7 @@
 async def wait_for_explanation(path: Path, cache_id: str, state: str) -> str:
     """Wait until the console's explanation of a cache begins with `state`; return the explanation."""
     while True:
-        text = await console(path, "why", cache_id)
+        text = await run_console_command(path, "why", cache_id)
         if text.startswith(state):
             return text
         await trio.sleep(0.05)
@@ -116,7 +116,7 @@
     """A drained cache is in no DNS answer and gets no request while SRV answers change and look-ups fail."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             router_process,
             port,
             path,
@@ -124,13 +124,13 @@
             await wait_for_list(path, *site.ids)
             drained_cache = site.caches[0]
             objects = await find_objects_of(router_process, drained_cache, 4)
-            assert await console(path, "drain", site.ids[0]) == f"{site.ids[0]} drained\n"
+            assert await run_console_command(path, "drain", site.ids[0]) == f"{site.ids[0]} drained\n"
             drained_at, before = time.monotonic(), len(drained_cache.received)
 
             async def churn() -> None:
                 for number in range(10_000):
                     site.set_srv_targets(*[n for n in range(3) if n != number % 4], priority=number % 3)
-                    site.server.fail(
+                    site.server.set_faults(
                         *(
                             [Fault.SERVFAIL, Fault.LOST, Fault.CUT][number % 3 : number % 3 + 1]
                             if number % 2
@@ -149,22 +149,22 @@
             named: set[str] = set()
             while time.monotonic() < drained_at + 2.5:
                 for obj in objects:
-                    answer = await query(port, f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
-                    named |= {text.split()[3].split(".")[0] for text in texts(answer)}
-                    await router_process.ask(obj=obj)
+                    answer = await send_query(port, f"_http._tcp.{obj}.video-parts.caches.test.", "SRV")
+                    named |= {text.split()[3].split(".")[0] for text in record_texts(answer)}
+                    await router_process.request_object(obj=obj)
             assert site.ids[0] not in named
             assert named
             assert len(drained_cache.received) == before
-            assert "drained by the console of a1" in await console(path, "why", site.ids[0])
+            assert "drained by the console of a1" in await run_console_command(path, "why", site.ids[0])
             # The cache may have been missing from SRV for longer than the grace period, or its address may be
             # unknown. Once all answers contain it again, it has to be drained, not only absent.
             churn_scope.cancel()
-            site.server.fail()
+            site.server.set_faults()
             site.set_srv_targets(*range(3))
             why = await wait_for_explanation(path, site.ids[0], f"{site.ids[0]} is draining at 127.0.0.1")
             assert "drained by the console of a1" in why.splitlines()[0]
             for obj in objects:
-                await router_process.ask(obj=obj)
+                await router_process.request_object(obj=obj)
             assert len(drained_cache.received) == before
         nursery.cancel_scope.cancel()
 
@@ -174,18 +174,18 @@
     """A start without a resolver uses the snapshot, and the drained cache stays drained."""
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             _,
             _port,
             path,
         ):
             await wait_for_list(path, *site.ids)
-            await console(path, "drain", site.ids[1])
+            await run_console_command(path, "drain", site.ids[1])
             while b'drained\\":true' not in (path.parent / "last.json").read_bytes():
                 await trio.sleep(0.05)  # the process is killed, so only what is on disk remains
         await site.server.close()
         long_confirmation = DISCOVERY_SETTINGS.replace("confirm = 0.2", "confirm = 600")
-        async with appliance(tmp_path, [site.origin], site.server, extra=long_confirmation) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=long_confirmation) as (
             router_process,
             _port,
             path,
@@ -193,7 +193,7 @@
             text = await wait_for_list(path, *site.ids)
             assert "draining" in next(line for line in text.splitlines() if line.startswith(site.ids[1]))
             for number in range(8):
-                assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
+                assert (await router_process.request_object(obj=f"{number:016x}"))[0] == 200
             assert site.caches[0].received
             assert not site.caches[1].received
             # The resolver is back with one of three caches: the removal needs confirmation.
@@ -209,24 +209,26 @@
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery, 4)
         site.set_srv_targets(0, 1)
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             router_process,
             _port,
             path,
         ):
             await wait_for_list(path, *site.ids[:2])
-            site.server.fail(Fault.LOST)
+            site.server.set_faults(Fault.LOST)
             for cache in site.caches[:2]:
                 await cache.close()
             for number in range(8):
-                assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
+                assert (await router_process.request_object(obj=f"{number:016x}"))[0] == 200
             site.set_srv_targets(2, 3)
-            site.server.fail()
+            site.server.set_faults()
             await wait_for_list(path, *site.ids[2:])
-            while (text := await console(path, "boxes")) and (site.ids[0] in text or site.ids[1] in text):
-                assert (await router_process.ask())[0] == 200
+            while (text := await run_console_command(path, "boxes")) and (
+                site.ids[0] in text or site.ids[1] in text
+            ):
+                assert (await router_process.request_object())[0] == 200
             for number in range(8):
-                assert (await router_process.ask(obj=f"{number:016x}"))[0] == 200
+                assert (await router_process.request_object(obj=f"{number:016x}"))[0] == 200
             assert site.caches[2].received or site.caches[3].received
         nursery.cancel_scope.cancel()
 
@@ -237,12 +239,12 @@
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
         (tmp_path / "last.json").write_bytes(b'{"version":1,"sha256":"00","body":"{}"}')
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             router_process,
             _port,
             path,
         ):
-            await router_process.says(b"checksum mismatch")
+            await router_process.wait_for_log(b"checksum mismatch")
             await wait_for_list(path, *site.ids)
             assert (tmp_path / "last.json.damaged").exists()
         nursery.cancel_scope.cancel()
@@ -261,7 +263,7 @@
 
         for cache in (*site.caches, site.origin):
             cache.answer = hold
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             router_process,
             _port,
             path,
@@ -270,18 +272,20 @@
             statuses: list[int] = []
 
             async def submit() -> None:
-                statuses.append((await router_process.ask("sheet-submit", OBJECT, b"signed", ttl=2500))[0])
+                statuses.append(
+                    (await router_process.request_object("sheet-submit", OBJECT, b"signed", ttl=2500))[0]
+                )
 
             async with trio.open_nursery() as client:
                 client.start_soon(submit)
                 while not received:
                     await trio.sleep(0.01)
                 for cache in (*site.caches, site.origin):
-                    cache.answer = data
+                    cache.answer = data_reply
                 # Two answers without targets: the second one confirms the removal of all.
                 site.set_srv_targets()
-                site.server.put(SRV, "SRV", "0 0 0 .", ttl=0)
-                while site.ids[0] in await console(path, "boxes"):
+                site.server.set_records(SRV, "SRV", "0 0 0 .", ttl=0)
+                while site.ids[0] in await run_console_command(path, "boxes"):
                     await trio.sleep(0.05)
             assert statuses[0] in (502, 504)
             assert len(received) == 1
@@ -308,13 +312,13 @@
     async with trio.open_nursery() as nursery:
         site = await Site.open(nursery)
         site.server.additional = False  # each address needs its own query
-        async with appliance(tmp_path, [site.origin], site.server, extra=DISCOVERY_SETTINGS) as (
+        async with run_appliance(tmp_path, [site.origin], site.server, extra_settings=DISCOVERY_SETTINGS) as (
             _,
             _port,
             path,
         ):
             for fails in (False, True):
-                site.server.fail(*[Fault.SERVFAIL] * fails, name="box-1.branch.test")
+                site.server.set_faults(*[Fault.SERVFAIL] * fails, name="box-1.branch.test")
                 completed = await trio.to_thread.run_sync(run, "discover", str(path), "--json")
                 view = orjson.loads(completed.stdout)
                 assert completed.returncode == int(fails)
